--- a/src/api/dependencies.ts
+++ b/src/api/dependencies.ts
@@ -1,4 +1,4 @@
-import type { NodeContext } from '../cluster/context.js';
+import type { NodeContext } from '../core/context.js';
 import type { JobId } from '../model/ids.js';
 import type { JobRecord, JobSpec } from '../model/job.js';
 import { keys } from '../store/keys.js';
--- a/src/api/http-router.ts
+++ b/src/api/http-router.ts
@@ -2,7 +2,7 @@
 import type { IncomingMessage, RequestListener, ServerResponse } from 'node:http';
 import { LinearRouter } from 'hono/router/linear-router';
 import type { UserVerb } from '../peer/frames.js';
-import type { UserAnswer } from './users.js';
+import type { UserAnswer } from './user-service.js';
 
 /** Largest request body (PROTOCOL). */
 export const MAX_BODY = 64 * 1024;
--- a/src/api/job-cache.ts
+++ b/src/api/job-cache.ts
@@ -4,7 +4,7 @@
 import { type Committed, StateRefused, type StateStore } from '../store/client.js';
 import { decodeJob } from '../store/job-record.js';
 import { keys } from '../store/keys.js';
-import type { Change, Condition } from '../wire/state.js';
+import type { Change, Condition } from '../wire/key-value-store.js';
 
 /** What was last seen of an accepted job. */
 export interface Known {
--- a/src/api/users.ts
+++ b/src/api/user-service.ts
@@ -1,5 +1,5 @@
-import type { ToldCancellation } from '../cluster/cancellations.js';
-import type { NodeContext } from '../cluster/context.js';
+import type { ToldCancellation } from '../core/confirmed-cancellations.js';
+import type { NodeContext } from '../core/context.js';
 import type { JobId, Revision } from '../model/ids.js';
 import { isJobId, NO_REVISION } from '../model/ids.js';
 import { reason } from '../log/logger.js';
@@ -7,8 +7,8 @@
 import { fits } from '../model/job.js';
 import { DEPENDENCIES_VERSION, SPLIT_DESCRIPTIONS_VERSION } from '../model/protocol.js';
 import { ms, since, sleep, type WallTime } from '../model/time.js';
-import type { Change, Condition, Write } from '../wire/state.js';
-import { Budget } from '../net/budget.js';
+import type { Change, Condition, Write } from '../wire/key-value-store.js';
+import { Budget } from '../net/token-bucket.js';
 import { teamRoom } from '../scheduler/queue.js';
 import { StateRefused, StateUnknown } from '../store/client.js';
 import { decodeJob, encodeEnded, encodeJob, splitJob, type StoredInParts } from '../store/job-record.js';
--- a/src/cli/members.ts
+++ b/src/cli/members.ts
@@ -1,7 +1,7 @@
 /** `plumyoke members`: the controllers as a running one sees them, and what to do about them. */
 import { loadSettings } from '../config/operators.js';
 import { Kind } from '../peer/frames.js';
-import { askOnce, NoReply } from '../peer/ask-once.js';
+import { askOnce, NoReply } from '../peer/single-request.js';
 import { type MemberLine, type MembersReport, readMembersReport } from '../wire/members.js';
 import { renderTable } from './table.js';
 
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -2,7 +2,7 @@
 import { parseArgs } from 'node:util';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
-import { Node } from '../cluster/node.js';
+import { Node } from '../controller/controller.js';
 import { BadSettings, loadOperators, loadSettings } from '../config/operators.js';
 import { members } from './members.js';
 import { tooSmall } from '../config/limits.js';
@@ -88,7 +88,7 @@
 async function checkedFeatures({ features: folder }: Options, settings: Settings): Promise<Features> {
   const features = loadFeatures(folder);
   if (features.failover) {
-    const { checkFailover } = await import('../cluster/failover/failover-settings.js');
+    const { checkFailover } = await import('../leadership/failover/failover-settings.js');
     checkFailover(settings, features.failover);
   }
   return features;
--- a/src/cluster/node.ts
+++ b/src/controller/controller.ts
@@ -1,7 +1,7 @@
 /** One controller: takes users and workers, relays to the leader, and leads when elected. */
 import { Admission } from '../api/admission.js';
 import { requestListener } from '../api/http-router.js';
-import { UserService } from '../api/users.js';
+import { UserService } from '../api/user-service.js';
 import { CloudClient } from '../cloud/client.js';
 import type { Features } from '../config/features.js';
 import type { Operators } from '../config/operators.js';
@@ -26,23 +26,23 @@
 import { NO_SOCKET_STATUS, type RawCaller, RoutedCaller } from '../peer/routed-caller.js';
 import { StateClient } from '../store/client.js';
 import { limitProbe } from '../store/limit-probe.js';
-import { StateLimits } from '../store/limits.js';
+import { StateLimits } from '../store/store-limits.js';
 import { encodeMembersReport, type MembersReport } from '../wire/members.js';
 import type { Settings } from '../wire/settings.js';
 import { readCommandReply } from '../wire/workers.js';
-import { WorkerTargets } from '../workers/caller.js';
-import { Cancellations } from './cancellations.js';
-import { ConnectivityMonitor } from './connectivity.js';
-import type { NodeContext } from './context.js';
-import type { Failover } from './failover/failover.js';
-import { DETECTION_OFF_STATUS } from './failover/detection-status.js';
+import { WorkerTargets } from '../workers/worker-connections.js';
+import { Cancellations } from '../core/confirmed-cancellations.js';
+import { ConnectivityMonitor } from './store-connectivity.js';
+import type { NodeContext } from '../core/context.js';
+import type { Failover } from '../leadership/failover/failover.js';
+import { DETECTION_OFF_STATUS } from '../leadership/failover/detection-status.js';
 import { HeartbeatRouter } from './heartbeat-router.js';
 import { Leadership } from './leadership.js';
 import { LoadMonitor } from './load-monitor.js';
-import { MachineTypeCatalogue } from './machine-types.js';
+import { MachineTypeCatalogue } from './machine-type-catalog.js';
 import { MemoryMonitor } from './memory-monitor.js';
 import { type OwnState, PeerGroup } from './peer-group.js';
-import { ProgressBoard } from './progress-board.js';
+import { ProgressBoard } from './progress-cache.js';
 import { UserRouter } from './user-router.js';
 
 const STATE_MS = 1000;
@@ -155,8 +155,8 @@
     const feature = this.features.failover;
     if (feature === null) return;
     const [{ Failover }, { PeerTransport }] = await Promise.all([
-      import('./failover/failover.js'),
-      import('./failover/peer-transport.js'),
+      import('../leadership/failover/failover.js'),
+      import('../leadership/failover/peer-transport.js'),
     ]);
     this.failover = new Failover({
       context: this.ctx,
--- a/src/cluster/heartbeat-router.ts
+++ b/src/controller/heartbeat-router.ts
@@ -1,13 +1,13 @@
 /** Brings workers' reports to whoever leads, and the answers back. */
 import type { HostId, MemberId } from '../model/ids.js';
-import type { Report } from '../model/report.js';
+import type { Report } from '../model/heartbeat.js';
 import { type Clock, since } from '../model/time.js';
 import { parseJson } from '../net/http-client.js';
-import { Turns } from '../net/turns.js';
+import { Turns } from '../net/work-queue.js';
 import { type AnswerFrame, Kind } from '../peer/frames.js';
 import { encodeOrders, encodeRedirect, parseReport } from '../wire/workers.js';
-import type { NodeContext } from './context.js';
-import type { Leadership } from './leadership.js';
+import type { NodeContext } from '../core/context.js';
+import type { Leadership } from '../controller/leadership.js';
 import type { PeerGroup } from './peer-group.js';
 import { WorkerRedirects } from './worker-redirects.js';
 
--- a/src/cluster/leadership.ts
+++ b/src/controller/leadership.ts
@@ -1,11 +1,11 @@
 import type { Epoch, MemberId } from '../model/ids.js';
 import type { Millis } from '../model/time.js';
-import type { Report } from '../model/report.js';
-import { aloneMs } from './answering.js';
-import type { NodeContext } from './context.js';
-import { Election, type Won } from './election.js';
-import { Leader } from './leader.js';
-import type { ReportAnswer } from './report-handler.js';
+import type { Report } from '../model/heartbeat.js';
+import { aloneMs } from '../leader/worker-lease-policy.js';
+import type { NodeContext } from '../core/context.js';
+import { Election, type Won } from '../leadership/election.js';
+import { Leader } from '../leader/leader.js';
+import type { ReportAnswer } from '../leader/heartbeat-handler.js';
 
 /** After hearing no worker, a node leaves the leadership to others for this long. */
 const DEAF_PAUSE_MS = 15_000;
--- a/src/cluster/machine-types.ts
+++ b/src/controller/machine-type-catalog.ts
@@ -2,7 +2,7 @@
 import type { MachineType } from '../model/machine.js';
 import { sleep } from '../model/time.js';
 import { keys } from '../store/keys.js';
-import type { NodeContext } from './context.js';
+import type { NodeContext } from '../core/context.js';
 
 const REFRESH_MS = 60_000;
 
--- a/src/cluster/peer-group.ts
+++ b/src/controller/peer-group.ts
@@ -14,8 +14,8 @@
 import type { LeaderRecord } from '../store/leader-record.js';
 import type { MemberLine } from '../wire/members.js';
 import type { Sibling } from '../wire/settings.js';
-import type { Cancellations } from './cancellations.js';
-import type { Siblings } from './context.js';
+import type { Cancellations } from '../core/confirmed-cancellations.js';
+import type { Siblings } from '../core/context.js';
 
 /** States for operators where no failure detection runs: whether there is a link. */
 const LINKED = 'linked';
--- a/src/cluster/user-router.ts
+++ b/src/controller/user-router.ts
@@ -1,11 +1,11 @@
 /** Answers users' requests here or, where this node can't, at another one. */
 import type { Admission } from '../api/admission.js';
-import { Busy, unavailable, type UserAnswer, type UserService } from '../api/users.js';
+import { Busy, unavailable, type UserAnswer, type UserService } from '../api/user-service.js';
 import { parseJson } from '../net/http-client.js';
 import { encodeUser, Kind, type UserVerb } from '../peer/frames.js';
 import { StateRefused, StateUnknown } from '../store/client.js';
-import type { ConnectivityMonitor } from './connectivity.js';
-import type { PeerGroup } from './peer-group.js';
+import type { ConnectivityMonitor } from '../controller/store-connectivity.js';
+import type { PeerGroup } from '../controller/peer-group.js';
 
 const FORWARD_MS = 1500;
 /** How many other nodes are asked to take what this one has no part of the changes left for. */
--- a/src/cluster/context.ts
+++ b/src/core/context.ts
@@ -1,19 +1,19 @@
-import type { Cancellations } from './cancellations.js';
+import type { Cancellations } from './confirmed-cancellations.js';
 import type { Cloud } from '../cloud/client.js';
 import type { Operators } from '../config/operators.js';
 import type { Log } from '../log/logger.js';
 import type { Epoch, HostId, JobId, MemberId, Revision, SessionNumber, Token, TypeId } from '../model/ids.js';
 import type { MachineType } from '../model/machine.js';
-import type { Order, Report } from '../model/report.js';
+import type { Order, Report } from '../model/heartbeat.js';
 import type { Clock, Steady } from '../model/time.js';
 import type { JobStore } from '../scheduler/job-store.js';
 import type { CancellationsWord } from '../peer/frames.js';
 import type { Records } from '../store/records.js';
-import type { StateLimits } from '../store/limits.js';
+import type { StateLimits } from '../store/store-limits.js';
 import type { StateStore } from '../store/client.js';
 import type { Settings } from '../wire/settings.js';
 import type { CommandReply } from '../wire/workers.js';
-import type { HostRegistry } from '../workers/host-registry.js';
+import type { HostRegistry } from '../workers/state/worker-registry.js';
 
 /** Direct calls to a worker's own address. */
 export interface WorkerCaller {
--- a/src/fleet/backlog.ts
+++ b/src/fleet/backlog.ts
@@ -1,5 +1,5 @@
 import { type Steady, since } from '../model/time.js';
-import type { Need } from './plan.js';
+import type { Need } from './capacity-plan.js';
 
 /** Waiting tasks of one job that found no room. */
 export interface QueuedWork extends Need {
--- a/src/fleet/capacity-projection.ts
+++ b/src/fleet/capacity-projection.ts
@@ -2,9 +2,9 @@
 import type { TypeId } from '../model/ids.js';
 import type { MachineType } from '../model/machine.js';
 import { type Millis, type Steady, since } from '../model/time.js';
-import type { Host } from '../workers/host.js';
+import type { Host } from '../workers/state/worker.js';
 import type { QueuedWork } from './backlog.js';
-import { allPools, cheapestPool, perMachine, type Pool, seriesKey } from './plan.js';
+import { allPools, cheapestPool, perMachine, type Pool, seriesKey } from './capacity-plan.js';
 
 /** What the fleet looks like from here: its expected frees of a slot and its idle room. */
 export interface CapacityProjection {
--- a/src/fleet/cloud-turns.ts
+++ b/src/fleet/cloud-call-queue.ts
@@ -1,6 +1,6 @@
 /** Spaces calls to the cloud so that they keep to its rate. */
 import { type Clock, sleep } from '../model/time.js';
-import type { Budget } from '../net/budget.js';
+import type { Budget } from '../net/token-bucket.js';
 
 /** Each caller waits for its turn; none is refused. */
 export class CloudTurns {
--- a/src/fleet/consolidator.ts
+++ b/src/fleet/consolidator.ts
@@ -1,13 +1,13 @@
 /** Empties machines that are mostly idle, where their work fits elsewhere. */
-import type { LeaderContext } from '../cluster/context.js';
+import type { LeaderContext } from '../core/context.js';
 import type { Lifetimes } from '../forecast/lifetimes.js';
 import type { ConfirmedFacts } from '../model/machine-facts.js';
 import { type Steady, since } from '../model/time.js';
 import type { Task } from '../scheduler/task.js';
 import type { Urgency } from '../scheduler/urgency.js';
-import type { Host } from '../workers/host.js';
+import type { Host } from '../workers/state/worker.js';
 import { machinesToEmpty, type MovableTask, type PartlyUsed } from './consolidation.js';
-import { allPools, price } from './plan.js';
+import { allPools, price } from './capacity-plan.js';
 
 /** Between two looks for machines to be emptied; the last one's work has found its place by then. */
 const EVERY_MS = 2000;
--- a/src/fleet/demand-forecast.ts
+++ b/src/fleet/demand-forecast.ts
@@ -1,13 +1,13 @@
 /** The paper's forecast: how many machines of each series the coming slot will newly need. */
-import type { NodeContext } from '../cluster/context.js';
+import type { NodeContext } from '../core/context.js';
 import { Arrivals } from '../forecast/arrivals.js';
 import { Ensemble, type PredictionCost } from '../forecast/ensemble.js';
 import { autoregression, highQuantile, movingAverage } from '../forecast/predictors.js';
 import { type Millis, seconds } from '../model/time.js';
 import { NO_TASKS } from '../scheduler/placement-rule.js';
-import type { OpenJob } from '../scheduler/open-job.js';
+import type { OpenJob } from '../scheduler/active-job.js';
 import type { CapacityProjection } from './capacity-projection.js';
-import { allPools, cheapestPool, perMachine, readSeriesKey, seriesKey } from './plan.js';
+import { allPools, cheapestPool, perMachine, readSeriesKey, seriesKey } from './capacity-plan.js';
 
 /** The part of a site's stock of old work that a slot's arrivals are taken to be. */
 const FIRST_SLOT = 0.3;
--- a/src/fleet/manager.ts
+++ b/src/fleet/fleet-manager.ts
@@ -1,24 +1,24 @@
 /** Rents, keeps and returns machines: the paper's forecast, reserves and on-the-fly misses. */
-import type { LeaderContext } from '../cluster/context.js';
+import type { LeaderContext } from '../core/context.js';
 import type { Lifetimes } from '../forecast/lifetimes.js';
 import type { HostId } from '../model/ids.js';
 import type { Machine } from '../model/machine.js';
 import type { FactSource } from '../model/machine-facts.js';
 import { type Steady, plus, since } from '../model/time.js';
-import type { Budget } from '../net/budget.js';
-import type { OpenJob } from '../scheduler/open-job.js';
+import type { Budget } from '../net/token-bucket.js';
+import type { OpenJob } from '../scheduler/active-job.js';
 import type { SlackFactors } from '../scheduler/slack-factors.js';
 import type { Urgency } from '../scheduler/urgency.js';
-import type { Host } from '../workers/host.js';
+import type { Host } from '../workers/state/worker.js';
 import { lateNeeds, LateWatch, type QueuedWork } from './backlog.js';
 import { type CapacityProjection, projectCapacity } from './capacity-projection.js';
-import { CloudTurns } from './cloud-turns.js';
+import { CloudTurns } from './cloud-call-queue.js';
 import { Consolidator, PAID_MS } from './consolidator.js';
 import { DemandForecast, ROUND_DOWN } from './demand-forecast.js';
 import { MachineInventory, slowestBoot } from './inventory.js';
-import { type Coming, readSeriesKey, rentFor, seriesKey, type Wish } from './plan.js';
-import { MachineRemover } from './remover.js';
-import { Renter } from './renter.js';
+import { type Coming, readSeriesKey, rentFor, seriesKey, type Wish } from './capacity-plan.js';
+import { MachineRemover } from './scale-in.js';
+import { Renter } from './scale-out.js';
 
 /** The record, beside the series', of what classes have missed; its stored name stays. */
 const SLACK_FACTORS_RECORD = '~patience';
--- a/src/fleet/inventory.ts
+++ b/src/fleet/inventory.ts
@@ -1,13 +1,13 @@
 /** Which machines exist: as rented, listed by the cloud, reported, or named by a predecessor's records. */
-import type { LeaderContext } from '../cluster/context.js';
+import type { LeaderContext } from '../core/context.js';
 import { reason } from '../log/logger.js';
 import type { HostId } from '../model/ids.js';
 import type { ListedMachine, Machine, MachineType } from '../model/machine.js';
 import { type ConfirmedFacts, FactSource, sameMachine, UNKNOWN_FACTS } from '../model/machine-facts.js';
 import { type Steady, plus, since } from '../model/time.js';
-import { Host } from '../workers/host.js';
-import type { CloudTurns } from './cloud-turns.js';
-import type { MachineRemover } from './remover.js';
+import { Host } from '../workers/state/worker.js';
+import type { CloudTurns } from './cloud-call-queue.js';
+import type { MachineRemover } from './scale-in.js';
 
 /** The cloud's list is read again this long after the last reading. */
 const LIST_EVERY_MS = 4000;
--- a/src/fleet/remover.ts
+++ b/src/fleet/scale-in.ts
@@ -1,10 +1,10 @@
 /** Deletes machines: surplus ones, and ones that are fenced. */
-import type { LeaderContext } from '../cluster/context.js';
+import type { LeaderContext } from '../core/context.js';
 import { reason } from '../log/logger.js';
 import type { HostId } from '../model/ids.js';
 import { sleep } from '../model/time.js';
-import type { Host } from '../workers/host.js';
-import type { CloudTurns } from './cloud-turns.js';
+import type { Host } from '../workers/state/worker.js';
+import type { CloudTurns } from './cloud-call-queue.js';
 
 const MOST_PER_DELETE = 100;
 /** Machines that are to go within this share a call. */
--- a/src/fleet/renter.ts
+++ b/src/fleet/scale-out.ts
@@ -1,12 +1,12 @@
 /** Rents machines: asks for them by name, remembers what is sold out, and never rents while unsure of leading. */
-import type { LeaderContext } from '../cluster/context.js';
+import type { LeaderContext } from '../core/context.js';
 import { CloudRefused, type Rented } from '../cloud/client.js';
 import { reason } from '../log/logger.js';
 import type { RentalName, TypeId, ZoneId } from '../model/ids.js';
 import { FactSource } from '../model/machine-facts.js';
 import { type Steady, plus, since, sleep } from '../model/time.js';
 import type { Rental } from '../wire/cloud.js';
-import type { CloudTurns } from './cloud-turns.js';
+import type { CloudTurns } from './cloud-call-queue.js';
 import type { MachineInventory } from './inventory.js';
 import {
   allPools,
@@ -17,7 +17,7 @@
   seriesKey,
   readSeriesKey,
   type Wish,
-} from './plan.js';
+} from './capacity-plan.js';
 
 /** A refused pool is asked again after this. */
 const REFUSED_MS = 15_000;
--- a/src/store/committer.ts
+++ b/src/leader/committer.ts
@@ -1,16 +1,16 @@
-import type { LeaderContext } from '../cluster/context.js';
+import type { LeaderContext } from '../core/context.js';
 import { reason } from '../log/logger.js';
 import type { JobId } from '../model/ids.js';
-import { decodeJob, encodeEnded, furtherKeys } from './job-record.js';
-import { keys } from './keys.js';
-import { encodeChunk } from './progress-record.js';
+import { decodeJob, encodeEnded, furtherKeys } from '../store/job-record.js';
+import { keys } from '../store/keys.js';
+import { encodeChunk } from '../store/progress-record.js';
 import type { WriteCounts } from './write-counts.js';
-import { type Committed, StateRefused, StateTooLarge } from './client.js';
-import type { Budget } from '../net/budget.js';
+import { type Committed, StateRefused, StateTooLarge } from '../store/client.js';
+import type { Budget } from '../net/token-bucket.js';
 import type { Chunk } from '../scheduler/chunk.js';
-import type { OpenJob } from '../scheduler/open-job.js';
+import type { OpenJob } from '../scheduler/active-job.js';
 import type { Task } from '../scheduler/task.js';
-import type { Condition, Write } from '../wire/state.js';
+import type { Condition, Write } from '../wire/key-value-store.js';
 import { since, sleep } from '../model/time.js';
 
 /** Progress without a new start may wait this long for company: it only saves repeated work. */
--- a/src/cluster/decision-loop.ts
+++ b/src/leader/decision-loop.ts
@@ -1,23 +1,23 @@
 /** Decides, whenever something has changed, which tasks start where and which machines are wanted for the rest. */
 import type { Mutex } from 'async-mutex';
 import type { QueuedWork } from '../fleet/backlog.js';
-import type { FleetManager } from '../fleet/manager.js';
+import type { FleetManager } from '../fleet/fleet-manager.js';
 import type { Lifetimes } from '../forecast/lifetimes.js';
 import type { HostId, JobId, TeamId } from '../model/ids.js';
 import { Priority } from '../model/job.js';
 import type { Team } from '../model/team.js';
 import { type Steady, since } from '../model/time.js';
-import type { OpenJob } from '../scheduler/open-job.js';
+import type { OpenJob } from '../scheduler/active-job.js';
 import type { Task } from '../scheduler/task.js';
-import { place } from '../scheduler/place.js';
+import { place } from '../scheduler/placement.js';
 import { guaranteedJobs } from '../scheduler/queue.js';
 import type { JobView, MachineView, Plan, Stop, Victim } from '../scheduler/snapshot.js';
 import type { SlackFactors } from '../scheduler/slack-factors.js';
 import { isStarving, type Urgency } from '../scheduler/urgency.js';
-import type { Committer } from '../store/committer.js';
-import type { Dispatcher } from '../workers/dispatcher.js';
-import type { Host } from '../workers/host.js';
-import type { LeaderContext } from './context.js';
+import type { Committer } from './committer.js';
+import type { Dispatcher } from '../workers/command-dispatcher.js';
+import type { Host } from '../workers/state/worker.js';
+import type { LeaderContext } from '../core/context.js';
 import { jobView, machineView, victims } from './placement-views.js';
 
 /**
--- a/src/cluster/dependency-tracker.ts
+++ b/src/leader/dependency-tracker.ts
@@ -3,13 +3,13 @@
 import { reason } from '../log/logger.js';
 import type { JobId } from '../model/ids.js';
 import { sleep } from '../model/time.js';
-import type { DependencyGraph } from '../scheduler/dependencies.js';
-import type { OpenJob } from '../scheduler/open-job.js';
+import type { DependencyGraph } from '../scheduler/dependency-graph.js';
+import type { OpenJob } from '../scheduler/active-job.js';
 import { decodeJob } from '../store/job-record.js';
 import { keys } from '../store/keys.js';
-import type { LeaderContext } from './context.js';
+import type { LeaderContext } from '../core/context.js';
 import type { JobCanceller } from './job-canceller.js';
-import { readDependencies } from './takeover.js';
+import { readDependencies } from './record-loader.js';
 
 /** A further record of a job that could not be read is asked for again after this. */
 const READ_AGAIN_MS = 300;
--- a/src/cluster/fleet-record.ts
+++ b/src/leader/fleet-record-writer.ts
@@ -1,13 +1,13 @@
-import type { FleetManager } from '../fleet/manager.js';
+import type { FleetManager } from '../fleet/fleet-manager.js';
 import { type HostId, NO_REVISION, type Revision } from '../model/ids.js';
 import type { Machine } from '../model/machine.js';
 import { type Steady, since } from '../model/time.js';
-import type { Budget } from '../net/budget.js';
+import type { Budget } from '../net/token-bucket.js';
 import { keys } from '../store/keys.js';
-import type { WriteCounts } from '../store/write-counts.js';
-import type { Row, Write } from '../wire/state.js';
-import type { Host } from '../workers/host.js';
-import type { LeaderContext } from './context.js';
+import type { WriteCounts } from './write-counts.js';
+import type { Row, Write } from '../wire/key-value-store.js';
+import type { Host } from '../workers/state/worker.js';
+import type { LeaderContext } from '../core/context.js';
 
 /**
  * One machine in a fleet record, by position. `confirmed` was added with issue 30: earlier versions also recorded what
--- a/src/cluster/report-handler.ts
+++ b/src/leader/heartbeat-handler.ts
@@ -1,23 +1,23 @@
 /** Takes in workers' reports, however they come, and answers with orders. */
 import type { Mutex } from 'async-mutex';
-import type { FleetManager } from '../fleet/manager.js';
+import type { FleetManager } from '../fleet/fleet-manager.js';
 import type { DecisionLog } from '../log/decision-log.js';
 import type { Lifetimes } from '../forecast/lifetimes.js';
 import { epochOfToken, type MemberId, type Round, type Token, tokenOf } from '../model/ids.js';
 import type { Machine } from '../model/machine.js';
 import { FactSource } from '../model/machine-facts.js';
-import type { Order, Report } from '../model/report.js';
+import type { Order, Report } from '../model/heartbeat.js';
 import { type Steady, plus } from '../model/time.js';
-import type { OpenJob } from '../scheduler/open-job.js';
-import type { Committer } from '../store/committer.js';
-import type { Dispatcher } from '../workers/dispatcher.js';
-import type { Health } from '../workers/health.js';
-import type { Host } from '../workers/host.js';
-import type { OrderIssuer } from '../workers/order-issuer.js';
-import { clearsFor, killsOf, mustForget, needsRaise, ordersFor } from '../workers/orders.js';
-import { applyReport, type Told } from '../workers/reports.js';
-import type { Answering } from './answering.js';
-import type { LeaderContext } from './context.js';
+import type { OpenJob } from '../scheduler/active-job.js';
+import type { Committer } from './committer.js';
+import type { Dispatcher } from '../workers/command-dispatcher.js';
+import type { Health } from '../workers/failure-detector.js';
+import type { Host } from '../workers/state/worker.js';
+import type { OrderIssuer } from '../workers/command-issuer.js';
+import { clearsFor, killsOf, mustForget, needsRaise, ordersFor } from '../workers/worker-commands.js';
+import { applyReport, type Told } from '../workers/reconciliation.js';
+import type { Answering } from '../leader/worker-lease-policy.js';
+import type { LeaderContext } from '../core/context.js';
 
 /** Orders in one answer: the rest goes with the next report. */
 const MOST_ORDERS = 250;
--- a/src/cluster/job-canceller.ts
+++ b/src/leader/job-canceller.ts
@@ -1,15 +1,15 @@
 /** Stops the work of cancelled jobs, and of everything that needs them. */
-import type { FleetManager } from '../fleet/manager.js';
+import type { FleetManager } from '../fleet/fleet-manager.js';
 import type { Lifetimes } from '../forecast/lifetimes.js';
 import type { JobId } from '../model/ids.js';
 import { ms, type Steady, since } from '../model/time.js';
-import type { DependencyGraph } from '../scheduler/dependencies.js';
-import type { OpenJob } from '../scheduler/open-job.js';
+import type { DependencyGraph } from '../scheduler/dependency-graph.js';
+import type { OpenJob } from '../scheduler/active-job.js';
 import type { Task } from '../scheduler/task.js';
-import type { Committer } from '../store/committer.js';
-import type { Dispatcher } from '../workers/dispatcher.js';
-import type { Host } from '../workers/host.js';
-import type { LeaderContext } from './context.js';
+import type { Committer } from './committer.js';
+import type { Dispatcher } from '../workers/command-dispatcher.js';
+import type { Host } from '../workers/state/worker.js';
+import type { LeaderContext } from '../core/context.js';
 
 /** The part of a cancellation's limit after which a host that keeps its task is fenced. */
 const FENCE_AFTER = 0.4;
--- a/src/cluster/job-outcomes.ts
+++ b/src/leader/job-outcomes.ts
@@ -1,11 +1,11 @@
 /** What is learned from jobs that are over, and told to the log. */
-import type { FleetManager } from '../fleet/manager.js';
+import type { FleetManager } from '../fleet/fleet-manager.js';
 import type { Lifetimes } from '../forecast/lifetimes.js';
 import { type Steady, since } from '../model/time.js';
-import type { OpenJob } from '../scheduler/open-job.js';
+import type { OpenJob } from '../scheduler/active-job.js';
 import type { SlackFactors } from '../scheduler/slack-factors.js';
 import type { Urgency } from '../scheduler/urgency.js';
-import type { LeaderContext } from './context.js';
+import type { LeaderContext } from '../core/context.js';
 
 interface OutcomeParts {
   readonly fleet: FleetManager;
--- a/src/cluster/job-watcher.ts
+++ b/src/leader/job-watcher.ts
@@ -6,11 +6,11 @@
 import { sleep } from '../model/time.js';
 import { decodeJob } from '../store/job-record.js';
 import { keys } from '../store/keys.js';
-import type { Change } from '../wire/state.js';
-import { type Answering, watchedUpTo } from './answering.js';
-import type { LeaderContext } from './context.js';
-import { type LoadedJobs, loadOpenJobs, openJob, readDescription } from './takeover.js';
-import type { OpenJob } from '../scheduler/open-job.js';
+import type { Change } from '../wire/key-value-store.js';
+import { type Answering, watchedUpTo } from '../leader/worker-lease-policy.js';
+import type { LeaderContext } from '../core/context.js';
+import { type LoadedJobs, loadOpenJobs, openJob, readDescription } from './record-loader.js';
+import type { OpenJob } from '../scheduler/active-job.js';
 
 /** Each answer of the watch tells that nothing is missed up to then: see `Answering`. */
 const WATCH_MS = 5000;
--- a/src/cluster/summary.ts
+++ b/src/leader/leader-summary.ts
@@ -1,7 +1,7 @@
 /** What the log tells of a leadership every few seconds. */
-import { seriesKey } from '../fleet/plan.js';
+import { seriesKey } from '../fleet/capacity-plan.js';
 import type { JobStore } from '../scheduler/job-store.js';
-import type { HostRegistry } from '../workers/host-registry.js';
+import type { HostRegistry } from '../workers/state/worker-registry.js';
 
 /** Jobs, tasks and machines in numbers. */
 export function summaryOf(jobs: JobStore, hosts: HostRegistry): object {
--- a/src/cluster/placement-views.ts
+++ b/src/leader/placement-views.ts
@@ -1,10 +1,10 @@
 import type { HostId } from '../model/ids.js';
 import type { Steady } from '../model/time.js';
-import type { OpenJob } from '../scheduler/open-job.js';
+import type { OpenJob } from '../scheduler/active-job.js';
 import type { ConfirmedFacts } from '../model/machine-facts.js';
 import { bindsZones } from '../scheduler/placement-rule.js';
 import type { JobView, MachineView, Victim } from '../scheduler/snapshot.js';
-import type { Host } from '../workers/host.js';
+import type { Host } from '../workers/state/worker.js';
 
 const NO_HOSTS: ReadonlySet<HostId> = new Set();
 
--- a/src/cluster/takeover.ts
+++ b/src/leader/record-loader.ts
@@ -1,15 +1,15 @@
-import type { FleetManager } from '../fleet/manager.js';
+import type { FleetManager } from '../fleet/fleet-manager.js';
 import type { HostId, JobId, Revision, TypeId, ZoneId } from '../model/ids.js';
 import type { JobRecord } from '../model/job.js';
 import type { Machine } from '../model/machine.js';
 import type { Steady } from '../model/time.js';
-import { OpenJob } from '../scheduler/open-job.js';
+import { OpenJob } from '../scheduler/active-job.js';
 import { decodeJob, withDescription } from '../store/job-record.js';
 import { CHUNK_TASKS, keys, parseOpenKey } from '../store/keys.js';
 import { type Records, readRecords, retryTooMany } from '../store/records.js';
-import type { Condition, Row } from '../wire/state.js';
-import type { LeaderContext } from './context.js';
-import type { StoredMachine } from './fleet-record.js';
+import type { Condition, Row } from '../wire/key-value-store.js';
+import type { LeaderContext } from '../core/context.js';
+import type { StoredMachine } from '../leader/fleet-record-writer.js';
 
 /** A request that is refused for too many waits this long and up to as long again. */
 const REFUSED_PAUSE_MS = 40;
--- a/src/cluster/state-restorer.ts
+++ b/src/leader/state-restorer.ts
@@ -1,16 +1,16 @@
 /** What a new leader makes of what the earlier one left: jobs, machines, and which task may be where. */
-import type { FleetManager } from '../fleet/manager.js';
+import type { FleetManager } from '../fleet/fleet-manager.js';
 import { reason } from '../log/logger.js';
 import type { Revision } from '../model/ids.js';
 import { Priority } from '../model/job.js';
 import { FactSource } from '../model/machine-facts.js';
 import { type Steady, since, sleep } from '../model/time.js';
-import type { Host } from '../workers/host.js';
-import type { Answering } from './answering.js';
-import type { LeaderContext } from './context.js';
-import type { FleetRecord } from './fleet-record.js';
-import type { JobIntake } from './job-watcher.js';
-import { type LoadedJobs, loadOpenJobs, type RestoredFleet, restoreFleet } from './takeover.js';
+import type { Host } from '../workers/state/worker.js';
+import type { Answering } from '../leader/worker-lease-policy.js';
+import type { LeaderContext } from '../core/context.js';
+import type { FleetRecord } from '../leader/fleet-record-writer.js';
+import type { JobIntake } from '../leader/job-watcher.js';
+import { type LoadedJobs, loadOpenJobs, type RestoredFleet, restoreFleet } from './record-loader.js';
 
 /** A takeover that could not read the records tries again after this. */
 const AGAIN_MS = 200;
--- a/src/cluster/host-drainer.ts
+++ b/src/leader/worker-drainer.ts
@@ -2,9 +2,9 @@
 import type { HostId } from '../model/ids.js';
 import type { Steady } from '../model/time.js';
 import type { Task } from '../scheduler/task.js';
-import type { Dispatcher } from '../workers/dispatcher.js';
-import type { Host } from '../workers/host.js';
-import type { LeaderContext } from './context.js';
+import type { Dispatcher } from '../workers/command-dispatcher.js';
+import type { Host } from '../workers/state/worker.js';
+import type { LeaderContext } from '../core/context.js';
 
 /** An order's way to the machine, and its answer's back. */
 const ORDER_WAY_S = 4;
--- a/src/cluster/answering.ts
+++ b/src/leader/worker-lease-policy.ts
@@ -1,6 +1,6 @@
 import { reason } from '../log/logger.js';
 import { atMost, type Millis, type Steady, plus, since } from '../model/time.js';
-import type { NodeContext } from './context.js';
+import type { NodeContext } from '../core/context.js';
 
 /** Between the end of a worker's lease and the limit of a cancellation. */
 const CANCEL_MARGIN_MS = 5000;
--- a/src/cluster/election.ts
+++ b/src/leadership/election.ts
@@ -22,7 +22,7 @@
   type LeaderRecord,
   leaderRecord,
 } from '../store/leader-record.js';
-import type { NodeContext } from './context.js';
+import type { NodeContext } from '../core/context.js';
 
 /** A leadership that this node has taken. */
 export interface Won {
--- a/src/cluster/failover/failover.ts
+++ b/src/leadership/failover/failover.ts
@@ -15,9 +15,9 @@
 import type { FailoverFeature } from '../../config/features.js';
 import { MEMBERSHIP_VERSION } from '../../model/protocol.js';
 import type { MemberLine } from '../../wire/members.js';
-import type { NodeContext } from '../context.js';
-import type { ElectionAid } from '../election.js';
-import type { Leadership } from '../leadership.js';
+import type { NodeContext } from '../../core/context.js';
+import type { ElectionAid } from '../../leadership/election.js';
+import type { Leadership } from '../../controller/leadership.js';
 import { membershipSettings } from './failover-settings.js';
 import { CLUSTER, LeaderClaims } from './leader-claims.js';
 import type { Records } from '../../store/records.js';
--- a/src/cluster/failover/leader-claims.ts
+++ b/src/leadership/failover/leader-claims.ts
@@ -23,8 +23,8 @@
 import { StateRefused, type StateStore, StateUnknown } from '../../store/client.js';
 import { keys } from '../../store/keys.js';
 import { encodeEpoch, epochRecord, leaderRecord } from '../../store/leader-record.js';
-import type { Row } from '../../wire/state.js';
-import type { Election } from '../election.js';
+import type { Row } from '../../wire/key-value-store.js';
+import type { Election } from '../../leadership/election.js';
 
 /** All machines and jobs: one unit today. */
 export const CLUSTER = 'cluster' as UnitId;
--- a/src/cluster/failover/peer-transport.ts
+++ b/src/leadership/failover/peer-transport.ts
@@ -4,7 +4,7 @@
 import { type Clock, type Steady, since } from '../../model/time.js';
 import { Kind } from '../../peer/frames.js';
 import type { PeerLink } from '../../peer/link.js';
-import { DETECTION_OFF_STATUS } from './detection-status.js';
+import { DETECTION_OFF_STATUS } from '../../leadership/failover/detection-status.js';
 
 const OK_STATUS = 200;
 /** Such a peer is asked again after this: it may have been started anew. */
--- a/src/log/decision-log.ts
+++ b/src/log/decision-log.ts
@@ -1,6 +1,6 @@
 /** Log lines of single decisions at a bounded rate, and the numbers of all of them. */
 import type { Clock } from '../model/time.js';
-import { Budget } from '../net/budget.js';
+import { Budget } from '../net/token-bucket.js';
 import type { Log } from './logger.js';
 
 const LINES_PER_S = 5;
--- a/src/peer/routed-caller.ts
+++ b/src/peer/routed-caller.ts
@@ -1,8 +1,8 @@
 /** Calls to workers: directly, through another controller across a cut, or through an idler one while this one is busy. */
-import type { WorkerCaller } from '../cluster/context.js';
+import type { WorkerCaller } from '../core/context.js';
 import type { SessionNumber, Token } from '../model/ids.js';
 import { HAND_ON_LOAD } from '../model/load.js';
-import type { Order, Report } from '../model/report.js';
+import type { Order, Report } from '../model/heartbeat.js';
 import { type Clock, type Steady, plus } from '../model/time.js';
 import { NoAnswer, NoSocket } from '../net/http-client.js';
 import { commandBody, readCommandReply, type CommandReply } from '../wire/workers.js';
--- a/src/scheduler/chunk.ts
+++ b/src/scheduler/chunk.ts
@@ -3,7 +3,7 @@
 import type { Steady } from '../model/time.js';
 import { keys } from '../store/keys.js';
 import type { ChunkProgress, Placement } from '../store/progress-record.js';
-import type { OpenJob } from './open-job.js';
+import type { OpenJob } from './active-job.js';
 import type { Task } from './task.js';
 
 /** Consecutive tasks of one job, with what of them is not durable yet. */
--- a/src/scheduler/dependencies.ts
+++ b/src/scheduler/dependency-graph.ts
@@ -1,6 +1,6 @@
 import type { JobId } from '../model/ids.js';
 import type { WallTime } from '../model/time.js';
-import type { OpenJob } from './open-job.js';
+import type { OpenJob } from './active-job.js';
 
 /**
  * Which unfinished jobs need which others. Only accepted jobs are named, so the graph has no cycles.
--- a/src/scheduler/job-store.ts
+++ b/src/scheduler/job-store.ts
@@ -2,7 +2,7 @@
 import type { JobId, TeamId } from '../model/ids.js';
 import type { FinalState } from '../model/job.js';
 import type { Chunk } from './chunk.js';
-import type { OpenJob } from './open-job.js';
+import type { OpenJob } from './active-job.js';
 
 /** Ends that are remembered: an old event must not open their jobs again. */
 const MOST_ENDED = 20_000;
--- a/src/scheduler/place.ts
+++ b/src/scheduler/placement.ts
@@ -5,7 +5,7 @@
 import { mayStop, type Offer, offerOf } from './preemption.js';
 import { machineRefusal, zoneRefusal } from './placement-rule.js';
 import { queueOrder, teamRoom } from './queue.js';
-import { Shelf } from './shelf.js';
+import { Shelf } from './candidate-index.js';
 import type { JobView, MachineView, Plan, Snapshot, Victim } from './snapshot.js';
 
 /** The part of a starving job's tasks that may go ahead of other work. */
--- a/src/scheduler/task.ts
+++ b/src/scheduler/task.ts
@@ -9,9 +9,9 @@
   type TryNo,
   type ZoneId,
 } from '../model/ids.js';
-import type { AttemptState } from '../model/report.js';
+import type { AttemptState } from '../model/heartbeat.js';
 import type { Steady } from '../model/time.js';
-import type { OpenJob } from './open-job.js';
+import type { OpenJob } from './active-job.js';
 
 /**
  * `deciding`: chosen, not yet committed: no order has left. `placed`: committed; it may be on its
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -14,7 +14,7 @@
   readRow,
   type Row,
   type Write,
-} from '../wire/state.js';
+} from '../wire/key-value-store.js';
 
 /** The request was surely not carried out (503, 429). */
 export class StateRefused extends Error {
--- a/src/store/job-record.ts
+++ b/src/store/job-record.ts
@@ -5,7 +5,7 @@
 import type { ImageId, JobId, TeamId, TypeId, ZoneId } from '../model/ids.js';
 import type { JobKind, JobRecord, JobSpec, JobState } from '../model/job.js';
 import type { WallTime } from '../model/time.js';
-import type { Write } from '../wire/state.js';
+import type { Write } from '../wire/key-value-store.js';
 import { keys } from './keys.js';
 
 type JobTuple = [
--- a/src/store/limit-probe.ts
+++ b/src/store/limit-probe.ts
@@ -3,7 +3,7 @@
 import type { Settings } from '../wire/settings.js';
 import { type StateStore, StateTooLarge } from './client.js';
 import { keys } from './keys.js';
-import type { LimitProbe } from './limits.js';
+import type { LimitProbe } from './store-limits.js';
 
 /** A transaction may compare so many times the keys that it may write (PROTOCOL). */
 const CONDITIONS_PER_WRITE = 4;
--- a/src/store/records.ts
+++ b/src/store/records.ts
@@ -1,7 +1,7 @@
 /** Reads whole prefixes of the state service, page by page, and asks again what was refused for too many requests. */
 import type { Revision } from '../model/ids.js';
 import { type Clock, sleep } from '../model/time.js';
-import type { Row } from '../wire/state.js';
+import type { Row } from '../wire/key-value-store.js';
 import { StateRefused, type StateStore } from './client.js';
 
 /** All rows under a prefix, as of one revision or later: changes after it may or may not be in them. */
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -10,7 +10,7 @@
   TypeId,
   ZoneId,
 } from '../model/ids.js';
-import type { Attempt, AttemptState, Order, Report } from '../model/report.js';
+import type { Attempt, AttemptState, Order, Report } from '../model/heartbeat.js';
 import { seconds } from '../model/time.js';
 import { amount, count, firstIssue, word } from './common.js';
 import type { Parsed } from './users.js';
--- a/src/workers/dispatcher.ts
+++ b/src/workers/command-dispatcher.ts
@@ -1,10 +1,10 @@
-import type { LeaderContext } from '../cluster/context.js';
+import type { LeaderContext } from '../core/context.js';
 import { reason } from '../log/logger.js';
 import { NoSocket } from '../net/http-client.js';
-import type { Order, Report } from '../model/report.js';
+import type { Order, Report } from '../model/heartbeat.js';
 import { type Steady, since } from '../model/time.js';
-import type { Host } from './host.js';
-import type { OrderIssuer } from './order-issuer.js';
+import type { Host } from './state/worker.js';
+import type { OrderIssuer } from './command-issuer.js';
 
 const COMMAND_MS = 1500;
 /** After calls that brought no answer, orders wait for the host's reports this long. */
--- a/src/workers/order-issuer.ts
+++ b/src/workers/command-issuer.ts
@@ -2,14 +2,14 @@
  * The one place where orders to workers leave. A run order that the placement rule forbids, by what is known at that
  * moment, is withheld: nothing is forgotten or killed, the task is proven gone like any that never started, and its job goes on.
  */
-import type { LeaderContext } from '../cluster/context.js';
+import type { LeaderContext } from '../core/context.js';
 import type { DecisionLog } from '../log/decision-log.js';
-import type { Order } from '../model/report.js';
+import type { Order } from '../model/heartbeat.js';
 import { type Steady, since } from '../model/time.js';
 import { bindsZones, placementRefusal, PlacementRefusal } from '../scheduler/placement-rule.js';
 import type { Task } from '../scheduler/task.js';
-import type { Host } from './host.js';
-import { markSent, ordersFor } from './orders.js';
+import type { Host } from './state/worker.js';
+import { markSent, ordersFor } from './worker-commands.js';
 
 /** What the log says of an order that was withheld. */
 export const ORDER_WITHHELD = 'run order withheld: the placement rule forbids it';
--- a/src/workers/health.ts
+++ b/src/workers/failure-detector.ts
@@ -1,10 +1,10 @@
-import type { LeaderContext } from '../cluster/context.js';
+import type { LeaderContext } from '../core/context.js';
 import type { ZoneId } from '../model/ids.js';
-import type { Report } from '../model/report.js';
+import type { Report } from '../model/heartbeat.js';
 import { NoSocket } from '../net/http-client.js';
 import { usableShare } from '../wire/settings.js';
 import { atMost, type Millis, ms, type Steady, plus, since } from '../model/time.js';
-import type { Host } from './host.js';
+import type { Host } from './state/worker.js';
 
 const PROBES = 2;
 /** A report's way here. */
--- a/src/workers/reports.ts
+++ b/src/workers/reconciliation.ts
@@ -1,9 +1,9 @@
 import { type Epoch, epochOfToken, splitTaskId, type Token } from '../model/ids.js';
-import type { Attempt, Report } from '../model/report.js';
+import type { Attempt, Report } from '../model/heartbeat.js';
 import type { Steady } from '../model/time.js';
 import type { JobStore } from '../scheduler/job-store.js';
 import type { Task } from '../scheduler/task.js';
-import { type EndedAttempt, type Host } from './host.js';
+import { type EndedAttempt, type Host } from './state/worker.js';
 
 /** What a report told that others want to know. */
 export interface Told {
--- a/src/workers/host-registry.ts
+++ b/src/workers/state/worker-registry.ts
@@ -1,5 +1,5 @@
-import type { HostId } from '../model/ids.js';
-import type { Host } from './host.js';
+import type { HostId } from '../../model/ids.js';
+import type { Host } from './worker.js';
 
 /** All machines that may exist, as the leader knows them. */
 export class HostRegistry {
--- a/src/workers/host.ts
+++ b/src/workers/state/worker.ts
@@ -12,14 +12,14 @@
   type Token,
   tokenOf,
   type TryNo,
-} from '../model/ids.js';
-import { type Resources, type Room, take } from '../model/job.js';
-import type { MachineType } from '../model/machine.js';
-import type { ConfirmedFacts, MachineFacts, UnconfirmedFacts } from '../model/machine-facts.js';
-import type { Attempt, Report } from '../model/report.js';
-import { type Steady, plus } from '../model/time.js';
-import type { Chunk } from '../scheduler/chunk.js';
-import type { Task } from '../scheduler/task.js';
+} from '../../model/ids.js';
+import { type Resources, type Room, take } from '../../model/job.js';
+import type { MachineType } from '../../model/machine.js';
+import type { ConfirmedFacts, MachineFacts, UnconfirmedFacts } from '../../model/machine-facts.js';
+import type { Attempt, Report } from '../../model/heartbeat.js';
+import { type Steady, plus } from '../../model/time.js';
+import type { Chunk } from '../../scheduler/chunk.js';
+import type { Task } from '../../scheduler/task.js';
 
 const NO_RESOURCES: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
 
--- a/src/workers/orders.ts
+++ b/src/workers/worker-commands.ts
@@ -1,8 +1,8 @@
 import { type Epoch, type JobId, splitTaskId, type Token } from '../model/ids.js';
-import type { Order, Report } from '../model/report.js';
+import type { Order, Report } from '../model/heartbeat.js';
 import type { Steady } from '../model/time.js';
 import type { Task } from '../scheduler/task.js';
-import type { EndedAttempt, Host } from './host.js';
+import type { EndedAttempt, Host } from './state/worker.js';
 
 /** A cancelled task whose start may be on its way is tombstoned only this long; then its host is fenced. */
 const TOMBSTONE_MS = 15_000;
--- a/test/soak/loopback-controllers.ts
+++ b/test/soak/loopback-controllers.ts
@@ -2,7 +2,7 @@
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { Relay } from '@plumyoke/standins';
-import { ORDER_WITHHELD } from '../../src/workers/order-issuer.js';
+import { ORDER_WITHHELD } from '../../src/workers/command-issuer.js';
 import { KNOWN_BY_TASK } from '../../src/fleet/inventory.js';
 import { ControllerProcess, type LogLine } from './controller-process.js';
 import { ObservedSet } from './observed-set.js';
--- a/test/soak/loopback-machines.ts
+++ b/test/soak/loopback-machines.ts
@@ -3,7 +3,7 @@
 import type { HostId, JobId, TaskId, Token, TryNo } from '../../src/model/ids.js';
 import { epochOfToken } from '../../src/model/ids.js';
 import type { Machine } from '../../src/model/machine.js';
-import type { Report } from '../../src/model/report.js';
+import type { Report } from '../../src/model/heartbeat.js';
 import { realClock, sleep } from '../../src/model/time.js';
 import { HttpTarget } from '../../src/net/http-client.js';
 import {
--- a/test/standins/cloud.ts
+++ b/test/standins/cloud.ts
@@ -2,7 +2,7 @@
 import type { HostId, TypeId, ZoneId } from '../../src/model/ids.js';
 import type { ListedMachine, Machine, MachineType } from '../../src/model/machine.js';
 import { type Clock, ms } from '../../src/model/time.js';
-import { poolKey } from '../../src/fleet/plan.js';
+import { poolKey } from '../../src/fleet/capacity-plan.js';
 
 const LATENCY_MS = 80;
 /** Machines in one answer. */
--- a/test/standins/host.ts
+++ b/test/standins/host.ts
@@ -1,7 +1,7 @@
 import type { Machine, MachineType } from '../../src/model/machine.js';
 import { FactSource } from '../../src/model/machine-facts.js';
 import type { Steady } from '../../src/model/time.js';
-import { Host } from '../../src/workers/host.js';
+import { Host } from '../../src/workers/state/worker.js';
 import { TYPES } from './site-setup.js';
 
 /** A machine of which everything is known. */
--- a/test/standins/servers.ts
+++ b/test/standins/servers.ts
@@ -14,9 +14,9 @@
   TaskId,
 } from '../../src/model/ids.js';
 import type { MachineType } from '../../src/model/machine.js';
-import type { Attempt, Order, Report } from '../../src/model/report.js';
+import type { Attempt, Order, Report } from '../../src/model/heartbeat.js';
 import { StateRefused, type StateStore, StateUnknown } from '../../src/store/client.js';
-import type { Write } from '../../src/wire/state.js';
+import type { Write } from '../../src/wire/key-value-store.js';
 import type { HeartbeatAnswer, StandInWorker } from './worker.js';
 
 /** A request, its body parsed. */
--- a/test/standins/site-machines.ts
+++ b/test/standins/site-machines.ts
@@ -1,10 +1,10 @@
 /** The machines of a stand-in site, and the network between them and the controllers. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
-import type { WorkerCaller } from '../../src/cluster/context.js';
+import type { WorkerCaller } from '../../src/core/context.js';
 import type { HostId, JobId, TaskId, SessionNumber, Token, TryNo } from '../../src/model/ids.js';
 import type { Machine } from '../../src/model/machine.js';
-import type { Order, Report } from '../../src/model/report.js';
+import type { Order, Report } from '../../src/model/heartbeat.js';
 import { NoAnswer } from '../../src/net/http-client.js';
 import { type ProcessClock, VirtualClock } from './clock.js';
 import { StandInCloud } from './cloud.js';
--- a/test/standins/site.ts
+++ b/test/standins/site.ts
@@ -1,5 +1,5 @@
 /** A whole stand-in site: controllers, machines, and users. */
-import { type UserService } from '../../src/api/users.js';
+import { type UserService } from '../../src/api/user-service.js';
 import type {
   HostId,
   ImageId,
@@ -13,7 +13,7 @@
   ZoneId,
 } from '../../src/model/ids.js';
 import { splitTaskId } from '../../src/model/ids.js';
-import type { Row } from '../../src/wire/state.js';
+import type { Row } from '../../src/wire/key-value-store.js';
 import { type RuleChecker } from './rules.js';
 import { CANCEL_S, type JobWish, settingsOf, submissionBody } from './site-setup.js';
 import { SiteNodes } from './site-nodes.js';
--- a/test/standins/state.ts
+++ b/test/standins/state.ts
@@ -1,6 +1,6 @@
 import type { GrantId, Revision } from '../../src/model/ids.js';
 import type { Clock } from '../../src/model/time.js';
-import type { Budget } from '../../src/net/budget.js';
+import type { Budget } from '../../src/net/token-bucket.js';
 import {
   type Committed,
   StateRefused,
@@ -8,7 +8,7 @@
   StateTooLarge,
   StateUnknown,
 } from '../../src/store/client.js';
-import type { Change, Condition, Page, Row, Write } from '../../src/wire/state.js';
+import type { Change, Condition, Page, Row, Write } from '../../src/wire/key-value-store.js';
 
 interface Entry {
   value: unknown;
--- a/test/standins/worker.ts
+++ b/test/standins/worker.ts
@@ -1,7 +1,7 @@
 import type { Counter, ImageId, JobId, TaskId, SessionNumber, Token, TryNo } from '../../src/model/ids.js';
 import { splitTaskId } from '../../src/model/ids.js';
 import type { Machine } from '../../src/model/machine.js';
-import type { Attempt, AttemptState, Order, Report } from '../../src/model/report.js';
+import type { Attempt, AttemptState, Order, Report } from '../../src/model/heartbeat.js';
 import type { Clock } from '../../src/model/time.js';
 import { address } from './cloud.js';
 
--- a/test/traces/faults.test.ts
+++ b/test/traces/faults.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { Budget } from '../../src/net/budget.js';
+import { Budget } from '../../src/net/token-bucket.js';
 import { begun, until } from './steps.js';
 import { expectTrace } from './trace.js';
 
--- a/test/traces/placement-guard.test.ts
+++ b/test/traces/placement-guard.test.ts
@@ -1,5 +1,5 @@
 import { beforeEach, describe, expect, it, vi } from 'vitest';
-import type * as views from '../../src/cluster/placement-views.js';
+import type * as views from '../../src/leader/placement-views.js';
 import type * as rule from '../../src/scheduler/placement-rule.js';
 import { Day, PLACEMENT_DAY } from '../standins/day.js';
 import { MIXED } from '../standins/site-setup.js';
@@ -21,7 +21,7 @@
 const fault = vi.hoisted(() => ({ part: null as string | null, guarded: true }));
 
 /** A scheduler that leaves one part of the rule out where it chooses machines. */
-vi.mock('../../src/cluster/placement-views.js', async (importOriginal) => {
+vi.mock('../../src/leader/placement-views.js', async (importOriginal) => {
   const original = await importOriginal<Views>();
   const jobView: Views['jobView'] = (...given) => {
     const view = original.jobView(...given);
--- a/test/traces/state-limits.test.ts
+++ b/test/traces/state-limits.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from 'vitest';
-import { Budget } from '../../src/net/budget.js';
+import { Budget } from '../../src/net/token-bucket.js';
 import { DEPENDENCIES_VERSION, PROTOCOL_VERSION } from '../../src/model/protocol.js';
 import { StateRefused } from '../../src/store/client.js';
 import { limitProbe } from '../../src/store/limit-probe.js';
-import { StateLimits } from '../../src/store/limits.js';
+import { StateLimits } from '../../src/store/store-limits.js';
 import { VirtualClock } from '../standins/clock.js';
 import { StandInState } from '../standins/state.js';
 import { Site } from '../standins/site.js';
--- a/test/traces/upgrade.test.ts
+++ b/test/traces/upgrade.test.ts
@@ -25,7 +25,7 @@
   SPLIT_DESCRIPTIONS_VERSION,
 } from '../../src/model/protocol.js';
 import { leaderRecord } from '../../src/store/leader-record.js';
-import type { Row } from '../../src/wire/state.js';
+import type { Row } from '../../src/wire/key-value-store.js';
 import { Site } from '../standins/site.js';
 import type { JobWish } from '../standins/site-setup.js';
 import { begun, until } from './steps.js';
--- a/test/unit/answering.test.ts
+++ b/test/unit/answering.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
-import { Answering } from '../../src/cluster/answering.js';
-import { Cancellations } from '../../src/cluster/cancellations.js';
-import type { NodeContext } from '../../src/cluster/context.js';
+import { Answering } from '../../src/leader/worker-lease-policy.js';
+import { Cancellations } from '../../src/core/confirmed-cancellations.js';
+import type { NodeContext } from '../../src/core/context.js';
 import { defaultOperators } from '../../src/config/operators.js';
 import { silentLog } from '../../src/log/logger.js';
 import type { Epoch, JobId } from '../../src/model/ids.js';
--- a/test/unit/health.test.ts
+++ b/test/unit/health.test.ts
@@ -1,12 +1,12 @@
 import { describe, expect, it } from 'vitest';
-import type { LeaderContext } from '../../src/cluster/context.js';
+import type { LeaderContext } from '../../src/core/context.js';
 import { defaultOperators } from '../../src/config/operators.js';
 import type { HostId, TypeId, ZoneId } from '../../src/model/ids.js';
 import { seconds } from '../../src/model/time.js';
 import { NoAnswer } from '../../src/net/http-client.js';
-import { Health } from '../../src/workers/health.js';
-import { type Host } from '../../src/workers/host.js';
-import { HostRegistry } from '../../src/workers/host-registry.js';
+import { Health } from '../../src/workers/failure-detector.js';
+import { type Host } from '../../src/workers/state/worker.js';
+import { HostRegistry } from '../../src/workers/state/worker-registry.js';
 import { VirtualClock } from '../standins/clock.js';
 import { hostOf } from '../standins/host.js';
 
--- a/test/unit/heartbeats.test.ts
+++ b/test/unit/heartbeats.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest';
-import type { NodeContext } from '../../src/cluster/context.js';
-import { HeartbeatRouter } from '../../src/cluster/heartbeat-router.js';
-import type { Leadership } from '../../src/cluster/leadership.js';
-import type { PeerGroup } from '../../src/cluster/peer-group.js';
+import type { NodeContext } from '../../src/core/context.js';
+import { HeartbeatRouter } from '../../src/controller/heartbeat-router.js';
+import type { Leadership } from '../../src/controller/leadership.js';
+import type { PeerGroup } from '../../src/controller/peer-group.js';
 import { type AnswerFrame, Kind } from '../../src/peer/frames.js';
 import type { PeerLink } from '../../src/peer/link.js';
 import { VirtualClock } from '../standins/clock.js';
--- a/test/unit/http.test.ts
+++ b/test/unit/http.test.ts
@@ -3,7 +3,7 @@
 import { afterEach, describe, expect, it, vi } from 'vitest';
 import { HttpTarget, NoAnswer, NoSocket } from '../../src/net/http-client.js';
 import { BadResponse, type HttpResponse, ResponseReader } from '../../src/net/http-response.js';
-import { WorkerTargets } from '../../src/workers/caller.js';
+import { WorkerTargets } from '../../src/workers/worker-connections.js';
 
 const answers: Record<string, string> = {
   'with a length': 'HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n{"a":1}',
--- a/test/unit/job-record.test.ts
+++ b/test/unit/job-record.test.ts
@@ -10,7 +10,7 @@
   storedBytes,
   withDescription,
 } from '../../src/store/job-record.js';
-import type { Write } from '../../src/wire/state.js';
+import type { Write } from '../../src/wire/key-value-store.js';
 import { submission } from '../standins/submission.js';
 
 const ID = 'j-000001' as JobId;
--- a/test/unit/lease.test.ts
+++ b/test/unit/lease.test.ts
@@ -7,11 +7,11 @@
   type SessionNumber,
   tokenOf,
 } from '../../src/model/ids.js';
-import type { Report } from '../../src/model/report.js';
+import type { Report } from '../../src/model/heartbeat.js';
 import type { Steady } from '../../src/model/time.js';
 import { JobStore } from '../../src/scheduler/job-store.js';
-import type { Host } from '../../src/workers/host.js';
-import { applyReport } from '../../src/workers/reports.js';
+import type { Host } from '../../src/workers/state/worker.js';
+import { applyReport } from '../../src/workers/reconciliation.js';
 import { hostOf } from '../standins/host.js';
 import { TYPES } from '../standins/site-setup.js';
 
--- a/test/unit/load.test.ts
+++ b/test/unit/load.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from 'vitest';
-import { LoadMonitor } from '../../src/cluster/load-monitor.js';
+import { LoadMonitor } from '../../src/controller/load-monitor.js';
 import { Admission } from '../../src/api/admission.js';
-import { MemoryMonitor } from '../../src/cluster/memory-monitor.js';
-import { WorkerRedirects } from '../../src/cluster/worker-redirects.js';
-import type { LeaderContext } from '../../src/cluster/context.js';
+import { MemoryMonitor } from '../../src/controller/memory-monitor.js';
+import { WorkerRedirects } from '../../src/controller/worker-redirects.js';
+import type { LeaderContext } from '../../src/core/context.js';
 import { defaultOperators } from '../../src/config/operators.js';
 import { openLog } from '../../src/log/logger.js';
 import type {
@@ -18,13 +18,13 @@
 } from '../../src/model/ids.js';
 import { seconds } from '../../src/model/time.js';
 import { NoAnswer, NoSocket } from '../../src/net/http-client.js';
-import { Turns } from '../../src/net/turns.js';
+import { Turns } from '../../src/net/work-queue.js';
 import type { PeerLink } from '../../src/peer/link.js';
 import { NO_SOCKET_STATUS, RoutedCaller } from '../../src/peer/routed-caller.js';
 import type { Task } from '../../src/scheduler/task.js';
-import { Health } from '../../src/workers/health.js';
-import type { Host } from '../../src/workers/host.js';
-import { HostRegistry } from '../../src/workers/host-registry.js';
+import { Health } from '../../src/workers/failure-detector.js';
+import type { Host } from '../../src/workers/state/worker.js';
+import { HostRegistry } from '../../src/workers/state/worker-registry.js';
 import { VirtualClock } from '../standins/clock.js';
 import { hostOf } from '../standins/host.js';
 
--- a/test/unit/open-job.test.ts
+++ b/test/unit/open-job.test.ts
@@ -2,7 +2,7 @@
 import type { HostId, JobId, Revision, TaskIndex } from '../../src/model/ids.js';
 import type { Steady, WallTime } from '../../src/model/time.js';
 import { JobStore } from '../../src/scheduler/job-store.js';
-import { OpenJob } from '../../src/scheduler/open-job.js';
+import { OpenJob } from '../../src/scheduler/active-job.js';
 import { decodeJob, encodeJob } from '../../src/store/job-record.js';
 import { CHUNK_TASKS, keys, parseOpenKey } from '../../src/store/keys.js';
 import { submission } from '../standins/submission.js';
--- a/test/unit/share.test.ts
+++ b/test/unit/share.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import { Confirmations } from '../../src/api/job-cache.js';
-import { ConnectivityMonitor } from '../../src/cluster/connectivity.js';
+import { ConnectivityMonitor } from '../../src/controller/store-connectivity.js';
 import { machinesToEmpty, type PartlyUsed } from '../../src/fleet/consolidation.js';
 import type { HostId, Revision } from '../../src/model/ids.js';
 import { shareSockets } from '../../src/net/sockets.js';
--- a/test/unit/sockets.test.ts
+++ b/test/unit/sockets.test.ts
@@ -1,8 +1,8 @@
 import { createServer, connect, type AddressInfo } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
 import { type RequestHandler, requestListener, MAX_BODY } from '../../src/api/http-router.js';
-import { Cancellations } from '../../src/cluster/cancellations.js';
-import { PeerGroup } from '../../src/cluster/peer-group.js';
+import { Cancellations } from '../../src/core/confirmed-cancellations.js';
+import { PeerGroup } from '../../src/controller/peer-group.js';
 import { silentLog } from '../../src/log/logger.js';
 import type { MemberId } from '../../src/model/ids.js';
 import { PROTOCOL_VERSION, UNVERSIONED } from '../../src/model/protocol.js';
--- a/test/unit/wire.test.ts
+++ b/test/unit/wire.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { ProgressBoard } from '../../src/cluster/progress-board.js';
+import { ProgressBoard } from '../../src/controller/progress-cache.js';
 import { readOperators } from '../../src/config/operators.js';
 import type { HostId, JobId, TaskIndex, TryNo } from '../../src/model/ids.js';
 import {
