--- a/src/api/admission.ts
+++ b/src/api/admission.ts
@@ -1,4 +1,4 @@
-import { type Clock, type Steady, since } from '../model/time.js';
+import { type Clock, type MonotonicTime, since } from '../model/time.js';
 
 const TURN_MS = 100;
 /** A loop that runs this late is overloaded: reports and decisions go before submissions. */
@@ -11,7 +11,7 @@
 export class Admission {
   private readonly inside: Record<Rank, number> = { submission: 0, query: 0 };
   private lateness = 0;
-  private expected: Steady;
+  private expected: MonotonicTime;
 
   constructor(
     private readonly clock: Clock,
@@ -24,7 +24,7 @@
   }
 
   private turn(): void {
-    this.expected = (this.clock.now() + TURN_MS) as Steady;
+    this.expected = (this.clock.now() + TURN_MS) as MonotonicTime;
     this.clock.after(TURN_MS, () => {
       const late = Math.max(0, since(this.clock.now(), this.expected));
       this.lateness = Math.max(late, this.lateness * 0.8);
--- a/src/api/dependencies.ts
+++ b/src/api/dependencies.ts
@@ -1,8 +1,8 @@
-import type { NodeContext } from '../core/context.js';
+import type { ControllerContext } from '../core/context.js';
 import type { JobId } from '../model/ids.js';
 import type { JobRecord, JobSpec } from '../model/job.js';
 import { keys } from '../store/keys.js';
-import type { Confirmations, JobCache } from './job-cache.js';
+import type { RevisionConfirmations, JobCache } from './job-cache.js';
 
 /** A job as it is accepted: with the dependencies that are left. */
 export interface Acceptable {
@@ -19,9 +19,9 @@
  */
 export class Dependencies {
   constructor(
-    private readonly ctx: NodeContext,
+    private readonly ctx: ControllerContext,
     private readonly cache: JobCache,
-    private readonly confirmations: Confirmations,
+    private readonly confirmations: RevisionConfirmations,
     /** Reads a job's record; what it says is in the cache from then on. */
     private readonly lookAt: (id: JobId) => Promise<JobRecord | null>,
   ) {}
--- a/src/api/http-router.ts
+++ b/src/api/http-router.ts
@@ -8,10 +8,10 @@
 export const MAX_BODY = 64 * 1024;
 
 /** A request body over `MAX_BODY`. */
-class TooLong extends Error {}
+class BodyTooLargeError extends Error {}
 
 /** The client went away before its request was complete. */
-class Aborted extends Error {}
+class RequestAbortedError extends Error {}
 
 /** What the router hands requests to. */
 export interface RequestHandler {
@@ -39,20 +39,20 @@
 function readBody(request: IncomingMessage): Promise<Buffer> {
   return new Promise((resolve, reject) => {
     if (Number(request.headers['content-length'] ?? 0) > MAX_BODY) {
-      reject(new TooLong());
+      reject(new BodyTooLargeError());
       return;
     }
     const parts: Buffer[] = [];
     let size = 0;
     request.on('data', (part: Buffer) => {
       size += part.length;
-      if (size > MAX_BODY) reject(new TooLong());
+      if (size > MAX_BODY) reject(new BodyTooLargeError());
       else parts.push(part);
     });
     request.on('end', () => resolve(parts.length === 1 ? (parts[0] as Buffer) : Buffer.concat(parts)));
     request.on('error', reject);
     request.on('close', () => {
-      if (!request.complete) reject(new Aborted());
+      if (!request.complete) reject(new RequestAbortedError());
     });
   });
 }
@@ -101,7 +101,7 @@
   try {
     return await route(request, decoded(parameters['id'] ?? ''));
   } catch (error) {
-    return error instanceof TooLong ? BODY_TOO_LONG : INTERNAL;
+    return error instanceof BodyTooLargeError ? BODY_TOO_LONG : INTERNAL;
   }
 }
 
--- a/src/api/job-cache.ts
+++ b/src/api/job-cache.ts
@@ -1,13 +1,13 @@
 import type { JobId, Revision } from '../model/ids.js';
 import type { FinalState, JobKind, JobRecord } from '../model/job.js';
 import { type Clock, sleep } from '../model/time.js';
-import { type Committed, StateRefused, type StateStore } from '../store/client.js';
+import { type TxnResult, StoreRefusedError, type KeyValueStore } from '../store/client.js';
 import { decodeJob } from '../store/job-record.js';
 import { keys } from '../store/keys.js';
-import type { Change, Condition } from '../wire/key-value-store.js';
+import type { WatchEvent, Compare } from '../wire/key-value-store.js';
 
 /** What was last seen of an accepted job. */
-export interface Known {
+export interface ObservedJob {
   readonly revision: Revision;
   readonly tasks: number;
   readonly kind: JobKind;
@@ -21,7 +21,7 @@
 const KEPT_OPEN = 20_000;
 
 /** A map that forgets its oldest entries. */
-class Recent<K, V> extends Map<K, V> {
+class LruMap<K, V> extends Map<K, V> {
   constructor(private readonly most: number) {
     super();
   }
@@ -39,8 +39,8 @@
  * service must say for every answer (`Confirmations`).
  */
 export class JobCache {
-  private readonly open = new Recent<JobId, Known>(KEPT_OPEN);
-  private readonly ended = new Recent<JobId, { readonly state: FinalState; readonly body: object }>(
+  private readonly open = new LruMap<JobId, ObservedJob>(KEPT_OPEN);
+  private readonly ended = new LruMap<JobId, { readonly state: FinalState; readonly body: object }>(
     KEPT_ENDED,
   );
 
@@ -50,7 +50,7 @@
     this.ended.clear();
   }
 
-  known(id: JobId): Known | undefined {
+  known(id: JobId): ObservedJob | undefined {
     return this.open.get(id);
   }
 
@@ -66,8 +66,14 @@
     if (record.state === 'accepted') {
       const before = this.open.get(id);
       if (!this.ended.has(id) && (!before || before.revision < revision)) {
-        const { tasks, kind, dependencies, dependencyRecords } = record.spec;
-        this.open.set(id, { revision, tasks, kind, dependencies, dependencyRecords });
+        const { taskCount, kind, dependencies, dependencyRecordCount } = record.spec;
+        this.open.set(id, {
+          revision,
+          tasks: taskCount,
+          kind,
+          dependencies,
+          dependencyRecords: dependencyRecordCount,
+        });
       }
       return;
     }
@@ -76,7 +82,7 @@
   }
 
   /** Changes seen by a watch of the jobs' records. */
-  take(changes: readonly Change[], body: (id: JobId, record: JobRecord) => object): void {
+  take(changes: readonly WatchEvent[], body: (id: JobId, record: JobRecord) => object): void {
     for (const { key, value, revision } of changes) {
       if (value === undefined) continue;
       const id = key.slice(keys.jobs.length) as JobId;
@@ -86,7 +92,7 @@
   }
 }
 
-interface Asked {
+interface PendingComparison {
   readonly key: string;
   readonly revision: Revision;
   readonly done: (same: boolean) => void;
@@ -98,13 +104,13 @@
  * at one moment after all of them were asked. Hundreds of users who each ask every few seconds would
  * otherwise use up the requests that the state service allows, and with them the leader's.
  */
-export class Confirmations {
-  private asked: Asked[] = [];
+export class RevisionConfirmations {
+  private asked: PendingComparison[] = [];
   private waiting = false;
 
   constructor(
     private readonly clock: Clock,
-    private readonly store: StateStore,
+    private readonly store: KeyValueStore,
     private readonly most: number,
     private readonly waitMs: number,
   ) {}
@@ -126,13 +132,13 @@
   }
 
   /** A moment's overload of the state service is not worth that many users' asking again. */
-  private async compare(conditions: readonly Condition[]): Promise<Committed> {
+  private async compare(conditions: readonly Compare[]): Promise<TxnResult> {
     try {
-      return await this.store.commit(conditions, []);
+      return await this.store.txn(conditions, []);
     } catch (error) {
-      if (!(error instanceof StateRefused && error.tooMany)) throw error;
+      if (!(error instanceof StoreRefusedError && error.isRateLimited)) throw error;
       await sleep(this.clock, AGAIN_MS);
-      return this.store.commit(conditions, []);
+      return this.store.txn(conditions, []);
     }
   }
 
@@ -141,7 +147,7 @@
     this.asked = [];
     if (asked.length === 0) return;
     // Two users may know one job by two revisions; a key is asked for once in a request.
-    const byKey = new Map<string, Asked>();
+    const byKey = new Map<string, PendingComparison>();
     for (const a of asked) if (!byKey.has(a.key)) byKey.set(a.key, a);
     try {
       const result = await this.compare([...byKey.values()].map(({ key, revision }) => ({ key, revision })));
--- a/src/api/user-service.ts
+++ b/src/api/user-service.ts
@@ -1,20 +1,20 @@
-import type { ToldCancellation } from '../core/confirmed-cancellations.js';
-import type { NodeContext } from '../core/context.js';
+import type { ConfirmedCancellation } from '../core/confirmed-cancellations.js';
+import type { ControllerContext } from '../core/context.js';
 import type { JobId, Revision } from '../model/ids.js';
 import { isJobId, NO_REVISION } from '../model/ids.js';
-import { reason } from '../log/logger.js';
+import { errorMessage } from '../log/logger.js';
 import type { JobRecord, JobSpec } from '../model/job.js';
 import { fits } from '../model/job.js';
 import { DEPENDENCIES_VERSION, SPLIT_DESCRIPTIONS_VERSION } from '../model/protocol.js';
 import { ms, since, sleep, type WallTime } from '../model/time.js';
-import type { Change, Condition, Write } from '../wire/key-value-store.js';
-import { Budget } from '../net/token-bucket.js';
-import { teamRoom } from '../scheduler/queue.js';
-import { StateRefused, StateUnknown } from '../store/client.js';
+import type { WatchEvent, Compare, WriteOperation } from '../wire/key-value-store.js';
+import { TokenBucket } from '../net/token-bucket.js';
+import { remainingQuota } from '../scheduler/queue.js';
+import { StoreRefusedError, StoreOutcomeUnknownError } from '../store/client.js';
 import { decodeJob, encodeEnded, encodeJob, splitJob, type StoredInParts } from '../store/job-record.js';
 import { keys } from '../store/keys.js';
 import { type Acceptable, Dependencies } from './dependencies.js';
-import { Confirmations, JobCache } from './job-cache.js';
+import { RevisionConfirmations, JobCache } from './job-cache.js';
 import { accepted, jobStatus, parseSubmission, type Progress } from '../wire/users.js';
 
 /** The answer to a user's request. */
@@ -47,7 +47,7 @@
  * What was read so long ago is not told any more: the process may have stood still since, and the user may
  * have heard something newer from another node. A user waits 2 s for it anyway (PROTOCOL).
  */
-const TOLD_WITHIN_MS = 1500;
+const MAX_ANSWER_AGE_MS = 1500;
 
 export const unavailable = (error: string, retryAfter = 1): UserAnswer => ({
   status: 503,
@@ -56,18 +56,18 @@
 });
 
 /** This node has used up its share of what the state service takes; another one may have some left. */
-export class Busy extends Error {}
+export class BusyError extends Error {}
 
 /** One for all: thrown hundreds of times a second in a crowd, and nobody reads its stack. */
-const BUSY = new Busy('asked too often');
+const BUSY = new BusyError('asked too often');
 
 /** What an acceptance writes in its transaction, and the further records that stand before it. */
 interface Acceptance {
-  readonly records: readonly Write[];
-  readonly writes: readonly Write[];
+  readonly records: readonly WriteOperation[];
+  readonly writes: readonly WriteOperation[];
 }
 
-interface Found {
+interface StoredJob {
   readonly record: JobRecord;
   readonly revision: Revision;
 }
@@ -78,32 +78,32 @@
  */
 export class UserService {
   private readonly cache = new JobCache();
-  private readonly confirmations: Confirmations;
-  private readonly firstQuestions: Budget;
-  private readonly writes: Budget;
+  private readonly confirmations: RevisionConfirmations;
+  private readonly firstQuestions: TokenBucket;
+  private readonly writes: TokenBucket;
   private readonly dependencies: Dependencies;
 
   constructor(
-    private readonly ctx: NodeContext,
+    private readonly ctx: ControllerContext,
     private readonly progressOf: (id: JobId) => Progress | null,
     /** Controllers that draw on the state service's limits, this one included. */
     private readonly sharers: () => number = () => 1,
   ) {
-    const { clock, settings, store, limits } = ctx;
-    this.confirmations = new Confirmations(clock, store, limits.txnOps * 4, TOGETHER_MS);
-    this.firstQuestions = new Budget(clock, 1, 1);
-    this.writes = new Budget(clock, 1, 1);
-    limits.whenRated(() => {
-      const rate = (limits.rps * FIRST_QUESTIONS) / (settings.siblings.length + 1);
+    const { clock, settings, store, storeLimits } = ctx;
+    this.confirmations = new RevisionConfirmations(clock, store, storeLimits.txnOps * 4, TOGETHER_MS);
+    this.firstQuestions = new TokenBucket(clock, 1, 1);
+    this.writes = new TokenBucket(clock, 1, 1);
+    storeLimits.onRateChange(() => {
+      const rate = (storeLimits.rps * FIRST_QUESTIONS) / (settings.peers.length + 1);
       this.firstQuestions.setRate(rate, rate);
-      const writes = limits.writeRps * USERS_WRITES;
+      const writes = storeLimits.writeRps * USERS_WRITES;
       this.writes.setRate(writes, writes * USERS_BURST_S);
     });
-    this.dependencies = new Dependencies(ctx, this.cache, this.confirmations, (id) => this.lookAt(id));
+    this.dependencies = new Dependencies(ctx, this.cache, this.confirmations, (id) => this.readJob(id));
   }
 
   /** Drops what can be read again. */
-  shedCaches(): void {
+  dropCaches(): void {
     this.cache.clear();
   }
 
@@ -113,18 +113,18 @@
     for (;;) {
       try {
         after ??= (await this.ctx.store.range(keys.epoch)).revision;
-        const read = await this.ctx.store.changes(keys.jobs, after, WATCH_MS);
+        const read = await this.ctx.store.watch(keys.jobs, after, WATCH_MS);
         after = read?.revision ?? null;
         if (read) this.take(read.changes);
       } catch (error) {
-        this.ctx.log.debug({ error: reason(error) }, 'jobs not watched');
+        this.ctx.log.debug({ error: errorMessage(error) }, 'jobs not watched');
         await sleep(this.ctx.clock, 300 + this.ctx.random() * 300);
       }
     }
   }
 
-  private take(changes: readonly Change[]): void {
-    const cancelled: ToldCancellation[] = [];
+  private take(changes: readonly WatchEvent[]): void {
+    const cancelled: ConfirmedCancellation[] = [];
     this.cache.take(changes, (id, record) => {
       if (record.state === 'cancelled') cancelled.push({ id, age: ms(0) });
       return this.bodyOf(id, record);
@@ -155,16 +155,16 @@
     const never = (error: string): UserAnswer => ({ status: 422, body: { error } });
     const team = this.ctx.settings.teams.find((t) => t.id === spec.team);
     if (!team) return never('unknown team');
-    const types = [...this.ctx.types.values()];
+    const types = [...this.ctx.machineTypes.values()];
     if (types.length === 0) return unavailable('machine types not known yet');
-    const { types: only, zone } = spec;
+    const { allowedTypes: only, zone } = spec;
     const fit = types.some(
       (t) =>
         (only === null || only.includes(t.id)) && (zone === null || t.zones.includes(zone)) && fits(spec, t),
     );
     if (!fit) return never('a task fits no allowed machine type');
-    const room = teamRoom(team, { cpus: 0, gpus: 0 }, spec);
-    if (room < (spec.kind === 'array' ? 1 : spec.tasks)) return never("more than the team's limit");
+    const room = remainingQuota(team, { cpus: 0, gpus: 0 }, spec);
+    if (room < (spec.kind === 'array' ? 1 : spec.taskCount)) return never("more than the team's limit");
     return null;
   }
 
@@ -172,7 +172,7 @@
   private async neverReady(spec: JobSpec): Promise<UserAnswer | null> {
     if (spec.dependencies.length === 0) return null;
     // An acceptance whose dependencies a leader of an earlier version would ignore.
-    if (!this.ctx.allSpeak(DEPENDENCIES_VERSION))
+    if (!this.ctx.allPeersSupport(DEPENDENCIES_VERSION))
       return unavailable('awaits is not served yet', NOT_YET_RETRY_S);
     const error = await this.dependencies.fault(spec);
     return error === null ? null : { status: 422, body: { error } };
@@ -188,24 +188,24 @@
     const acceptance = this.acceptance(job, named);
     if (!acceptance) return unavailable('a submission of this length is not served yet', NOT_YET_RETRY_S);
     const { records, writes } = acceptance;
-    const unknown: Condition[] = [{ key: keys.job(id), revision: NO_REVISION }];
+    const unknown: Compare[] = [{ key: keys.job(id), revision: NO_REVISION }];
     let written = 0;
     for (let tries = 1; ; tries++) {
       // Every node takes its share of what all may write: this one's acceptances cost as many times more.
-      if (!this.writes.take((writes.length + records.length - written) * this.sharers())) throw BUSY;
+      if (!this.writes.tryTake((writes.length + records.length - written) * this.sharers())) throw BUSY;
       try {
         // What has no room in the record stands before the job is accepted.
         for (const record of records.slice(written)) {
-          const result = await this.ctx.store.commit(unknown, [record]);
+          const result = await this.ctx.store.txn(unknown, [record]);
           if (!result.ok) break;
           written++;
         }
-        const result = await this.ctx.store.commit(unknown, writes);
+        const result = await this.ctx.store.txn(unknown, writes);
         if (result.ok) return { status: 201, body: accepted(id) };
         const found = await this.find(id);
         if (found) return this.known(id, found);
       } catch (error) {
-        this.ctx.limits.failed(error);
+        this.ctx.storeLimits.recordFailure(error);
         // The same transaction is tried again: at most one of the two is carried out.
         if (!worthAgain(error) || tries >= TRIES) throw error;
         await sleep(this.ctx.clock, 60 * tries + this.ctx.random() * 60);
@@ -216,12 +216,12 @@
 
   /** What one acceptance writes, and the further records that have to stand before it. */
   private acceptance({ spec, state }: Acceptable, named: readonly JobId[]): Acceptance | null {
-    const { limits, clock } = this.ctx;
+    const { storeLimits, clock } = this.ctx;
     const acceptedAt = clock.wall();
     const key = keys.job(spec.id);
     if (state === 'cancelled') {
       // A job that is cancelled with one that it needs is nobody's to run.
-      const value = encodeEnded({ spec, state, acceptedAt }, limits.valueBytes);
+      const value = encodeEnded({ spec, state, acceptedAt }, storeLimits.valueBytes);
       return { records: [], writes: [{ set: key, value }] };
     }
     const form = this.storedForm(spec, named, acceptedAt);
@@ -239,15 +239,16 @@
 
   /** Null: no form that the state service takes would be read by every controller. */
   private storedForm(spec: JobSpec, named: readonly JobId[], acceptedAt: WallTime): StoredInParts | null {
-    const { limits, settings } = this.ctx;
-    const small = splitJob(spec, named, acceptedAt, limits.valueBytes);
-    if (small.spec.descriptionRecords === 0 || this.ctx.allSpeak(SPLIT_DESCRIPTIONS_VERSION)) return small;
+    const { storeLimits, settings } = this.ctx;
+    const small = splitJob(spec, named, acceptedAt, storeLimits.valueBytes);
+    if (small.spec.descriptionRecordCount === 0 || this.ctx.allPeersSupport(SPLIT_DESCRIPTIONS_VERSION))
+      return small;
     // While a controller of an earlier version is about, the limits to come don't hold yet.
-    const whole = splitJob(spec, named, acceptedAt, settings.state.valueBytes);
-    return whole.spec.descriptionRecords === 0 ? whole : null;
+    const whole = splitJob(spec, named, acceptedAt, settings.storeLimits.valueBytes);
+    return whole.spec.descriptionRecordCount === 0 ? whole : null;
   }
 
-  private async find(id: JobId): Promise<Found | null> {
+  private async find(id: JobId): Promise<StoredJob | null> {
     for (let tries = 1; ; tries++) {
       try {
         const row = await this.ctx.store.get(keys.job(id));
@@ -260,10 +261,10 @@
   }
 
   private bodyOf(id: JobId, { state, spec }: JobRecord): object {
-    return jobStatus(id, state, spec.tasks, this.progressOf(id) ?? { done: 0, running: 0 });
+    return jobStatus(id, state, spec.taskCount, this.progressOf(id) ?? { done: 0, running: 0 });
   }
 
-  private known(id: JobId, { record, revision }: Found): UserAnswer {
+  private known(id: JobId, { record, revision }: StoredJob): UserAnswer {
     const body = this.bodyOf(id, record);
     this.cache.learn(id, record, revision, body);
     if (record.state === 'cancelled') this.ctx.cancellations.learn([{ id, age: ms(0) }]);
@@ -272,18 +273,18 @@
 
   async query(id: string): Promise<UserAnswer> {
     const askedAt = this.ctx.clock.now();
-    const answer = await this.look(id);
-    const late = since(this.ctx.clock.now(), askedAt) > TOLD_WITHIN_MS;
+    const answer = await this.lookUp(id);
+    const late = since(this.ctx.clock.now(), askedAt) > MAX_ANSWER_AGE_MS;
     return late && answer.status === 200 ? unavailable('answered too late') : answer;
   }
 
-  private async look(id: string): Promise<UserAnswer> {
+  private async lookUp(id: string): Promise<UserAnswer> {
     if (!isJobId(id)) return { status: 404, body: { error: 'no such job' } };
     const ended = this.cache.final(id);
     if (ended) return { status: 200, body: ended };
     let known = this.cache.known(id);
     if (!known) {
-      if (!this.firstQuestions.take()) return unavailable('asked too often', 2);
+      if (!this.firstQuestions.tryTake()) return unavailable('asked too often', 2);
       const found = await this.find(id);
       if (!found) return { status: 404, body: { error: 'no such job' } };
       const answer = this.known(id, found);
@@ -301,7 +302,7 @@
   }
 
   /** What this node has seen or now reads of a job; null: it was never accepted. */
-  private async lookAt(id: JobId): Promise<JobRecord | null> {
+  private async readJob(id: JobId): Promise<JobRecord | null> {
     const found = await this.find(id);
     if (found) this.known(id, found);
     return found?.record ?? null;
@@ -335,14 +336,14 @@
       if (record.state === 'cancelled') return this.toldCancelled(id);
       if (record.state !== 'accepted') return told(record.state);
       // Cancellations go before submissions.
-      this.writes.force(CANCEL_WRITES * this.sharers());
+      this.writes.forceTake(CANCEL_WRITES * this.sharers());
       try {
-        const result = await this.ctx.store.commit(
+        const result = await this.ctx.store.txn(
           [{ key: keys.job(id), revision: found.revision }],
           [
             {
               set: keys.job(id),
-              value: encodeEnded({ ...record, state: 'cancelled' }, this.ctx.limits.valueBytes),
+              value: encodeEnded({ ...record, state: 'cancelled' }, this.ctx.storeLimits.valueBytes),
             },
           ],
         );
@@ -358,5 +359,7 @@
 
 /** A 503 is an outage or meant for this node alone: asking again at once does not help. */
 function worthAgain(error: unknown): boolean {
-  return error instanceof StateUnknown || (error instanceof StateRefused && error.tooMany);
+  return (
+    error instanceof StoreOutcomeUnknownError || (error instanceof StoreRefusedError && error.isRateLimited)
+  );
 }
--- a/src/cli/members.ts
+++ b/src/cli/members.ts
@@ -1,7 +1,7 @@
 /** `plumyoke members`: the controllers as a running one sees them, and what to do about them. */
 import { loadSettings } from '../config/operators.js';
-import { Kind } from '../peer/frames.js';
-import { askOnce, NoReply } from '../peer/single-request.js';
+import { FrameKind } from '../peer/frames.js';
+import { sendSingleRequest, NoReplyError } from '../peer/single-request.js';
 import { type MemberLine, type MembersReport, readMembersReport } from '../wire/members.js';
 import { renderTable } from './table.js';
 
@@ -9,7 +9,7 @@
 const OK_STATUS = 200;
 
 /** The list could not be had; the message is one line with what to do next. */
-class MembersUnavailable extends Error {}
+class MembersUnavailableError extends Error {}
 
 const ADVICE: Readonly<Record<string, string>> = {
   alive: 'nothing',
@@ -77,16 +77,16 @@
 }
 
 async function ask(address: string): Promise<MembersReport> {
-  const unavailable = (problem: string, next: string): MembersUnavailable =>
-    new MembersUnavailable(`the controller at ${address} cannot be asked: ${problem}; ${next}`);
+  const unavailable = (problem: string, next: string): MembersUnavailableError =>
+    new MembersUnavailableError(`the controller at ${address} cannot be asked: ${problem}; ${next}`);
   try {
-    const answer = await askOnce(address, Kind.Members, Buffer.alloc(0), ASK_MS);
+    const answer = await sendSingleRequest(address, FrameKind.Members, Buffer.alloc(0), ASK_MS);
     if (answer.status !== OK_STATUS)
       throw unavailable(`it answered ${answer.status}`, 'try another controller');
     return readMembersReport(JSON.parse(answer.body.toString('utf8')));
   } catch (error) {
-    if (error instanceof MembersUnavailable) throw error;
-    if (error instanceof NoReply) {
+    if (error instanceof MembersUnavailableError) throw error;
+    if (error instanceof NoReplyError) {
       const next =
         'see whether its process runs (an earlier version does not know the question), or name another with --address';
       throw unavailable(error.message, next);
@@ -97,6 +97,6 @@
 
 /** Where to ask: `address`, or the controller whose settings these are. */
 export async function members(config: string | undefined, address: string | undefined): Promise<void> {
-  const target = address ?? loadSettings(config ?? '').clusterListen;
+  const target = address ?? loadSettings(config ?? '').peerAddress;
   process.stdout.write(renderMembers(await ask(target)));
 }
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -2,12 +2,12 @@
 import { parseArgs } from 'node:util';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
-import { Node } from '../controller/controller.js';
-import { BadSettings, loadOperators, loadSettings } from '../config/operators.js';
+import { Controller } from '../controller/controller.js';
+import { InvalidSettingsError, loadOperators, loadSettings } from '../config/operators.js';
 import { members } from './members.js';
-import { tooSmall } from '../config/limits.js';
+import { findTooSmallSettings } from '../config/limits.js';
 import { type Features, loadFeatures } from '../config/features.js';
-import { openLog, reason } from '../log/logger.js';
+import { openLogger, errorMessage } from '../log/logger.js';
 import type { Settings } from '../wire/settings.js';
 
 /** What a command is called with. */
@@ -27,7 +27,7 @@
 }
 
 /** Arguments that name no command or miss an option; the message is one line. */
-class BadUsage extends Error {}
+class UsageError extends Error {}
 
 const COMMANDS: Readonly<Record<string, Command>> = {
   serve: { description: 'run one controller until it is killed', run: serve },
@@ -42,7 +42,7 @@
 };
 
 function required(config: string | undefined): string {
-  if (config === undefined) throw new BadUsage("option '--config <path>' is missing");
+  if (config === undefined) throw new UsageError("option '--config <path>' is missing");
   return config;
 }
 
@@ -70,14 +70,16 @@
   const settings = loadSettings(required(options.config));
   const operators = loadOperators(options.operators);
   const features = await checkedFeatures(options, settings);
-  const log = openLog(settings.member);
-  for (const line of tooSmall(settings)) log.error({ field: line }, 'settings are too small');
+  const log = openLogger(settings.member);
+  for (const line of findTooSmallSettings(settings)) log.error({ field: line }, 'settings are too small');
   const generator = xoroshiro128plus(Date.now() ^ (process.pid << 12));
   const random = (): number => uniformFloat64(generator);
   // One odd answer from outside must never end the process.
-  process.on('unhandledRejection', (error) => log.error({ error: reason(error) }, 'unhandled rejection'));
+  process.on('unhandledRejection', (error) =>
+    log.error({ error: errorMessage(error) }, 'unhandled rejection'),
+  );
   process.on('uncaughtException', (error) => log.error({ error: error.stack }, 'uncaught exception'));
-  const node = new Node(settings, operators, features, log, random);
+  const node = new Controller(settings, operators, features, log, random);
   if (features.failover) {
     process.once('SIGTERM', () => void node.leave().finally(() => process.exit(0)));
   }
@@ -98,7 +100,7 @@
   const settings = loadSettings(required(options.config));
   loadOperators(options.operators);
   await checkedFeatures(options, settings);
-  for (const line of tooSmall(settings)) process.stderr.write(`plumyoke: warning: ${line}\n`);
+  for (const line of findTooSmallSettings(settings)) process.stderr.write(`plumyoke: warning: ${line}\n`);
   process.stdout.write(`${settings.member}: settings are valid\n`);
 }
 
@@ -116,7 +118,7 @@
       },
     });
   } catch (error) {
-    throw new BadUsage(reason(error));
+    throw new UsageError(errorMessage(error));
   }
 }
 
@@ -129,7 +131,7 @@
   const [name = '', ...rest] = positionals;
   const command = COMMANDS[name];
   if (!command || rest.length > 0) {
-    throw new BadUsage(`expected one of the commands ${Object.keys(COMMANDS).join(', ')}`);
+    throw new UsageError(`expected one of the commands ${Object.keys(COMMANDS).join(', ')}`);
   }
   const { config, features, address } = values;
   const operators = values.operators ?? process.env['PLUMYOKE_OPERATORS'];
@@ -141,9 +143,9 @@
   try {
     await runCommand(args);
   } catch (error) {
-    process.stderr.write(`plumyoke: ${reason(error)}\n`);
-    if (error instanceof BadUsage) process.stderr.write(`\n${HELP}`);
-    const unusable = error instanceof BadSettings || error instanceof BadUsage;
+    process.stderr.write(`plumyoke: ${errorMessage(error)}\n`);
+    if (error instanceof UsageError) process.stderr.write(`\n${HELP}`);
+    const unusable = error instanceof InvalidSettingsError || error instanceof UsageError;
     process.exitCode = unusable ? EXIT_UNUSABLE : 1;
     if (!unusable) process.exit(1);
   }
--- a/src/config/features.ts
+++ b/src/config/features.ts
@@ -2,12 +2,14 @@
 import { existsSync } from 'node:fs';
 import { join } from 'node:path';
 import * as z from 'zod/mini';
+import { type Millis, seconds } from '../model/time.js';
 import { firstIssue } from '../wire/common.js';
 import { readToml } from './operators.js';
 
 const positive = z.number().check(z.positive());
 
-const failoverSchema = z.strictObject({
+/** The file of failure detection. Names and defaults are part of its form. */
+const failoverFile = z.strictObject({
   enabled: z.boolean(),
   early_takeover: z._default(z.boolean(), false),
   probe_interval_s: z._default(positive, 0.5),
@@ -17,37 +19,62 @@
   max_messages_per_s: z._default(positive, 100),
 });
 
+type FailoverFile = z.infer<typeof failoverFile>;
+
 /** Failure detection between controllers (docs/operations/membership.md). */
-export type FailoverFeature = z.infer<typeof failoverSchema>;
+export interface FailoverFeature {
+  /** Whether a leader that a majority has found failed is replaced before its lease expires. */
+  readonly earlyTakeover: boolean;
+  readonly probeInterval: Millis;
+  readonly probeTimeout: Millis;
+  readonly suspicionTimeout: Millis;
+  /** A process that did not run for this long counts as paused. */
+  readonly pauseThreshold: Millis;
+  readonly maxMessagesPerSecond: number;
+}
 
-/** The features that are on. */
+/** The features that are on; null: off. */
 export interface Features {
   readonly failover: FailoverFeature | null;
 }
 
 const NO_FEATURES: Features = { failover: null };
 
-/** Periods above these would notice nothing in time to be of use. */
-const MOST_PERIODS_S = { probe_interval_s: 60, suspicion_s: 600, pause_s: 60 };
-const LEAST_RATE = 2;
-/** The file of failure detection. */
+/** Longer periods would notice nothing in time to be of use. */
+const MAX_PERIODS_S = { probe_interval_s: 60, suspicion_s: 600, pause_s: 60 } as const;
+const MIN_MESSAGES_PER_SECOND = 2;
+/** The name of the file of failure detection. */
 export const FAILOVER_FILE = 'membership.toml';
 
-function readFailover(raw: unknown): FailoverFeature | null {
-  const read = failoverSchema.safeParse(raw);
-  if (!read.success) throw new Error(firstIssue(read.error));
-  const feature = read.data;
-  if (feature.probe_timeout_s > feature.probe_interval_s) {
+/** Throws an error whose message is one line naming the field. */
+function checkFailoverFile(file: FailoverFile): void {
+  if (file.probe_timeout_s > file.probe_interval_s)
     throw new Error('probe_timeout_s: above probe_interval_s');
+  for (const [field, max] of Object.entries(MAX_PERIODS_S)) {
+    if (file[field as keyof typeof MAX_PERIODS_S] > max) throw new Error(`${field}: above ${max}`);
   }
-  for (const [field, most] of Object.entries(MOST_PERIODS_S)) {
-    if (feature[field as keyof typeof MOST_PERIODS_S] > most) throw new Error(`${field}: above ${most}`);
+  if (file.max_messages_per_s < MIN_MESSAGES_PER_SECOND) {
+    throw new Error(`max_messages_per_s: below ${MIN_MESSAGES_PER_SECOND}`);
   }
-  if (feature.max_messages_per_s < LEAST_RATE) throw new Error(`max_messages_per_s: below ${LEAST_RATE}`);
-  return feature.enabled ? feature : null;
 }
 
-/** Reads the feature files of a folder. Throws `BadSettings` naming file and field. */
+function readFailover(raw: unknown): FailoverFeature | null {
+  const read = failoverFile.safeParse(raw);
+  if (!read.success) throw new Error(firstIssue(read.error));
+  const file = read.data;
+  checkFailoverFile(file);
+  if (!file.enabled) return null;
+  return {
+    earlyTakeover: file.early_takeover,
+    probeInterval: seconds(file.probe_interval_s),
+    probeTimeout: seconds(file.probe_timeout_s),
+    suspicionTimeout: seconds(file.suspicion_s),
+    pauseThreshold: seconds(file.pause_s),
+    maxMessagesPerSecond: file.max_messages_per_s,
+  };
+}
+
+/** Reads the feature files of a folder; without a folder, none is on. Throws `InvalidSettingsError` naming file and field. */
 export function loadFeatures(folder: string | undefined): Features {
   if (folder === undefined) return NO_FEATURES;
   const path = join(folder, FAILOVER_FILE);
--- a/src/config/limits.ts
+++ b/src/config/limits.ts
@@ -16,30 +16,40 @@
  * Settings with which no service can be held, one line each, naming the field. The program serves as
  * well as it can all the same: a node that refused to start would help nobody.
  */
-export function tooSmall(settings: Settings): string[] {
+export function findTooSmallSettings(settings: Settings): string[] {
   const lines: string[] = [];
   const least = (field: string, is: number, needed: number, why: string): void => {
     if (is < needed) lines.push(`${field}: ${is} is little, ${needed} is the least ${why}`);
   };
-  const { cpuShare, sockets, siblings } = settings;
+  const { cpuShare, maxSockets, peers } = settings;
   if (cpuShare !== null && !(cpuShare > 0 && cpuShare <= 1))
     lines.push(`facts.resources.cpu: ${cpuShare} is no share of a core, it is taken for a whole one`);
-  const others = Math.ceil(sockets - shareSockets(sockets, siblings.length).front);
-  least('facts.resources.sockets', sockets, others + LEAST_FRONT, 'that leaves workers and users room');
+  const others = Math.ceil(maxSockets - shareSockets(maxSockets, peers.length).front);
+  least('facts.resources.sockets', maxSockets, others + LEAST_FRONT, 'that leaves workers and users room');
   if (settings.memoryMb !== null)
     least('facts.resources.memory_mb', settings.memoryMb, PROCESS_MB, 'that the program fits');
-  least('facts.state.rps', settings.state.rps, LEAST_STATE_RPS, 'that leadership and decisions need');
-  least('facts.state.write_rps', settings.state.writeRps, LEAST_WRITE_RPS, 'that starts need');
+  least('facts.state.rps', settings.storeLimits.rps, LEAST_STATE_RPS, 'that leadership and decisions need');
+  least('facts.state.write_rps', settings.storeLimits.writeRps, LEAST_WRITE_RPS, 'that starts need');
   least(
     'facts.state.next.rps',
-    settings.stateNext.rps,
+    settings.announcedStoreLimits.rps,
     LEAST_STATE_RPS,
     'that leadership and decisions need',
   );
-  least('facts.state.next.write_rps', settings.stateNext.writeRps, LEAST_WRITE_RPS, 'that starts need');
-  const { reportEvery, workerLease, cancelWithin } = settings;
-  const twoReports = (2 * reportEvery) / 1000 + NEXT_CONTROLLER_S;
-  least('facts.workers.lease_s', workerLease / 1000, twoReports, 'that survives one lost controller');
-  least('facts.workers.cancel_s', cancelWithin / 1000, workerLease / 1000 + 1, 'that a lease can end within');
+  least(
+    'facts.state.next.write_rps',
+    settings.announcedStoreLimits.writeRps,
+    LEAST_WRITE_RPS,
+    'that starts need',
+  );
+  const { heartbeatInterval, workerLeaseDuration, cancellationLimit } = settings;
+  const twoReports = (2 * heartbeatInterval) / 1000 + NEXT_CONTROLLER_S;
+  least('facts.workers.lease_s', workerLeaseDuration / 1000, twoReports, 'that survives one lost controller');
+  least(
+    'facts.workers.cancel_s',
+    cancellationLimit / 1000,
+    workerLeaseDuration / 1000 + 1,
+    'that a lease can end within',
+  );
   return lines;
 }
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -4,12 +4,12 @@
 import { UserService } from '../api/user-service.js';
 import { CloudClient } from '../cloud/client.js';
 import type { Features } from '../config/features.js';
-import type { Operators } from '../config/operators.js';
-import { type Log, reason } from '../log/logger.js';
+import type { OperatorSettings } from '../config/operators.js';
+import { type Logger, errorMessage } from '../log/logger.js';
 import type { MemberId } from '../model/ids.js';
 import { PROTOCOL_VERSION } from '../model/protocol.js';
-import { realClock, repeat } from '../model/time.js';
-import { HttpTarget, NoSocket } from '../net/http-client.js';
+import { systemClock, runPeriodically } from '../model/time.js';
+import { HttpTarget, NoSocketError } from '../net/http-client.js';
 import { FrontServer } from '../net/server.js';
 import { shareSockets, type SocketShares } from '../net/sockets.js';
 import {
@@ -19,30 +19,30 @@
   decodeUser,
   encodeCancellations,
   encodeProgress,
-  Kind,
+  FrameKind,
   type Ping,
 } from '../peer/frames.js';
-import { type Asked, PeerServer } from '../peer/link.js';
+import { type RequestKind, PeerServer } from '../peer/link.js';
 import { NO_SOCKET_STATUS, type RawCaller, RoutedCaller } from '../peer/routed-caller.js';
-import { StateClient } from '../store/client.js';
+import { KeyValueStoreClient } from '../store/client.js';
 import { limitProbe } from '../store/limit-probe.js';
-import { StateLimits } from '../store/store-limits.js';
+import { StoreLimits } from '../store/store-limits.js';
 import { encodeMembersReport, type MembersReport } from '../wire/members.js';
 import type { Settings } from '../wire/settings.js';
 import { readCommandReply } from '../wire/workers.js';
-import { WorkerTargets } from '../workers/worker-connections.js';
-import { Cancellations } from '../core/confirmed-cancellations.js';
-import { ConnectivityMonitor } from './store-connectivity.js';
-import type { NodeContext } from '../core/context.js';
+import { WorkerConnections } from '../workers/worker-connections.js';
+import { ConfirmedCancellations } from '../core/confirmed-cancellations.js';
+import { StoreConnectivityMonitor } from './store-connectivity.js';
+import type { ControllerContext } from '../core/context.js';
 import type { Failover } from '../leadership/failover/failover.js';
 import { DETECTION_OFF_STATUS } from '../leadership/failover/detection-status.js';
 import { HeartbeatRouter } from './heartbeat-router.js';
 import { Leadership } from './leadership.js';
 import { LoadMonitor } from './load-monitor.js';
-import { MachineTypeCatalogue } from './machine-type-catalog.js';
+import { MachineTypeCatalog } from './machine-type-catalog.js';
 import { MemoryMonitor } from './memory-monitor.js';
 import { type OwnState, PeerGroup } from './peer-group.js';
-import { ProgressBoard } from './progress-cache.js';
+import { ProgressCache } from './progress-cache.js';
 import { UserRouter } from './user-router.js';
 
 const STATE_MS = 1000;
@@ -58,43 +58,43 @@
 const CALLS_SHARE = 0.25;
 
 /** Wires the parts of a controller together and starts them. */
-export class Node {
-  private readonly ctx: NodeContext;
+export class Controller {
+  private readonly ctx: ControllerContext;
   private readonly leadership: Leadership;
   private readonly users: UserService;
   private readonly userRouter: UserRouter;
   private readonly heartbeats: HeartbeatRouter;
   private readonly peers: PeerGroup;
-  private readonly progress: ProgressBoard;
-  private readonly targets: WorkerTargets;
+  private readonly progress: ProgressCache;
+  private readonly targets: WorkerConnections;
   private readonly front: FrontServer;
   private readonly peerServer: PeerServer;
   private readonly admission: Admission;
-  private readonly machineTypes: MachineTypeCatalogue;
-  private readonly connectivity: ConnectivityMonitor;
+  private readonly machineTypes: MachineTypeCatalog;
+  private readonly connectivity: StoreConnectivityMonitor;
 
   /** Null: failure detection is off. */
   private failover: Failover | null = null;
 
   constructor(
     private readonly settings: Settings,
-    ops: Operators,
+    ops: OperatorSettings,
     private readonly features: Features,
-    private readonly log: Log,
+    private readonly log: Logger,
     random: () => number,
   ) {
-    const clock = realClock;
+    const clock = systemClock;
     const monitor = new LoadMonitor(clock);
-    const shares = shareSockets(settings.sockets, settings.siblings.length);
-    this.targets = new WorkerTargets(shares.workers);
-    this.connectivity = new ConnectivityMonitor(clock);
-    this.progress = new ProgressBoard(clock);
-    const cancellations = new Cancellations(clock, settings.cancelWithin);
+    const shares = shareSockets(settings.maxSockets, settings.peers.length);
+    this.targets = new WorkerConnections(shares.workers);
+    this.connectivity = new StoreConnectivityMonitor(clock);
+    this.progress = new ProgressCache(clock);
+    const cancellations = new ConfirmedCancellations(clock, settings.cancellationLimit);
     const store = this.stateClient(shares);
-    const limits = new StateLimits(settings, clock, limitProbe(store, settings));
-    if (settings.siblings.length === 0) limits.allowSplitProgress();
-    this.peers = new PeerGroup(settings.siblings, clock, log, cancellations, this.ownState(), {
-      heardOfLeader: (epoch) => this.leadership.heardOf(epoch),
+    const limits = new StoreLimits(settings, clock, limitProbe(store, settings));
+    if (settings.peers.length === 0) limits.allowSplitProgress();
+    this.peers = new PeerGroup(settings.peers, clock, log, cancellations, this.ownState(), {
+      heardOfLeader: (epoch) => this.leadership.onPeerLeading(epoch),
       allUpgraded: () => limits.allowSplitProgress(),
     });
     this.ctx = {
@@ -102,29 +102,29 @@
       clock,
       log,
       settings,
-      ops,
+      operators: ops,
       store,
       cloud: new CloudClient(new HttpTarget(settings.cloudAddress, shares.cloud), CLOUD_MS),
-      workers: new RoutedCaller(this.directCaller(), this.peers.links, clock, () => monitor.load),
+      workerClient: new RoutedCaller(this.directCaller(), this.peers.links, clock, () => monitor.load),
       random,
-      types: new Map(),
-      workerCalls: Math.floor(shares.workers * CALLS_SHARE),
+      machineTypes: new Map(),
+      maxConcurrentWorkerCalls: Math.floor(shares.workers * CALLS_SHARE),
       load: () => monitor.load,
-      limits,
+      storeLimits: limits,
       cancellations,
-      allSpeak: (version) => this.peers.allSpeak(version),
-      siblings: this.peers,
-      readAhead: (prefix) => this.failover?.readAhead(prefix) ?? Promise.resolve(null),
+      allPeersSupport: (version) => this.peers.allSupport(version),
+      peers: this.peers,
+      prefetchedRecords: (prefix) => this.failover?.readAhead(prefix) ?? Promise.resolve(null),
     };
-    this.machineTypes = new MachineTypeCatalogue(this.ctx);
+    this.machineTypes = new MachineTypeCatalog(this.ctx);
     this.users = new UserService(
       this.ctx,
       (id) => this.progress.of(id),
-      () => 1 + this.peers.alive.length,
+      () => 1 + this.peers.connected.length,
     );
     this.leadership = new Leadership(this.ctx, () => this.machineTypes.known());
-    cancellations.onLearned((ids) => this.leadership.leader?.cancelled(ids));
-    const memory = new MemoryMonitor(clock, () => this.users.shedCaches());
+    cancellations.onLearned((ids) => this.leadership.leader?.onCancellationsConfirmed(ids));
+    const memory = new MemoryMonitor(clock, () => this.users.dropCaches());
     const most = { submission: MOST_SUBMISSIONS, query: MOST_QUESTIONS };
     this.admission = new Admission(clock, most, () => memory.scarce);
     this.userRouter = new UserRouter(this.users, this.admission, this.connectivity, this.peers, random);
@@ -136,18 +136,22 @@
   /** Listens, stands for election, and goes on until the process ends. */
   async run(): Promise<void> {
     await Promise.all([
-      this.front.listen(this.settings.front),
-      this.peerServer.listen(this.settings.clusterListen),
+      this.front.listen(this.settings.frontAddress),
+      this.peerServer.listen(this.settings.peerAddress),
     ]);
-    this.log.info({ front: this.settings.front, answerAloneMs: this.leadership.answerAloneMs }, 'listening');
+    this.log.info(
+      { front: this.settings.frontAddress, answerAloneMs: this.leadership.maxRenewalWithoutQuorum },
+      'listening',
+    );
     this.peers.start();
     await this.startFailover();
     this.leadership.run();
     void this.users.watch();
     this.machineTypes.run();
     const { clock } = this.ctx;
-    repeat(clock, PROGRESS_MS, () => this.tellProgress());
-    if (this.log.tellsInfo) repeat(clock, this.ctx.ops.log.summary_s * 1000, () => this.summarise());
+    runPeriodically(clock, PROGRESS_MS, () => this.tellProgress());
+    if (this.log.isInfoEnabled)
+      runPeriodically(clock, this.ctx.operators.log.summaryInterval, () => this.summarise());
   }
 
   /** Its code is loaded only where it is switched on. */
@@ -162,9 +166,9 @@
       context: this.ctx,
       feature,
       transport: new PeerTransport(this.peers.links, this.ctx.clock),
-      allHaveSpoken: (version) => this.peers.allHaveSpoken(version),
+      allHaveSpoken: (version) => this.peers.allHaveShownSupport(version),
       leadership: this.leadership,
-      stateOk: () => this.connectivity.stateOk,
+      stateOk: () => this.connectivity.isStoreReachable,
     });
     this.failover.start();
   }
@@ -174,20 +178,20 @@
     await this.failover?.leave();
   }
 
-  private stateClient(shares: SocketShares): StateClient {
-    const { stateAddress } = this.settings;
-    return new StateClient(
-      new HttpTarget(stateAddress, shares.state),
-      new HttpTarget(stateAddress, shares.watches),
+  private stateClient(shares: SocketShares): KeyValueStoreClient {
+    const { storeAddress } = this.settings;
+    return new KeyValueStoreClient(
+      new HttpTarget(storeAddress, shares.state),
+      new HttpTarget(storeAddress, shares.watches),
       STATE_MS,
-      (answered) => this.connectivity.stateAnswered(answered),
+      (answered) => this.connectivity.recordCall(answered),
     );
   }
 
   private directCaller(): RawCaller {
     return {
       call: async (verb, address, body, deadlineMs) => {
-        const reply = await this.targets.raw(verb, address, body, deadlineMs);
+        const reply = await this.targets.call(verb, address, body, deadlineMs);
         return readCommandReply(reply.status, reply.body);
       },
     };
@@ -203,7 +207,7 @@
 
   private frontServer(shares: SocketShares): FrontServer {
     const listener = requestListener({
-      up: () => this.ctx.types.size > 0 && !this.connectivity.cutOff(this.peers.links),
+      up: () => this.ctx.machineTypes.size > 0 && !this.connectivity.isPartitioned(this.peers.links),
       heartbeat: (body) => this.heartbeats.take(body),
       user: (verb, body) => this.userRouter.take(verb, body, true),
     });
@@ -214,8 +218,8 @@
   private serverForPeers(shares: SocketShares): PeerServer {
     const handler = {
       ping: () => this.ping(),
-      progress: (payload: Buffer) => this.progress.take(payload),
-      ask: (kind: Asked, payload: Buffer, from: MemberId) => this.answerPeer(kind, payload, from),
+      progress: (payload: Buffer) => this.progress.store(payload),
+      ask: (kind: RequestKind, payload: Buffer, from: MemberId) => this.answerPeer(kind, payload, from),
     };
     return new PeerServer(handler, shares.peers, this.log);
   }
@@ -223,33 +227,33 @@
   private ping(): Ping {
     return {
       member: this.ctx.member,
-      stateOk: this.connectivity.stateOk,
-      leading: this.leadership.leader?.epoch ?? null,
+      isStoreReachable: this.connectivity.isStoreReachable,
+      leadingEpoch: this.leadership.leader?.epoch ?? null,
       version: PROTOCOL_VERSION,
       load: this.ctx.load(),
     };
   }
 
-  private async answerPeer(kind: Asked, payload: Buffer, from: MemberId): Promise<AnswerFrame> {
+  private async answerPeer(kind: RequestKind, payload: Buffer, from: MemberId): Promise<AnswerFrame> {
     const nothing: AnswerFrame = { status: 503, body: Buffer.alloc(0) };
     try {
       switch (kind) {
-        case Kind.User:
+        case FrameKind.User:
           return await this.answerPeersUser(payload);
-        case Kind.Cancelled:
-          this.ctx.cancellations.learn(decodeCancellations(payload).told);
-          return { status: 200, body: encodeCancellations(this.peers.word()) };
-        case Kind.Call:
+        case FrameKind.Cancelled:
+          this.ctx.cancellations.learn(decodeCancellations(payload).cancellations);
+          return { status: 200, body: encodeCancellations(this.peers.status()) };
+        case FrameKind.Call:
           return await this.callForPeer(payload);
-        case Kind.Membership:
+        case FrameKind.Membership:
           return await this.answerFailureDetector(payload);
-        case Kind.Members:
+        case FrameKind.Members:
           return { status: 200, body: encodeMembersReport(this.membersReport()) };
         default:
           return (await this.heartbeats.takeFromPeer(kind, payload, from)) ?? nothing;
       }
     } catch (error) {
-      this.log.debug({ error: reason(error) }, 'what a peer asked could not be done');
+      this.log.debug({ error: errorMessage(error) }, 'what a peer asked could not be done');
       return nothing;
     }
   }
@@ -280,10 +284,10 @@
   private async callForPeer(payload: Buffer): Promise<AnswerFrame> {
     const call = decodeCall(payload);
     try {
-      const reply = await this.targets.raw(call.verb, call.address, call.body, call.deadlineMs);
+      const reply = await this.targets.call(call.verb, call.address, call.body, call.deadlineMs);
       return { status: reply.status, body: Buffer.from(JSON.stringify(reply.body ?? null)) };
     } catch (error) {
-      if (error instanceof NoSocket) return { status: NO_SOCKET_STATUS, body: Buffer.alloc(0) };
+      if (error instanceof NoSocketError) return { status: NO_SOCKET_STATUS, body: Buffer.alloc(0) };
       throw error;
     }
   }
@@ -292,8 +296,8 @@
     const { leader } = this.leadership;
     if (!leader) return;
     for (const payload of encodeProgress(leader.progress())) {
-      this.progress.take(payload);
-      for (const link of this.peers.links) link.send(Kind.Progress, 0, payload);
+      this.progress.store(payload);
+      for (const link of this.peers.links) link.send(FrameKind.Progress, 0, payload);
     }
   }
 
@@ -304,8 +308,8 @@
         ...this.leadership.leader?.summary(),
         ...this.failover?.summary(),
         leads: this.leadership.leader?.epoch ?? null,
-        stateOk: this.connectivity.stateOk,
-        peers: this.peers.alive.length,
+        stateOk: this.connectivity.isStoreReachable,
+        peers: this.peers.connected.length,
         lateMs: this.admission.lateMs,
         load: Math.round(this.ctx.load() * 100) / 100,
         refusals: this.userRouter.takeRefusals(),
--- a/src/controller/heartbeat-router.ts
+++ b/src/controller/heartbeat-router.ts
@@ -1,12 +1,12 @@
 /** Brings workers' reports to whoever leads, and the answers back. */
-import type { HostId, MemberId } from '../model/ids.js';
-import type { Report } from '../model/heartbeat.js';
+import type { MachineId, MemberId } from '../model/ids.js';
+import type { Heartbeat } from '../model/heartbeat.js';
 import { type Clock, since } from '../model/time.js';
 import { parseJson } from '../net/http-client.js';
-import { Turns } from '../net/work-queue.js';
-import { type AnswerFrame, Kind } from '../peer/frames.js';
-import { encodeOrders, encodeRedirect, parseReport } from '../wire/workers.js';
-import type { NodeContext } from '../core/context.js';
+import { YieldingWorkQueue } from '../net/work-queue.js';
+import { type AnswerFrame, FrameKind } from '../peer/frames.js';
+import { encodeCommands, encodeRedirect, parseHeartbeat } from '../wire/workers.js';
+import type { ControllerContext } from '../core/context.js';
 import type { Leadership } from '../controller/leadership.js';
 import type { PeerGroup } from './peer-group.js';
 import { WorkerRedirects } from './worker-redirects.js';
@@ -41,11 +41,11 @@
 export class HeartbeatRouter {
   private readonly member: MemberId;
   private readonly redirects: WorkerRedirects;
-  private readonly turns = new Turns();
+  private readonly turns = new YieldingWorkQueue();
   private readonly clock: Clock;
 
   constructor(
-    { member, clock, load }: NodeContext,
+    { member, clock, load }: ControllerContext,
     private readonly leadership: Leadership,
     private readonly peers: PeerGroup,
   ) {
@@ -59,9 +59,9 @@
     // Whoever leads reads the report: one that is passed on is not read here as well.
     if (this.leadership.leader) {
       if (!(await this.itsTurn())) return REFUSED;
-      const parsed = parseReport(parseJson(body));
+      const parsed = parseHeartbeat(parseJson(body));
       if (!parsed.ok) return malformed(parsed.error);
-      const elsewhere = this.elsewhere(parsed.value.host);
+      const elsewhere = this.elsewhere(parsed.value.machine);
       if (elsewhere) return { status: 421, body: encodeRedirect(elsewhere) };
       const orders = await this.lead(parsed.value, this.member);
       if (orders) return { status: 200, body: orders };
@@ -71,19 +71,19 @@
 
   /** A report that another controller passes on; null: this node can't have it answered. */
   async takeFromPeer(
-    kind: Kind.Heartbeat | Kind.PassOn | Kind.Passed,
+    kind: FrameKind.Heartbeat | FrameKind.PassOn | FrameKind.Passed,
     payload: Buffer,
     from: MemberId,
   ): Promise<AnswerFrame | null> {
     if (!this.leadership.leader) {
-      const link = kind === Kind.PassOn ? this.peers.leader() : undefined;
-      return (await link?.ask(Kind.Passed, payload, RELAY_MS / 2)) ?? null;
+      const link = kind === FrameKind.PassOn ? this.peers.leader() : undefined;
+      return (await link?.request(FrameKind.Passed, payload, RELAY_MS / 2)) ?? null;
     }
     if (!(await this.itsTurn())) return null;
-    const parsed = parseReport(parseJson(payload));
+    const parsed = parseHeartbeat(parseJson(payload));
     if (!parsed.ok) return malformed(parsed.error);
     // Which controller the worker is with, the one before the last does not tell.
-    const orders = await this.lead(parsed.value, kind === Kind.Heartbeat ? from : passedOnBy(from));
+    const orders = await this.lead(parsed.value, kind === FrameKind.Heartbeat ? from : passedOnBy(from));
     return orders ? { status: 200, body: orders } : null;
   }
 
@@ -95,28 +95,28 @@
   }
 
   /** The controller that this worker should report to instead: one that reaches the state service and this leader. */
-  private elsewhere(host: HostId): MemberId | null {
-    const able = this.peers.alive.filter((link) => link.hasTime && link.ping?.stateOk);
+  private elsewhere(host: MachineId): MemberId | null {
+    const able = this.peers.connected.filter((link) => link.hasSpareCapacity && link.ping?.isStoreReachable);
     return this.redirects.target(
       host,
       able.map((link) => link.member as MemberId),
     );
   }
 
-  private async lead(report: Report, via: MemberId): Promise<Buffer | null> {
-    const answer = await this.leadership.report(report, via);
-    return answer?.kind === 'orders' ? encodeOrders(answer.token, answer.orders) : null;
+  private async lead(heartbeat: Heartbeat, via: MemberId): Promise<Buffer | null> {
+    const answer = await this.leadership.handleHeartbeat(heartbeat, via);
+    return answer?.kind === 'commands' ? encodeCommands(answer.token, answer.commands) : null;
   }
 
   private async relay(body: Buffer): Promise<HeartbeatAnswer | null> {
     const link = this.peers.leader();
     if (link) {
-      return passedBack(await link.ask(Kind.Heartbeat, body, RELAY_MS));
+      return passedBack(await link.request(FrameKind.Heartbeat, body, RELAY_MS));
     }
     // The leader's zone may be cut off from ours, but not from a third one.
     if (this.leadership.leader || !this.leadership.election.leader) return null;
-    for (const other of this.peers.alive) {
-      const answer = passedBack(await other.ask(Kind.PassOn, body, RELAY_MS / 2));
+    for (const other of this.peers.connected) {
+      const answer = passedBack(await other.request(FrameKind.PassOn, body, RELAY_MS / 2));
       if (answer) return answer;
     }
     return null;
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -1,11 +1,11 @@
 import type { Epoch, MemberId } from '../model/ids.js';
 import type { Millis } from '../model/time.js';
-import type { Report } from '../model/heartbeat.js';
-import { aloneMs } from '../leader/worker-lease-policy.js';
-import type { NodeContext } from '../core/context.js';
-import { Election, type Won } from '../leadership/election.js';
+import type { Heartbeat } from '../model/heartbeat.js';
+import { maxRenewalWithoutQuorum } from '../leader/worker-lease-policy.js';
+import type { ControllerContext } from '../core/context.js';
+import { Election, type LeadershipTerm } from '../leadership/election.js';
 import { Leader } from '../leader/leader.js';
-import type { ReportAnswer } from '../leader/heartbeat-handler.js';
+import type { HeartbeatOutcome } from '../leader/heartbeat-handler.js';
 
 /** After hearing no worker, a node leaves the leadership to others for this long. */
 const DEAF_PAUSE_MS = 15_000;
@@ -15,15 +15,15 @@
   readonly election: Election;
   leader: Leader | null = null;
   /** How long a leader that lost its grant may go on answering reports, without orders. */
-  readonly answerAloneMs: Millis;
+  readonly maxRenewalWithoutQuorum: Millis;
 
   constructor(
-    private readonly ctx: NodeContext,
+    private readonly ctx: ControllerContext,
     /** Resolves once the node knows what a leader needs. */
     private readonly prepared: () => Promise<void>,
   ) {
     // A worker that an old leader still answers must lose its tasks within a cancellation's limit.
-    this.answerAloneMs = aloneMs(ctx);
+    this.maxRenewalWithoutQuorum = maxRenewalWithoutQuorum(ctx);
     this.election = new Election(
       ctx,
       (won) => this.lead(won),
@@ -35,7 +35,7 @@
     this.election.run();
   }
 
-  private lead(won: Won): void {
+  private lead(won: LeadershipTerm): void {
     const leader = new Leader(this.ctx, won, this.election, (why) => {
       if (this.leader === leader) this.leader = null;
       void this.election.resign(why === 'no worker is heard' ? DEAF_PAUSE_MS : 0);
@@ -46,19 +46,19 @@
   }
 
   /** Gives the leadership up for good: another node takes over at once. */
-  leave(): void {
+  resignPermanently(): void {
     this.election.retire();
     this.leader?.end('this controller leaves');
   }
 
   /** Another node says that it leads: the newer epoch is right. */
-  heardOf(epoch: Epoch): void {
+  onPeerLeading(epoch: Epoch): void {
     if (this.leader && epoch > this.leader.epoch) this.leader.end('another node leads a newer epoch');
   }
 
   /** The leader's answer to a report; null: this node does not lead. */
-  async report(report: Report, via: MemberId): Promise<ReportAnswer | null> {
+  async handleHeartbeat(heartbeat: Heartbeat, via: MemberId): Promise<HeartbeatOutcome | null> {
     if (!this.leader) return null;
-    return this.leader.report(report, via);
+    return this.leader.handleHeartbeat(heartbeat, via);
   }
 }
--- a/src/controller/load-monitor.ts
+++ b/src/controller/load-monitor.ts
@@ -1,5 +1,5 @@
 /** How much of the processor time that this process gets it uses. */
-import { type Clock, repeat } from '../model/time.js';
+import { type Clock, runPeriodically } from '../model/time.js';
 
 const SAMPLE_MS = 500;
 /** The part of the last value that stays at each sample. */
@@ -24,7 +24,7 @@
     private readonly read: () => LoopReading = () => performance.eventLoopUtilization(),
   ) {
     this.last = read();
-    repeat(clock, SAMPLE_MS, () => this.sample());
+    runPeriodically(clock, SAMPLE_MS, () => this.sample());
   }
 
   /** Between 0 and 1. */
--- a/src/controller/machine-type-catalog.ts
+++ b/src/controller/machine-type-catalog.ts
@@ -1,8 +1,9 @@
-import { reason } from '../log/logger.js';
+import { errorMessage } from '../log/logger.js';
 import type { MachineType } from '../model/machine.js';
 import { sleep } from '../model/time.js';
 import { keys } from '../store/keys.js';
-import type { NodeContext } from '../core/context.js';
+import { decodeMachineTypes, encodeMachineTypes } from '../store/machine-type-record.js';
+import type { ControllerContext } from '../core/context.js';
 
 const REFRESH_MS = 60_000;
 
@@ -10,10 +11,10 @@
  * The machine types: from the cloud, or, while its interface is down, as they were last written.
  * Prices move, so they are read again now and then.
  */
-export class MachineTypeCatalogue {
+export class MachineTypeCatalog {
   private readonly waiting: (() => void)[] = [];
 
-  constructor(private readonly ctx: NodeContext) {}
+  constructor(private readonly ctx: ControllerContext) {}
 
   run(): void {
     void this.fromStore();
@@ -21,22 +22,22 @@
   }
 
   known(): Promise<void> {
-    if (this.ctx.types.size > 0) return Promise.resolve();
+    if (this.ctx.machineTypes.size > 0) return Promise.resolve();
     return new Promise((resolve) => this.waiting.push(resolve));
   }
 
   private learn(types: readonly MachineType[]): void {
-    for (const type of types) this.ctx.types.set(type.id, type);
+    for (const type of types) this.ctx.machineTypes.set(type.id, type);
     if (types.length > 0) for (const go of this.waiting.splice(0)) go();
   }
 
   private async fromStore(): Promise<void> {
-    while (this.ctx.types.size === 0) {
+    while (this.ctx.machineTypes.size === 0) {
       try {
         const row = await this.ctx.store.get(keys.types);
-        if (row) this.learn(row.value as MachineType[]);
+        if (row) this.learn(decodeMachineTypes(row.value));
       } catch (error) {
-        this.ctx.log.debug({ error: reason(error) }, 'types not read from the state service');
+        this.ctx.log.debug({ error: errorMessage(error) }, 'types not read from the state service');
       }
       await sleep(this.ctx.clock, 500);
     }
@@ -46,16 +47,16 @@
     let written = '';
     for (;;) {
       try {
-        const types = await this.ctx.cloud.types();
+        const types = await this.ctx.cloud.listMachineTypes();
         this.learn(types);
         const shape = JSON.stringify(types.map((t) => [t.id, t.cpus, t.memoryGb, t.zones]));
         if (shape !== written) {
-          await this.ctx.store.commit([], [{ set: keys.types, value: types }]);
+          await this.ctx.store.txn([], [{ set: keys.types, value: encodeMachineTypes(types) }]);
           written = shape;
         }
         await sleep(this.ctx.clock, REFRESH_MS * (0.8 + 0.4 * this.ctx.random()));
       } catch (error) {
-        this.ctx.log.debug({ error: reason(error) }, 'types not read from the cloud');
+        this.ctx.log.debug({ error: errorMessage(error) }, 'types not read from the cloud');
         await sleep(this.ctx.clock, 600 + this.ctx.random() * 600);
       }
     }
--- a/src/controller/memory-monitor.ts
+++ b/src/controller/memory-monitor.ts
@@ -1,6 +1,6 @@
 /** How near this process is to the end of its memory. */
 import { getHeapStatistics } from 'node:v8';
-import { type Clock, repeat } from '../model/time.js';
+import { type Clock, runPeriodically } from '../model/time.js';
 
 const SAMPLE_MS = 1000;
 /** From this part of the heap's limit on caches are dropped and no new work is taken. */
@@ -25,7 +25,7 @@
     private readonly shed: () => void,
     private readonly read: () => HeapReading = getHeapStatistics,
   ) {
-    repeat(clock, SAMPLE_MS, () => this.sample());
+    runPeriodically(clock, SAMPLE_MS, () => this.sample());
   }
 
   /** Whether no new work should be taken. */
--- a/src/controller/peer-group.ts
+++ b/src/controller/peer-group.ts
@@ -1,21 +1,21 @@
 /** The links to all other controllers, and what is said and asked over them. */
-import { type Log, reason } from '../log/logger.js';
+import { type Logger, errorMessage } from '../log/logger.js';
 import type { Epoch, JobId } from '../model/ids.js';
 import { UNVERSIONED } from '../model/protocol.js';
 import type { Clock } from '../model/time.js';
 import {
-  type CancellationsWord,
+  type PeerStatus,
   decodeCancellations,
   encodeCancellations,
-  Kind,
+  FrameKind,
   type Ping,
 } from '../peer/frames.js';
 import { PeerLink } from '../peer/link.js';
 import type { LeaderRecord } from '../store/leader-record.js';
 import type { MemberLine } from '../wire/members.js';
-import type { Sibling } from '../wire/settings.js';
-import type { Cancellations } from '../core/confirmed-cancellations.js';
-import type { Siblings } from '../core/context.js';
+import type { PeerAddress } from '../wire/settings.js';
+import type { ConfirmedCancellations } from '../core/confirmed-cancellations.js';
+import type { PeerStatusSource } from '../core/context.js';
 
 /** States for operators where no failure detection runs: whether there is a link. */
 const LINKED = 'linked';
@@ -39,17 +39,17 @@
 }
 
 /** All other controllers. */
-export class PeerGroup implements Siblings {
+export class PeerGroup implements PeerStatusSource {
   readonly links: readonly PeerLink[];
   private readonly upgraded = new Set<string>();
   /** The protocol version that each controller last showed; it stays while there is no link. */
   private readonly shown = new Map<string, number>();
 
   constructor(
-    siblings: readonly Sibling[],
+    siblings: readonly PeerAddress[],
     clock: Clock,
-    private readonly log: Log,
-    private readonly confirmed: Cancellations,
+    private readonly log: Logger,
+    private readonly confirmed: ConfirmedCancellations,
     private readonly own: OwnState,
     private readonly listener: PeerListener,
   ) {
@@ -62,12 +62,12 @@
           log,
           () => own.ping(),
           (ping) => {
-            if (ping.leading !== null) listener.heardOfLeader(ping.leading);
+            if (ping.leadingEpoch !== null) listener.heardOfLeader(ping.leadingEpoch);
           },
           (link) => this.versionTold(link),
         ),
     );
-    confirmed.onLearned((ids) => this.tell(this.links, ids));
+    confirmed.onLearned((ids) => this.broadcastCancellations(this.links, ids));
   }
 
   start(): void {
@@ -75,35 +75,35 @@
   }
 
   /** Controllers that are heard, without this one. */
-  get alive(): readonly PeerLink[] {
-    return this.links.filter((link) => link.alive);
+  get connected(): readonly PeerLink[] {
+    return this.links.filter((link) => link.isConnected);
   }
 
   /** Whether the leader, as far as we know, and everybody around who could become one have this version. */
-  allSpeak(version: number): boolean {
+  allSupport(version: number): boolean {
     const leader = this.own.leaderRecord();
     if (leader !== null && leader.version < version) return false;
-    return this.alive.every((link) => link.speaks(version));
+    return this.connected.every((link) => link.supports(version));
   }
 
   /** Whether every other controller last showed at least this version, be it heard now or not. */
-  allHaveSpoken(version: number): boolean {
+  allHaveShownSupport(version: number): boolean {
     return this.links.every(({ member }) => (this.shown.get(member) ?? UNVERSIONED) >= version);
   }
 
   /** The node that leads, by its own word or by the last record that we saw. */
   leader(): PeerLink | undefined {
-    const leading = this.alive.filter((link) => link.ping?.leading != null);
-    leading.sort((a, b) => (b.ping?.leading ?? 0) - (a.ping?.leading ?? 0));
-    return leading[0] ?? this.alive.find((link) => link.member === this.own.leaderRecord()?.member);
+    const leading = this.connected.filter((link) => link.ping?.leadingEpoch != null);
+    leading.sort((a, b) => (b.ping?.leadingEpoch ?? 0) - (a.ping?.leadingEpoch ?? 0));
+    return leading[0] ?? this.connected.find((link) => link.member === this.own.leaderRecord()?.member);
   }
 
   /** What this node knows of confirmed cancellations: all of them, or those of these jobs. */
-  word(which?: readonly JobId[]): CancellationsWord {
+  status(which?: readonly JobId[]): PeerStatus {
     return {
-      upFor: this.confirmed.upFor,
-      leading: this.own.leading(),
-      told: this.confirmed.list(which),
+      uptime: this.confirmed.uptime,
+      leadingEpoch: this.own.leading(),
+      cancellations: this.confirmed.list(which),
     };
   }
 
@@ -121,40 +121,41 @@
       owns: leader?.member === member ? [`cluster (epoch ${leader.epoch})`] : [],
     });
     const others = this.links.map((link) =>
-      line(link.member, link.alive ? LINKED : NOT_LINKED, link.ping?.load ?? null),
+      line(link.member, link.isConnected ? LINKED : NOT_LINKED, link.ping?.load ?? null),
     );
     return [line(self, LINKED, this.own.ping().load), ...others];
   }
 
   /** Asks each of the others what it knows; null for one that doesn't answer or can't say. */
-  cancellations(deadlineMs: number): Promise<(CancellationsWord | null)[]> {
-    const payload = encodeCancellations(this.word());
+  collectStatus(deadlineMs: number): Promise<(PeerStatus | null)[]> {
+    const payload = encodeCancellations(this.status());
     return Promise.all(this.links.map((link) => this.askOne(link, payload, deadlineMs)));
   }
 
-  private async askOne(
-    link: PeerLink,
-    payload: Buffer,
-    deadlineMs: number,
-  ): Promise<CancellationsWord | null> {
-    const answer = link.takesCancellations ? await link.ask(Kind.Cancelled, payload, deadlineMs) : null;
+  private async askOne(link: PeerLink, payload: Buffer, deadlineMs: number): Promise<PeerStatus | null> {
+    const answer = link.supportsCancellations
+      ? await link.request(FrameKind.Cancelled, payload, deadlineMs)
+      : null;
     if (answer?.status !== 200) return null;
     try {
       return decodeCancellations(answer.body);
     } catch (error) {
-      this.log.debug({ member: link.member, error: reason(error) }, 'a list of cancellations cannot be read');
+      this.log.debug(
+        { member: link.member, error: errorMessage(error) },
+        'a list of cancellations cannot be read',
+      );
       return null;
     }
   }
 
   private versionTold(link: PeerLink): void {
     this.shown.set(link.member, link.ping?.version ?? UNVERSIONED);
-    if (!link.takesCancellations) {
+    if (!link.supportsCancellations) {
       this.warnOfDowngrade(link);
       return;
     }
     // Whatever it missed while there was no connection.
-    this.tell([link]);
+    this.broadcastCancellations([link]);
     this.upgraded.add(link.member);
     // Who has once shown its version comes back with no earlier one.
     if (this.upgraded.size === this.links.length) this.listener.allUpgraded();
@@ -169,10 +170,10 @@
     );
   }
 
-  private tell(to: readonly PeerLink[], which?: readonly JobId[]): void {
-    const takers = to.filter((link) => link.takesCancellations);
+  private broadcastCancellations(to: readonly PeerLink[], which?: readonly JobId[]): void {
+    const takers = to.filter((link) => link.supportsCancellations);
     if (takers.length === 0) return;
-    const payload = encodeCancellations(this.word(which));
-    for (const link of takers) link.send(Kind.Cancelled, 0, payload);
+    const payload = encodeCancellations(this.status(which));
+    for (const link of takers) link.send(FrameKind.Cancelled, 0, payload);
   }
 }
--- a/src/controller/progress-cache.ts
+++ b/src/controller/progress-cache.ts
@@ -1,20 +1,20 @@
 /** Task counts of unfinished jobs, as the leader last told them: for display to users. */
 import type { JobId } from '../model/ids.js';
-import { type Clock, type Steady, since } from '../model/time.js';
+import { type Clock, type MonotonicTime, since } from '../model/time.js';
 import { decodeProgress } from '../peer/frames.js';
 import type { Progress } from '../wire/users.js';
 
 /** Counts older than this are not shown. */
 const LIVES_MS = 5000;
 
-interface Shown {
+interface CachedProgress {
   readonly progress: Progress;
-  readonly at: Steady;
+  readonly at: MonotonicTime;
 }
 
 /** What this node knows of progress. */
-export class ProgressBoard {
-  private readonly progress = new Map<JobId, Shown>();
+export class ProgressCache {
+  private readonly progress = new Map<JobId, CachedProgress>();
 
   constructor(private readonly clock: Clock) {}
 
@@ -25,7 +25,7 @@
   }
 
   /** A part of a leader's counts, as they come over the peer link. */
-  take(payload: Buffer): void {
+  store(payload: Buffer): void {
     const at = this.clock.now();
     for (const job of decodeProgress(payload)) {
       // The oldest come first.
--- a/src/controller/store-connectivity.ts
+++ b/src/controller/store-connectivity.ts
@@ -1,19 +1,19 @@
-import { type Clock, type Steady, since } from '../model/time.js';
+import { type Clock, type MonotonicTime, since } from '../model/time.js';
 
 /** The state service counts as failing for this node after this long without an answer. */
 const STATE_LOST_MS = 800;
 const CUT_OFF_MS = 2500;
 
 /** Whether this node reaches the state service, as far as its last calls tell. */
-export class ConnectivityMonitor {
-  private okAt: Steady;
-  private failedAt: Steady | null = null;
+export class StoreConnectivityMonitor {
+  private okAt: MonotonicTime;
+  private failedAt: MonotonicTime | null = null;
 
   constructor(private readonly clock: Clock) {
     this.okAt = clock.now();
   }
 
-  stateAnswered(answered: boolean): void {
+  recordCall(answered: boolean): void {
     const now = this.clock.now();
     if (answered) {
       this.okAt = now;
@@ -21,7 +21,7 @@
     } else this.failedAt ??= now;
   }
 
-  get stateOk(): boolean {
+  get isStoreReachable(): boolean {
     return this.failedAt === null || since(this.clock.now(), this.okAt) < STATE_LOST_MS;
   }
 
@@ -30,8 +30,8 @@
    * other node. An outage of the state service alone is everybody's: then no node steps back, or the
    * load balancer would have none left when it is over.
    */
-  cutOff(peers: readonly { readonly alive: boolean }[]): boolean {
-    if (peers.length === 0 || this.failedAt === null || peers.some((p) => p.alive)) return false;
+  isPartitioned(peers: readonly { readonly isConnected: boolean }[]): boolean {
+    if (peers.length === 0 || this.failedAt === null || peers.some((p) => p.isConnected)) return false;
     return since(this.clock.now(), this.okAt) > CUT_OFF_MS;
   }
 }
--- a/src/controller/user-router.ts
+++ b/src/controller/user-router.ts
@@ -1,10 +1,10 @@
 /** Answers users' requests here or, where this node can't, at another one. */
 import type { Admission } from '../api/admission.js';
-import { Busy, unavailable, type UserAnswer, type UserService } from '../api/user-service.js';
+import { BusyError, unavailable, type UserAnswer, type UserService } from '../api/user-service.js';
 import { parseJson } from '../net/http-client.js';
-import { encodeUser, Kind, type UserVerb } from '../peer/frames.js';
-import { StateRefused, StateUnknown } from '../store/client.js';
-import type { ConnectivityMonitor } from '../controller/store-connectivity.js';
+import { encodeUser, FrameKind, type UserVerb } from '../peer/frames.js';
+import { StoreRefusedError, StoreOutcomeUnknownError } from '../store/client.js';
+import type { StoreConnectivityMonitor } from '../controller/store-connectivity.js';
 import type { PeerGroup } from '../controller/peer-group.js';
 
 const FORWARD_MS = 1500;
@@ -28,7 +28,7 @@
   constructor(
     private readonly users: UserService,
     private readonly admission: Admission,
-    private readonly connectivity: ConnectivityMonitor,
+    private readonly connectivity: StoreConnectivityMonitor,
     private readonly peers: PeerGroup,
     /** Between 0 and 1. */
     private readonly random: () => number,
@@ -46,7 +46,8 @@
     const rank = verb === 'submit' ? 'submission' : 'query';
     if (!this.admission.enter(rank)) return unavailable('overloaded', BUSY_RETRY_S);
     try {
-      const elsewhere = mayForward && !this.connectivity.stateOk ? await this.forward(verb, body, 1) : null;
+      const elsewhere =
+        mayForward && !this.connectivity.isStoreReachable ? await this.forward(verb, body, 1) : null;
       return elsewhere ?? (await this.answer(verb, body));
     } catch (error) {
       return await this.afterRefusal(error, verb, body, mayForward);
@@ -72,27 +73,28 @@
     body: Buffer,
     mayForward: boolean,
   ): Promise<UserAnswer> {
-    if (error instanceof Busy) {
+    if (error instanceof BusyError) {
       this.refusals.busy++;
       // Each node has its part of what users may write: of several one mostly has some left.
       const forwarded = mayForward ? await this.forward(verb, body, MOST_ASKED) : null;
       return forwarded ?? unavailable('asked too often', BUSY_RETRY_S);
     }
-    if (!(error instanceof StateRefused || error instanceof StateUnknown)) throw error;
+    if (!(error instanceof StoreRefusedError || error instanceof StoreOutcomeUnknownError)) throw error;
     this.refusals.state++;
     // Asked too often is meant for all nodes: another one would only ask once more.
-    if (error instanceof StateRefused && error.tooMany) return unavailable('asked too often', BUSY_RETRY_S);
+    if (error instanceof StoreRefusedError && error.isRateLimited)
+      return unavailable('asked too often', BUSY_RETRY_S);
     const forwarded = mayForward ? await this.forward(verb, body, 1) : null;
     return forwarded ?? unavailable('state service not reached');
   }
 
   /** The state service may refuse this node alone: another one can then answer. */
   private async forward(verb: UserVerb, body: Buffer, most: number): Promise<UserAnswer | null> {
-    const able = this.peers.alive.filter((link) => link.ping?.stateOk);
+    const able = this.peers.connected.filter((link) => link.ping?.isStoreReachable);
     const first = Math.floor(this.random() * able.length);
     const payload = encodeUser(verb, body);
     for (let i = 0; i < Math.min(most, able.length); i++) {
-      const answer = await able[(first + i) % able.length]?.ask(Kind.User, payload, FORWARD_MS);
+      const answer = await able[(first + i) % able.length]?.request(FrameKind.User, payload, FORWARD_MS);
       // Without an answer it may have been taken, and the user has waited long enough to be told.
       if (!answer) return null;
       if (answer.status !== 503) return parseJson(Buffer.from(answer.body)) as UserAnswer;
--- a/src/core/confirmed-cancellations.ts
+++ b/src/core/confirmed-cancellations.ts
@@ -1,8 +1,8 @@
 import type { JobId } from '../model/ids.js';
-import { type Clock, type Millis, type Steady, since } from '../model/time.js';
+import { type Clock, type Millis, type MonotonicTime, since } from '../model/time.js';
 
 /** A cancellation that was told to a user, and how long ago the teller learned of it. */
-export interface ToldCancellation {
+export interface ConfirmedCancellation {
   readonly id: JobId;
   readonly age: Millis;
 }
@@ -16,11 +16,11 @@
  * answers, by watching the records, or from another controller. A confirmed cancellation is final. So what
  * stands here may be acted upon, by a `kill`, without the state service and without a sure grant.
  */
-export class Cancellations {
-  private readonly learned = new Map<JobId, Steady>();
+export class ConfirmedCancellations {
+  private readonly learned = new Map<JobId, MonotonicTime>();
   private readonly listeners: ((ids: readonly JobId[]) => void)[] = [];
   private readonly kept: number;
-  private readonly startedAt: Steady;
+  private readonly startedAt: MonotonicTime;
 
   constructor(
     private readonly clock: Clock,
@@ -31,7 +31,7 @@
   }
 
   /** How long this process has been listening. */
-  get upFor(): Millis {
+  get uptime(): Millis {
     return since(this.clock.now(), this.startedAt);
   }
 
@@ -40,12 +40,12 @@
   }
 
   /** True: this is news. */
-  learn(told: readonly ToldCancellation[]): boolean {
+  learn(told: readonly ConfirmedCancellation[]): boolean {
     const now = this.clock.now();
     const news: JobId[] = [];
     for (const { id, age } of told) {
       if (this.learned.has(id)) continue;
-      this.learned.set(id, (now - age) as Steady);
+      this.learned.set(id, (now - age) as MonotonicTime);
       news.push(id);
     }
     if (news.length === 0) return false;
@@ -59,15 +59,15 @@
   }
 
   /** Since when it is known to be cancelled. */
-  at(id: JobId): Steady | undefined {
+  learnedAt(id: JobId): MonotonicTime | undefined {
     return this.learned.get(id);
   }
 
   /** All of them, or those of these jobs. */
-  list(which: Iterable<JobId> = this.learned.keys()): ToldCancellation[] {
+  list(which: Iterable<JobId> = this.learned.keys()): ConfirmedCancellation[] {
     const now = this.clock.now();
     this.forget(now);
-    const told: ToldCancellation[] = [];
+    const told: ConfirmedCancellation[] = [];
     for (const id of which) {
       const at = this.learned.get(id);
       if (at !== undefined) told.push({ id, age: since(now, at) });
@@ -75,7 +75,7 @@
     return told;
   }
 
-  private forget(now: Steady): void {
+  private forget(now: MonotonicTime): void {
     for (const [id, at] of this.learned) {
       // In the order in which they came; ages of others' may differ by the time that their telling took.
       if (since(now, at) <= this.kept && this.learned.size <= MOST_KEPT) return;
--- a/src/fleet/backlog.ts
+++ b/src/fleet/backlog.ts
@@ -1,8 +1,8 @@
-import { type Steady, since } from '../model/time.js';
-import type { Need } from './capacity-plan.js';
+import { type MonotonicTime, since } from '../model/time.js';
+import type { CapacityDemand } from './capacity-plan.js';
 
 /** Waiting tasks of one job that found no room. */
-export interface QueuedWork extends Need {
+export interface QueuedWork extends CapacityDemand {
   readonly runMs: number;
   /** How long its last task may still wait after a boot; null: no target is left then. */
   readonly slackMs: number | null;
@@ -21,10 +21,10 @@
  * SlackFactors is for waves, which mostly pass before a machine has booted. While the queue stays too
  * long it runs out: work that will need the machines anyway gets them sooner.
  */
-export class LateWatch {
-  private since: Steady | null = null;
+export class BacklogWatch {
+  private since: MonotonicTime | null = null;
 
-  left(tooLong: boolean, now: Steady): number {
+  left(tooLong: boolean, now: MonotonicTime): number {
     if (!tooLong) this.since = null;
     else this.since ??= now;
     return this.since === null ? 1 : Math.max(0, 1 - since(now, this.since) / WAVE_MS);
@@ -41,13 +41,13 @@
  *
  * `slackFactorLeft`: the part that is left of the jobs' slack factors, from 1 to 0.
  */
-export function lateNeeds(
+export function overdueDemand(
   queue: readonly QueuedWork[],
   cpus: number,
   busyCpuMs: number,
   slackFactorLeft = 1,
-): Need[] {
-  const needs: Need[] = [];
+): CapacityDemand[] {
+  const needs: CapacityDemand[] = [];
   let ahead = busyCpuMs;
   let rate = cpus * PACKED;
   for (const job of queue) {
--- a/src/fleet/capacity-projection.ts
+++ b/src/fleet/capacity-projection.ts
@@ -1,8 +1,8 @@
 import type { Lifetimes } from '../forecast/lifetimes.js';
-import type { TypeId } from '../model/ids.js';
+import type { MachineTypeId } from '../model/ids.js';
 import type { MachineType } from '../model/machine.js';
-import { type Millis, type Steady, since } from '../model/time.js';
-import type { Host } from '../workers/state/worker.js';
+import { type Millis, type MonotonicTime, since } from '../model/time.js';
+import type { Worker } from '../workers/state/worker.js';
 import type { QueuedWork } from './backlog.js';
 import { allPools, cheapestPool, perMachine, type Pool, seriesKey } from './capacity-plan.js';
 
@@ -13,7 +13,7 @@
   /** Idle room, up or coming, in machines, by series. */
   readonly reserves: ReadonlyMap<string, number>;
   /** Types of machines that hold replicas. */
-  readonly replicasOn: ReadonlySet<TypeId>;
+  readonly replicasOn: ReadonlySet<MachineTypeId>;
   /** CPUs that work for spot machines is expected to free, wherever it runs. */
   readonly spotFrees: number;
   /** The part of a slot's new spot work that ends within the slot itself, arriving evenly over it. */
@@ -24,7 +24,7 @@
 
 /** What the projection is made from. */
 export interface Fleet {
-  readonly hosts: Iterable<Host>;
+  readonly workers: Iterable<Worker>;
   readonly pending: Iterable<{ readonly pool: Pool; readonly count: number }>;
   readonly queue: readonly QueuedWork[];
   readonly types: Iterable<MachineType>;
@@ -39,35 +39,35 @@
   fleet: Fleet,
   lifetimes: Lifetimes,
   slot: Millis,
-  now: Steady,
+  now: MonotonicTime,
 ): CapacityProjection {
   const frees = new Map<string, number>();
   const reserves = new Map<string, number>();
-  const replicasOn = new Set<TypeId>();
+  const replicasOn = new Set<MachineTypeId>();
   let spotFrees = 0;
   let spotIdle = 0;
   let spotCpus = 0;
   let ownFrees = 0;
-  for (const host of fleet.hosts) {
-    if (!host.presumed) continue;
-    const { machine, type } = host.presumed;
+  for (const worker of fleet.workers) {
+    if (!worker.presumedFacts) continue;
+    const { machine, type } = worker.presumedFacts;
     const key = seriesKey(machine.type, machine.spot);
     // Work for spot machines makes room on an ordinary one when it is needed: the machine counts as idle.
     let idle = type.cpus;
-    for (const task of host.tasks) {
+    for (const task of worker.tasks) {
       const { spec } = task.job;
       const age = task.runningAt === null ? 0 : since(now, task.runningAt);
-      const ends = lifetimes.endsWithin(spec.jobClass, age, slot, spec.estimateS * 1000);
-      if (spec.spot) {
+      const ends = lifetimes.endsWithin(spec.jobClass, age, slot, spec.estimatedRunS * 1000);
+      if (spec.allowsSpot) {
         spotFrees += ends * spec.cpus;
         spotCpus += spec.cpus;
-        ownFrees += lifetimes.endsWithin(spec.jobClass, 0, slot / 2, spec.estimateS * 1000) * spec.cpus;
+        ownFrees += lifetimes.endsWithin(spec.jobClass, 0, slot / 2, spec.estimatedRunS * 1000) * spec.cpus;
       } else bump(frees, key, ends / Math.max(1, perMachine(spec, type)));
-      if (machine.spot || !spec.spot) idle -= spec.cpus;
+      if (machine.spot || !spec.allowsSpot) idle -= spec.cpus;
     }
-    if (host.hasReplicas) replicasOn.add(machine.type);
-    if (host.closed) continue;
-    spotIdle += Math.max(0, host.free.cpus);
+    if (worker.hasReplicas) replicasOn.add(machine.type);
+    if (worker.cordon) continue;
+    spotIdle += Math.max(0, worker.free.cpus);
     bump(reserves, key, Math.max(0, idle) / type.cpus);
   }
   for (const { pool, count } of fleet.pending) {
@@ -79,7 +79,7 @@
   for (const work of fleet.queue) {
     const { spec, tasks } = work;
     spotIdle -= tasks * spec.cpus;
-    const pool = spec.spot ? null : cheapestPool(work, pools);
+    const pool = spec.allowsSpot ? null : cheapestPool(work, pools);
     if (pool) bump(reserves, seriesKey(pool.type.id, false), -tasks / perMachine(spec, pool.type));
   }
   return {
--- a/src/fleet/consolidation.ts
+++ b/src/fleet/consolidation.ts
@@ -1,4 +1,4 @@
-import type { HostId } from '../model/ids.js';
+import type { MachineId } from '../model/ids.js';
 
 /** A task on a machine that might be emptied. */
 export interface MovableTask {
@@ -14,7 +14,7 @@
 
 /** A machine that might be emptied. */
 export interface PartlyUsed {
-  readonly id: HostId;
+  readonly id: MachineId;
   readonly cpus: number;
   readonly freeCpus: number;
   readonly freeMemoryGb: number;
@@ -43,8 +43,8 @@
   machines: readonly PartlyUsed[],
   surplus: number,
   cpuPrice: number,
-): HostId[] {
-  const chosen: HostId[] = [];
+): MachineId[] {
+  const chosen: MachineId[] = [];
   let left = surplus;
   let freeCpus = machines.reduce((sum, m) => sum + m.freeCpus, 0);
   let freeMemory = machines.reduce((sum, m) => sum + m.freeMemoryGb, 0);
--- a/src/fleet/demand-forecast.ts
+++ b/src/fleet/demand-forecast.ts
@@ -1,11 +1,11 @@
 /** The paper's forecast: how many machines of each series the coming slot will newly need. */
-import type { NodeContext } from '../core/context.js';
+import type { ControllerContext } from '../core/context.js';
 import { Arrivals } from '../forecast/arrivals.js';
 import { Ensemble, type PredictionCost } from '../forecast/ensemble.js';
 import { autoregression, highQuantile, movingAverage } from '../forecast/predictors.js';
-import { type Millis, seconds } from '../model/time.js';
+import { type Millis } from '../model/time.js';
 import { NO_TASKS } from '../scheduler/placement-rule.js';
-import type { OpenJob } from '../scheduler/active-job.js';
+import type { ActiveJob } from '../scheduler/active-job.js';
 import type { CapacityProjection } from './capacity-projection.js';
 import { allPools, cheapestPool, perMachine, readSeriesKey, seriesKey } from './capacity-plan.js';
 
@@ -32,10 +32,12 @@
   private readonly refusedInSlot = new Set<string>();
   private firstSlot = true;
 
-  constructor(private readonly ctx: Pick<NodeContext, 'clock' | 'ops' | 'settings' | 'types'>) {}
+  constructor(
+    private readonly ctx: Pick<ControllerContext, 'clock' | 'operators' | 'settings' | 'machineTypes'>,
+  ) {}
 
   get slot(): Millis {
-    return seconds(this.ctx.ops.forecast.slot_s);
+    return this.ctx.operators.forecast.slot;
   }
 
   /** Every series that was ever needed or forecast. */
@@ -52,15 +54,15 @@
   }
 
   /** New demand: counted once for the type that would serve it best, refused or not. */
-  demanded({ spec }: OpenJob): void {
+  demanded({ spec }: ActiveJob): void {
     const pool = cheapestPool(
-      { spec, tasks: spec.tasks, zones: NO_TASKS },
-      allPools(this.ctx.types.values()),
+      { spec, tasks: spec.taskCount, zones: NO_TASKS },
+      allPools(this.ctx.machineTypes.values()),
     );
     if (!pool) return;
     const team = this.ctx.settings.teams.find((one) => one.id === spec.team);
     const limit = team?.cpusMax != null && spec.cpus > 0 ? Math.floor(team.cpusMax / spec.cpus) : Infinity;
-    const machines = Math.min(spec.tasks, limit) / perMachine(spec, pool.type);
+    const machines = Math.min(spec.taskCount, limit) / perMachine(spec, pool.type);
     const key = seriesKey(pool.type.id, pool.spot);
     this.slotNeed.set(key, (this.slotNeed.get(key) ?? 0) + machines);
     this.arrivals[pool.spot ? 'spot' : 'ordinary'].arrived(this.ctx.clock.now());
@@ -108,11 +110,11 @@
       return need > 0 ? (forecast * net) / need : 0;
     }
     const perSlot = forecast - (projection.frees.get(series) ?? 0);
-    const type = this.ctx.types.get(id);
+    const type = this.ctx.machineTypes.get(id);
     if (!type) return perSlot;
     // One machine's replicas find room at once when it dies.
     const floor = projection.replicasOn.has(type.id) ? 1 : 0;
-    return Math.max(floor, perSlot * (1 + type.boot / this.slot));
+    return Math.max(floor, perSlot * (1 + type.bootTime / this.slot));
   }
 
   /** Machines to rent ahead: the reserve wanted, less the one that is there. */
@@ -123,7 +125,7 @@
     if (!spot) return count;
     // Idle room on other machines serves spot work as well.
     const short = this.spotNet(projection).net - projection.spotIdle;
-    return Math.min(count, Math.ceil(short / (this.ctx.types.get(id)?.cpus ?? 1) - ROUND_DOWN));
+    return Math.min(count, Math.ceil(short / (this.ctx.machineTypes.get(id)?.cpus ?? 1) - ROUND_DOWN));
   }
 
   /**
@@ -135,7 +137,7 @@
     let need = 0;
     for (const series of this.ensembles.keys()) {
       const { type, spot } = readSeriesKey(series);
-      if (spot) need += this.forecastOf(series) * (this.ctx.types.get(type)?.cpus ?? 0);
+      if (spot) need += this.forecastOf(series) * (this.ctx.machineTypes.get(type)?.cpus ?? 0);
     }
     return { need, net: Math.max(0, need * (1 - projection.spotOwnFrees) - projection.spotFrees) };
   }
@@ -153,7 +155,7 @@
     let ensemble = this.ensembles.get(series);
     if (!ensemble) {
       const predictors = [
-        movingAverage(this.ctx.ops.forecast.average_slots),
+        movingAverage(this.ctx.operators.forecast.averageSlots),
         autoregression(AUTOREGRESSION_SLOTS),
         highQuantile(QUANTILE_SLOTS, QUANTILE),
       ];
@@ -164,15 +166,15 @@
   }
 
   private costOf(series: string): PredictionCost {
-    const { beta, firm_beta: firmBeta, hit_s: hit, idle_cost: idle, slot_s: slotS } = this.ctx.ops.forecast;
+    const { spotBeta, onDemandBeta, hitS, idleCostS, slot } = this.ctx.operators.forecast;
     const { type: id, spot } = readSeriesKey(series);
-    const type = this.ctx.types.get(id);
+    const type = this.ctx.machineTypes.get(id);
     return {
       // Ordinary machines are forecast for work that must not wait for a boot.
-      beta: spot ? beta : firmBeta,
-      hit,
-      miss: type ? type.boot / 1000 : slotS,
-      idle,
+      beta: spot ? spotBeta : onDemandBeta,
+      hit: hitS,
+      miss: type ? type.bootTime / 1000 : slot / 1000,
+      idle: idleCostS,
     };
   }
 }
--- a/src/fleet/fleet-manager.ts
+++ b/src/fleet/fleet-manager.ts
@@ -1,24 +1,30 @@
 /** Rents, keeps and returns machines: the paper's forecast, reserves and on-the-fly misses. */
 import type { LeaderContext } from '../core/context.js';
 import type { Lifetimes } from '../forecast/lifetimes.js';
-import type { HostId } from '../model/ids.js';
+import type { MachineId } from '../model/ids.js';
 import type { Machine } from '../model/machine.js';
 import type { FactSource } from '../model/machine-facts.js';
-import { type Steady, plus, since } from '../model/time.js';
-import type { Budget } from '../net/token-bucket.js';
-import type { OpenJob } from '../scheduler/active-job.js';
+import { type MonotonicTime, plus, since } from '../model/time.js';
+import type { TokenBucket } from '../net/token-bucket.js';
+import type { ActiveJob } from '../scheduler/active-job.js';
 import type { SlackFactors } from '../scheduler/slack-factors.js';
 import type { Urgency } from '../scheduler/urgency.js';
-import type { Host } from '../workers/state/worker.js';
-import { lateNeeds, LateWatch, type QueuedWork } from './backlog.js';
+import type { Worker } from '../workers/state/worker.js';
+import { overdueDemand, BacklogWatch, type QueuedWork } from './backlog.js';
 import { type CapacityProjection, projectCapacity } from './capacity-projection.js';
-import { CloudTurns } from './cloud-call-queue.js';
+import { CloudCallQueue } from './cloud-call-queue.js';
 import { Consolidator, PAID_MS } from './consolidator.js';
 import { DemandForecast, ROUND_DOWN } from './demand-forecast.js';
 import { MachineInventory, slowestBoot } from './inventory.js';
-import { type Coming, readSeriesKey, rentFor, seriesKey, type Wish } from './capacity-plan.js';
-import { MachineRemover } from './scale-in.js';
-import { Renter } from './scale-out.js';
+import {
+  type PendingMachine,
+  readSeriesKey,
+  planScaleOut,
+  seriesKey,
+  type CapacityRequest,
+} from './capacity-plan.js';
+import { ScaleIn } from './scale-in.js';
+import { ScaleOut } from './scale-out.js';
 
 /** The record, beside the series', of what classes have missed; its stored name stays. */
 const SLACK_FACTORS_RECORD = '~patience';
@@ -38,7 +44,7 @@
 /** Is told of what becomes of machines. */
 export interface FleetListener {
   /** The host and everything on it are proven gone. */
-  hostGone(host: Host): void;
+  machineGone(worker: Worker): void;
   /** The list of machines is worth writing. */
   fleetChanged(): void;
 }
@@ -46,36 +52,36 @@
 /** One leadership's fleet. */
 export class FleetManager {
   private readonly forecast: DemandForecast;
-  private readonly turns: CloudTurns;
-  private readonly remover: MachineRemover;
+  private readonly turns: CloudCallQueue;
+  private readonly remover: ScaleIn;
   private readonly inventory: MachineInventory;
-  private readonly renter: Renter;
+  private readonly renter: ScaleOut;
   private readonly consolidator: Consolidator;
-  private readonly lateWatch = new LateWatch();
-  private slotEnds: Steady;
+  private readonly lateWatch = new BacklogWatch();
+  private slotEnds: MonotonicTime;
   private queue: readonly QueuedWork[] = [];
   private dirty = false;
   private rentLater = false;
-  private lookAgainAt: Steady | null = null;
+  private nextScaleOutAt: MonotonicTime | null = null;
   /** Reckoned at most once a tick. */
   private projected: CapacityProjection | null = null;
 
   constructor(
     private readonly ctx: LeaderContext,
-    budget: Budget,
+    budget: TokenBucket,
     private readonly parts: FleetParts,
     listener: FleetListener,
   ) {
     this.forecast = new DemandForecast(ctx);
-    this.turns = new CloudTurns(ctx.clock, budget);
-    this.remover = new MachineRemover(
+    this.turns = new CloudCallQueue(ctx.clock, budget);
+    this.remover = new ScaleIn(
       ctx,
       this.turns,
-      (host) => listener.hostGone(host),
+      (worker) => listener.machineGone(worker),
       () => listener.fleetChanged(),
     );
     this.inventory = new MachineInventory(ctx, this.turns, this.remover);
-    this.renter = new Renter(ctx, this.turns, this.inventory, {
+    this.renter = new ScaleOut(ctx, this.turns, this.inventory, {
       rented: () => listener.fleetChanged(),
       refused: (series) => this.forecast.refused(series),
       settled: () => this.rentUnmet(),
@@ -96,30 +102,30 @@
   }
 
   /** New demand: a job that may start from now on. */
-  demanded(job: OpenJob): void {
+  recordDemand(job: ActiveJob): void {
     this.forecast.demanded(job);
   }
 
   /** The queue's unmet demand, as the last decision round left it. */
-  unmet(queue: readonly QueuedWork[]): void {
+  setBacklog(queue: readonly QueuedWork[]): void {
     this.queue = queue;
     if (queue.length === 0) this.lateWatch.left(false, this.ctx.clock.now());
     this.rentUnmet();
   }
 
   /** Somebody told what a machine is. */
-  adopt(machine: Machine, source: FactSource, since: Steady, address = ''): Host | null {
-    return this.inventory.adopt(machine, source, since, address);
+  registerMachine(machine: Machine, source: FactSource, since: MonotonicTime, address = ''): Worker | null {
+    return this.inventory.registerMachine(machine, source, since, address);
   }
 
   /** A record that may hold a guess tells of a machine. */
-  adoptUnconfirmed(machine: Machine, since: Steady, address: string): Host | null {
-    return this.inventory.adoptUnconfirmed(machine, since, address);
+  registerUnconfirmed(machine: Machine, since: MonotonicTime, address: string): Worker | null {
+    return this.inventory.registerUnconfirmed(machine, since, address);
   }
 
   /** Only the name of a machine is known, from a task that a predecessor placed on it. */
-  adoptUnknown(id: HostId, since: Steady): Host | null {
-    return this.inventory.adoptUnknown(id, since);
+  registerUnknown(id: MachineId, since: MonotonicTime): Worker | null {
+    return this.inventory.registerUnknown(id, since);
   }
 
   /** Machines so far that turned out to be something else than was recorded. */
@@ -128,8 +134,8 @@
   }
 
   /** Deletes the machine; `unsureToo`: even while it is not sure that we lead. */
-  remove(host: Host, why: string, unsureToo = false): void {
-    this.remover.remove(host, why, unsureToo);
+  remove(worker: Worker, why: string, unsureToo = false): void {
+    this.remover.remove(worker, why, unsureToo);
   }
 
   /** Whether a slot has ended since the last call: weights and machines are then written. */
@@ -141,7 +147,7 @@
 
   /** The longest usual boot of any type, in ms. */
   slowestBoot(): number {
-    return slowestBoot(this.ctx.types.values());
+    return slowestBoot(this.ctx.machineTypes.values());
   }
 
   tick(): void {
@@ -159,16 +165,16 @@
     const { pending } = this.renter;
     if (this.queue.length === 0 || pending.size >= MOST_PENDING) return;
     const began = this.ctx.clock.now();
-    const wait = Math.max(this.turns.wait, (this.lookAgainAt ?? began) - began);
+    const wait = Math.max(this.turns.waitMs, (this.nextScaleOutAt ?? began) - began);
     if (wait > 0) {
       this.rentAfter(wait);
       return;
     }
-    const most = this.ctx.ops.fleet.max_machines - this.ctx.hosts.size - pending.size;
+    const most = this.ctx.operators.fleet.maxMachines - this.ctx.workers.size - pending.size;
     const wishes = this.wishes(most);
     for (const wish of wishes.slice(0, MOST_PENDING - pending.size)) this.renter.rent(wish, 'queue');
     const now = this.ctx.clock.now();
-    this.lookAgainAt = plus(now, Math.max(RENT_PAUSE_MS, since(now, began) * RENT_PAUSE));
+    this.nextScaleOutAt = plus(now, Math.max(RENT_PAUSE_MS, since(now, began) * RENT_PAUSE));
   }
 
   private rentAfter(wait: number): void {
@@ -176,7 +182,7 @@
     this.rentLater = true;
     this.ctx.clock.after(wait + 1, () => {
       this.rentLater = false;
-      if (!this.ctx.ended()) this.rentUnmet();
+      if (!this.ctx.isEnded()) this.rentUnmet();
     });
   }
 
@@ -184,30 +190,30 @@
    * Spot machines for all that waits; ordinary ones, which cost several times as much, for what
    * must run on them and for what the fleet would start too late.
    */
-  private wishes(most: number): Wish[] {
+  private wishes(most: number): CapacityRequest[] {
     const coming = this.renter.coming();
     const open = this.renter.openPools();
-    const spotWork = this.queue.filter((job) => job.spec.spot);
-    const firm = this.queue.filter((job) => !job.spec.spot);
+    const spotWork = this.queue.filter((job) => job.spec.allowsSpot);
+    const firm = this.queue.filter((job) => !job.spec.allowsSpot);
     const spotPools = open.filter((pool) => pool.spot);
-    const cheap = rentFor(spotWork, coming, spotPools, most);
-    const must = rentFor(firm, coming, open, most);
+    const cheap = planScaleOut(spotWork, coming, spotPools, most);
+    const must = planScaleOut(firm, coming, open, most);
     if (cheap.length > 0) return [...must, ...cheap];
     const cpus = this.workingCpus(coming);
     const busy = this.busyCpuMs();
-    const tooLong = lateNeeds(spotWork, cpus, busy, 0).length > 0;
-    const late = lateNeeds(spotWork, cpus, busy, this.lateWatch.left(tooLong, this.ctx.clock.now()));
+    const tooLong = overdueDemand(spotWork, cpus, busy, 0).length > 0;
+    const late = overdueDemand(spotWork, cpus, busy, this.lateWatch.left(tooLong, this.ctx.clock.now()));
     const ordinary = open.filter((pool) => !pool.spot);
-    return [...must, ...rentFor(late, [], ordinary, most)];
+    return [...must, ...planScaleOut(late, [], ordinary, most)];
   }
 
   /** What works off the queue of spot work: machines up and coming, less what others hold there. */
-  private workingCpus(coming: readonly Coming[]): number {
+  private workingCpus(coming: readonly PendingMachine[]): number {
     let cpus = coming.reduce((sum, machine) => sum + machine.free.cpus, 0);
-    for (const host of this.ctx.hosts.values()) {
-      if (!host.up || host.closed) continue;
-      cpus += host.type?.cpus ?? 0;
-      for (const task of host.tasks) if (!task.job.spec.spot) cpus -= task.job.spec.cpus;
+    for (const worker of this.ctx.workers.values()) {
+      if (!worker.isUp || worker.cordon) continue;
+      cpus += worker.type?.cpus ?? 0;
+      for (const task of worker.tasks) if (!task.job.spec.allowsSpot) cpus -= task.job.spec.cpus;
     }
     return cpus;
   }
@@ -216,10 +222,10 @@
   private busyCpuMs(): number {
     const now = this.ctx.clock.now();
     let sum = 0;
-    for (const host of this.ctx.hosts.values()) {
-      for (const task of host.tasks) {
+    for (const worker of this.ctx.workers.values()) {
+      for (const task of worker.tasks) {
         const { spec } = task.job;
-        if (!spec.spot) continue;
+        if (!spec.allowsSpot) continue;
         const ran = task.runningAt === null ? 0 : now - task.runningAt;
         sum += this.parts.lifetimes.expectedLeft(spec, ran) * spec.cpus;
       }
@@ -228,14 +234,14 @@
   }
 
   /** Expected frees and idle room, reckoned at most once a tick. */
-  private projection(now: Steady): CapacityProjection {
-    const { hosts, types } = this.ctx;
+  private projection(now: MonotonicTime): CapacityProjection {
+    const { workers, machineTypes } = this.ctx;
     this.projected ??= projectCapacity(
       {
-        hosts: hosts.values(),
+        workers: workers.values(),
         pending: this.renter.pending.values(),
         queue: this.queue,
-        types: types.values(),
+        types: machineTypes.values(),
       },
       this.parts.lifetimes,
       this.forecast.slot,
@@ -253,7 +259,7 @@
    * Ordinary machines are topped up within the slot too: a replica that took from the reserve must
    * not leave the next one to wait for the slot's end and a boot.
    */
-  private topUp(now: Steady): void {
+  private topUp(now: MonotonicTime): void {
     if (this.renter.pending.size > 0) return;
     const projection = this.projection(now);
     for (const series of this.forecast.series) {
@@ -261,7 +267,7 @@
     }
   }
 
-  private endSlot(now: Steady): void {
+  private endSlot(now: MonotonicTime): void {
     this.slotEnds = plus(now, this.forecast.slot);
     const projection = this.projection(now);
     const told = this.forecast.endSlot(projection);
@@ -276,42 +282,42 @@
   }
 
   /** While nothing waits: machines that are mostly idle are emptied, if their work fits elsewhere. */
-  private consolidate(now: Steady): void {
+  private consolidate(now: MonotonicTime): void {
     if (this.queue.length > 0 || this.renter.pending.size > 0 || !this.consolidator.due(now)) return;
     const projection = this.projection(now);
     this.consolidator.run(projection.spotIdle - this.forecast.spotNet(projection).net, now);
   }
 
   /** Idle machines beyond what the forecast still wants go back after the wait. */
-  private giveBack(now: Steady): void {
+  private giveBack(now: MonotonicTime): void {
     const idle = this.idleMachines(now);
     if (idle.size === 0) return;
     const projection = this.projection(now);
-    for (const [series, hosts] of idle) {
+    for (const [series, workers] of idle) {
       const need = Math.max(0, this.forecast.wanted(series, projection));
       const surplus = Math.floor((projection.reserves.get(series) ?? 0) - need + ROUND_DOWN);
-      for (const host of hosts.slice(0, Math.max(0, surplus))) this.remove(host, 'surplus');
+      for (const worker of workers.slice(0, Math.max(0, surplus))) this.remove(worker, 'surplus');
     }
   }
 
   /** Machines that have idled for long enough to go back, by series; those that are closed go at once. */
-  private idleMachines(now: Steady): Map<string, Host[]> {
-    const { give_back_s: ordinaryS, spot_give_back_s: spotS } = this.ctx.ops.fleet;
-    const idle = new Map<string, Host[]>();
-    for (const host of this.ctx.hosts.values()) {
-      if (!host.up || host.removing || !host.empty || host.idleSince === null) continue;
-      if (host.closed === 'sick' || host.closed === 'emptying') {
-        this.remove(host, host.closed);
+  private idleMachines(now: MonotonicTime): Map<string, Worker[]> {
+    const { idleTimeout, spotIdleTimeout } = this.ctx.operators.fleet;
+    const idle = new Map<string, Worker[]>();
+    for (const worker of this.ctx.workers.values()) {
+      if (!worker.isUp || worker.isRemoving || !worker.isEmpty || worker.idleSince === null) continue;
+      if (worker.cordon === 'failing' || worker.cordon === 'draining') {
+        this.remove(worker, worker.cordon);
         continue;
       }
-      if (!host.presumed) continue;
-      const { type, spot } = host.presumed.machine;
-      const waitS = spot ? spotS : ordinaryS;
-      if (since(now, host.idleSince) < waitS * 1000 || since(now, host.since) < PAID_MS) continue;
+      if (!worker.presumedFacts) continue;
+      const { type, spot } = worker.presumedFacts.machine;
+      const timeout = spot ? spotIdleTimeout : idleTimeout;
+      if (since(now, worker.idleSince) < timeout || since(now, worker.rentedAt) < PAID_MS) continue;
       const series = seriesKey(type, spot);
       const alike = idle.get(series);
-      if (alike) alike.push(host);
-      else idle.set(series, [host]);
+      if (alike) alike.push(worker);
+      else idle.set(series, [worker]);
     }
     return idle;
   }
--- a/src/fleet/scale-out.ts
+++ b/src/fleet/scale-out.ts
@@ -1,22 +1,22 @@
 /** Rents machines: asks for them by name, remembers what is sold out, and never rents while unsure of leading. */
 import type { LeaderContext } from '../core/context.js';
-import { CloudRefused, type Rented } from '../cloud/client.js';
-import { reason } from '../log/logger.js';
-import type { RentalName, TypeId, ZoneId } from '../model/ids.js';
+import { CloudRequestRefusedError, type ScaleOutResult } from '../cloud/client.js';
+import { errorMessage } from '../log/logger.js';
+import type { ScaleOutRequestId, MachineTypeId, ZoneId } from '../model/ids.js';
 import { FactSource } from '../model/machine-facts.js';
-import { type Steady, plus, since, sleep } from '../model/time.js';
-import type { Rental } from '../wire/cloud.js';
-import type { CloudTurns } from './cloud-call-queue.js';
+import { type MonotonicTime, plus, since, sleep } from '../model/time.js';
+import type { ScaleOutRequest } from '../wire/cloud.js';
+import type { CloudCallQueue } from './cloud-call-queue.js';
 import type { MachineInventory } from './inventory.js';
 import {
   allPools,
-  type Coming,
+  type PendingMachine,
   type Pool,
   poolKey,
   price,
   seriesKey,
   readSeriesKey,
-  type Wish,
+  type CapacityRequest,
 } from './capacity-plan.js';
 
 /** A refused pool is asked again after this. */
@@ -33,17 +33,17 @@
 const SLOW_BOOT_MS = 3000;
 
 /** What a rental is for: the forecast, or work that waits. */
-export type RentalPurpose = 'forecast' | 'queue';
+export type ScaleOutPurpose = 'forecast' | 'queue';
 
-interface PendingRental {
+interface PendingScaleOut {
   readonly pool: Pool;
   readonly count: number;
 }
 
-type RentalResult = Rented | 'sold out' | null;
+type RentalResult = ScaleOutResult | 'sold out' | null;
 
 /** Is told of what rentals come to. */
-export interface RentalListener {
+export interface ScaleOutListener {
   /** Machines were rented. */
   rented(): void;
   /** A series' pool gave fewer machines than were asked for. */
@@ -53,42 +53,42 @@
 }
 
 /** Rentals under way and pools that have none left. */
-export class Renter {
-  private readonly refusedUntil = new Map<string, Steady>();
-  private readonly underWay = new Map<string, PendingRental>();
+export class ScaleOut {
+  private readonly refusedUntil = new Map<string, MonotonicTime>();
+  private readonly underWay = new Map<string, PendingScaleOut>();
   private rentals = 0;
   /** Rentals take their turns one after the other: a deletion never waits behind all of them. */
   private lastTurn: Promise<void> = Promise.resolve();
 
   constructor(
     private readonly ctx: LeaderContext,
-    private readonly turns: CloudTurns,
+    private readonly turns: CloudCallQueue,
     private readonly inventory: MachineInventory,
-    private readonly listener: RentalListener,
+    private readonly listener: ScaleOutListener,
   ) {}
 
-  get pending(): ReadonlyMap<string, PendingRental> {
+  get pending(): ReadonlyMap<string, PendingScaleOut> {
     return this.underWay;
   }
 
   /** Pools that have not lately refused. */
   openPools(): Pool[] {
     const now = this.ctx.clock.now();
-    return allPools(this.ctx.types.values()).filter(
+    return allPools(this.ctx.machineTypes.values()).filter(
       (pool) => !this.isRefused({ type: pool.type.id, zone: pool.zone, spot: pool.spot }, now),
     );
   }
 
   /** Machines rented and not yet up, unless they are so late that they may never come. */
-  coming(): Coming[] {
+  coming(): PendingMachine[] {
     const now = this.ctx.clock.now();
-    const list: Coming[] = [];
-    for (const host of this.ctx.hosts.values()) {
-      if (host.up || host.closed) continue;
-      if (!host.presumed) continue;
-      const { machine, type } = host.presumed;
-      if (since(now, host.since) > type.boot * SLOW_BOOT + SLOW_BOOT_MS) continue;
-      list.push({ ...machine, free: host.free });
+    const list: PendingMachine[] = [];
+    for (const worker of this.ctx.workers.values()) {
+      if (worker.isUp || worker.cordon) continue;
+      if (!worker.presumedFacts) continue;
+      const { machine, type } = worker.presumedFacts;
+      if (since(now, worker.rentedAt) > type.bootTime * SLOW_BOOT + SLOW_BOOT_MS) continue;
+      list.push({ ...machine, free: worker.free });
     }
     for (const { pool, count } of this.underWay.values()) {
       const { id, cpus, gpus, memoryGb } = pool.type;
@@ -99,10 +99,10 @@
   }
 
   /** Asks for these machines, in calls of the size that the cloud takes. */
-  rent({ pool, count }: Wish, purpose: RentalPurpose): void {
+  rent({ pool, count }: CapacityRequest, purpose: ScaleOutPurpose): void {
     for (let left = count; left > 0; left -= MOST_PER_RENTAL) {
       const part = Math.min(left, MOST_PER_RENTAL);
-      const name = `p${this.ctx.epoch}-${++this.rentals}` as RentalName;
+      const name = `p${this.ctx.epoch}-${++this.rentals}` as ScaleOutRequestId;
       this.underWay.set(name, { pool, count: part });
       void this.carryOut(name, pool, part, purpose);
     }
@@ -111,7 +111,7 @@
   /** One batched call; what a stockout leaves over is asked of another zone, then of another type. */
   rentAhead(series: string, count: number): void {
     const { type: id, spot } = readSeriesKey(series);
-    const type = this.ctx.types.get(id);
+    const type = this.ctx.machineTypes.get(id);
     if (!type) return;
     const open = this.openPools().filter((pool) => pool.spot === spot);
     const same = open.filter((pool) => pool.type.id === type.id);
@@ -127,30 +127,35 @@
     this.rent({ pool: next, count: alike }, 'forecast');
   }
 
-  private isRefused(pool: { type: TypeId; zone: ZoneId; spot: boolean }, now: Steady): boolean {
+  private isRefused(pool: { type: MachineTypeId; zone: ZoneId; spot: boolean }, now: MonotonicTime): boolean {
     const until = this.refusedUntil.get(poolKey(pool));
     return until !== undefined && until > now;
   }
 
-  private async carryOut(name: RentalName, pool: Pool, count: number, why: RentalPurpose): Promise<void> {
-    const rental: Rental = { name, type: pool.type.id, zone: pool.zone, spot: pool.spot, count };
+  private async carryOut(
+    name: ScaleOutRequestId,
+    pool: Pool,
+    count: number,
+    why: ScaleOutPurpose,
+  ): Promise<void> {
+    const rental: ScaleOutRequest = { name, type: pool.type.id, zone: pool.zone, spot: pool.spot, count };
     try {
       const result = await this.tryRent(rental);
-      if (result !== null && result !== 'sold out' && !this.ctx.ended()) this.answered(rental, result, why);
+      if (result !== null && result !== 'sold out' && !this.ctx.isEnded()) this.answered(rental, result, why);
     } catch (error) {
-      this.ctx.log.info({ name, pool: poolKey(rental), error: reason(error) }, 'rental failed');
+      this.ctx.log.info({ name, pool: poolKey(rental), error: errorMessage(error) }, 'rental failed');
     } finally {
       this.underWay.delete(name);
-      if (!this.ctx.ended()) this.listener.settled();
+      if (!this.ctx.isEnded()) this.listener.settled();
     }
   }
 
-  private answered(rental: Rental, result: Rented, why: RentalPurpose): void {
+  private answered(rental: ScaleOutRequest, result: ScaleOutResult, why: ScaleOutPurpose): void {
     const { name, type, zone, spot, count } = rental;
-    const got = result === 'no capacity' ? [] : result.hosts;
+    const got = result === 'no capacity' ? [] : result.machines;
     this.ctx.log.info({ name, pool: poolKey(rental), asked: count, got: got.length, why }, 'rented');
     const now = this.ctx.clock.now();
-    for (const id of got) this.inventory.adopt({ id, type, zone, spot }, FactSource.Rental, now);
+    for (const id of got) this.inventory.registerMachine({ id, type, zone, spot }, FactSource.Rental, now);
     const missing = count - got.length;
     const series = seriesKey(type, spot);
     if (missing > 0) {
@@ -163,23 +168,24 @@
   }
 
   /** The same name is tried again: a rental without an answer may have been carried out. */
-  private async tryRent(rental: Rental): Promise<RentalResult> {
+  private async tryRent(rental: ScaleOutRequest): Promise<RentalResult> {
     for (let tries = 1; ; tries++) {
       // Refused meanwhile, to a rental before this one: nothing has been asked under this name yet.
       const soldOut = (): boolean => tries === 1 && this.isRefused(rental, this.ctx.clock.now());
       this.lastTurn = this.lastTurn.then(() => (soldOut() ? undefined : this.turns.next()));
       await this.lastTurn;
-      if (this.ctx.ended()) return null;
+      if (this.ctx.isEnded()) return null;
       if (soldOut()) return 'sold out';
-      if (!this.ctx.sure()) {
+      if (!this.ctx.isLeaseValid()) {
         await sleep(this.ctx.clock, UNSURE_MS);
         continue;
       }
       try {
-        return await this.ctx.cloud.rent(rental);
+        return await this.ctx.cloud.createMachines(rental);
       } catch (error) {
         if (tries >= RENT_TRIES) throw error;
-        const wait = (error instanceof CloudRefused ? REFUSED_AGAIN_MS : UNANSWERED_AGAIN_MS) * tries;
+        const wait =
+          (error instanceof CloudRequestRefusedError ? REFUSED_AGAIN_MS : UNANSWERED_AGAIN_MS) * tries;
         await sleep(this.ctx.clock, wait + this.ctx.random() * AGAIN_JITTER_MS);
       }
     }
--- a/src/forecast/arrivals.ts
+++ b/src/forecast/arrivals.ts
@@ -1,4 +1,4 @@
-import { type Millis, type Steady, since } from '../model/time.js';
+import { type Millis, type MonotonicTime, since } from '../model/time.js';
 
 /** Slots whose arrivals are remembered. */
 const KEEP = 4;
@@ -13,10 +13,10 @@
  */
 export class Arrivals {
   private readonly slots: number[] = [];
-  private recent: Steady[] = [];
+  private recent: MonotonicTime[] = [];
   private inSlot = 0;
 
-  arrived(now: Steady): void {
+  arrived(now: MonotonicTime): void {
     this.inSlot++;
     this.recent.push(now);
   }
@@ -28,7 +28,7 @@
   }
 
   /** The part of a forecast that the last slot's length of arrivals still bears out. */
-  borneOut(now: Steady, slot: Millis): number {
+  borneOut(now: MonotonicTime, slot: Millis): number {
     this.recent = this.recent.filter((t) => since(now, t) < slot);
     if (this.slots.length === 0) return 1;
     const usual = this.slots.reduce((a, b) => a + b, 0) / this.slots.length;
--- a/src/forecast/lifetimes.ts
+++ b/src/forecast/lifetimes.ts
@@ -41,12 +41,18 @@
   }
 
   /** The same for a task of this job, in ms. */
-  expectedRun({ jobClass, estimateS }: { readonly jobClass: string; readonly estimateS: number }): number {
-    return this.expected(jobClass, estimateS * 1000);
+  expectedRun({
+    jobClass,
+    estimatedRunS,
+  }: {
+    readonly jobClass: string;
+    readonly estimatedRunS: number;
+  }): number {
+    return this.expected(jobClass, estimatedRunS * 1000);
   }
 
   /** How long such a task is still expected to run after so many ms; one that has outrun its expectation, a part of it. */
-  expectedLeft(spec: { readonly jobClass: string; readonly estimateS: number }, ranMs: number): number {
+  expectedLeft(spec: { readonly jobClass: string; readonly estimatedRunS: number }, ranMs: number): number {
     const runMs = this.expectedRun(spec);
     return Math.max(runMs * LEAST_LEFT, runMs - ranMs);
   }
--- a/src/leader/committer.ts
+++ b/src/leader/committer.ts
@@ -1,16 +1,16 @@
 import type { LeaderContext } from '../core/context.js';
-import { reason } from '../log/logger.js';
+import { errorMessage } from '../log/logger.js';
 import type { JobId } from '../model/ids.js';
 import { decodeJob, encodeEnded, furtherKeys } from '../store/job-record.js';
 import { keys } from '../store/keys.js';
 import { encodeChunk } from '../store/progress-record.js';
 import type { WriteCounts } from './write-counts.js';
-import { type Committed, StateRefused, StateTooLarge } from '../store/client.js';
-import type { Budget } from '../net/token-bucket.js';
+import { type TxnResult, StoreRefusedError, StoreRequestTooLargeError } from '../store/client.js';
+import type { TokenBucket } from '../net/token-bucket.js';
 import type { Chunk } from '../scheduler/chunk.js';
-import type { OpenJob } from '../scheduler/active-job.js';
+import type { ActiveJob } from '../scheduler/active-job.js';
 import type { Task } from '../scheduler/task.js';
-import type { Condition, Write } from '../wire/key-value-store.js';
+import type { Compare, WriteOperation } from '../wire/key-value-store.js';
 import { since, sleep } from '../model/time.js';
 
 /** Progress without a new start may wait this long for company: it only saves repeated work. */
@@ -29,10 +29,10 @@
 const TASK_BYTES = 8;
 
 interface Batch {
-  readonly conditions: Condition[];
-  readonly writes: Write[];
+  readonly conditions: Compare[];
+  readonly writes: WriteOperation[];
   readonly chunks: { chunk: Chunk; version: number; decided: Task[] }[];
-  readonly closing: { readonly job: OpenJob; readonly leftOver: readonly string[] }[];
+  readonly closing: { readonly job: ActiveJob; readonly leftOver: readonly string[] }[];
   bytes: number;
 }
 
@@ -50,15 +50,15 @@
 
   constructor(
     private readonly ctx: LeaderContext,
-    private readonly budget: Budget,
+    private readonly budget: TokenBucket,
     private readonly counts: WriteCounts,
     private readonly onPlaced: (tasks: Task[]) => void,
-    private readonly onEnded: (job: OpenJob) => void,
+    private readonly onEnded: (job: ActiveJob) => void,
   ) {}
 
   /** Something is to be written. */
   schedule(): void {
-    if (this.running || this.ctx.ended()) return;
+    if (this.running || this.ctx.isEnded()) return;
     this.running = true;
     void this.run();
   }
@@ -73,13 +73,13 @@
 
   private async run(): Promise<void> {
     try {
-      while (!this.ctx.ended()) {
+      while (!this.ctx.isEnded()) {
         const batch = this.pick();
         if (batch === null) break;
         await this.write(batch);
       }
     } catch (error) {
-      this.ctx.log.error({ error: reason(error) }, 'commit loop failed');
+      this.ctx.log.error({ error: errorMessage(error) }, 'commit loop failed');
       this.later(200);
     } finally {
       this.running = false;
@@ -92,15 +92,16 @@
    */
   private pick(): Batch | null {
     const { jobs } = this.ctx;
-    const wait = this.budget.wait();
+    const wait = this.budget.waitMs();
     if (wait > 0) {
-      if (jobs.dirty.size > 0 || jobs.over.size > 0 || this.leftOver.length > 0) this.later(wait + 1);
+      if (jobs.dirtyChunks.size > 0 || jobs.jobsToClose.size > 0 || this.leftOver.length > 0)
+        this.later(wait + 1);
       return null;
     }
     const batch: Batch = { conditions: [], writes: [], chunks: [], closing: [], bytes: 0 };
     batch.conditions.push({ key: keys.epoch, revision: this.ctx.epochRevision });
     const { starts, progress, nextDue } = this.dirtyChunks();
-    const max = Math.min(this.ctx.limits.txnOps, Math.max(1, Math.floor(this.budget.available())));
+    const max = Math.min(this.ctx.storeLimits.txnOps, Math.max(1, Math.floor(this.budget.available())));
     this.fill(batch, max, starts, progress);
     if (batch.writes.length > 0) return batch;
     if (nextDue < Infinity) this.later(Math.max(nextDue, 1) + 1);
@@ -108,14 +109,14 @@
   }
 
   private fill(batch: Batch, max: number, starts: readonly Chunk[], progress: readonly Chunk[]): void {
-    const { over } = this.ctx.jobs;
+    const { jobsToClose } = this.ctx.jobs;
     const full = (): boolean => batch.writes.length >= max || batch.bytes > MAX_BYTES;
     // Users wait for `done`, and for a job to be called cancelled with one that it needs; few jobs end at a
     // time. Nobody waits for what is left of a cancelled job's records.
-    for (const job of over) if (!full() && tells(job)) this.addClosing(batch, job, max);
+    for (const job of jobsToClose) if (!full() && tells(job)) this.addClosing(batch, job, max);
     for (const chunk of starts) if (!full()) this.addChunk(batch, chunk);
     for (const chunk of progress) if (!full()) this.addChunk(batch, chunk);
-    for (const job of over) if (!full() && !tells(job)) this.addClosing(batch, job, max);
+    for (const job of jobsToClose) if (!full() && !tells(job)) this.addClosing(batch, job, max);
     if (batch.writes.length === 0) this.addLeftOver(batch, max);
   }
 
@@ -126,10 +127,10 @@
     const starts: Chunk[] = [];
     const progress: Chunk[] = [];
     let nextDue = Infinity;
-    for (const chunk of this.ctx.jobs.dirty) {
+    for (const chunk of this.ctx.jobs.dirtyChunks) {
       const { job } = chunk;
-      if (job.over) continue;
-      if (!job.cancelled && chunk.deciding.size > 0) {
+      if (job.isOver) continue;
+      if (!job.isCancelled && chunk.committing.size > 0) {
         starts.push(chunk);
         continue;
       }
@@ -137,7 +138,7 @@
       if (age >= due) progress.push(chunk);
       else nextDue = Math.min(nextDue, due - age, LAZY_MS);
     }
-    starts.sort((a, b) => b.job.ranked.priority - a.job.ranked.priority);
+    starts.sort((a, b) => b.job.effectiveSpec.priority - a.job.effectiveSpec.priority);
     return { starts, progress, nextDue };
   }
 
@@ -146,11 +147,11 @@
     return Math.floor(this.budget.available()) <= this.budget.burst * KEPT_FOR_STARTS;
   }
 
-  private addClosing(batch: Batch, job: OpenJob, max: number): void {
+  private addClosing(batch: Batch, job: ActiveJob, max: number): void {
     const { id } = job.spec;
     const before = batch.writes.length;
     const stored = [...job.chunks.values()].filter((c) => c.revision > 0).map((c) => c.key);
-    const drops = [...stored, ...job.superseded, ...furtherKeys(job.spec)];
+    const drops = [...stored, ...job.supersededKeys, ...furtherKeys(job.spec)];
     const postpones = this.mayPostpone();
     const need = 2 + (postpones ? 0 : drops.length);
     if (batch.writes.length > 0 && batch.writes.length + need > max) return;
@@ -159,15 +160,19 @@
       batch.writes.push({
         set: keys.job(id),
         value: encodeEnded(
-          { spec: job.spec, state: job.doomed ? 'cancelled' : 'done', acceptedAt: job.acceptedAt },
-          this.ctx.limits.valueBytes,
+          {
+            spec: job.spec,
+            state: job.cancelledByDependency ? 'cancelled' : 'done',
+            acceptedAt: job.acceptedAt,
+          },
+          this.ctx.storeLimits.valueBytes,
         ),
       });
       batch.bytes += 500;
     }
     batch.writes.push({ drop: keys.openHead(id) });
     // What does not fit stays behind without a head, which no takeover reads as a job, and goes later.
-    const room = postpones ? 0 : this.ctx.limits.txnOps - batch.writes.length;
+    const room = postpones ? 0 : this.ctx.storeLimits.txnOps - batch.writes.length;
     for (const key of drops.slice(0, room)) batch.writes.push({ drop: key });
     batch.closing.push({ job, leftOver: drops.slice(room) });
     this.counts.closings += batch.writes.length - before;
@@ -190,7 +195,7 @@
   }
 
   private addChunk(batch: Batch, chunk: Chunk): void {
-    const decided = [...chunk.deciding];
+    const decided = [...chunk.committing];
     const progress = chunk.progress();
     batch.conditions.push({ key: chunk.key, revision: chunk.revision });
     if (decided.length > 0) {
@@ -204,20 +209,20 @@
   }
 
   private async write(batch: Batch): Promise<void> {
-    this.budget.force(batch.writes.length);
-    const tries = batch.chunks.map((c) => c.decided.map((t) => t.tryNo));
-    let result: Committed;
+    this.budget.forceTake(batch.writes.length);
+    const tries = batch.chunks.map((c) => c.decided.map((t) => t.attemptNumber));
+    let result: TxnResult;
     try {
-      result = await this.ctx.store.commit(batch.conditions, batch.writes);
+      result = await this.ctx.store.txn(batch.conditions, batch.writes);
     } catch (error) {
-      this.ctx.limits.recordsFailed(error);
-      const level = error instanceof StateTooLarge ? 'error' : 'debug';
-      this.ctx.log[level]({ error: reason(error), writes: batch.writes.length }, 'commit not answered');
+      this.ctx.storeLimits.recordWriteFailure(error);
+      const level = error instanceof StoreRequestTooLargeError ? 'error' : 'debug';
+      this.ctx.log[level]({ error: errorMessage(error), writes: batch.writes.length }, 'commit not answered');
       // Nothing has left on the strength of this batch; it is tried again as things then stand.
-      await sleep(this.ctx.clock, (error instanceof StateRefused ? 100 : 30) + this.ctx.random() * 100);
+      await sleep(this.ctx.clock, (error instanceof StoreRefusedError ? 100 : 30) + this.ctx.random() * 100);
       return;
     }
-    if (this.ctx.ended()) return;
+    if (this.ctx.isEnded()) return;
     if (!result.ok) {
       await this.resolve(result.failed, batch);
       return;
@@ -225,12 +230,12 @@
     const placed: Task[] = [];
     batch.chunks.forEach(({ chunk, version, decided }, c) => {
       chunk.revision = result.revision;
-      chunk.durable = Math.max(chunk.durable, version);
-      chunk.dirtySince = chunk.dirty ? this.ctx.clock.now() : null;
-      if (!chunk.dirty) this.ctx.jobs.dirty.delete(chunk);
+      chunk.durableVersion = Math.max(chunk.durableVersion, version);
+      chunk.dirtySince = chunk.isDirty ? this.ctx.clock.now() : null;
+      if (!chunk.isDirty) this.ctx.jobs.dirtyChunks.delete(chunk);
       decided.forEach((task, t) => {
-        if (task.phase !== 'deciding' || task.tryNo !== tries[c]?.[t]) return;
-        chunk.job.placed(task);
+        if (task.phase !== 'committing' || task.attemptNumber !== tries[c]?.[t]) return;
+        chunk.job.confirmPlacement(task);
         placed.push(task);
       });
     });
@@ -241,15 +246,15 @@
     if (placed.length > 0) this.onPlaced(placed);
   }
 
-  private end(job: OpenJob): void {
-    for (const chunk of job.chunks.values()) chunk.durable = chunk.version;
-    this.ctx.jobs.end(job.spec.id);
+  private end(job: ActiveJob): void {
+    for (const chunk of job.chunks.values()) chunk.durableVersion = chunk.version;
+    this.ctx.jobs.close(job.spec.id);
     this.onEnded(job);
   }
 
   private async resolve(failed: readonly string[], batch: Batch): Promise<void> {
     if (failed.includes(keys.epoch)) {
-      this.ctx.deposed('a commit found a newer epoch');
+      this.ctx.stepDown('a commit found a newer epoch');
       return;
     }
     for (const key of failed) {
@@ -259,7 +264,7 @@
         if (chunk) chunk.revision = ((await this.ctx.store.get(key))?.revision ?? 0) as Chunk['revision'];
         else await this.refresh(key.slice(keys.jobs.length) as JobId);
       } catch (error) {
-        this.ctx.log.debug({ key, error: reason(error) }, 'conflict not resolved yet');
+        this.ctx.log.debug({ key, error: errorMessage(error) }, 'conflict not resolved yet');
         await sleep(this.ctx.clock, 100);
       }
     }
@@ -271,13 +276,13 @@
     if (!job || !row) return;
     const state = decodeJob(id, row.value).state;
     if (state === 'cancelled') {
-      job.doomed = false;
-      this.ctx.cancelled(id);
+      job.cancelledByDependency = false;
+      this.ctx.cancelJob(id);
     } else if (state === 'done') this.end(job);
   }
 }
 
 /** Whether closing it tells its state: it is done, or cancelled with a job that it needs. */
-function tells(job: OpenJob): boolean {
-  return !job.cancelled || job.doomed;
+function tells(job: ActiveJob): boolean {
+  return !job.isCancelled || job.cancelledByDependency;
 }
--- a/src/leader/decision-loop.ts
+++ b/src/leader/decision-loop.ts
@@ -3,20 +3,20 @@
 import type { QueuedWork } from '../fleet/backlog.js';
 import type { FleetManager } from '../fleet/fleet-manager.js';
 import type { Lifetimes } from '../forecast/lifetimes.js';
-import type { HostId, JobId, TeamId } from '../model/ids.js';
+import type { MachineId, JobId, TeamId } from '../model/ids.js';
 import { Priority } from '../model/job.js';
 import type { Team } from '../model/team.js';
-import { type Steady, since } from '../model/time.js';
-import type { OpenJob } from '../scheduler/active-job.js';
+import { type MonotonicTime, since } from '../model/time.js';
+import type { ActiveJob } from '../scheduler/active-job.js';
 import type { Task } from '../scheduler/task.js';
 import { place } from '../scheduler/placement.js';
 import { guaranteedJobs } from '../scheduler/queue.js';
-import type { JobView, MachineView, Plan, Stop, Victim } from '../scheduler/snapshot.js';
+import type { JobView, MachineView, PlacementPlan, Preemption, Victim } from '../scheduler/snapshot.js';
 import type { SlackFactors } from '../scheduler/slack-factors.js';
 import { isStarving, type Urgency } from '../scheduler/urgency.js';
 import type { Committer } from './committer.js';
-import type { Dispatcher } from '../workers/command-dispatcher.js';
-import type { Host } from '../workers/state/worker.js';
+import type { CommandDispatcher } from '../workers/command-dispatcher.js';
+import type { Worker } from '../workers/state/worker.js';
 import type { LeaderContext } from '../core/context.js';
 import { jobView, machineView, victims } from './placement-views.js';
 
@@ -34,7 +34,7 @@
 interface DecisionParts {
   readonly fleet: FleetManager;
   readonly committer: Committer;
-  readonly dispatcher: Dispatcher;
+  readonly dispatcher: CommandDispatcher;
   readonly lifetimes: Lifetimes;
   readonly urgency: Urgency;
   readonly slackFactors: SlackFactors;
@@ -65,31 +65,34 @@
 
   /** Something changed that decisions depend on. */
   request(): void {
-    if (this.requested || !this.started || this.ctx.ended()) return;
+    if (this.requested || !this.started || this.ctx.isEnded()) return;
     this.requested = true;
     // A decision that took long is followed by a longer pause: reports go first.
     this.ctx.clock.after(Math.max(DECIDE_MS, this.lastTookMs * DECIDE_PAUSE), () => {
       this.requested = false;
-      if (!this.ctx.ended()) void this.parts.lock.runExclusive(() => this.decideNow());
+      if (!this.ctx.isEnded()) void this.parts.lock.runExclusive(() => this.decideNow());
     });
   }
 
   /** Committed: only now may run orders leave. */
   placed(tasks: readonly Task[]): void {
     const now = this.ctx.clock.now();
-    const wake = new Set<Host>();
+    const wake = new Set<Worker>();
     for (const task of tasks) {
-      const host = task.host === null ? undefined : this.ctx.hosts.get(task.host);
-      if (!host || host.removing || task.job.cancelled) {
-        host?.drop(task);
-        task.job.release(task, now);
+      const worker = task.machine === null ? undefined : this.ctx.workers.get(task.machine);
+      if (!worker || worker.isRemoving || task.job.isCancelled) {
+        worker?.unassign(task);
+        task.job.releaseTask(task, now);
         this.request();
-      } else wake.add(host);
-      if (host && task.job.spec.kind === 'service') {
-        this.ctx.log.info({ task: task.id, tryNo: task.tryNo, host: host.id }, 'replica placed');
+      } else wake.add(worker);
+      if (worker && task.job.spec.kind === 'service') {
+        this.ctx.log.info(
+          { task: task.id, attemptNumber: task.attemptNumber, worker: worker.id },
+          'replica placed',
+        );
       }
     }
-    for (const host of wake) this.parts.dispatcher.wake(host);
+    for (const worker of wake) this.parts.dispatcher.dispatch(worker);
   }
 
   private decideNow(): void {
@@ -98,11 +101,13 @@
     this.lastTookMs = since(this.ctx.clock.now(), began);
   }
 
-  private decide(now: Steady): void {
-    const open = [...this.ctx.jobs.values()].filter((job) => !job.cancelled && !job.complete && !job.blocked);
-    const waiting = open.filter((job) => job.waiting > 0).map((job) => this.viewOf(job, now));
+  private decide(now: MonotonicTime): void {
+    const open = [...this.ctx.jobs.values()].filter(
+      (job) => !job.isCancelled && !job.isComplete && !job.isBlocked,
+    );
+    const waiting = open.filter((job) => job.waitingCount > 0).map((job) => this.viewOf(job, now));
     if (waiting.length === 0) {
-      this.parts.fleet.unmet([]);
+      this.parts.fleet.setBacklog([]);
       return;
     }
     const guaranteed = this.guaranteedAmong(open);
@@ -111,24 +116,25 @@
       machines: this.machines(),
       guaranteed,
       teams: this.teams,
-      use: this.ctx.jobs.teamUse(),
+      teamUsage: this.ctx.jobs.teamUsage(),
       victimsOf: this.victimsAmong(open, waiting, guaranteed, now),
     });
     this.carryOut(plan, now);
-    this.parts.fleet.unmet(plan.unmet.map(({ job, tasks }) => this.queued(job, tasks)));
+    this.parts.fleet.setBacklog(plan.unmet.map(({ job, tasks }) => this.queued(job, tasks)));
     this.parts.committer.schedule();
   }
 
   private machines(): MachineView[] {
     const machines: MachineView[] = [];
-    for (const host of this.ctx.hosts.values()) {
-      if (host.closed || !host.known || host.takenAt !== null || host.unreached) continue;
-      if (host.confirmed) machines.push(machineView(host, host.confirmed));
+    for (const worker of this.ctx.workers.values()) {
+      if (worker.cordon || !worker.hasReported || worker.interruptionAt !== null || worker.isUnreachable)
+        continue;
+      if (worker.confirmedFacts) machines.push(machineView(worker, worker.confirmedFacts));
     }
     return machines;
   }
 
-  private guaranteedAmong(open: readonly OpenJob[]): ReadonlySet<JobId> {
+  private guaranteedAmong(open: readonly ActiveJob[]): ReadonlySet<JobId> {
     const { version } = this.ctx.jobs;
     if (this.guaranteed?.version !== version) {
       this.guaranteed = { version, jobs: guaranteedJobs(open, this.teams) };
@@ -136,41 +142,41 @@
     return this.guaranteed.jobs;
   }
 
-  private carryOut(plan: Plan, now: Steady): void {
+  private carryOut(plan: PlacementPlan, now: MonotonicTime): void {
     const makingRoom = this.stop(plan, now);
     for (const start of plan.starts) {
       const job = this.ctx.jobs.get(start.job);
-      const host = this.ctx.hosts.get(start.host);
-      if (!job || !host?.confirmed) continue;
-      host.put(job.decide(host.id, host.confirmed.machine.zone, now));
-      host.idleSince = null;
+      const worker = this.ctx.workers.get(start.machine);
+      if (!job || !worker?.confirmedFacts) continue;
+      worker.assign(job.beginAttempt(worker.id, worker.confirmedFacts.machine.zone, now));
+      worker.idleSince = null;
       // The stop and the start leave together, once the start is committed.
-      makingRoom.delete(host);
+      makingRoom.delete(worker);
     }
-    for (const host of makingRoom) this.parts.dispatcher.wake(host);
+    for (const worker of makingRoom) this.parts.dispatcher.dispatch(worker);
   }
 
   /** The hosts on which tasks are stopped to make room. */
-  private stop({ stops }: Plan, now: Steady): Set<Host> {
-    const hosts = new Set<Host>();
-    for (const stop of stops) {
-      const host = this.ctx.hosts.get(stop.host);
-      for (const task of host?.tasks ?? []) {
-        if (task.id !== stop.task || task.phase !== 'placed' || task.kill) continue;
-        task.kill = { graceS: 0, why: 'room', at: now };
-        if (host) hosts.add(host);
+  private stop({ preemptions }: PlacementPlan, now: MonotonicTime): Set<Worker> {
+    const workers = new Set<Worker>();
+    for (const stop of preemptions) {
+      const worker = this.ctx.workers.get(stop.machine);
+      for (const task of worker?.tasks ?? []) {
+        if (task.id !== stop.task || task.phase !== 'placed' || task.pendingStop) continue;
+        task.pendingStop = { graceS: 0, reason: 'preempted', since: now };
+        if (worker) workers.add(worker);
       }
     }
-    if (stops.length > 0)
-      this.ctx.log.info({ stops: stops.length, for: this.classesOf(stops) }, 'making room');
-    return hosts;
+    if (preemptions.length > 0)
+      this.ctx.log.info({ stops: preemptions.length, for: this.classesOf(preemptions) }, 'making room');
+    return workers;
   }
 
   /** How many tasks are stopped for jobs of which class. */
-  private classesOf(stops: readonly Stop[]): Record<string, number> {
+  private classesOf(stops: readonly Preemption[]): Record<string, number> {
     const counts: Record<string, number> = {};
     for (const stop of stops) {
-      const jobClass = this.ctx.jobs.get(stop.for)?.spec.jobClass ?? '';
+      const jobClass = this.ctx.jobs.get(stop.preemptor)?.spec.jobClass ?? '';
       counts[jobClass] = (counts[jobClass] ?? 0) + 1;
     }
     return counts;
@@ -181,24 +187,24 @@
    * or nothing may be stopped.
    */
   private victimsAmong(
-    open: readonly OpenJob[],
+    open: readonly ActiveJob[],
     waiting: readonly JobView[],
     guaranteed: ReadonlySet<JobId>,
-    now: Steady,
-  ): (id: HostId) => Victim[] {
+    now: MonotonicTime,
+  ): (id: MachineId) => Victim[] {
     const production = waiting.some((job) => job.spec.priority === Priority.Production);
-    let stoppable: Set<HostId> | null = null;
+    let stoppable: Set<MachineId> | null = null;
     return (id) => {
-      stoppable ??= hostsOf(
+      stoppable ??= machinesOf(
         open.filter(
-          ({ heldCount, spec }) =>
-            heldCount > 0 &&
+          ({ assignedCount, spec }) =>
+            assignedCount > 0 &&
             spec.priority !== Priority.Production &&
             (production || !guaranteed.has(spec.id)),
         ),
       );
-      const host = stoppable.has(id) ? this.ctx.hosts.get(id) : undefined;
-      return host ? victims(host, now) : [];
+      const worker = stoppable.has(id) ? this.ctx.workers.get(id) : undefined;
+      return worker ? victims(worker, now) : [];
     };
   }
 
@@ -218,15 +224,20 @@
     };
   }
 
-  private viewOf(job: OpenJob, now: Steady): JobView {
+  private viewOf(job: ActiveJob, now: MonotonicTime): JobView {
     const age = Math.max(0, this.ctx.clock.wall() - job.readyAt);
-    const slackMs = this.parts.urgency.slack(job.ranked, age, this.parts.lifetimes.expectedRun(job.spec));
+    const slackMs = this.parts.urgency.slack(
+      job.effectiveSpec,
+      age,
+      this.parts.lifetimes.expectedRun(job.spec),
+    );
     return jobView(job, now, age, slackMs, isStarving(job, age, now));
   }
 }
 
-function hostsOf(jobs: readonly OpenJob[]): Set<HostId> {
-  const hosts = new Set<HostId>();
-  for (const job of jobs) for (const task of job.held()) if (task.host !== null) hosts.add(task.host);
-  return hosts;
+function machinesOf(jobs: readonly ActiveJob[]): Set<MachineId> {
+  const workers = new Set<MachineId>();
+  for (const job of jobs)
+    for (const task of job.assignedTasks()) if (task.machine !== null) workers.add(task.machine);
+  return workers;
 }
--- a/src/leader/dependency-tracker.ts
+++ b/src/leader/dependency-tracker.ts
@@ -1,10 +1,10 @@
 /** Holds jobs back until every job that they need is durably done. */
 import type { Mutex } from 'async-mutex';
-import { reason } from '../log/logger.js';
+import { errorMessage } from '../log/logger.js';
 import type { JobId } from '../model/ids.js';
 import { sleep } from '../model/time.js';
 import type { DependencyGraph } from '../scheduler/dependency-graph.js';
-import type { OpenJob } from '../scheduler/active-job.js';
+import type { ActiveJob } from '../scheduler/active-job.js';
 import { decodeJob } from '../store/job-record.js';
 import { keys } from '../store/keys.js';
 import type { LeaderContext } from '../core/context.js';
@@ -17,8 +17,8 @@
 const LOOK_AGAIN_MS = 100;
 
 /** Is told of each job that has just become able to start. */
-export interface Demand {
-  demanded(job: OpenJob): void;
+export interface DemandListener {
+  recordDemand(job: ActiveJob): void;
 }
 
 /**
@@ -35,7 +35,7 @@
     private readonly ctx: LeaderContext,
     private readonly graph: DependencyGraph,
     private readonly canceller: JobCanceller,
-    private readonly demand: Demand,
+    private readonly demand: DemandListener,
     private readonly lock: Mutex,
   ) {}
 
@@ -46,17 +46,17 @@
   }
 
   /** A job became known: what it has to wait for, and what others that wait for it ask of it. */
-  add(job: OpenJob): void {
-    const { id, dependencies, dependencyRecords } = job.spec;
+  add(job: ActiveJob): void {
+    const { id, dependencies, dependencyRecordCount } = job.spec;
     // Once begun, all that it needs was done: that is final.
     if (job.tasks.size === 0) {
       for (const needed of dependencies) this.need(job, needed);
-      if (dependencyRecords > 0) {
-        job.unread = true;
-        void this.readRest(id, dependencyRecords);
+      if (dependencyRecordCount > 0) {
+        job.hasUnreadDependencies = true;
+        void this.readRest(id, dependencyRecordCount);
       }
     }
-    this.graph.join(job);
+    this.graph.add(job);
     this.followCancelled(job);
     void this.lookUp();
   }
@@ -66,10 +66,10 @@
     this.release(this.graph.done(id));
   }
 
-  private need(job: OpenJob, id: JobId): void {
+  private need(job: ActiveJob, id: JobId): void {
     const { jobs } = this.ctx;
-    if (jobs.endOf(id) === 'done') return;
-    job.waitsFor.add(id);
+    if (jobs.finalStateOf(id) === 'done') return;
+    job.unmetDependencies.add(id);
     if (!jobs.has(id)) this.unknown.add(id);
   }
 
@@ -77,9 +77,9 @@
    * A job that it needs was cancelled before this one became known: the cancellation found no dependent to
    * take along. A node whose view is a moment old accepts such a job as one that waits.
    */
-  private followCancelled(job: OpenJob): void {
-    if (job.cancelled) return;
-    for (const id of job.waitsFor) {
+  private followCancelled(job: ActiveJob): void {
+    if (job.isCancelled) return;
+    for (const id of job.unmetDependencies) {
       if (!this.isCancelled(id)) continue;
       this.canceller.cancelDependent(job);
       return;
@@ -88,18 +88,20 @@
 
   private isCancelled(id: JobId): boolean {
     const { jobs, cancellations } = this.ctx;
-    return jobs.endOf(id) === 'cancelled' || cancellations.has(id) || jobs.get(id)?.cancelled === true;
+    return (
+      jobs.finalStateOf(id) === 'cancelled' || cancellations.has(id) || jobs.get(id)?.isCancelled === true
+    );
   }
 
   private async readRest(id: JobId, records: number): Promise<void> {
-    while (!this.ctx.ended()) {
+    while (!this.ctx.isEnded()) {
       try {
         const rest = await readDependencies(this.ctx, id, records);
         await this.lock.runExclusive(() => this.addRest(id, rest));
         await this.lookUp();
         return;
       } catch (error) {
-        this.ctx.log.debug({ job: id, error: reason(error) }, 'dependencies not read yet');
+        this.ctx.log.debug({ job: id, error: errorMessage(error) }, 'dependencies not read yet');
         await sleep(this.ctx.clock, READ_AGAIN_MS);
       }
     }
@@ -107,22 +109,22 @@
 
   private addRest(id: JobId, rest: readonly JobId[]): void {
     const job = this.ctx.jobs.get(id);
-    if (!job || job.cancelled) return;
+    if (!job || job.isCancelled) return;
     for (const needed of rest) this.need(job, needed);
-    job.unread = false;
-    this.graph.join(job);
+    job.hasUnreadDependencies = false;
+    this.graph.add(job);
     this.followCancelled(job);
-    if (!job.blocked && !job.cancelled) this.release([job]);
+    if (!job.isBlocked && !job.isCancelled) this.release([job]);
   }
 
   /** Asks the records about jobs that others need and that are over, or were accepted a moment ago. */
   private async lookUp(): Promise<void> {
     if (this.lookingUp || !this.started) return;
     this.lookingUp = true;
-    while (this.unknown.size > 0 && !this.ctx.ended()) {
+    while (this.unknown.size > 0 && !this.ctx.isEnded()) {
       for (const id of this.unknown) {
         await this.lookUpOne(id);
-        if (this.ctx.ended()) break;
+        if (this.ctx.isEnded()) break;
       }
     }
     this.lookingUp = false;
@@ -139,17 +141,17 @@
         else if (state === 'cancelled') this.canceller.cancel(id);
       });
     } catch (error) {
-      this.ctx.log.debug({ job: id, error: reason(error) }, 'dependency not read yet');
+      this.ctx.log.debug({ job: id, error: errorMessage(error) }, 'dependency not read yet');
       await sleep(this.ctx.clock, LOOK_AGAIN_MS * (1 + this.ctx.random()));
     }
   }
 
   /** All that they need is done, durably: they may start, and their times count from now. */
-  private release(jobs: readonly OpenJob[]): void {
+  private release(jobs: readonly ActiveJob[]): void {
     if (jobs.length === 0) return;
     for (const job of jobs) {
-      job.ready(this.ctx.clock.wall());
-      this.demand.demanded(job);
+      job.markReady(this.ctx.clock.wall());
+      this.demand.recordDemand(job);
     }
     this.ctx.jobs.version++;
     this.ctx.requestDecision();
--- a/src/leader/fleet-record-writer.ts
+++ b/src/leader/fleet-record-writer.ts
@@ -1,12 +1,12 @@
 import type { FleetManager } from '../fleet/fleet-manager.js';
-import { type HostId, NO_REVISION, type Revision } from '../model/ids.js';
+import { type MachineId, NO_REVISION, type Revision } from '../model/ids.js';
 import type { Machine } from '../model/machine.js';
-import { type Steady, since } from '../model/time.js';
-import type { Budget } from '../net/token-bucket.js';
+import { type MonotonicTime, since } from '../model/time.js';
+import type { TokenBucket } from '../net/token-bucket.js';
 import { keys } from '../store/keys.js';
 import type { WriteCounts } from './write-counts.js';
-import type { Row, Write } from '../wire/key-value-store.js';
-import type { Host } from '../workers/state/worker.js';
+import type { KeyValue, WriteOperation } from '../wire/key-value-store.js';
+import type { Worker } from '../workers/state/worker.js';
 import type { LeaderContext } from '../core/context.js';
 
 /**
@@ -46,9 +46,9 @@
  * the records, and only records that have changed are written: at size, each rental would otherwise
  * rewrite the whole fleet and take the writes that starts need.
  */
-export class FleetRecord {
-  private readonly chunkOf = new Map<HostId, number>();
-  private readonly rentedAt = new Map<HostId, number>();
+export class FleetRecordWriter {
+  private readonly chunkOf = new Map<MachineId, number>();
+  private readonly rentedAt = new Map<MachineId, number>();
   private readonly sizes: number[] = [];
   /** Records in the state service, ours and those of earlier leaders. */
   private stored = 0;
@@ -57,23 +57,23 @@
   /** Each write replaces what we know: one of our own that is applied late, or once more, changes nothing. */
   private readonly revisions = new Map<string, Revision>();
   private writing = false;
-  private lastAt: Steady | null = null;
+  private lastAt: MonotonicTime | null = null;
 
   constructor(
     private readonly ctx: LeaderContext,
     private readonly fleet: FleetManager,
-    private readonly budget: Budget,
+    private readonly budget: TokenBucket,
     private readonly counts: WriteCounts,
   ) {}
 
   /** An earlier leader's records: what we do not fill again must not bring machines back that are gone. */
-  found(records: readonly Row[]): void {
+  found(records: readonly KeyValue[]): void {
     for (const { key, revision } of records) this.revisions.set(key, revision);
     this.stored = Math.max(this.stored, records.filter((r) => r.key.startsWith(keys.fleet)).length);
   }
 
   /** Whether a writing may begin now. */
-  mayWrite(now: Steady): boolean {
+  mayWrite(now: MonotonicTime): boolean {
     if (this.writing) return false;
     const waited = this.lastAt === null ? Infinity : since(now, this.lastAt);
     if (waited < EVERY_MS) return false;
@@ -86,14 +86,14 @@
     this.lastAt = this.ctx.clock.now();
     try {
       for (const part of this.parts(this.changes())) {
-        this.budget.force(part.length);
+        this.budget.forceTake(part.length);
         this.counts.fleet += part.length;
-        const result = await this.ctx.store.commit(
+        const result = await this.ctx.store.txn(
           [
             { key: keys.epoch, revision: this.ctx.epochRevision },
             ...part.map(({ key }) => ({ key, revision: this.revisions.get(key) ?? NO_REVISION })),
           ],
-          part.map((c): Write => ({ set: c.key, value: c.value })),
+          part.map((c): WriteOperation => ({ set: c.key, value: c.value })),
         );
         if (!result.ok) {
           await this.resolve(result.failed);
@@ -111,7 +111,7 @@
 
   private async resolve(failed: readonly string[]): Promise<void> {
     if (failed.includes(keys.epoch)) {
-      this.ctx.deposed('the fleet record found a newer epoch');
+      this.ctx.stepDown('the fleet record found a newer epoch');
       return;
     }
     // A write of ours that brought no answer was carried out after all.
@@ -128,7 +128,7 @@
     let bytes = Infinity;
     for (const c of changed) {
       const last = parts[parts.length - 1];
-      if (last && last.length < this.ctx.limits.txnOps && bytes + c.bytes <= MAX_BYTES) {
+      if (last && last.length < this.ctx.storeLimits.txnOps && bytes + c.bytes <= MAX_BYTES) {
         last.push(c);
         bytes += c.bytes;
       } else {
@@ -156,34 +156,43 @@
   }
 
   private chunks(): StoredMachine[][] {
-    const { hosts } = this.ctx;
+    const { workers } = this.ctx;
     for (const [id, n] of this.chunkOf) {
-      if (hosts.has(id)) continue;
+      if (workers.has(id)) continue;
       this.chunkOf.delete(id);
       this.rentedAt.delete(id);
       this.sizes[n] = (this.sizes[n] ?? 1) - 1;
     }
     this.thinOut();
     // A machine of which only the name is known is recorded once somebody has told what it is.
-    for (const host of hosts.values()) if (host.presumed && !this.chunkOf.has(host.id)) this.assign(host);
+    for (const worker of workers.values())
+      if (worker.presumedFacts && !this.chunkOf.has(worker.id)) this.assign(worker);
     const chunks: StoredMachine[][] = Array.from({ length: Math.max(1, this.sizes.length) }, () => []);
-    for (const host of hosts.values()) {
-      if (host.presumed)
-        chunks[this.chunkOf.get(host.id) ?? 0]?.push(this.entryOf(host, host.presumed.machine));
+    for (const worker of workers.values()) {
+      if (worker.presumedFacts)
+        chunks[this.chunkOf.get(worker.id) ?? 0]?.push(this.entryOf(worker, worker.presumedFacts.machine));
     }
     return chunks;
   }
 
-  private entryOf(host: Host, { id, type, zone, spot }: Machine): StoredMachine {
+  private entryOf(worker: Worker, { id, type, zone, spot }: Machine): StoredMachine {
     const rentedAt = this.rentedAt.get(id) ?? 0;
-    const entry: StoredMachine = [id, type, zone, spot ? 1 : 0, host.address, rentedAt, host.up ? 1 : 0];
-    if (host.confirmed) entry.push(1);
+    const entry: StoredMachine = [
+      id,
+      type,
+      zone,
+      spot ? 1 : 0,
+      worker.address,
+      rentedAt,
+      worker.isUp ? 1 : 0,
+    ];
+    if (worker.confirmedFacts) entry.push(1);
     return entry;
   }
 
   /** Records that hold more machines than they may by now give the rest up to others. */
   private thinOut(): void {
-    const most = this.ctx.limits.machinesPerRecord(PER_RECORD);
+    const most = this.ctx.storeLimits.machinesPerRecord(PER_RECORD);
     if (this.sizes.every((size) => size <= most)) return;
     for (const [id, n] of this.chunkOf) {
       const size = this.sizes[n] ?? 0;
@@ -193,13 +202,13 @@
     }
   }
 
-  private assign(host: Host): void {
-    const most = this.ctx.limits.machinesPerRecord(PER_RECORD);
+  private assign(worker: Worker): void {
+    const most = this.ctx.storeLimits.machinesPerRecord(PER_RECORD);
     let n = this.sizes.findIndex((size) => size < most);
     if (n < 0) n = this.sizes.push(0) - 1;
     this.sizes[n] = (this.sizes[n] ?? 0) + 1;
-    this.chunkOf.set(host.id, n);
+    this.chunkOf.set(worker.id, n);
     const { clock } = this.ctx;
-    this.rentedAt.set(host.id, Math.round(clock.wall() - (clock.now() - host.since)));
+    this.rentedAt.set(worker.id, Math.round(clock.wall() - (clock.now() - worker.rentedAt)));
   }
 }
--- a/src/leader/heartbeat-handler.ts
+++ b/src/leader/heartbeat-handler.ts
@@ -3,58 +3,70 @@
 import type { FleetManager } from '../fleet/fleet-manager.js';
 import type { DecisionLog } from '../log/decision-log.js';
 import type { Lifetimes } from '../forecast/lifetimes.js';
-import { epochOfToken, type MemberId, type Round, type Token, tokenOf } from '../model/ids.js';
+import {
+  epochOfFencingToken,
+  type MemberId,
+  type FenceGeneration,
+  type FencingToken,
+  fencingTokenOf,
+} from '../model/ids.js';
 import type { Machine } from '../model/machine.js';
 import { FactSource } from '../model/machine-facts.js';
-import type { Order, Report } from '../model/heartbeat.js';
-import { type Steady, plus } from '../model/time.js';
-import type { OpenJob } from '../scheduler/active-job.js';
+import type { WorkerCommand, Heartbeat } from '../model/heartbeat.js';
+import { type MonotonicTime, plus } from '../model/time.js';
+import type { ActiveJob } from '../scheduler/active-job.js';
 import type { Committer } from './committer.js';
-import type { Dispatcher } from '../workers/command-dispatcher.js';
-import type { Health } from '../workers/failure-detector.js';
-import type { Host } from '../workers/state/worker.js';
-import type { OrderIssuer } from '../workers/command-issuer.js';
-import { clearsFor, killsOf, mustForget, needsRaise, ordersFor } from '../workers/worker-commands.js';
-import { applyReport, type Told } from '../workers/reconciliation.js';
-import type { Answering } from '../leader/worker-lease-policy.js';
+import type { CommandDispatcher } from '../workers/command-dispatcher.js';
+import type { WorkerFailureDetector } from '../workers/failure-detector.js';
+import type { Worker } from '../workers/state/worker.js';
+import type { CommandIssuer } from '../workers/command-issuer.js';
+import {
+  forgetCommandsFor,
+  stopCommandsForCancelled,
+  mustFenceLateStarts,
+  mustRaiseFence,
+  commandsFor,
+} from '../workers/worker-commands.js';
+import { reconcile, type ReconciliationResult } from '../workers/reconciliation.js';
+import type { WorkerLeasePolicy } from '../leader/worker-lease-policy.js';
 import type { LeaderContext } from '../core/context.js';
 
 /** Orders in one answer: the rest goes with the next report. */
 const MOST_ORDERS = 250;
 /** Machines on which a job's tasks fail before the job itself is held to be at fault. */
-const FAULTY_JOB_HOSTS = 3;
+const FAULTY_JOB_MACHINES = 3;
 const FIRST_BACKOFF_MS = 1000;
 const MOST_BACKOFF_MS = 60_000;
 const MOST_DOUBLINGS = 6;
 
 /** A leader's answer to a report. */
-export type ReportAnswer =
-  | { readonly kind: 'orders'; readonly token: Token; readonly orders: readonly Order[] }
+export type HeartbeatOutcome =
+  | { readonly kind: 'commands'; readonly token: FencingToken; readonly commands: readonly WorkerCommand[] }
   /** Not entitled to answer: the worker looks for another controller, and its lease is not renewed. */
   | { readonly kind: 'refused' };
 
-const REFUSED: ReportAnswer = { kind: 'refused' };
+const REFUSED: HeartbeatOutcome = { kind: 'refused' };
 
 /** What reports change. */
-interface ReportParts {
+interface HeartbeatHandlerParts {
   readonly fleet: FleetManager;
-  readonly health: Health;
-  readonly dispatcher: Dispatcher;
-  readonly issuer: OrderIssuer;
+  readonly failureDetector: WorkerFailureDetector;
+  readonly dispatcher: CommandDispatcher;
+  readonly issuer: CommandIssuer;
   readonly decisions: DecisionLog;
   readonly committer: Committer;
   readonly lifetimes: Lifetimes;
-  readonly answering: Answering;
+  readonly workerLeasePolicy: WorkerLeasePolicy;
   readonly lock: Mutex;
 }
 
 /** One leadership's side of the workers' reports. */
-export class ReportHandler {
+export class HeartbeatHandler {
   private started = false;
 
   constructor(
     private readonly ctx: LeaderContext,
-    private readonly parts: ReportParts,
+    private readonly parts: HeartbeatHandlerParts,
   ) {}
 
   /** The records have been read: from now on reports are learned from. */
@@ -63,110 +75,122 @@
   }
 
   /** A worker's report, straight or through another node. */
-  take(report: Report, via: MemberId): Promise<ReportAnswer> {
-    return this.parts.lock.runExclusive(() => this.answer(report, via));
+  take(heartbeat: Heartbeat, via: MemberId): Promise<HeartbeatOutcome> {
+    return this.parts.lock.runExclusive(() => this.answer(heartbeat, via));
   }
 
   /** A report that a direct call brought back. */
-  async takeDirect(host: Host, report: Report): Promise<void> {
+  async takeDirect(worker: Worker, heartbeat: Heartbeat): Promise<void> {
     await this.parts.lock.runExclusive(() => {
-      if (this.ctx.ended() || report.host !== host.id || this.deposedBy(report)) return;
+      if (this.ctx.isEnded() || heartbeat.machine !== worker.id || this.deposedBy(heartbeat)) return;
       const now = this.ctx.clock.now();
-      const fresh = epochOfToken(report.token) === this.ctx.epoch && host.newer(report);
-      if (fresh) this.parts.health.heard(host, now);
-      this.learn(host, applyReport(host, report, this.ctx.epoch, this.ctx.jobs, now));
-      const another = host.learnSession(report, now);
-      const ordersWait = host.known && ordersFor(host, now, this.ctx.sure()).length > 0;
-      if (another || ordersWait) this.parts.dispatcher.wake(host);
+      const fresh = epochOfFencingToken(heartbeat.token) === this.ctx.epoch && worker.isNewer(heartbeat);
+      if (fresh) this.parts.failureDetector.recordHeartbeat(worker, now);
+      this.learn(worker, reconcile(worker, heartbeat, this.ctx.epoch, this.ctx.jobs, now));
+      const another = worker.learnIncarnation(heartbeat, now);
+      const hasCommands = worker.hasReported && commandsFor(worker, now, this.ctx.isLeaseValid()).length > 0;
+      if (another || hasCommands) this.parts.dispatcher.dispatch(worker);
     });
   }
 
-  private deposedBy(report: Report): boolean {
-    if (epochOfToken(report.token) <= this.ctx.epoch) return false;
-    this.ctx.deposed('a worker knows a newer epoch');
+  private deposedBy(heartbeat: Heartbeat): boolean {
+    if (epochOfFencingToken(heartbeat.token) <= this.ctx.epoch) return false;
+    this.ctx.stepDown('a worker knows a newer epoch');
     return true;
   }
 
-  private answer(report: Report, via: MemberId): ReportAnswer {
+  private answer(heartbeat: Heartbeat, via: MemberId): HeartbeatOutcome {
     const now = this.ctx.clock.now();
-    const refusal = this.refusalOf(report, now);
+    const refusal = this.refusalOf(heartbeat, now);
     if (refusal !== null) {
-      this.parts.decisions.tell(`answer refused, ${refusal}`, () => ({
-        host: report.host,
-        token: report.token,
+      this.parts.decisions.logDecision(`answer refused, ${refusal}`, () => ({
+        worker: heartbeat.machine,
+        token: heartbeat.token,
       }));
       return REFUSED;
     }
     // Of no use to anybody whoever leads, and safe to say without being sure: an attempt is never used again.
-    const unwanted = killsOf(report, (id) => this.ctx.cancellations.has(id));
-    const host = this.hostOf(report, now);
-    if (!host) {
+    const unwanted = stopCommandsForCancelled(heartbeat, (id) => this.ctx.cancellations.has(id));
+    const worker = this.workerOf(heartbeat, now);
+    if (!worker) {
       this.parts.decisions.count('answer to a stranger');
-      return { kind: 'orders', token: tokenOf(this.ctx.epoch, 0 as Round), orders: unwanted };
+      return {
+        kind: 'commands',
+        token: fencingTokenOf(this.ctx.epoch, 0 as FenceGeneration),
+        commands: unwanted,
+      };
     }
-    const fresh = this.takeIn(host, report, via, now);
-    return this.ordersTo(host, fresh, unwanted);
+    const fresh = this.takeIn(worker, heartbeat, via, now);
+    return this.commandsTo(worker, fresh, unwanted);
   }
 
   /** Why this report gets no answer of ours; null: it does. */
-  private refusalOf(report: Report, now: Steady): string | null {
+  private refusalOf(heartbeat: Heartbeat, now: MonotonicTime): string | null {
     // Past the grant's sure life a leader only keeps leases alive, and only for a while.
-    if (this.ctx.ended()) return 'not leading any more';
-    if (!this.parts.answering.may(now)) return 'grant not sure for too long';
-    if (this.deposedBy(report)) return 'the worker knows a newer epoch';
-    if (this.ctx.hosts.isGone(report.host)) return 'the machine is gone';
+    if (this.ctx.isEnded()) return 'not leading any more';
+    if (!this.parts.workerLeasePolicy.mayRenew(now)) return 'grant not sure for too long';
+    if (this.deposedBy(heartbeat)) return 'the worker knows a newer epoch';
+    if (this.ctx.workers.isGone(heartbeat.machine)) return 'the machine is gone';
     return null;
   }
 
   /** Null: answered as a stranger, and not learned from. */
-  private hostOf(report: Report, now: Steady): Host | null {
+  private workerOf(heartbeat: Heartbeat, now: MonotonicTime): Worker | null {
     if (!this.started) {
       // While we still read what there is, a lease may run from this answer. Nothing is learned from the report:
       // all that it shows would look like what nobody wants.
-      this.parts.health.answeredStranger(now);
+      this.parts.failureDetector.recordAnswerToUnknownMachine(now);
       return null;
     }
     // A machine that we do not know may be long gone, and this a late copy of what it once said: only
     // a report that knows our epoch was made in our time. A living worker's next one does.
-    const ours = epochOfToken(report.token) === this.ctx.epoch;
-    if (!this.ctx.hosts.has(report.host) && !ours) return null;
-    const machine: Machine = { id: report.host, type: report.type, zone: report.zone, spot: report.spot };
-    const host = this.parts.fleet.adopt(machine, FactSource.Report, now);
-    if (host && host.address === '') host.address = report.address;
-    return host;
+    const ours = epochOfFencingToken(heartbeat.token) === this.ctx.epoch;
+    if (!this.ctx.workers.has(heartbeat.machine) && !ours) return null;
+    const machine: Machine = {
+      id: heartbeat.machine,
+      type: heartbeat.type,
+      zone: heartbeat.zone,
+      spot: heartbeat.spot,
+    };
+    const worker = this.parts.fleet.registerMachine(machine, FactSource.Heartbeat, now);
+    if (worker && worker.address === '') worker.address = heartbeat.address;
+    return worker;
   }
 
   /** Whether the report is newer than what was taken in; reports of earlier epochs prove nothing, not even life. */
-  private takeIn(host: Host, report: Report, via: MemberId, now: Steady): boolean {
+  private takeIn(worker: Worker, heartbeat: Heartbeat, via: MemberId, now: MonotonicTime): boolean {
     const { epoch, jobs } = this.ctx;
-    const fresh = epochOfToken(report.token) === epoch && (!host.known || host.newer(report));
+    const fresh =
+      epochOfFencingToken(heartbeat.token) === epoch && (!worker.hasReported || worker.isNewer(heartbeat));
     if (fresh) {
-      host.reported(report, via, now);
-      this.parts.health.heard(host, now);
-      this.learn(host, applyReport(host, report, epoch, jobs, now));
-      host.answered(report, via, now);
+      worker.recordHeartbeat(heartbeat, via, now);
+      this.parts.failureDetector.recordHeartbeat(worker, now);
+      this.learn(worker, reconcile(worker, heartbeat, epoch, jobs, now));
+      worker.recordAnswer(heartbeat, via, now);
       return true;
     }
-    host.learnSession(report, now);
-    if (!host.known) this.parts.dispatcher.wake(host);
+    worker.learnIncarnation(heartbeat, now);
+    if (!worker.hasReported) this.parts.dispatcher.dispatch(worker);
     // Even a late copy's answer may reach a worker that waits for one: its lease counts from here.
-    host.answeredAt = now;
+    worker.lastAnsweredAt = now;
     return false;
   }
 
-  private ordersTo(host: Host, fresh: boolean, unwanted: readonly Order[]): ReportAnswer {
+  private commandsTo(worker: Worker, fresh: boolean, unwanted: readonly WorkerCommand[]): HeartbeatOutcome {
     const { epoch } = this.ctx;
-    const ordering = fresh && this.ctx.sure();
-    const raise = ordering ? needsRaise(host, host.token(epoch)) : mustForget(host, epoch);
-    if (raise) host.raise();
-    const token = host.token(epoch);
+    const ordering = fresh && this.ctx.isLeaseValid();
+    const raise = ordering
+      ? mustRaiseFence(worker, worker.fencingToken(epoch))
+      : mustFenceLateStarts(worker, epoch);
+    if (raise) worker.raiseFence();
+    const token = worker.fencingToken(epoch);
     this.parts.decisions.count(ordering ? 'answer' : 'answer without orders');
-    if (!ordering) return { kind: 'orders', token, orders: unwanted };
-    const orders = this.parts.issuer.issue(host, true, clearsFor(host, token), MOST_ORDERS);
-    return { kind: 'orders', token, orders };
+    if (!ordering) return { kind: 'commands', token, commands: unwanted };
+    const commands = this.parts.issuer.issue(worker, true, forgetCommandsFor(worker, token), MOST_ORDERS);
+    return { kind: 'commands', token, commands };
   }
 
-  private learn(host: Host, told: Told): void {
+  private learn(worker: Worker, told: ReconciliationResult): void {
     const { log } = this.ctx;
     const now = this.ctx.clock.now();
     for (const { job } of told.started) {
@@ -174,16 +198,17 @@
       job.lastRunAt = now;
     }
     for (const { task, ranMs } of told.finished) {
-      const { jobClass, estimateS } = task.job.spec;
-      if (ranMs !== null) this.parts.lifetimes.add(jobClass, ranMs, estimateS * 1000);
+      const { jobClass, estimatedRunS } = task.job.spec;
+      if (ranMs !== null) this.parts.lifetimes.add(jobClass, ranMs, estimatedRunS * 1000);
     }
     for (const { task, cause } of told.failed) {
       if (cause !== 'stopped')
-        log.info({ host: host.id, task: task.id, cause }, 'task ended without success');
-      if (cause === 'error') this.failed(host, task.job, now);
+        log.info({ worker: worker.id, task: task.id, cause }, 'task ended without success');
+      if (cause === 'error') this.failed(worker, task.job, now);
     }
-    for (const task of told.lost) log.info({ host: host.id, task: task.id }, 'task lost with its session');
-    this.closeIfFailing(host);
+    for (const task of told.lost)
+      log.info({ worker: worker.id, task: task.id }, 'task lost with its session');
+    this.closeIfFailing(worker);
     if (told.changed) {
       this.parts.committer.schedule();
       this.ctx.requestDecision();
@@ -191,25 +216,25 @@
   }
 
   /** Replicas that still run there are left alone: the machine goes back when they have ended. */
-  private closeIfFailing(host: Host): void {
-    if (host.closed !== null || host.failures < this.ctx.ops.workers.sick_errors) return;
-    this.ctx.log.info({ host: host.id, failures: host.failures }, 'machine is failing');
-    host.closed = 'sick';
+  private closeIfFailing(worker: Worker): void {
+    if (worker.cordon !== null || worker.failures < this.ctx.operators.workers.maxTaskFailures) return;
+    this.ctx.log.info({ worker: worker.id, failures: worker.failures }, 'machine is failing');
+    worker.cordon = 'failing';
   }
 
   /**
    * Mostly the machine is at fault. A job that fails on a second machine is more likely at fault
    * itself: it counts against no further machine, and after a third it waits.
    */
-  private failed(host: Host, job: OpenJob, now: Steady): void {
+  private failed(worker: Worker, job: ActiveJob, now: MonotonicTime): void {
     job.failures++;
-    job.failedOn.add(host.id);
-    if (job.failedOn.size <= 1 || host.failedJobs.size > 0) {
-      host.failures++;
-      host.failedJobs.add(job.spec.id);
+    job.failedMachines.add(worker.id);
+    if (job.failedMachines.size <= 1 || worker.failedJobs.size > 0) {
+      worker.failures++;
+      worker.failedJobs.add(job.spec.id);
     }
-    if (job.failedOn.size < FAULTY_JOB_HOSTS) return;
+    if (job.failedMachines.size < FAULTY_JOB_MACHINES) return;
     const doublings = Math.min(MOST_DOUBLINGS, job.failures - 2);
-    job.notBefore = plus(now, Math.min(MOST_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** doublings));
+    job.backoffUntil = plus(now, Math.min(MOST_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** doublings));
   }
 }
--- a/src/leader/job-canceller.ts
+++ b/src/leader/job-canceller.ts
@@ -2,13 +2,13 @@
 import type { FleetManager } from '../fleet/fleet-manager.js';
 import type { Lifetimes } from '../forecast/lifetimes.js';
 import type { JobId } from '../model/ids.js';
-import { ms, type Steady, since } from '../model/time.js';
+import { ms, type MonotonicTime, since } from '../model/time.js';
 import type { DependencyGraph } from '../scheduler/dependency-graph.js';
-import type { OpenJob } from '../scheduler/active-job.js';
+import type { ActiveJob } from '../scheduler/active-job.js';
 import type { Task } from '../scheduler/task.js';
 import type { Committer } from './committer.js';
-import type { Dispatcher } from '../workers/command-dispatcher.js';
-import type { Host } from '../workers/state/worker.js';
+import type { CommandDispatcher } from '../workers/command-dispatcher.js';
+import type { Worker } from '../workers/state/worker.js';
 import type { LeaderContext } from '../core/context.js';
 
 /** The part of a cancellation's limit after which a host that keeps its task is fenced. */
@@ -18,7 +18,7 @@
 interface StopParts {
   readonly graph: DependencyGraph;
   readonly lifetimes: Lifetimes;
-  readonly dispatcher: Dispatcher;
+  readonly dispatcher: CommandDispatcher;
   readonly committer: Committer;
   readonly fleet: FleetManager;
 }
@@ -33,15 +33,15 @@
   /** The job's cancellation is confirmed; the jobs that need it go with it: nothing of them can have started. */
   cancel(id: JobId): void {
     this.ctx.cancellations.learn([{ id, age: ms(0) }]);
-    const dependents = this.parts.graph.below(id);
+    const dependents = this.parts.graph.dependentsOf(id);
     const job = this.ctx.jobs.get(id);
-    for (const dependent of dependents) if (!dependent.cancelled) this.cancelDependent(dependent);
-    if (job && !job.cancelled) this.stop(job);
+    for (const dependent of dependents) if (!dependent.isCancelled) this.cancelDependent(dependent);
+    if (job && !job.isCancelled) this.stop(job);
   }
 
   /** Cancelled with a job that it needs; its own record is still to say so. */
-  cancelDependent(job: OpenJob): void {
-    job.doomed = true;
+  cancelDependent(job: ActiveJob): void {
+    job.cancelledByDependency = true;
     this.stop(job);
   }
 
@@ -49,40 +49,41 @@
    * A host that keeps a cancelled task is fenced well before the cancellation's limit, sure or not: a
    * machine that hangs goes on with the task otherwise, and while the state service is out nobody is sure.
    */
-  fenceOverdue(now: Steady): void {
-    const limit = this.ctx.settings.cancelWithin * FENCE_AFTER;
-    const overdue = ({ kill }: Task): boolean => kill?.why === 'cancelled' && since(now, kill.at) > limit;
-    for (const host of this.ctx.hosts.values()) {
-      if ([...host.tasks].some(overdue)) this.parts.fleet.remove(host, 'cancelled task not gone', true);
+  fenceOverdue(now: MonotonicTime): void {
+    const limit = this.ctx.settings.cancellationLimit * FENCE_AFTER;
+    const overdue = ({ pendingStop }: Task): boolean =>
+      pendingStop?.reason === 'cancelled' && since(now, pendingStop.since) > limit;
+    for (const worker of this.ctx.workers.values()) {
+      if ([...worker.tasks].some(overdue)) this.parts.fleet.remove(worker, 'cancelled task not gone', true);
     }
   }
 
-  private stop(job: OpenJob): void {
+  private stop(job: ActiveJob): void {
     const now = this.ctx.clock.now();
-    this.parts.graph.leave(job);
+    this.parts.graph.remove(job);
     // Counted from when it was first heard of here, not from our takeover.
-    const at = this.ctx.cancellations.at(job.spec.id) ?? now;
-    job.cancelled = true;
-    const wake = new Set<Host>();
-    for (const task of [...job.held()]) {
-      const host = task.host === null ? undefined : this.ctx.hosts.get(task.host);
+    const at = this.ctx.cancellations.learnedAt(job.spec.id) ?? now;
+    job.isCancelled = true;
+    const wake = new Set<Worker>();
+    for (const task of [...job.assignedTasks()]) {
+      const worker = task.machine === null ? undefined : this.ctx.workers.get(task.machine);
       if (neverSent(task)) {
-        host?.drop(task);
-        job.release(task, now);
+        worker?.unassign(task);
+        job.releaseTask(task, now);
         continue;
       }
       this.learnLifetime(task, now);
-      task.kill = { graceS: 0, why: 'cancelled', at };
-      if (host) wake.add(host);
+      task.pendingStop = { graceS: 0, reason: 'cancelled', since: at };
+      if (worker) wake.add(worker);
     }
-    this.ctx.jobs.changed(job);
-    for (const host of wake) this.parts.dispatcher.wake(host);
+    this.ctx.jobs.jobChanged(job);
+    for (const worker of wake) this.parts.dispatcher.dispatch(worker);
     this.parts.committer.schedule();
     this.ctx.requestDecision();
   }
 
   /** A service's replicas run until it is cancelled. */
-  private learnLifetime({ job, runningAt }: Task, now: Steady): void {
+  private learnLifetime({ job, runningAt }: Task, now: MonotonicTime): void {
     if (job.spec.kind !== 'service' || runningAt === null) return;
     this.parts.lifetimes.add(job.spec.jobClass, now - runningAt);
   }
@@ -90,5 +91,5 @@
 
 /** No order has left: the task cannot be on the machine. */
 function neverSent(task: Task): boolean {
-  return task.phase === 'deciding' || (task.sentSession === null && !task.inherited);
+  return task.phase === 'committing' || (task.startSentIncarnation === null && !task.isInherited);
 }
--- a/src/leader/job-outcomes.ts
+++ b/src/leader/job-outcomes.ts
@@ -1,8 +1,8 @@
 /** What is learned from jobs that are over, and told to the log. */
 import type { FleetManager } from '../fleet/fleet-manager.js';
 import type { Lifetimes } from '../forecast/lifetimes.js';
-import { type Steady, since } from '../model/time.js';
-import type { OpenJob } from '../scheduler/active-job.js';
+import { type MonotonicTime, since } from '../model/time.js';
+import type { ActiveJob } from '../scheduler/active-job.js';
 import type { SlackFactors } from '../scheduler/slack-factors.js';
 import type { Urgency } from '../scheduler/urgency.js';
 import type { LeaderContext } from '../core/context.js';
@@ -25,32 +25,32 @@
   ) {}
 
   /** The job's end is durable. */
-  closed(job: OpenJob): void {
-    if (!job.cancelled) this.judge(job);
-    const { id, jobClass, tasks, estimateS } = job.spec;
+  closed(job: ActiveJob): void {
+    if (!job.isCancelled) this.judge(job);
+    const { id, jobClass, taskCount, estimatedRunS } = job.spec;
     const now = this.ctx.clock.now();
-    const ago = (at: Steady | null): number | null => (at === null ? null : rounded(since(now, at)));
+    const ago = (at: MonotonicTime | null): number | null => (at === null ? null : rounded(since(now, at)));
     this.ctx.log.info(
       {
         job: id,
         jobClass,
-        tasks,
-        cancelled: job.cancelled,
-        estimateS,
+        tasks: taskCount,
+        cancelled: job.isCancelled,
+        estimatedRunS,
         ageS: rounded(this.ctx.clock.wall() - job.acceptedAt),
         readyAgoS: rounded(this.ctx.clock.wall() - job.readyAt),
         firstRunAgoS: ago(job.firstRunAt),
         lastRunAgoS: ago(job.lastRunAt),
-        lost: job.lost,
+        lost: job.lostAttempts,
       },
       'job closed',
     );
   }
 
   /** Judged by the first target that renting for the job could have met. */
-  private judge(job: OpenJob): void {
+  private judge(job: ActiveJob): void {
     const { fleet, lifetimes, urgency, slackFactors } = this.parts;
-    const target = urgency.next(job.ranked, fleet.slowestBoot(), lifetimes.expectedRun(job.spec));
+    const target = urgency.next(job.effectiveSpec, fleet.slowestBoot(), lifetimes.expectedRun(job.spec));
     if (!target) return;
     const age = this.ctx.clock.wall() - job.readyAt;
     slackFactors.over(job.spec.jobClass, age > target.ms, target.allowed);
--- a/src/leader/leader-summary.ts
+++ b/src/leader/leader-summary.ts
@@ -1,10 +1,10 @@
 /** What the log tells of a leadership every few seconds. */
 import { seriesKey } from '../fleet/capacity-plan.js';
 import type { JobStore } from '../scheduler/job-store.js';
-import type { HostRegistry } from '../workers/state/worker-registry.js';
+import type { WorkerRegistry } from '../workers/state/worker-registry.js';
 
 /** Jobs, tasks and machines in numbers. */
-export function summaryOf(jobs: JobStore, hosts: HostRegistry): object {
+export function summaryOf(jobs: JobStore, workers: WorkerRegistry): object {
   let waiting = 0;
   let blocked = 0;
   let held = 0;
@@ -14,19 +14,19 @@
   let runningCpus = 0;
   let unconfirmed = 0;
   for (const job of jobs.values()) {
-    if (job.blocked) blocked += job.waiting;
-    else waiting += job.waiting;
-    held += job.heldCount;
-    runningCpus += job.running * job.spec.cpus;
+    if (job.isBlocked) blocked += job.waitingCount;
+    else waiting += job.waitingCount;
+    held += job.assignedCount;
+    runningCpus += job.runningCount * job.spec.cpus;
   }
   const pools: Record<string, Record<string, number>> = {};
-  for (const host of hosts.values()) {
-    if (host.facts.state !== 'confirmed') unconfirmed++;
-    if (!host.up || !host.presumed) continue;
-    const { machine, type } = host.presumed;
+  for (const worker of workers.values()) {
+    if (worker.facts.state !== 'confirmed') unconfirmed++;
+    if (!worker.isUp || !worker.presumedFacts) continue;
+    const { machine, type } = worker.presumedFacts;
     up++;
     cpus += type.cpus;
-    usedCpus += type.cpus - host.free.cpus;
+    usedCpus += type.cpus - worker.free.cpus;
     const pool = (pools[seriesKey(machine.type, machine.spot)] ??= {
       up: 0,
       empty: 0,
@@ -34,16 +34,16 @@
       withReplicas: 0,
     });
     pool['up'] = (pool['up'] ?? 0) + 1;
-    pool['empty'] = (pool['empty'] ?? 0) + (host.empty ? 1 : 0);
-    pool['free'] = Math.round((pool['free'] ?? 0) + host.free.cpus);
-    pool['withReplicas'] = (pool['withReplicas'] ?? 0) + (host.hasReplicas ? 1 : 0);
+    pool['empty'] = (pool['empty'] ?? 0) + (worker.isEmpty ? 1 : 0);
+    pool['free'] = Math.round((pool['free'] ?? 0) + worker.free.cpus);
+    pool['withReplicas'] = (pool['withReplicas'] ?? 0) + (worker.hasReplicas ? 1 : 0);
   }
   return {
     jobs: jobs.size,
     waiting,
     blocked,
     held,
-    hosts: hosts.size,
+    workers: workers.size,
     up,
     unconfirmed,
     cpus,
--- a/src/leader/record-loader.ts
+++ b/src/leader/record-loader.ts
@@ -1,13 +1,13 @@
 import type { FleetManager } from '../fleet/fleet-manager.js';
-import type { HostId, JobId, Revision, TypeId, ZoneId } from '../model/ids.js';
+import type { MachineId, JobId, Revision, MachineTypeId, ZoneId } from '../model/ids.js';
 import type { JobRecord } from '../model/job.js';
 import type { Machine } from '../model/machine.js';
-import type { Steady } from '../model/time.js';
-import { OpenJob } from '../scheduler/active-job.js';
+import type { MonotonicTime } from '../model/time.js';
+import { ActiveJob } from '../scheduler/active-job.js';
 import { decodeJob, withDescription } from '../store/job-record.js';
 import { CHUNK_TASKS, keys, parseOpenKey } from '../store/keys.js';
-import { type Records, readRecords, retryTooMany } from '../store/records.js';
-import type { Condition, Row } from '../wire/key-value-store.js';
+import { type RecordSet, readRecords, retryWhileRateLimited } from '../store/records.js';
+import type { Compare, KeyValue } from '../wire/key-value-store.js';
 import type { LeaderContext } from '../core/context.js';
 import type { StoredMachine } from '../leader/fleet-record-writer.js';
 
@@ -18,18 +18,18 @@
 /** Asked too often is no reason to begin the whole takeover again: this one request waits a moment. */
 function patiently<T>(ctx: LeaderContext, ask: () => Promise<T>): Promise<T> {
   const pauseMs = (): number => REFUSED_PAUSE_MS + ctx.random() * REFUSED_JITTER_MS;
-  return retryTooMany({ clock: ctx.clock, pauseMs, wanted: () => !ctx.ended() }, ask);
+  return retryWhileRateLimited({ clock: ctx.clock, pauseMs, wanted: () => !ctx.isEnded() }, ask);
 }
 
-async function readAll(ctx: LeaderContext, prefix: string): Promise<Records> {
-  const ahead = await patiently(ctx, () => ctx.readAhead(prefix));
+async function readAll(ctx: LeaderContext, prefix: string): Promise<RecordSet> {
+  const ahead = await patiently(ctx, () => ctx.prefetchedRecords(prefix));
   return ahead ?? readRecords(ctx.store, prefix, (ask) => patiently(ctx, ask));
 }
 
 /** A job that is not over, as the limits of the state service want its progress kept. */
-export function openJob(ctx: LeaderContext, record: JobRecord, revision: Revision): OpenJob {
+export function openJob(ctx: LeaderContext, record: JobRecord, revision: Revision): ActiveJob {
   const { spec, acceptedAt } = record;
-  return new OpenJob(spec, revision, acceptedAt, ctx.limits.chunkTasks(spec.tasks));
+  return new ActiveJob(spec, revision, acceptedAt, ctx.storeLimits.chunkTasks(spec.taskCount));
 }
 
 async function readParts<T>(
@@ -54,14 +54,14 @@
 
 /** A job's record with all its names, wherever they are. */
 export async function readDescription(ctx: LeaderContext, record: JobRecord): Promise<JobRecord> {
-  const { id, descriptionRecords } = record.spec;
-  if (descriptionRecords === 0) return record;
-  return withDescription(record, await readParts<string>(ctx, id, descriptionRecords, keys.description));
+  const { id, descriptionRecordCount } = record.spec;
+  if (descriptionRecordCount === 0) return record;
+  return withDescription(record, await readParts<string>(ctx, id, descriptionRecordCount, keys.description));
 }
 
 /** All unfinished work, as the records tell of it. */
 export interface LoadedJobs {
-  readonly jobs: readonly OpenJob[];
+  readonly jobs: readonly ActiveJob[];
   /** Those of them that were cancelled meanwhile. */
   readonly cancelled: readonly JobId[];
   /** Keys of progress whose jobs are over. */
@@ -75,8 +75,8 @@
   const { rows, revision } = await readAll(ctx, keys.open);
   // Whoever split a record knew that no version is left which couldn't read it.
   if (rows.some((row) => (parseOpenKey(row.key)?.size ?? CHUNK_TASKS) < CHUNK_TASKS))
-    ctx.limits.allowSplitProgress();
-  const jobs = new Map<JobId, OpenJob>();
+    ctx.storeLimits.allowSplitProgress();
+  const jobs = new Map<JobId, ActiveJob>();
   const orphans: string[] = [];
   for (const row of rows) {
     const at = parseOpenKey(row.key);
@@ -87,24 +87,24 @@
       jobs.set(at.job, openJob(ctx, record, row.revision));
     } else {
       const job = jobs.get(at.job);
-      if (job) job.restore(at.chunk, at.size, row.value, row.revision);
+      if (job) job.addStoredProgress(at.chunk, at.size, row.value, row.revision);
       else orphans.push(row.key);
     }
   }
-  for (const job of jobs.values()) job.settle();
+  for (const job of jobs.values()) job.applyStoredProgress();
   const all = [...jobs.values()];
   return { jobs: all, cancelled: await findChanged(ctx, all), orphans, revision };
 }
 
 /** Jobs whose record has changed since they were accepted: they were cancelled. */
-async function findChanged(ctx: LeaderContext, jobs: OpenJob[]): Promise<JobId[]> {
+async function findChanged(ctx: LeaderContext, jobs: ActiveJob[]): Promise<JobId[]> {
   const changed: JobId[] = [];
-  const most = ctx.limits.txnOps * 4;
+  const most = ctx.storeLimits.txnOps * 4;
   for (let i = 0; i < jobs.length; i += most) {
-    const conditions: Condition[] = jobs
+    const conditions: Compare[] = jobs
       .slice(i, i + most)
       .map((job) => ({ key: keys.job(job.spec.id), revision: job.revision }));
-    const result = await patiently(ctx, () => ctx.store.commit(conditions, []));
+    const result = await patiently(ctx, () => ctx.store.txn(conditions, []));
     if (!result.ok) changed.push(...result.failed.map((key) => key.slice(keys.jobs.length) as JobId));
   }
   return changed;
@@ -116,7 +116,7 @@
   /** Recorded by a version that records nothing else. */
   readonly confirmed: boolean;
   readonly address: string;
-  readonly at: Steady;
+  readonly at: MonotonicTime;
   /** It was up when the record was written. */
   readonly up: boolean;
 }
@@ -124,7 +124,7 @@
 /** The machines that the records tell of, and these records. */
 export interface RestoredFleet {
   readonly machines: readonly RestoredMachine[];
-  readonly records: readonly Row[];
+  readonly records: readonly KeyValue[];
 }
 
 /** Reads the machines, and hands the stored forecasts to the fleet. */
@@ -136,10 +136,10 @@
       const [id, type, zone, spot, address, rentedAt, up, confirmed] = stored;
       const age = Math.max(0, ctx.clock.wall() - rentedAt);
       known.push({
-        machine: { id: id as HostId, type: type as TypeId, zone: zone as ZoneId, spot: spot === 1 },
+        machine: { id: id as MachineId, type: type as MachineTypeId, zone: zone as ZoneId, spot: spot === 1 },
         confirmed: confirmed === 1,
         address,
-        at: (ctx.clock.now() - age) as Steady,
+        at: (ctx.clock.now() - age) as MonotonicTime,
         up: up === 1,
       });
     }
--- a/src/leader/worker-drainer.ts
+++ b/src/leader/worker-drainer.ts
@@ -1,9 +1,9 @@
 /** Ends work on machines that are to be empty: taken by the cloud, or given back. */
-import type { HostId } from '../model/ids.js';
-import type { Steady } from '../model/time.js';
+import type { MachineId } from '../model/ids.js';
+import type { MonotonicTime } from '../model/time.js';
 import type { Task } from '../scheduler/task.js';
-import type { Dispatcher } from '../workers/command-dispatcher.js';
-import type { Host } from '../workers/state/worker.js';
+import type { CommandDispatcher } from '../workers/command-dispatcher.js';
+import type { Worker } from '../workers/state/worker.js';
 import type { LeaderContext } from '../core/context.js';
 
 /** An order's way to the machine, and its answer's back. */
@@ -12,50 +12,54 @@
 const SAVE_MARGIN_S = 1;
 
 /** Stops tasks so that they can save, and brings orders that wait to machines that were not met yet. */
-export class HostDrainer {
+export class WorkerDrainer {
   constructor(
     private readonly ctx: LeaderContext,
-    private readonly dispatcher: Dispatcher,
+    private readonly dispatcher: CommandDispatcher,
   ) {}
 
   /** Repeats what has not been carried out yet. */
-  tick(now: Steady): void {
-    for (const host of this.ctx.hosts.values()) {
-      if (host.takenAt !== null) this.drainNoticed(host, host.takenAt, now);
-      if (!host.known && host.address !== '' && (host.listed || host.up || !host.empty)) {
-        this.dispatcher.wake(host);
+  tick(now: MonotonicTime): void {
+    for (const worker of this.ctx.workers.values()) {
+      if (worker.interruptionAt !== null) this.drainNoticed(worker, worker.interruptionAt, now);
+      if (
+        !worker.hasReported &&
+        worker.address !== '' &&
+        (worker.isListedRunning || worker.isUp || !worker.isEmpty)
+      ) {
+        this.dispatcher.dispatch(worker);
       }
     }
   }
 
   /** The host is emptied: its work starts again elsewhere. */
-  empty(id: HostId): void {
-    const host = this.ctx.hosts.get(id);
-    if (!host || host.closed) return;
-    host.closed = 'emptying';
+  drain(id: MachineId): void {
+    const worker = this.ctx.workers.get(id);
+    if (!worker || worker.cordon) return;
+    worker.cordon = 'draining';
     const now = this.ctx.clock.now();
-    for (const task of host.tasks) if (mayDrain(task)) drain(task, now);
-    this.dispatcher.wake(host);
+    for (const task of worker.tasks) if (mayDrain(task)) drain(task, now);
+    this.dispatcher.dispatch(worker);
   }
 
   /** The cloud takes this machine: work that can save is stopped in time to do so. */
-  private drainNoticed(host: Host, takenAt: Steady, now: Steady): void {
-    for (const task of host.tasks) {
-      const { checkpointS, saveS } = task.job.spec;
-      if (!mayDrain(task) || checkpointS === 0) continue;
-      if (takenAt - now >= (saveS + ORDER_WAY_S) * 1000) continue;
+  private drainNoticed(worker: Worker, takenAt: MonotonicTime, now: MonotonicTime): void {
+    for (const task of worker.tasks) {
+      const { checkpointIntervalS, checkpointWriteS } = task.job.spec;
+      if (!mayDrain(task) || checkpointIntervalS === 0) continue;
+      if (takenAt - now >= (checkpointWriteS + ORDER_WAY_S) * 1000) continue;
       drain(task, now);
-      this.dispatcher.wake(host);
+      this.dispatcher.dispatch(worker);
     }
   }
 }
 
 function mayDrain(task: Task): boolean {
-  return task.phase === 'placed' && task.kill === null;
+  return task.phase === 'placed' && task.pendingStop === null;
 }
 
-function drain(task: Task, now: Steady): void {
-  const { checkpointS, saveS } = task.job.spec;
-  const graceS = checkpointS > 0 ? saveS + SAVE_MARGIN_S : 0;
-  task.kill = { graceS, why: 'drain', at: now };
+function drain(task: Task, now: MonotonicTime): void {
+  const { checkpointIntervalS, checkpointWriteS } = task.job.spec;
+  const graceS = checkpointIntervalS > 0 ? checkpointWriteS + SAVE_MARGIN_S : 0;
+  task.pendingStop = { graceS, reason: 'drain', since: now };
 }
