--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -1,19 +1,19 @@
-import { reason } from '../log/logger.js';
-import type { Epoch, GrantId, Revision } from '../model/ids.js';
+import { errorMessage } from '../log/logger.js';
+import type { Epoch, LeaseId, Revision } from '../model/ids.js';
 import { NO_REVISION } from '../model/ids.js';
 import { PROTOCOL_VERSION } from '../model/protocol.js';
 import {
-  atLeast,
-  atMost,
+  minLocalDuration,
+  maxLocalDuration,
   type Cancel,
   type Millis,
   ms,
-  type Steady,
+  type MonotonicTime,
   plus,
   since,
   sleep,
 } from '../model/time.js';
-import { StateRefused } from '../store/client.js';
+import { StoreRefusedError } from '../store/client.js';
 import { keys } from '../store/keys.js';
 import {
   encodeEpoch,
@@ -22,14 +22,14 @@
   type LeaderRecord,
   leaderRecord,
 } from '../store/leader-record.js';
-import type { NodeContext } from '../core/context.js';
+import type { ControllerContext } from '../core/context.js';
 
 /** A leadership that this node has taken. */
-export interface Won {
+export interface LeadershipTerm {
   readonly epoch: Epoch;
   readonly epochRevision: Revision;
   /** For how long after our takeover the former leader may still have been sure of its grant. */
-  readonly formerSure: Millis;
+  readonly previousLeaseRemaining: Millis;
 }
 
 /** Whether this process has run without a pause since its grant was last renewed. */
@@ -42,7 +42,7 @@
 }
 
 /** What failure detection adds to the election. */
-export interface ElectionAid {
+export interface ElectionFailureDetection {
   /** The start of this process, for the leader's record. */
   readonly process: string;
   readonly guard: PauseGuard;
@@ -64,64 +64,66 @@
  * here; the clock only says how long the leader may still answer workers.
  */
 export class Election {
-  private grant: GrantId | null = null;
+  private leaseId: LeaseId | null = null;
   /** Our grant surely lives until then. */
-  private sureUntil: Steady | null = null;
-  private leading: Won | null = null;
-  private notBefore: Steady | null = null;
-  private aid: ElectionAid | null = null;
+  private leaseValidUntil: MonotonicTime | null = null;
+  private term: LeadershipTerm | null = null;
+  private notBefore: MonotonicTime | null = null;
+  private failureDetection: ElectionFailureDetection | null = null;
   private signs = 0;
   private retired = false;
   private renewal: { readonly cancel: Cancel; readonly run: () => void } | null = null;
   leader: LeaderRecord | null = null;
 
   constructor(
-    private readonly ctx: NodeContext,
-    private readonly onWon: (won: Won) => void,
+    private readonly ctx: ControllerContext,
+    private readonly onElected: (won: LeadershipTerm) => void,
     private readonly onLost: (why: string) => void,
   ) {}
 
   private get ttl(): number {
-    return this.ctx.ops.cluster.grant_s * 1000;
+    return this.ctx.operators.leadership.leaseTtl;
   }
 
   /** The leadership that this node holds; null: none. */
-  get held(): Won | null {
-    return this.leading;
+  get currentTerm(): LeadershipTerm | null {
+    return this.term;
   }
 
   /** Failure detection is running from now on. */
-  assist(aid: ElectionAid): void {
-    this.aid = aid;
+  useFailureDetection(aid: ElectionFailureDetection): void {
+    this.failureDetection = aid;
   }
 
   /** Whether the grant surely lives, and nobody can have replaced us while this process stood still. */
-  sure(): boolean {
-    if (this.sureUntil === null || this.ctx.clock.now() >= this.sureUntil) return false;
-    return this.aid?.guard.open ?? true;
+  isLeaseValid(): boolean {
+    if (this.leaseValidUntil === null || this.ctx.clock.now() >= this.leaseValidUntil) return false;
+    return this.failureDetection?.guard.open ?? true;
   }
 
   /** How long ago the grant stopped being sure. */
-  unsureFor(): Millis {
-    return ms(this.sureUntil === null ? Infinity : Math.max(0, this.ctx.clock.now() - this.sureUntil));
+  timeSinceLeaseExpiry(): Millis {
+    return ms(
+      this.leaseValidUntil === null ? Infinity : Math.max(0, this.ctx.clock.now() - this.leaseValidUntil),
+    );
   }
 
   run(): void {
-    void this.standing();
+    void this.campaign();
     this.scheduleRenewal(this.ttl / 4);
   }
 
   /** Gives the leadership up; another node may take it at once. */
   async resign(pauseMs: number): Promise<void> {
-    this.leading = null;
-    this.aid?.leadershipEnded();
+    this.term = null;
+    this.failureDetection?.leadershipEnded();
     this.notBefore = plus(this.ctx.clock.now(), pauseMs);
-    const grant = this.grant;
-    this.grant = null;
-    this.sureUntil = null;
+    const grant = this.leaseId;
+    this.leaseId = null;
+    this.leaseValidUntil = null;
     if (grant !== null) {
       try {
-        await this.ctx.store.release(grant);
+        await this.ctx.store.revokeLease(grant);
       } catch {
         // It ends by itself.
       }
@@ -133,7 +135,7 @@
     this.retired = true;
   }
 
-  private async standing(): Promise<void> {
+  private async campaign(): Promise<void> {
     const { clock, store } = this.ctx;
     while (!this.retired) {
       try {
@@ -142,7 +144,7 @@
         this.noteLeader(row ? leaderRecord(row.value) : null);
         const paused = this.notBefore !== null && clock.now() < this.notBefore;
         if (this.retired) return;
-        if (!this.leading && !paused && (!row || this.leader?.member === this.ctx.member)) {
+        if (!this.term && !paused && (!row || this.leader?.member === this.ctx.member)) {
           await this.takeOver(row?.revision ?? NO_REVISION);
           continue;
         }
@@ -150,9 +152,9 @@
           await sleep(clock, 300);
           continue;
         }
-        await store.changes(keys.leader, page.revision, WATCH_MS);
+        await store.watch(keys.leader, page.revision, WATCH_MS);
       } catch (error) {
-        this.ctx.log.debug({ error: reason(error) }, 'election waits');
+        this.ctx.log.debug({ error: errorMessage(error) }, 'election waits');
         await sleep(clock, 100 + this.ctx.random() * 150);
       }
     }
@@ -161,12 +163,12 @@
   private noteLeader(leader: LeaderRecord | null): void {
     const changed = leader?.epoch !== this.leader?.epoch;
     this.leader = leader;
-    if (changed) this.aid?.leaderChanged();
+    if (changed) this.failureDetection?.leaderChanged();
   }
 
   /** A node that is no first choice leaves it to others for a moment, and stands if nobody took it. */
   private async takeOver(leaderRevision: Revision): Promise<void> {
-    const standbyMs = leaderRevision === NO_REVISION ? (this.aid?.standbyMs() ?? 0) : 0;
+    const standbyMs = leaderRevision === NO_REVISION ? (this.failureDetection?.standbyMs() ?? 0) : 0;
     if (standbyMs > 0) {
       await sleep(this.ctx.clock, standbyMs);
       const row = await this.ctx.store.get(keys.leader);
@@ -181,11 +183,11 @@
     const former = epochRecord(epochRow?.value);
     const epoch = (former.epoch + 1) as Epoch;
     const sentAt = clock.now();
-    const { aid } = this;
-    const generation = aid?.guard.generation ?? 0;
-    const grant = await store.grant(this.ttl);
+    const { failureDetection } = this;
+    const generation = failureDetection?.guard.generation ?? 0;
+    const grant = await store.grantLease(this.ttl);
     const record = this.recordFor(epoch);
-    const result = await store.commit(
+    const result = await store.txn(
       [
         { key: keys.leader, revision: leaderRevision },
         { key: keys.epoch, revision: epochRow?.revision ?? NO_REVISION },
@@ -196,43 +198,43 @@
       ],
     );
     if (!result.ok) {
-      await store.release(grant);
+      await store.revokeLease(grant);
       await sleep(clock, this.ctx.random() * 50);
       return;
     }
-    this.grant = grant;
-    this.sureUntil = plus(sentAt, atLeast(this.ttl));
-    aid?.guard.reopen(generation);
-    this.leading = {
+    this.leaseId = grant;
+    this.leaseValidUntil = plus(sentAt, minLocalDuration(this.ttl));
+    failureDetection?.guard.reopen(generation);
+    this.term = {
       epoch,
       epochRevision: result.revision,
-      formerSure: former.early ? atMost(this.ttl) : ms(0),
+      previousLeaseRemaining: former.early ? maxLocalDuration(this.ttl) : ms(0),
     };
     this.noteLeader(record);
-    this.onWon(this.leading);
+    this.onElected(this.term);
   }
 
   private recordFor(epoch: Epoch): LeaderRecord {
     const record = { member: this.ctx.member, epoch, version: PROTOCOL_VERSION };
-    return this.aid ? { ...record, process: this.aid.process } : record;
+    return this.failureDetection ? { ...record, process: this.failureDetection.process } : record;
   }
 
   /**
    * Rewrites the leader's record under the same grant, so that its revision changes: a leader that its peers cannot
    * hear shows through the state service that it lives.
    */
-  async showLife(): Promise<void> {
-    const { grant, leading } = this;
-    if (grant === null || leading === null) return;
+  async refreshLeaderRecord(): Promise<void> {
+    const { leaseId, term } = this;
+    if (leaseId === null || term === null) return;
     const row = await this.ctx.store.get(keys.leader);
-    if (row?.grant !== grant) return;
+    if (row?.lease !== leaseId) return;
     this.signs++;
-    await this.ctx.store.commit(
+    await this.ctx.store.txn(
       [
         { key: keys.leader, revision: row.revision },
-        { key: keys.epoch, revision: leading.epochRevision },
+        { key: keys.epoch, revision: term.epochRevision },
       ],
-      [{ set: keys.leader, value: encodeLeader(this.recordFor(leading.epoch), this.signs), grant }],
+      [{ set: keys.leader, value: encodeLeader(this.recordFor(term.epoch), this.signs), grant: leaseId }],
     );
   }
 
@@ -255,31 +257,31 @@
   /** Resolves with the time until the next renewal. */
   private async renew(): Promise<number> {
     const { clock, store } = this.ctx;
-    const grant = this.grant;
-    if (grant === null || !this.leading) return this.ttl / 4;
+    const grant = this.leaseId;
+    if (grant === null || !this.term) return this.ttl / 4;
     const sentAt = clock.now();
-    const generation = this.aid?.guard.generation ?? 0;
+    const generation = this.failureDetection?.guard.generation ?? 0;
     try {
-      const alive = await store.touch(grant);
-      if (this.grant !== grant) return this.ttl / 4;
+      const alive = await store.keepLeaseAlive(grant);
+      if (this.leaseId !== grant) return this.ttl / 4;
       if (alive) {
-        this.sureUntil = plus(sentAt, atLeast(this.ttl));
-        this.aid?.guard.reopen(generation);
+        this.leaseValidUntil = plus(sentAt, minLocalDuration(this.ttl));
+        this.failureDetection?.guard.reopen(generation);
       } else this.lose('the grant has ended');
     } catch (error) {
-      this.ctx.log.info({ error: reason(error), ms: since(clock.now(), sentAt) }, 'grant not renewed');
+      this.ctx.log.info({ error: errorMessage(error), ms: since(clock.now(), sentAt) }, 'grant not renewed');
       // Users may have asked too much of the state service; leadership must not be lost to that.
-      if (error instanceof StateRefused) return RENEW_AGAIN_MS;
+      if (error instanceof StoreRefusedError) return RENEW_AGAIN_MS;
     }
     // The process stood still while the renewal was under way: that one confirmed nothing.
-    return this.leading && this.aid?.guard.open === false ? RENEW_AGAIN_MS : this.ttl / 4;
+    return this.term && this.failureDetection?.guard.open === false ? RENEW_AGAIN_MS : this.ttl / 4;
   }
 
   private lose(why: string): void {
-    this.leading = null;
-    this.grant = null;
-    this.sureUntil = null;
-    this.aid?.leadershipEnded();
+    this.term = null;
+    this.leaseId = null;
+    this.leaseValidUntil = null;
+    this.failureDetection?.leadershipEnded();
     this.onLost(why);
   }
 }
--- a/src/leadership/failover/failover-settings.ts
+++ b/src/leadership/failover/failover-settings.ts
@@ -8,27 +8,27 @@
   MembershipSettingsError,
 } from '@plumyoke/membership';
 import { FAILOVER_FILE, type FailoverFeature } from '../../config/features.js';
-import { BadSettings } from '../../config/operators.js';
+import { InvalidSettingsError } from '../../config/operators.js';
 import type { Settings } from '../../wire/settings.js';
 
-type Controllers = Pick<Settings, 'member' | 'siblings'>;
+type Controllers = Pick<Settings, 'member' | 'peers'>;
 
 /** Every controller of the platform's settings is a member. */
 export function membershipSettings(
-  { member, siblings }: Controllers,
+  { member, peers }: Controllers,
   feature: FailoverFeature,
 ): MembershipSettings {
-  const members: readonly string[] = [member, ...siblings.map((sibling) => sibling.member)];
+  const members: readonly string[] = [member, ...peers.map((sibling) => sibling.member)];
   return {
     ...DEFAULT_TUNING,
     self: member as string as MemberId,
     members: members as readonly MemberId[],
     majority: majorityOf(members.length),
-    probeIntervalMs: feature.probe_interval_s * 1000,
-    probeTimeoutMs: feature.probe_timeout_s * 1000,
-    suspicionMs: feature.suspicion_s * 1000,
-    pauseThresholdMs: feature.pause_s * 1000,
-    maxMessagesPerSecond: feature.max_messages_per_s,
+    probeIntervalMs: feature.probeInterval,
+    probeTimeoutMs: feature.probeTimeout,
+    suspicionMs: feature.suspicionTimeout,
+    pauseThresholdMs: feature.pauseThreshold,
+    maxMessagesPerSecond: feature.maxMessagesPerSecond,
   };
 }
 
@@ -38,6 +38,6 @@
     checkSettings(membershipSettings(settings, feature));
   } catch (error) {
     if (!(error instanceof MembershipSettingsError)) throw error;
-    throw new BadSettings(`${FAILOVER_FILE}: ${error.message}`);
+    throw new InvalidSettingsError(`${FAILOVER_FILE}: ${error.message}`);
   }
 }
--- a/src/leadership/failover/failover.ts
+++ b/src/leadership/failover/failover.ts
@@ -15,12 +15,12 @@
 import type { FailoverFeature } from '../../config/features.js';
 import { MEMBERSHIP_VERSION } from '../../model/protocol.js';
 import type { MemberLine } from '../../wire/members.js';
-import type { NodeContext } from '../../core/context.js';
-import type { ElectionAid } from '../../leadership/election.js';
+import type { ControllerContext } from '../../core/context.js';
+import type { ElectionFailureDetection } from '../../leadership/election.js';
 import type { Leadership } from '../../controller/leadership.js';
 import { membershipSettings } from './failover-settings.js';
 import { CLUSTER, LeaderClaims } from './leader-claims.js';
-import type { Records } from '../../store/records.js';
+import type { RecordSet } from '../../store/records.js';
 import { RecordPrefetch } from './record-prefetch.js';
 
 /** The leader's record is read this often where nothing tells of a change. */
@@ -32,7 +32,7 @@
 
 /** What failure detection works with. */
 export interface FailoverEnvironment {
-  readonly context: NodeContext;
+  readonly context: ControllerContext;
   readonly feature: FailoverFeature;
   readonly transport: Transport;
   /** Whether every other controller has shown this protocol version. */
@@ -43,7 +43,7 @@
 }
 
 /** Everything that a node with failure detection does beside what one without does. */
-export class Failover implements ElectionAid {
+export class Failover implements ElectionFailureDetection {
   private readonly membership: Membership;
   private readonly coordinator: TakeoverCoordinator<void>;
   private readonly prefetch: RecordPrefetch;
@@ -58,7 +58,10 @@
       random,
       log,
       transport,
-      selfReport: () => ({ load: context.load(), ready: environment.stateOk() && context.types.size > 0 }),
+      selfReport: () => ({
+        load: context.load(),
+        ready: environment.stateOk() && context.machineTypes.size > 0,
+      }),
     });
     this.prefetch = new RecordPrefetch(store, clock, log);
     this.guard = new EffectGate(this.membership, (pausedMs) => this.woke(pausedMs));
@@ -66,12 +69,12 @@
       store,
       clock,
       election: leadership.election,
-      mayReplaceEarly: () => feature.early_takeover && environment.allHaveSpoken(MEMBERSHIP_VERSION),
+      mayReplaceEarly: () => feature.earlyTakeover && environment.allHaveSpoken(MEMBERSHIP_VERSION),
     });
     const settings = {
       ...DEFAULT_TAKEOVER,
       readEveryMs: READ_EVERY_MS,
-      claimOnFailure: feature.early_takeover,
+      claimOnFailure: feature.earlyTakeover,
     };
     this.coordinator = new TakeoverCoordinator<void>(
       [CLUSTER],
@@ -88,14 +91,14 @@
   }
 
   start(): void {
-    this.environment.leadership.election.assist(this);
+    this.environment.leadership.election.useFailureDetection(this);
     this.membership.start();
     this.coordinator.start();
   }
 
   /** Hands the leadership over and says goodbye, so that nobody has to suspect this controller. */
   async leave(): Promise<void> {
-    this.environment.leadership.leave();
+    this.environment.leadership.resignPermanently();
     await this.membership.leave();
     this.coordinator.stop();
     this.membership.stop();
@@ -107,7 +110,7 @@
   }
 
   /** Records that were read ahead; null: none. */
-  readAhead(prefix: string): Promise<Records | null> {
+  readAhead(prefix: string): Promise<RecordSet | null> {
     return this.prefetch.take(prefix);
   }
 
--- a/src/leadership/failover/leader-claims.ts
+++ b/src/leadership/failover/leader-claims.ts
@@ -20,10 +20,10 @@
 import type { MemberId, ProcessId } from '@plumyoke/membership';
 import { type Epoch, NO_REVISION, type Revision } from '../../model/ids.js';
 import { type Clock, sleep } from '../../model/time.js';
-import { StateRefused, type StateStore, StateUnknown } from '../../store/client.js';
+import { StoreRefusedError, type KeyValueStore, StoreOutcomeUnknownError } from '../../store/client.js';
 import { keys } from '../../store/keys.js';
 import { encodeEpoch, epochRecord, leaderRecord } from '../../store/leader-record.js';
-import type { Row } from '../../wire/key-value-store.js';
+import type { KeyValue } from '../../wire/key-value-store.js';
 import type { Election } from '../../leadership/election.js';
 
 /** All machines and jobs: one unit today. */
@@ -35,7 +35,7 @@
 
 /** What the claims need of the node. */
 export interface LeaderClaimsEnvironment {
-  readonly store: StateStore;
+  readonly store: KeyValueStore;
   readonly clock: Clock;
   readonly election: Election;
   /** Whether every controller reckons with a leader that is replaced before its grant ends. */
@@ -44,10 +44,10 @@
 
 /** Whether the error tells that the state service could not be asked, and nothing else. */
 function stateFailed(error: unknown): boolean {
-  return error instanceof StateRefused || error instanceof StateUnknown;
+  return error instanceof StoreRefusedError || error instanceof StoreOutcomeUnknownError;
 }
 
-function revisionsOf(leader: Row | null, epoch: Row | null): UnitRevisions {
+function revisionsOf(leader: KeyValue | null, epoch: KeyValue | null): UnitRevisions {
   return {
     holder: (leader?.revision ?? NO_REVISION) as number as StoreRevision,
     epoch: (epoch?.revision ?? NO_REVISION) as number as StoreRevision,
@@ -55,7 +55,7 @@
 }
 
 /** What the two records tell; null: the leader runs without failure detection, and only its grant tells of it. */
-function interpret(leader: Row | null, epochRow: Row | null): OwnershipReading | null {
+function interpret(leader: KeyValue | null, epochRow: KeyValue | null): OwnershipReading | null {
   const epoch = epochRecord(epochRow?.value).epoch as number as FencingEpoch;
   const revisions = revisionsOf(leader, epochRow);
   if (leader === null) return { kind: 'unowned', epoch, revisions };
@@ -88,8 +88,8 @@
     try {
       if (!(await this.endFormerLeadership(found))) return { kind: 'superseded' };
     } catch (error) {
-      if (error instanceof StateRefused) return { kind: 'unavailable' };
-      if (error instanceof StateUnknown) return { kind: 'uncertain' };
+      if (error instanceof StoreRefusedError) return { kind: 'unavailable' };
+      if (error instanceof StoreOutcomeUnknownError) return { kind: 'uncertain' };
       throw error;
     }
     return this.awaitElection(claimant);
@@ -104,9 +104,9 @@
     const { store } = this.environment;
     const leader = await store.get(keys.leader);
     const holder = revisions.holder as number as Revision;
-    if (leader?.revision !== holder || leader.grant === undefined) return false;
+    if (leader?.revision !== holder || leader.lease === undefined) return false;
     const marked = { epoch: epoch as number as Epoch, early: true };
-    const fenced = await store.commit(
+    const fenced = await store.txn(
       [
         { key: keys.leader, revision: holder },
         { key: keys.epoch, revision: revisions.epoch as number as Revision },
@@ -114,7 +114,7 @@
       [{ set: keys.epoch, value: encodeEpoch(marked) }],
     );
     if (!fenced.ok) return false;
-    await store.release(leader.grant);
+    await store.revokeLease(leader.lease);
     return true;
   }
 
@@ -130,13 +130,13 @@
   }
 
   private held(owner: Owner): Ownership | null {
-    const { held } = this.environment.election;
-    if (held === null) return null;
+    const { currentTerm } = this.environment.election;
+    if (currentTerm === null) return null;
     return {
       unit: CLUSTER,
       owner,
-      epoch: held.epoch as number as FencingEpoch,
-      epochRevision: held.epochRevision as number as StoreRevision,
+      epoch: currentTerm.epoch as number as FencingEpoch,
+      epochRevision: currentTerm.epochRevision as number as StoreRevision,
     };
   }
 
@@ -153,7 +153,7 @@
 
   async showLife(): Promise<void> {
     try {
-      await this.environment.election.showLife();
+      await this.environment.election.refreshLeaderRecord();
     } catch (error) {
       if (!stateFailed(error)) throw error;
     }
--- a/src/leadership/failover/record-prefetch.ts
+++ b/src/leadership/failover/record-prefetch.ts
@@ -1,9 +1,9 @@
 /** Reads a leader's records ahead of a takeover, and brings them up to date when it has come. */
-import { type Log, reason } from '../../log/logger.js';
+import { type Logger, errorMessage } from '../../log/logger.js';
 import type { Cancel, Clock } from '../../model/time.js';
-import type { StateStore } from '../../store/client.js';
+import type { KeyValueStore } from '../../store/client.js';
 import { keys } from '../../store/keys.js';
-import { type Records, readRecords, retryTooMany } from '../../store/records.js';
+import { type RecordSet, readRecords, retryWhileRateLimited } from '../../store/records.js';
 
 /** The records that a takeover reads. */
 const PREFIXES = [keys.open, keys.fleet, keys.forecast];
@@ -13,14 +13,14 @@
 
 /** The records of one suspected leader. */
 export class RecordPrefetch {
-  private readonly records = new Map<string, Promise<Records | null>>();
+  private readonly records = new Map<string, Promise<RecordSet | null>>();
   private generation = 0;
   private expiry: Cancel | null = null;
 
   constructor(
-    private readonly store: StateStore,
+    private readonly store: KeyValueStore,
     private readonly clock: Clock,
-    private readonly log: Log,
+    private readonly log: Logger,
   ) {}
 
   /** Begins to read. Resolves once all that could be read is there. */
@@ -40,17 +40,17 @@
     this.records.clear();
   }
 
-  private async read(prefix: string, generation: number): Promise<Records | null> {
+  private async read(prefix: string, generation: number): Promise<RecordSet | null> {
     const wanted = (): boolean => generation === this.generation;
     const policy = { clock: this.clock, pauseMs: () => REFUSED_PAUSE_MS, wanted };
     const askPage = <T>(ask: () => Promise<T>): Promise<T> => {
       if (!wanted()) throw new Error('not wanted any more');
-      return retryTooMany(policy, ask);
+      return retryWhileRateLimited(policy, ask);
     };
     try {
       return await readRecords(this.store, prefix, askPage);
     } catch (error) {
-      this.log.debug({ prefix, error: reason(error) }, 'records not read ahead');
+      this.log.debug({ prefix, error: errorMessage(error) }, 'records not read ahead');
       return null;
     }
   }
@@ -59,13 +59,13 @@
    * The rows under a prefix as they are now: what was read ahead, with all changes since. Null: nothing was read
    * ahead, or the changes since are not to be had. Each prefix is handed out once.
    */
-  async take(prefix: string): Promise<Records | null> {
+  async take(prefix: string): Promise<RecordSet | null> {
     const reading = this.records.get(prefix);
     if (reading === undefined) return null;
     this.records.delete(prefix);
     const records = await reading;
     if (records === null) return null;
-    const news = await this.store.changes(prefix, records.revision, 0);
+    const news = await this.store.watch(prefix, records.revision, 0);
     if (news === null) return null;
     const rows = new Map(records.rows.map((row) => [row.key, row]));
     for (const { key, value, revision } of news.changes) {
--- a/src/log/logger.ts
+++ b/src/log/logger.ts
@@ -1,9 +1,9 @@
 /** JSON lines on standard error. */
 
 /** What the library needs of a logger. */
-export interface Log {
+export interface Logger {
   /** Whether lines of `info` are written at all. */
-  readonly tellsInfo: boolean;
+  readonly isInfoEnabled: boolean;
   debug(fields: object, text: string): void;
   info(fields: object, text: string): void;
   warn(fields: object, text: string): void;
@@ -26,20 +26,20 @@
  * One JSON object a line, each written at once: a process may be killed without a signal. A logging library took
  * 30 of the program's 120 ms of start, and production logs next to nothing.
  */
-export function openLog(
+export function openLogger(
   member: string,
   level = process.env['LOG_LEVEL'] ?? 'error',
   write: (line: string) => void = (line) => process.stderr.write(line),
-): Log {
+): Logger {
   const least = LEVELS[isNamed(level) ? level : 'error'];
-  const at = (name: Level): Log['info'] => {
+  const at = (name: Level): Logger['info'] => {
     const number = LEVELS[name];
     if (number < least) return () => {};
     return (fields, text) =>
       write(`${JSON.stringify({ level: number, time: Date.now(), member, ...fields, msg: text })}\n`);
   };
   return {
-    tellsInfo: LEVELS.info >= least,
+    isInfoEnabled: LEVELS.info >= least,
     debug: at('debug'),
     info: at('info'),
     warn: at('warn'),
@@ -47,8 +47,8 @@
   };
 }
 
-export const silentLog: Log = {
-  tellsInfo: false,
+export const silentLogger: Logger = {
+  isInfoEnabled: false,
   debug() {},
   info() {},
   warn() {},
@@ -56,6 +56,6 @@
 };
 
 /** An error as the log tells it. */
-export function reason(error: unknown): string {
+export function errorMessage(error: unknown): string {
   return error instanceof Error ? error.message : String(error);
 }
--- a/src/model/ids.ts
+++ b/src/model/ids.ts
@@ -13,29 +13,29 @@
 /** `j-000412` */
 export type JobId = Branded<string, 'JobId'>;
 /** A machine. */
-export type HostId = Branded<string, 'HostId'>;
+export type MachineId = Branded<string, 'HostId'>;
 /** A machine type. */
-export type TypeId = Branded<string, 'TypeId'>;
+export type MachineTypeId = Branded<string, 'TypeId'>;
 /** An image that tasks need. */
 export type ImageId = Branded<string, 'ImageId'>;
 /** Name of a rental request; never used for another. */
-export type RentalName = Branded<string, 'RentalName'>;
+export type ScaleOutRequestId = Branded<string, 'RentalName'>;
 /** Revision of a key of the state service; 0: the key does not exist. */
 export type Revision = Branded<number, 'Revision'>;
 /** A grant of the state service: what is bound to it goes when it isn't renewed. */
-export type GrantId = Branded<number, 'GrantId'>;
+export type LeaseId = Branded<number, 'GrantId'>;
 /** A leadership. Raised by every takeover. */
 export type Epoch = Branded<number, 'Epoch'>;
 /** What workers compare: the epoch, and within it a round of its own for each machine. */
-export type Token = Branded<number, 'Token'>;
-/** A machine's own count within an epoch; see `Token`. */
-export type Round = Branded<number, 'Round'>;
+export type FencingToken = Branded<number, 'Token'>;
+/** A machine's own count within an epoch; see `FencingToken`. */
+export type FenceGeneration = Branded<number, 'Round'>;
 /** Number of a worker's session: each lease that ends begins another. */
-export type SessionNumber = Branded<number, 'SessionNumber'>;
+export type AgentIncarnation = Branded<number, 'SessionNumber'>;
 /** Number of a worker's message within its session. */
-export type Counter = Branded<number, 'Counter'>;
+export type HeartbeatSequence = Branded<number, 'Counter'>;
 /** Number of an attempt at a task. Never used twice. */
-export type TryNo = Branded<number, 'TryNo'>;
+export type AttemptNumber = Branded<number, 'TryNo'>;
 /** Number of a task within its job, from 0. */
 export type TaskIndex = Branded<number, 'TaskIndex'>;
 /** `j-000412/3` */
@@ -44,11 +44,13 @@
 export const NO_REVISION = 0 as Revision;
 
 /** Rounds of one machine in one epoch: at two a second more than three months of one leadership. */
-const ROUNDS = 2 ** 24;
-export const LAST_ROUND = (ROUNDS - 1) as Round;
+const FENCE_GENERATIONS_PER_EPOCH = 2 ** 24;
+export const MAX_FENCE_GENERATION = (FENCE_GENERATIONS_PER_EPOCH - 1) as FenceGeneration;
 
-export const tokenOf = (epoch: Epoch, round: Round): Token => (epoch * ROUNDS + round) as Token;
-export const epochOfToken = (token: Token): Epoch => Math.floor(token / ROUNDS) as Epoch;
+export const fencingTokenOf = (epoch: Epoch, round: FenceGeneration): FencingToken =>
+  (epoch * FENCE_GENERATIONS_PER_EPOCH + round) as FencingToken;
+export const epochOfFencingToken = (token: FencingToken): Epoch =>
+  Math.floor(token / FENCE_GENERATIONS_PER_EPOCH) as Epoch;
 
 const JOB_ID = /^j-\d{1,20}$/;
 const TASK_ID = /^(j-\d{1,20})\/(\d{1,9})$/;
@@ -59,12 +61,12 @@
 }
 
 /** The id of a task. */
-export function taskId(job: JobId, index: TaskIndex): TaskId {
+export function formatTaskId(job: JobId, index: TaskIndex): TaskId {
   return `${job}/${index}` as TaskId;
 }
 
 /** The job and index of a task id; null: it is none. */
-export function splitTaskId(id: string): { job: JobId; index: TaskIndex } | null {
+export function parseTaskId(id: string): { job: JobId; index: TaskIndex } | null {
   const parts = TASK_ID.exec(id);
   if (!parts) return null;
   return { job: parts[1] as JobId, index: Number(parts[2]) as TaskIndex };
--- a/src/model/job.ts
+++ b/src/model/job.ts
@@ -1,4 +1,4 @@
-import type { ImageId, JobId, TeamId, TypeId, ZoneId } from './ids.js';
+import type { ImageId, JobId, TeamId, MachineTypeId, ZoneId } from './ids.js';
 import type { WallTime } from './time.js';
 
 /** `array`: each task runs to its end. `service`: tasks run until the job is cancelled. */
@@ -26,25 +26,25 @@
   readonly team: TeamId;
   readonly kind: JobKind;
   readonly priority: Priority;
-  readonly tasks: number;
+  readonly taskCount: number;
   readonly image: ImageId;
   readonly imageGb: number;
   /** Allowed machine types; null: any. */
-  readonly types: readonly TypeId[] | null;
+  readonly allowedTypes: readonly MachineTypeId[] | null;
   readonly zone: ZoneId | null;
-  readonly oneZone: boolean;
-  readonly spread: boolean;
-  readonly spot: boolean;
-  readonly estimateS: number;
-  readonly checkpointS: number;
-  readonly saveS: number;
+  readonly zoneAffinity: boolean;
+  readonly zoneAntiAffinity: boolean;
+  readonly allowsSpot: boolean;
+  readonly estimatedRunS: number;
+  readonly checkpointIntervalS: number;
+  readonly checkpointWriteS: number;
   readonly deadlineS: number | null;
   /** Jobs that have to be done before any task of this one starts: those that were not when it was accepted. */
   readonly dependencies: readonly JobId[];
   /** They are too many for one record: so many further records hold them. */
-  readonly dependencyRecords: number;
+  readonly dependencyRecordCount: number;
   /** Its names are too long for one record: so many further records hold them. */
-  readonly descriptionRecords: number;
+  readonly descriptionRecordCount: number;
 }
 
 /** States that never change. */
@@ -66,21 +66,21 @@
 }
 
 /** Room that is being handed out. */
-export interface Room {
+export interface FreeCapacity {
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
 /** Hands out room. */
-export function take(room: Room, need: Resources): void {
+export function allocate(room: FreeCapacity, need: Resources): void {
   room.cpus -= need.cpus;
   room.gpus -= need.gpus;
   room.memoryGb -= need.memoryGb;
 }
 
 /** Takes room back. */
-export function give(room: Room, back: Resources): void {
+export function release(room: FreeCapacity, back: Resources): void {
   room.cpus += back.cpus;
   room.gpus += back.gpus;
   room.memoryGb += back.memoryGb;
--- a/src/model/load.ts
+++ b/src/model/load.ts
@@ -4,6 +4,6 @@
  * From this load on a leader hands its workers and its calls to them to the other controllers: a frame costs less than
  * a report or a call does, and a leader on a tenth of a core has its time used up while the others idle.
  */
-export const HAND_ON_LOAD = 0.6;
+export const DELEGATION_LOAD = 0.6;
 /** From this load on a controller is handed no work of others. */
-export const NO_TIME_LOAD = 0.7;
+export const MAX_LOAD_FOR_DELEGATED_WORK = 0.7;
--- a/src/model/machine-facts.ts
+++ b/src/model/machine-facts.ts
@@ -3,7 +3,7 @@
  * has another type, so that it cannot be passed for a fact.
  */
 import type { Machine, MachineType } from './machine.js';
-import type { Steady } from './time.js';
+import type { MonotonicTime } from './time.js';
 
 /** Who told what a machine is. */
 export enum FactSource {
@@ -12,7 +12,7 @@
   /** The cloud's list of machines. */
   List = 'list',
   /** The machine's own report. */
-  Report = 'report',
+  Heartbeat = 'heartbeat',
   /** A leader's record of what one of these had told. */
   Record = 'record',
 }
@@ -23,7 +23,7 @@
   readonly machine: Machine;
   readonly type: MachineType;
   readonly source: FactSource;
-  readonly learnedAt: Steady;
+  readonly learnedAt: MonotonicTime;
 }
 
 /** Told by a record of a version that recorded guesses as well: good enough for planning. */
--- a/src/model/machine.ts
+++ b/src/model/machine.ts
@@ -1,22 +1,22 @@
-import type { HostId, TypeId, ZoneId } from './ids.js';
+import type { MachineId, MachineTypeId, ZoneId } from './ids.js';
 import type { Resources } from './job.js';
 import type { Millis } from './time.js';
 
 /** A machine type as the cloud describes it; prices per hour. */
 export interface MachineType extends Resources {
-  readonly id: TypeId;
+  readonly id: MachineTypeId;
   readonly cacheGb: number;
   readonly fetchGbPerS: number;
   readonly price: number;
   readonly spotPrice: number;
-  readonly boot: Millis;
+  readonly bootTime: Millis;
   readonly zones: readonly ZoneId[];
 }
 
 /** One rented machine. */
 export interface Machine {
-  readonly id: HostId;
-  readonly type: TypeId;
+  readonly id: MachineId;
+  readonly type: MachineTypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
 }
--- a/src/model/time.ts
+++ b/src/model/time.ts
@@ -1,7 +1,7 @@
 import type { Branded } from './ids.js';
 
 /** Milliseconds on this node's steady clock. Never compared with another node's. */
-export type Steady = Branded<number, 'Steady'>;
+export type MonotonicTime = Branded<number, 'Steady'>;
 /** Milliseconds since 1970 by the time of day, within the settings' bound. */
 export type WallTime = Branded<number, 'WallTime'>;
 /** A duration in milliseconds. */
@@ -12,19 +12,19 @@
 
 export const ms = (n: number): Millis => n as Millis;
 export const seconds = (n: number): Millis => (n * 1000) as Millis;
-export const plus = (t: Steady, d: number): Steady => (t + d) as Steady;
-export const since = (now: Steady, then: Steady): Millis => (now - then) as Millis;
+export const plus = (t: MonotonicTime, d: number): MonotonicTime => (t + d) as MonotonicTime;
+export const since = (now: MonotonicTime, then: MonotonicTime): Millis => (now - then) as Millis;
 /** The longest that `d` on another machine's clock can last on ours. */
-export const atMost = (d: number): Millis => (d * (1 + 2 * CLOCK_DRIFT)) as Millis;
+export const maxLocalDuration = (d: number): Millis => (d * (1 + 2 * CLOCK_DRIFT)) as Millis;
 /** The shortest that `d` on another machine's clock can last on ours. */
-export const atLeast = (d: number): Millis => (d * (1 - 2 * CLOCK_DRIFT)) as Millis;
+export const minLocalDuration = (d: number): Millis => (d * (1 - 2 * CLOCK_DRIFT)) as Millis;
 
 /** Calls something off. */
 export type Cancel = () => void;
 
 /** Everything that reads time or waits is handed one of these. */
 export interface Clock {
-  now(): Steady;
+  now(): MonotonicTime;
   wall(): WallTime;
   after(d: number, run: () => void): Cancel;
 }
@@ -37,7 +37,7 @@
 }
 
 /** Runs something at this pace, counted from the end of each run, until it is called off. */
-export function repeat(clock: Clock, everyMs: number, run: () => void): Cancel {
+export function runPeriodically(clock: Clock, everyMs: number, run: () => void): Cancel {
   let stopped = false;
   let cancel: Cancel = () => {};
   const next = (): void => {
@@ -53,8 +53,8 @@
   };
 }
 
-export const realClock: Clock = {
-  now: () => performance.now() as Steady,
+export const systemClock: Clock = {
+  now: () => performance.now() as MonotonicTime,
   wall: () => Date.now() as WallTime,
   after(d, run) {
     const timer = setTimeout(run, Math.max(0, d));
--- a/src/net/http-client.ts
+++ b/src/net/http-client.ts
@@ -4,20 +4,20 @@
 import { type HttpResponse, ResponseReader } from './http-response.js';
 
 /** An answer, its JSON body parsed. */
-export interface Reply {
+export interface HttpReply {
   readonly status: number;
   readonly body: unknown;
 }
 
 /** A call that brought no answer. The other side may have carried it out, or may do so later. */
-export class NoAnswer extends Error {}
+export class NoAnswerError extends Error {}
 
 /** Nothing was sent: all of our own sockets for such calls are in use. */
-export class NoSocket extends NoAnswer {}
+export class NoSocketError extends NoAnswerError {}
 
 /** Makes calls with a deadline to one address. */
 export interface HttpCaller {
-  call(method: string, path: string, body: unknown, deadlineMs: number): Promise<Reply>;
+  call(method: string, path: string, body: unknown, deadlineMs: number): Promise<HttpReply>;
 }
 
 /** Undefined for what is no JSON. */
@@ -52,8 +52,8 @@
   constructor(
     readonly request: string,
     deadlineMs: number,
-    private readonly resolve: (reply: Reply) => void,
-    private readonly reject: (error: NoAnswer) => void,
+    private readonly resolve: (reply: HttpReply) => void,
+    private readonly reject: (error: NoAnswerError) => void,
   ) {
     this.timer = setTimeout(() => this.expire(), deadlineMs);
   }
@@ -67,7 +67,7 @@
   }
 
   failed(why: string): void {
-    if (this.settle()) this.reject(new NoAnswer(why));
+    if (this.settle()) this.reject(new NoAnswerError(why));
   }
 
   /** A process that is behind has its timers first: an answer that lies unread in the socket still counts. */
@@ -172,7 +172,7 @@
     this.hostHeader = `Host: ${address}\r\n`;
   }
 
-  call(method: string, path: string, body: unknown, deadlineMs: number): Promise<Reply> {
+  call(method: string, path: string, body: unknown, deadlineMs: number): Promise<HttpReply> {
     const request = `${method} ${path} HTTP/1.1\r\n${this.hostHeader}${withBody(method, body)}`;
     return new Promise((resolve, reject) => {
       this.send(new Exchange(request, deadlineMs, resolve, reject));
--- a/src/net/http-response.ts
+++ b/src/net/http-response.ts
@@ -1,7 +1,7 @@
 /** Reads HTTP/1.1 answers from a stream of bytes. */
 
 /** Bytes that are no HTTP answer, or one that is too long. */
-export class BadResponse extends Error {}
+export class MalformedResponseError extends Error {}
 
 /** An answer, complete. */
 export interface HttpResponse {
@@ -36,7 +36,7 @@
 function readHead(text: string): Head {
   const [statusLine = '', ...lines] = text.split(LINE_END);
   const found = STATUS_LINE.exec(statusLine);
-  if (!found) throw new BadResponse('not an HTTP answer');
+  if (!found) throw new MalformedResponseError('not an HTTP answer');
   const status = Number(found[2]);
   let keepAlive = found[1] === '1';
   let framing: Framing = { kind: 'close' };
@@ -62,7 +62,7 @@
 function lengthOf(value: string): number {
   const length = Number(value);
   if (!Number.isSafeInteger(length) || length < 0 || length > MAX_BODY)
-    throw new BadResponse('answer too long');
+    throw new MalformedResponseError('answer too long');
   return length;
 }
 
@@ -88,7 +88,7 @@
   private takeHead(): boolean {
     const end = this.rest.indexOf(HEAD_END);
     if (end < 0) {
-      if (this.rest.length > MAX_HEAD) throw new BadResponse('head too long');
+      if (this.rest.length > MAX_HEAD) throw new MalformedResponseError('head too long');
       return false;
     }
     const head = readHead(this.rest.toString('latin1', 0, end));
@@ -117,7 +117,7 @@
       const lineEnd = this.rest.indexOf(LINE_END);
       if (lineEnd < 0) return false;
       const size = CHUNK_SIZE.exec(this.rest.toString('latin1', 0, lineEnd));
-      if (!size) throw new BadResponse('a chunk without a size');
+      if (!size) throw new MalformedResponseError('a chunk without a size');
       const start = lineEnd + LINE_END.length;
       const length = lengthOf(`0x${size[0]}`);
       if (length === 0) return this.takeTrailer(lineEnd);
@@ -141,7 +141,7 @@
     this.parts.push(this.rest.subarray(0, length));
     this.rest = this.rest.subarray(length);
     this.size += length;
-    if (this.size > MAX_BODY) throw new BadResponse('answer too long');
+    if (this.size > MAX_BODY) throw new MalformedResponseError('answer too long');
   }
 
   private finish({ status, keepAlive }: Head): HttpResponse {
--- a/src/net/server.ts
+++ b/src/net/server.ts
@@ -1,6 +1,6 @@
 import { createServer as createHttp, type RequestListener, type Server as HttpServer } from 'node:http';
 import { createServer, type Server, type Socket } from 'node:net';
-import type { Log } from '../log/logger.js';
+import type { Logger } from '../log/logger.js';
 import { splitAddress } from './address.js';
 
 /** What one listening address takes. */
@@ -27,7 +27,7 @@
   constructor(
     listener: RequestListener,
     limits: ServerLimits,
-    private readonly log: Log,
+    private readonly log: Logger,
   ) {
     this.http = createHttp(
       {
--- a/src/net/token-bucket.ts
+++ b/src/net/token-bucket.ts
@@ -1,42 +1,42 @@
-import { type Clock, type Steady, since } from '../model/time.js';
+import { type Clock, type MonotonicTime, since } from '../model/time.js';
 
 /**
  * A token bucket. `share` of the published rate is ours: the other nodes draw on
  * the same limit, and submissions and cancels must find room.
  */
-export class Budget {
+export class TokenBucket {
   private tokens: number;
-  private last: Steady;
+  private last: MonotonicTime;
 
   constructor(
     private readonly clock: Clock,
     private perSecond: number,
-    private most: number,
+    private capacity: number,
   ) {
-    this.tokens = most;
+    this.tokens = capacity;
     this.last = clock.now();
   }
 
   get burst(): number {
-    return this.most;
+    return this.capacity;
   }
 
   /** From now on at this rate: what was saved up under a higher one is cut. */
   setRate(perSecond: number, burst: number): void {
     this.refill();
     this.perSecond = perSecond;
-    this.most = burst;
+    this.capacity = burst;
     this.tokens = Math.min(this.tokens, burst);
   }
 
   private refill(): void {
     const now = this.clock.now();
-    this.tokens = Math.min(this.most, this.tokens + (since(now, this.last) * this.perSecond) / 1000);
+    this.tokens = Math.min(this.capacity, this.tokens + (since(now, this.last) * this.perSecond) / 1000);
     this.last = now;
   }
 
   /** Takes `n` if they are there. */
-  take(n = 1): boolean {
+  tryTake(n = 1): boolean {
     this.refill();
     if (this.tokens < n) return false;
     this.tokens -= n;
@@ -49,13 +49,13 @@
   }
 
   /** Takes `n` even into debt: for what must not wait. */
-  force(n = 1): void {
+  forceTake(n = 1): void {
     this.refill();
     this.tokens -= n;
   }
 
   /** Milliseconds until `n` tokens are there. */
-  wait(n = 1): number {
+  waitMs(n = 1): number {
     this.refill();
     return Math.max(0, ((n - this.tokens) / this.perSecond) * 1000);
   }
--- a/src/net/work-queue.ts
+++ b/src/net/work-queue.ts
@@ -8,7 +8,7 @@
  * answers have theirs: with hundreds of reports read at once from one socket, a leader on a tenth of a core
  * noticed the answer to its grant's renewal a second late, and lost the grant.
  */
-export class Turns {
+export class YieldingWorkQueue {
   private readonly waiting: (() => void)[] = [];
   private next = 0;
   private scheduled = false;
--- a/src/peer/frames.ts
+++ b/src/peer/frames.ts
@@ -1,10 +1,10 @@
-import type { ToldCancellation } from '../core/confirmed-cancellations.js';
+import type { ConfirmedCancellation } from '../core/confirmed-cancellations.js';
 import { type Epoch, isJobId, type JobId } from '../model/ids.js';
 import { UNVERSIONED } from '../model/protocol.js';
 import { type Millis, ms } from '../model/time.js';
 
 /** The binary frames that our own processes exchange: u32 length, u8 kind, u32 request, payload. */
-export enum Kind {
+export enum FrameKind {
   Ping = 1,
   Heartbeat = 2,
   Answer = 3,
@@ -26,7 +26,7 @@
 
 /** One message between two controllers. */
 export interface Frame {
-  readonly kind: Kind;
+  readonly kind: FrameKind;
   /** Ties an answer to what was asked; 0 where nothing is. */
   readonly request: number;
   readonly payload: Buffer;
@@ -37,10 +37,10 @@
 const MAX_PAYLOAD = 1 << 20;
 
 /** Bytes that cannot be a frame. */
-export class BadFrame extends Error {}
+export class MalformedFrameError extends Error {}
 
 /** Header and payload in one buffer. */
-export function encodeFrame(kind: Kind, request: number, payload: Buffer): Buffer {
+export function encodeFrame(kind: FrameKind, request: number, payload: Buffer): Buffer {
   const frame = Buffer.allocUnsafe(HEADER + payload.length);
   frame.writeUInt32BE(payload.length, 0);
   frame.writeUInt8(kind, 4);
@@ -59,8 +59,8 @@
     while (this.rest.length >= HEADER) {
       const length = this.rest.readUInt32BE(0);
       const kind = this.rest.readUInt8(4);
-      if (length > MAX_PAYLOAD) throw new BadFrame(`a frame of ${length} bytes`);
-      if (!(kind in Kind)) throw new BadFrame(`a frame of kind ${kind}`);
+      if (length > MAX_PAYLOAD) throw new MalformedFrameError(`a frame of ${length} bytes`);
+      if (!(kind in FrameKind)) throw new MalformedFrameError(`a frame of kind ${kind}`);
       if (this.rest.length < HEADER + length) break;
       const payload = this.rest.subarray(HEADER, HEADER + length);
       frames.push({ kind, request: this.rest.readUInt32BE(5), payload });
@@ -76,8 +76,8 @@
 /** What a controller says of itself twice a second. */
 export interface Ping {
   readonly member: string;
-  readonly stateOk: boolean;
-  readonly leading: Epoch | null;
+  readonly isStoreReachable: boolean;
+  readonly leadingEpoch: Epoch | null;
   /**
    * The sender's protocol version. A reader closes the connection on a kind that it doesn't know, so kinds
    * above 8 go only to a peer whose pings say that it has them. Older readers leave what follows the name unread.
@@ -91,8 +91,8 @@
 export function encodePing(ping: Ping): Buffer {
   const name = Buffer.from(ping.member, 'utf8');
   const out = Buffer.allocUnsafe(PING_FIXED + name.length);
-  out.writeUInt8(ping.stateOk ? 1 : 0, 0);
-  out.writeBigUInt64BE(BigInt(ping.leading ?? 0), 1);
+  out.writeUInt8(ping.isStoreReachable ? 1 : 0, 0);
+  out.writeBigUInt64BE(BigInt(ping.leadingEpoch ?? 0), 1);
   out.writeUInt8(name.length, 9);
   name.copy(out, 10);
   out.writeUInt8(ping.version, 10 + name.length);
@@ -102,13 +102,13 @@
 
 /** Throws `BadFrame`. */
 export function decodePing(payload: Buffer): Ping {
-  if (payload.length < 10) throw new BadFrame('a short ping');
+  if (payload.length < 10) throw new MalformedFrameError('a short ping');
   const length = payload.readUInt8(9);
-  if (payload.length < 10 + length) throw new BadFrame('a short ping');
+  if (payload.length < 10 + length) throw new MalformedFrameError('a short ping');
   const epoch = Number(payload.readBigUInt64BE(1));
   return {
-    stateOk: payload.readUInt8(0) === 1,
-    leading: epoch === 0 ? null : (epoch as Epoch),
+    isStoreReachable: payload.readUInt8(0) === 1,
+    leadingEpoch: epoch === 0 ? null : (epoch as Epoch),
     member: payload.toString('utf8', 10, 10 + length),
     version: payload.length > 10 + length ? payload.readUInt8(10 + length) : UNVERSIONED,
     load: payload.length > 11 + length ? payload.readUInt8(11 + length) / 100 : 0,
@@ -131,7 +131,7 @@
 
 /** Throws `BadFrame`. */
 export function decodeAnswer(payload: Buffer): AnswerFrame {
-  if (payload.length < 2) throw new BadFrame('a short answer');
+  if (payload.length < 2) throw new MalformedFrameError('a short answer');
   return { status: payload.readUInt16BE(0), body: payload.subarray(2) };
 }
 
@@ -147,7 +147,7 @@
 /** Throws `BadFrame`. */
 export function decodeUser(payload: Buffer): { verb: UserVerb; body: Buffer } {
   const verb = VERBS[payload.length > 0 ? payload.readUInt8(0) : 255];
-  if (!verb) throw new BadFrame('an unknown request');
+  if (!verb) throw new MalformedFrameError('an unknown request');
   return { verb, body: payload.subarray(1) };
 }
 
@@ -197,9 +197,9 @@
   const jobs: JobProgress[] = [];
   for (let at = 0; at < payload.length;) {
     const length = payload.readUInt8(at);
-    if (at + 9 + length > payload.length) throw new BadFrame('a short progress list');
+    if (at + 9 + length > payload.length) throw new MalformedFrameError('a short progress list');
     const id = payload.toString('ascii', at + 1, at + 1 + length);
-    if (!isJobId(id)) throw new BadFrame('a progress list with a bad name');
+    if (!isJobId(id)) throw new MalformedFrameError('a progress list with a bad name');
     jobs.push({
       id,
       done: payload.readUInt32BE(at + 1 + length),
@@ -211,21 +211,21 @@
 }
 
 /** What a controller says of confirmed cancellations, and of itself as it says so. */
-export interface CancellationsWord {
+export interface PeerStatus {
   /** How long its process has been up: what was told before that, it doesn't know. */
-  readonly upFor: Millis;
-  readonly leading: Epoch | null;
-  readonly told: readonly ToldCancellation[];
+  readonly uptime: Millis;
+  readonly leadingEpoch: Epoch | null;
+  readonly cancellations: readonly ConfirmedCancellation[];
 }
 
 /** u32 up for ms, u64 epoch led (0: none); per job: u8 name length, name, u32 age in ms. */
-export function encodeCancellations(word: CancellationsWord): Buffer {
+export function encodeCancellations(word: PeerStatus): Buffer {
   const head = Buffer.allocUnsafe(12);
-  head.writeUInt32BE(Math.min(MOST_U32, Math.floor(word.upFor)), 0);
-  head.writeBigUInt64BE(BigInt(word.leading ?? 0), 4);
+  head.writeUInt32BE(Math.min(MOST_U32, Math.floor(word.uptime)), 0);
+  head.writeBigUInt64BE(BigInt(word.leadingEpoch ?? 0), 4);
   const parts: Buffer[] = [head];
   let size = head.length;
-  for (const { id, age } of word.told) {
+  for (const { id, age } of word.cancellations) {
     const part = Buffer.allocUnsafe(5 + id.length);
     part.writeUInt8(id.length, 0);
     part.write(id, 1, 'ascii');
@@ -238,22 +238,22 @@
 }
 
 /** Throws `BadFrame`. */
-export function decodeCancellations(payload: Buffer): CancellationsWord {
-  if (payload.length < 12) throw new BadFrame('a short list of cancellations');
+export function decodeCancellations(payload: Buffer): PeerStatus {
+  if (payload.length < 12) throw new MalformedFrameError('a short list of cancellations');
   const epoch = Number(payload.readBigUInt64BE(4));
-  const told: ToldCancellation[] = [];
+  const told: ConfirmedCancellation[] = [];
   for (let at = 12; at < payload.length;) {
     const length = payload.readUInt8(at);
-    if (at + 5 + length > payload.length) throw new BadFrame('a short list of cancellations');
+    if (at + 5 + length > payload.length) throw new MalformedFrameError('a short list of cancellations');
     const id = payload.toString('ascii', at + 1, at + 1 + length);
-    if (!isJobId(id)) throw new BadFrame('a list of cancellations with a bad name');
+    if (!isJobId(id)) throw new MalformedFrameError('a list of cancellations with a bad name');
     told.push({ id, age: ms(payload.readUInt32BE(at + 1 + length)) });
     at += 5 + length;
   }
   return {
-    upFor: ms(payload.readUInt32BE(0)),
-    leading: epoch === 0 ? null : (epoch as Epoch),
-    told,
+    uptime: ms(payload.readUInt32BE(0)),
+    leadingEpoch: epoch === 0 ? null : (epoch as Epoch),
+    cancellations: told,
   };
 }
 
@@ -283,9 +283,9 @@
 
 /** Throws `BadFrame`. */
 export function decodeCall(payload: Buffer): Call {
-  if (payload.length < 4) throw new BadFrame('a short call');
+  if (payload.length < 4) throw new MalformedFrameError('a short call');
   const end = 4 + payload.readUInt8(3);
-  if (payload.length < end) throw new BadFrame('a short call');
+  if (payload.length < end) throw new MalformedFrameError('a short call');
   const json = payload.subarray(end);
   return {
     verb: payload.readUInt8(0) === 0 ? 'show' : 'commands',
--- a/src/peer/link.ts
+++ b/src/peer/link.ts
@@ -1,8 +1,8 @@
 import { connect, createServer, type Server, type Socket } from 'node:net';
-import type { Log } from '../log/logger.js';
+import type { Logger } from '../log/logger.js';
 import type { MemberId } from '../model/ids.js';
-import { NO_TIME_LOAD } from '../model/load.js';
-import { type Cancel, type Clock, repeat, type Steady, since } from '../model/time.js';
+import { MAX_LOAD_FOR_DELEGATED_WORK } from '../model/load.js';
+import { type Cancel, type Clock, runPeriodically, type MonotonicTime, since } from '../model/time.js';
 import { DEPENDENCIES_VERSION, UNVERSIONED } from '../model/protocol.js';
 import { splitAddress } from '../net/address.js';
 import {
@@ -14,7 +14,7 @@
   encodePing,
   type Frame,
   FrameReader,
-  Kind,
+  FrameKind,
   type Ping,
 } from './frames.js';
 
@@ -33,7 +33,7 @@
   socket.write(frame);
 }
 
-function readFrames(socket: Socket, log: Log, take: (frame: Frame) => void): void {
+function readFrames(socket: Socket, log: Logger, take: (frame: Frame) => void): void {
   const reader = new FrameReader();
   socket.on('data', (bytes) => {
     try {
@@ -52,7 +52,7 @@
   private open = false;
   private next = 1;
   private readonly waiting = new Map<number, (answer: AnswerFrame | null) => void>();
-  private lastHeard: Steady | null = null;
+  private lastHeard: MonotonicTime | null = null;
   /** What the other side last said of itself. */
   ping: Ping | null = null;
 
@@ -60,7 +60,7 @@
     readonly member: string,
     private readonly address: string,
     private readonly clock: Clock,
-    private readonly log: Log,
+    private readonly log: Logger,
     private readonly myPing: () => Ping,
     private readonly onPing: (ping: Ping) => void,
     /** The other side has told its version: on this connection for the first time. */
@@ -69,14 +69,14 @@
 
   start(): void {
     this.dial();
-    repeat(this.clock, PING_MS, () => this.keepAlive());
+    runPeriodically(this.clock, PING_MS, () => this.keepAlive());
   }
 
   private keepAlive(): void {
     if (!this.open) return;
     const silent = this.lastHeard !== null && since(this.clock.now(), this.lastHeard) > SILENT_MS;
     if (silent) this.socket?.destroy();
-    else this.send(Kind.Ping, 0, encodePing(this.myPing()));
+    else this.send(FrameKind.Ping, 0, encodePing(this.myPing()));
   }
 
   private dial(): void {
@@ -90,7 +90,7 @@
       late();
       this.open = true;
       this.lastHeard = this.clock.now();
-      this.send(Kind.Ping, 0, encodePing(this.myPing()));
+      this.send(FrameKind.Ping, 0, encodePing(this.myPing()));
     });
     readFrames(socket, this.log, (frame) => this.take(frame));
     socket.on('close', () => {
@@ -105,46 +105,46 @@
 
   private take(frame: Frame): void {
     this.lastHeard = this.clock.now();
-    if (frame.kind === Kind.Ping) {
+    if (frame.kind === FrameKind.Ping) {
       const before = this.ping;
       this.ping = decodePing(frame.payload);
       this.onPing(this.ping);
       if (before === null) this.onVersion(this);
-    } else if (frame.kind === Kind.Answer) {
+    } else if (frame.kind === FrameKind.Answer) {
       const done = this.waiting.get(frame.request);
       this.waiting.delete(frame.request);
       done?.(decodeAnswer(frame.payload));
     }
   }
 
-  send(kind: Kind, request: number, payload: Buffer): boolean {
+  send(kind: FrameKind, request: number, payload: Buffer): boolean {
     if (!this.open || !this.socket || this.socket.writableLength > MOST_UNSENT) return false;
     writeFrame(this.socket, encodeFrame(kind, request, payload));
     return true;
   }
 
   /** Whether the other side is heard and has at least this protocol version. */
-  speaks(version: number): boolean {
-    return this.alive && (this.ping?.version ?? UNVERSIONED) >= version;
+  supports(version: number): boolean {
+    return this.isConnected && (this.ping?.version ?? UNVERSIONED) >= version;
   }
 
   /** Heard, and with time to spare for work that is handed to it. */
-  get hasTime(): boolean {
-    return this.alive && (this.ping?.load ?? 0) < NO_TIME_LOAD;
+  get hasSpareCapacity(): boolean {
+    return this.isConnected && (this.ping?.load ?? 0) < MAX_LOAD_FOR_DELEGATED_WORK;
   }
 
   /** It takes confirmed cancellations. */
-  get takesCancellations(): boolean {
-    return this.speaks(DEPENDENCIES_VERSION);
+  get supportsCancellations(): boolean {
+    return this.supports(DEPENDENCIES_VERSION);
   }
 
   /** Heard within the last moments. */
-  get alive(): boolean {
+  get isConnected(): boolean {
     return this.open && this.ping !== null;
   }
 
   /** Null: the other side cannot be reached or did not answer in time. */
-  ask(kind: Kind, payload: Buffer, deadlineMs: number): Promise<AnswerFrame | null> {
+  request(kind: FrameKind, payload: Buffer, deadlineMs: number): Promise<AnswerFrame | null> {
     const request = this.next;
     this.next = this.next >= 0xffff_fffe ? 1 : this.next + 1;
     return new Promise((resolve) => {
@@ -166,10 +166,10 @@
 }
 
 /** Kinds that are answered. */
-export type Asked = Exclude<Kind, Kind.Ping | Kind.Answer | Kind.Progress>;
-const UNASKED: ReadonlySet<Kind> = new Set([Kind.Ping, Kind.Answer, Kind.Progress]);
+export type RequestKind = Exclude<FrameKind, FrameKind.Ping | FrameKind.Answer | FrameKind.Progress>;
+const UNASKED: ReadonlySet<FrameKind> = new Set([FrameKind.Ping, FrameKind.Answer, FrameKind.Progress]);
 
-function isAsked(kind: Kind): kind is Asked {
+function isAsked(kind: FrameKind): kind is RequestKind {
   return !UNASKED.has(kind);
 }
 
@@ -178,7 +178,7 @@
   ping(): Ping;
   progress(payload: Buffer): void;
   /** `from`: who asks, by its own last ping. */
-  ask(kind: Asked, payload: Buffer, from: MemberId): Promise<AnswerFrame>;
+  ask(kind: RequestKind, payload: Buffer, from: MemberId): Promise<AnswerFrame>;
 }
 
 /** Listens for the other controllers and answers what they ask. */
@@ -188,7 +188,7 @@
   constructor(
     private readonly handler: PeerHandler,
     maxSockets: number,
-    private readonly log: Log,
+    private readonly log: Logger,
   ) {
     this.server = createServer({ noDelay: true }, (socket) => this.accept(socket));
     this.server.maxConnections = maxSockets;
@@ -203,15 +203,15 @@
 
   private take(socket: Socket, peer: { member: MemberId }, frame: Frame): void {
     const { kind, request } = frame;
-    if (kind === Kind.Ping) {
+    if (kind === FrameKind.Ping) {
       peer.member = decodePing(frame.payload).member as MemberId;
-      writeFrame(socket, encodeFrame(Kind.Ping, 0, encodePing(this.handler.ping())));
-    } else if (kind === Kind.Progress) this.handler.progress(frame.payload);
+      writeFrame(socket, encodeFrame(FrameKind.Ping, 0, encodePing(this.handler.ping())));
+    } else if (kind === FrameKind.Progress) this.handler.progress(frame.payload);
     else if (isAsked(kind)) {
       void this.handler.ask(kind, frame.payload, peer.member).then((answer) => {
         // What is only told (request 0) needs no answer.
         if (request === 0 || !socket.writable) return;
-        writeFrame(socket, encodeFrame(Kind.Answer, request, encodeAnswer(answer.status, answer.body)));
+        writeFrame(socket, encodeFrame(FrameKind.Answer, request, encodeAnswer(answer.status, answer.body)));
       });
     }
   }
--- a/src/peer/routed-caller.ts
+++ b/src/peer/routed-caller.ts
@@ -1,12 +1,12 @@
 /** Calls to workers: directly, through another controller across a cut, or through an idler one while this one is busy. */
-import type { WorkerCaller } from '../core/context.js';
-import type { SessionNumber, Token } from '../model/ids.js';
-import { HAND_ON_LOAD } from '../model/load.js';
-import type { Order, Report } from '../model/heartbeat.js';
-import { type Clock, type Steady, plus } from '../model/time.js';
-import { NoAnswer, NoSocket } from '../net/http-client.js';
-import { commandBody, readCommandReply, type CommandReply } from '../wire/workers.js';
-import { encodeCall, type CallVerb, Kind } from './frames.js';
+import type { WorkerClient } from '../core/context.js';
+import type { AgentIncarnation, FencingToken } from '../model/ids.js';
+import { DELEGATION_LOAD } from '../model/load.js';
+import type { WorkerCommand, Heartbeat } from '../model/heartbeat.js';
+import { type Clock, type MonotonicTime, plus } from '../model/time.js';
+import { NoAnswerError, NoSocketError } from '../net/http-client.js';
+import { directCommandBody, readCommandReply, type CommandReply } from '../wire/workers.js';
+import { encodeCall, type CallVerb, FrameKind } from './frames.js';
 import type { PeerLink } from './link.js';
 
 /** After a call failed on one way, others are taken for this long. */
@@ -23,7 +23,7 @@
 
 /** Addresses to which a way is not taken for a while. */
 class Avoided {
-  private readonly until = new Map<string, Steady>();
+  private readonly until = new Map<string, MonotonicTime>();
 
   constructor(private readonly clock: Clock) {}
 
@@ -55,7 +55,7 @@
  * Reaches workers directly or, across a cut, through another controller: two zones that cannot
  * reach each other are mostly both reached from a third.
  */
-export class RoutedCaller implements WorkerCaller {
+export class RoutedCaller implements WorkerClient {
   /** Not reached directly. */
   private readonly detours: Avoided;
   /** Not reached through the controller that makes calls for us while we are busy. */
@@ -73,45 +73,45 @@
     this.notHelped = new Avoided(clock);
   }
 
-  async command(
+  async sendCommands(
     address: string,
-    token: Token,
-    session: SessionNumber,
-    orders: readonly Order[],
+    token: FencingToken,
+    session: AgentIncarnation,
+    commands: readonly WorkerCommand[],
     deadlineMs: number,
   ): Promise<CommandReply> {
-    const body = commandBody(token, session, orders);
+    const body = directCommandBody(token, session, commands);
     if (this.detours.has(address)) {
       const reply = await this.throughPeers('commands', address, body, deadlineMs);
       if (reply) return reply;
       this.detours.delete(address);
-      throw new NoAnswer('no controller reaches the worker');
+      throw new NoAnswerError('no controller reaches the worker');
     }
     const helper = this.helperFor(address);
     if (helper) return this.throughHelper(helper, 'commands', address, body, deadlineMs);
     try {
       return await this.direct.call('commands', address, body, deadlineMs);
     } catch (error) {
-      if (error instanceof NoSocket) throw error;
+      if (error instanceof NoSocketError) throw error;
       if (this.alive.length > 0) this.detours.add(address);
       throw error;
     }
   }
 
-  async show(address: string, deadlineMs: number, everyWay: boolean): Promise<Report | null> {
-    if (!everyWay) return (await this.showOneWay(address, deadlineMs)).report;
+  async fetchHeartbeat(address: string, deadlineMs: number, everyWay: boolean): Promise<Heartbeat | null> {
+    if (!everyWay) return (await this.showOneWay(address, deadlineMs)).heartbeat;
     try {
       return await Promise.any([
         this.direct.call('show', address, undefined, deadlineMs),
         this.throughPeers('show', address, undefined, deadlineMs).then((r) => {
-          if (!r) throw new NoAnswer('no other controller reaches the worker');
+          if (!r) throw new NoAnswerError('no other controller reaches the worker');
           return r;
         }),
-      ]).then((r) => r.report);
+      ]).then((r) => r.heartbeat);
     } catch (error) {
       const tried = (error as AggregateError).errors as unknown[];
-      const unsent = tried.find((e) => e instanceof NoSocket);
-      throw unsent ?? new NoAnswer('no controller reaches the worker');
+      const unsent = tried.find((e) => e instanceof NoSocketError);
+      throw unsent ?? new NoAnswerError('no controller reaches the worker');
     }
   }
 
@@ -122,15 +122,15 @@
   }
 
   private get alive(): PeerLink[] {
-    return this.links.filter((link) => link.alive);
+    return this.links.filter((link) => link.isConnected);
   }
 
   /** The controller that makes this call for us; undefined: we make it. */
   private helperFor(address: string): PeerLink | undefined {
-    if (this.load() < HAND_ON_LOAD || this.notHelped.has(address)) return undefined;
+    if (this.load() < DELEGATION_LOAD || this.notHelped.has(address)) return undefined;
     return linkFor(
       address,
-      this.links.filter((link) => link.hasTime),
+      this.links.filter((link) => link.hasSpareCapacity),
     );
   }
 
@@ -151,9 +151,10 @@
 
   /** Throws `NoSocket` where nothing was sent, and `NoAnswer`. */
   private async ask(link: PeerLink, payload: Buffer, deadlineMs: number): Promise<CommandReply> {
-    const answer = await link.ask(Kind.Call, payload, deadlineMs + RELAY_MS);
-    if (answer?.status === NO_SOCKET_STATUS) throw new NoSocket('the other controller has no socket free');
-    if (answer?.status !== 200 && answer?.status !== 409) throw new NoAnswer('not reached');
+    const answer = await link.request(FrameKind.Call, payload, deadlineMs + RELAY_MS);
+    if (answer?.status === NO_SOCKET_STATUS)
+      throw new NoSocketError('the other controller has no socket free');
+    if (answer?.status !== 200 && answer?.status !== 409) throw new NoAnswerError('not reached');
     return readCommandReply(answer.status, JSON.parse(answer.body.toString('utf8')));
   }
 
--- a/src/peer/single-request.ts
+++ b/src/peer/single-request.ts
@@ -1,17 +1,17 @@
 /** One question to a controller over a connection of its own: for tools that are no controllers themselves. */
 import { connect } from 'node:net';
 import { splitAddress } from '../net/address.js';
-import { type AnswerFrame, decodeAnswer, encodeFrame, FrameReader, Kind } from './frames.js';
+import { type AnswerFrame, decodeAnswer, encodeFrame, FrameReader, FrameKind } from './frames.js';
 
 /** The question could not be put, or was not answered. */
-export class NoReply extends Error {}
+export class NoReplyError extends Error {}
 
 const REQUEST = 1;
 
 /** Rejects with `NoReply`, whose message says what went wrong. */
-export function askOnce(
+export function sendSingleRequest(
   address: string,
-  kind: Kind,
+  kind: FrameKind,
   payload: Buffer,
   deadlineMs: number,
 ): Promise<AnswerFrame> {
@@ -22,7 +22,7 @@
     const fail = (problem: string): void => {
       clearTimeout(deadline);
       socket.destroy();
-      reject(new NoReply(problem));
+      reject(new NoReplyError(problem));
     };
     const deadline = setTimeout(() => fail(`no answer within ${deadlineMs / 1000} s`), deadlineMs);
     socket.on('connect', () => socket.write(encodeFrame(kind, REQUEST, payload)));
@@ -30,7 +30,7 @@
     socket.on('close', () => fail('it closed the connection'));
     socket.on('data', (bytes) => {
       try {
-        const answer = reader.push(bytes).find((frame) => frame.kind === Kind.Answer);
+        const answer = reader.push(bytes).find((frame) => frame.kind === FrameKind.Answer);
         if (!answer) return;
         clearTimeout(deadline);
         resolve(decodeAnswer(answer.payload));
--- a/src/scheduler/candidate-index.ts
+++ b/src/scheduler/candidate-index.ts
@@ -10,7 +10,7 @@
 }
 
 const byId = (a: MachineView, b: MachineView): number => (a.id < b.id ? -1 : 1);
-const reach = (m: MachineView): number => (m.reachable ? 0 : 1);
+const reach = (m: MachineView): number => (m.isReachable ? 0 : 1);
 
 type Order = (a: Place, b: Place) => number;
 
@@ -34,7 +34,7 @@
  * One shelf serves all jobs of a decision. It holds machines with room only, and between two jobs moves
  * those that were placed on: most jobs touch one or two.
  */
-export class Shelf {
+export class CandidateIndex {
   private places: Place[];
   private readonly order: Order;
   private sorted = false;
@@ -96,7 +96,7 @@
     this.settle();
     const { places } = this;
     const alike = (a: Place, b: Place): boolean =>
-      a.m.reachable === b.m.reachable && (!this.forSpot || (a.m.spot === b.m.spot && a.free === b.free));
+      a.m.isReachable === b.m.isReachable && (!this.forSpot || (a.m.spot === b.m.spot && a.free === b.free));
     for (let from = 0; from < places.length;) {
       const first = places[from] as Place;
       let to = from + 1;
--- a/src/scheduler/dependency-graph.ts
+++ b/src/scheduler/dependency-graph.ts
@@ -1,6 +1,6 @@
 import type { JobId } from '../model/ids.js';
 import type { WallTime } from '../model/time.js';
-import type { OpenJob } from './active-job.js';
+import type { ActiveJob } from './active-job.js';
 
 /**
  * Which unfinished jobs need which others. Only accepted jobs are named, so the graph has no cycles.
@@ -8,38 +8,38 @@
  */
 export class DependencyGraph {
   /** Jobs that need this one directly, known or not. */
-  private readonly dependents = new Map<JobId, Set<OpenJob>>();
+  private readonly dependents = new Map<JobId, Set<ActiveJob>>();
 
   constructor(
-    private readonly open: { get(id: JobId): OpenJob | undefined },
+    private readonly open: { get(id: JobId): ActiveJob | undefined },
     /** How long a job will take once it may start. */
-    private readonly runMs: (job: OpenJob) => number,
+    private readonly runMs: (job: ActiveJob) => number,
   ) {}
 
   /** A job became known, with or without dependencies; others may have named it before. */
-  join(job: OpenJob): void {
-    for (const id of job.waitsFor) {
+  add(job: ActiveJob): void {
+    for (const id of job.unmetDependencies) {
       const dependents = this.dependents.get(id);
       if (dependents) dependents.add(job);
       else this.dependents.set(id, new Set([job]));
     }
-    this.weigh(job, true);
+    this.updatePriority(job, true);
   }
 
   /** Done for good: the jobs that waited for nothing else any more. */
-  done(id: JobId): OpenJob[] {
-    const released: OpenJob[] = [];
+  done(id: JobId): ActiveJob[] {
+    const released: ActiveJob[] = [];
     for (const job of this.dependents.get(id) ?? []) {
-      job.waitsFor.delete(id);
-      if (!job.blocked) released.push(job);
+      job.unmetDependencies.delete(id);
+      if (!job.isBlocked) released.push(job);
     }
     this.dependents.delete(id);
     return released;
   }
 
   /** All jobs that need this one, directly or through others: with it they are cancelled. */
-  below(id: JobId): OpenJob[] {
-    const found = new Set<OpenJob>();
+  dependentsOf(id: JobId): ActiveJob[] {
+    const found = new Set<ActiveJob>();
     const ids: JobId[] = [id];
     for (let next = ids.pop(); next !== undefined; next = ids.pop()) {
       for (const job of this.dependents.get(next) ?? []) {
@@ -52,63 +52,67 @@
   }
 
   /** It no longer needs anything: it was cancelled. */
-  leave(job: OpenJob): void {
-    for (const id of job.waitsFor) {
+  remove(job: ActiveJob): void {
+    for (const id of job.unmetDependencies) {
       const dependents = this.dependents.get(id);
       dependents?.delete(job);
       if (dependents?.size === 0) this.dependents.delete(id);
       const needed = this.open.get(id);
-      if (needed && this.binds(job, needed)) this.weigh(needed, false);
+      if (needed && this.binds(job, needed)) this.updatePriority(needed, false);
     }
-    job.waitsFor.clear();
+    job.unmetDependencies.clear();
   }
 
   /** Whether the needed job has its priority or its latest end from this one. */
-  private binds(job: OpenJob, needed: OpenJob): boolean {
+  private binds(job: ActiveJob, needed: ActiveJob): boolean {
     const end = this.endLeftBy(job);
     return (
-      job.lifted.priority >= needed.lifted.priority || (end !== null && end <= (needed.lifted.latestEnd ?? 0))
+      job.inheritedPriority.priority >= needed.inheritedPriority.priority ||
+      (end !== null && end <= (needed.inheritedPriority.latestEnd ?? 0))
     );
   }
 
   /** What the jobs that it needs must keep to for this one to be in time. */
-  private endLeftBy(job: OpenJob): WallTime | null {
-    const { latestEnd } = job.lifted;
+  private endLeftBy(job: ActiveJob): WallTime | null {
+    const { latestEnd } = job.inheritedPriority;
     return latestEnd === null ? null : ((latestEnd - this.runMs(job)) as WallTime);
   }
 
   /** The priority and the latest end that follow from all that need it; changes go on to what it needs. */
-  private weigh(job: OpenJob, up: boolean): void {
-    let { priority } = up ? job.lifted : job.spec;
-    let latestEnd = up ? job.lifted.latestEnd : job.ownEnd;
+  private updatePriority(job: ActiveJob, up: boolean): void {
+    let { priority } = up ? job.inheritedPriority : job.spec;
+    let latestEnd = up ? job.inheritedPriority.latestEnd : job.ownDeadline;
     for (const other of this.dependents.get(job.spec.id) ?? []) {
-      priority = Math.max(priority, other.lifted.priority);
+      priority = Math.max(priority, other.inheritedPriority.priority);
       latestEnd = earlier(latestEnd, this.endLeftBy(other));
     }
-    const before = job.lifted;
-    if (priority !== before.priority || latestEnd !== before.latestEnd) job.lift(priority, latestEnd);
-    for (const id of job.waitsFor) {
+    const before = job.inheritedPriority;
+    if (priority !== before.priority || latestEnd !== before.latestEnd)
+      job.inheritPriority(priority, latestEnd);
+    for (const id of job.unmetDependencies) {
       const needed = this.open.get(id);
       if (!needed) continue;
-      if (!up) this.weigh(needed, false);
+      if (!up) this.updatePriority(needed, false);
       else if (this.tightens(job, needed)) this.raise(needed, job);
     }
   }
 
-  private raise(needed: OpenJob, by: OpenJob): void {
-    needed.lift(
-      Math.max(needed.lifted.priority, by.lifted.priority),
-      earlier(needed.lifted.latestEnd, this.endLeftBy(by)),
+  private raise(needed: ActiveJob, by: ActiveJob): void {
+    needed.inheritPriority(
+      Math.max(needed.inheritedPriority.priority, by.inheritedPriority.priority),
+      earlier(needed.inheritedPriority.latestEnd, this.endLeftBy(by)),
     );
-    for (const id of needed.waitsFor) {
+    for (const id of needed.unmetDependencies) {
       const next = this.open.get(id);
       if (next && this.tightens(needed, next)) this.raise(next, needed);
     }
   }
 
-  private tightens(job: OpenJob, needed: OpenJob): boolean {
-    if (job.lifted.priority > needed.lifted.priority) return true;
-    return earlier(needed.lifted.latestEnd, this.endLeftBy(job)) !== needed.lifted.latestEnd;
+  private tightens(job: ActiveJob, needed: ActiveJob): boolean {
+    if (job.inheritedPriority.priority > needed.inheritedPriority.priority) return true;
+    return (
+      earlier(needed.inheritedPriority.latestEnd, this.endLeftBy(job)) !== needed.inheritedPriority.latestEnd
+    );
   }
 }
 
--- a/src/scheduler/placement-rule.ts
+++ b/src/scheduler/placement-rule.ts
@@ -2,15 +2,18 @@
  * PROTOCOL's rule `wrong_place`, as one pure decision: whether a task of a job may start on a machine, given the job's
  * other tasks that may be on machines. Placement, renting and the check of run orders that leave all ask it.
  */
-import type { TypeId, ZoneId } from '../model/ids.js';
+import type { MachineTypeId, ZoneId } from '../model/ids.js';
 import type { JobSpec } from '../model/job.js';
 
 /** The part of a job's description that the rule is about. */
-export type PlacementSpec = Pick<JobSpec, 'types' | 'zone' | 'spot' | 'oneZone' | 'spread' | 'tasks'>;
+export type PlacementSpec = Pick<
+  JobSpec,
+  'allowedTypes' | 'zone' | 'allowsSpot' | 'zoneAffinity' | 'zoneAntiAffinity' | 'taskCount'
+>;
 
 /** What the rule asks of a machine. */
 export interface PlacementMachine {
-  readonly type: TypeId;
+  readonly type: MachineTypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
 }
@@ -31,9 +34,9 @@
 
 /** Whether the job allows such a machine at all; null: it does. */
 export function machineRefusal(spec: PlacementSpec, machine: PlacementMachine): PlacementRefusal | null {
-  if (machine.spot && !spec.spot) return PlacementRefusal.Spot;
+  if (machine.spot && !spec.allowsSpot) return PlacementRefusal.Spot;
   if (spec.zone !== null && spec.zone !== machine.zone) return PlacementRefusal.Zone;
-  if (spec.types !== null && !spec.types.includes(machine.type)) return PlacementRefusal.Type;
+  if (spec.allowedTypes !== null && !spec.allowedTypes.includes(machine.type)) return PlacementRefusal.Type;
   return null;
 }
 
@@ -42,7 +45,7 @@
 
 /** How many tasks of a job that is to be spread may be in one zone. */
 function mostInZone(spec: PlacementSpec): number {
-  return Math.ceil(spec.tasks / 2);
+  return Math.ceil(spec.taskCount / 2);
 }
 
 function isInOtherZone(others: ZoneCounts, zone: ZoneId): boolean {
@@ -51,22 +54,22 @@
 }
 
 /** How many more tasks of the job the zone may take, given those that are on machines. */
-export function roomInZone(spec: PlacementSpec, others: ZoneCounts, zone: ZoneId): number {
-  if (spec.oneZone && isInOtherZone(others, zone)) return 0;
-  return spec.spread ? Math.max(0, mostInZone(spec) - (others.get(zone) ?? 0)) : Infinity;
+export function remainingInZone(spec: PlacementSpec, others: ZoneCounts, zone: ZoneId): number {
+  if (spec.zoneAffinity && isInOtherZone(others, zone)) return 0;
+  return spec.zoneAntiAffinity ? Math.max(0, mostInZone(spec) - (others.get(zone) ?? 0)) : Infinity;
 }
 
 /** Whether one more task may go to the zone, given the others; null: it may. */
 export function zoneRefusal(spec: PlacementSpec, others: ZoneCounts, zone: ZoneId): PlacementRefusal | null {
-  if (roomInZone(spec, others, zone) > 0) return null;
-  return spec.oneZone && isInOtherZone(others, zone)
+  if (remainingInZone(spec, others, zone) > 0) return null;
+  return spec.zoneAffinity && isInOtherZone(others, zone)
     ? PlacementRefusal.OtherZone
     : PlacementRefusal.HalfInZone;
 }
 
 /** Whether the zones of a job's other tasks matter for the next one. */
 export function bindsZones(spec: PlacementSpec): boolean {
-  return spec.oneZone || spec.spread;
+  return spec.zoneAffinity || spec.zoneAntiAffinity;
 }
 
 /** The whole rule: null if a task may start on the machine. */
--- a/src/scheduler/preemption.ts
+++ b/src/scheduler/preemption.ts
@@ -1,6 +1,6 @@
 /** Which running tasks may be stopped to make room, and what that loses. */
 import type { JobId } from '../model/ids.js';
-import { fits, give, type JobSpec, Priority } from '../model/job.js';
+import { fits, release, type JobSpec, Priority } from '../model/job.js';
 import type { JobView, MachineView, Victim } from './snapshot.js';
 
 /** What a stopped task loses besides its work: its next start, mostly with its image. */
@@ -58,7 +58,7 @@
   for (const v of from) {
     if (fits(spec, free)) break;
     if (!may(v)) continue;
-    give(free, v);
+    release(free, v);
     victims.push(v);
   }
   if (!fits(spec, free)) return null;
--- a/src/scheduler/queue.ts
+++ b/src/scheduler/queue.ts
@@ -3,7 +3,7 @@
 import { type JobSpec, Priority } from '../model/job.js';
 import type { Team } from '../model/team.js';
 import type { WallTime } from '../model/time.js';
-import type { TeamUse } from './job-store.js';
+import type { TeamUsage } from './job-store.js';
 import type { JobView } from './snapshot.js';
 
 /** Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs that may start. */
@@ -11,13 +11,13 @@
   jobs: Iterable<{ readonly spec: JobSpec; readonly readyAt: WallTime }>,
   teams: ReadonlyMap<TeamId, Team>,
 ): Set<JobId> {
-  const sums = new Map<TeamId, TeamUse>();
+  const sums = new Map<TeamId, TeamUsage>();
   const inside = new Set<JobId>();
   for (const job of [...jobs].sort((a, b) => a.readyAt - b.readyAt)) {
     const team = teams.get(job.spec.team);
     if (!team) continue;
     const sum = sums.get(job.spec.team) ?? { cpus: 0, gpus: 0 };
-    const tasks = job.spec.tasks;
+    const tasks = job.spec.taskCount;
     sum.cpus += tasks * job.spec.cpus;
     sum.gpus += tasks * job.spec.gpus;
     sums.set(job.spec.team, sum);
@@ -30,7 +30,7 @@
 export function queueOrder(jobs: readonly JobView[], guaranteed: ReadonlySet<JobId>): JobView[] {
   const rank = (j: JobView): number => {
     if (j.spec.priority === Priority.Production) return 10;
-    if (j.starving) return 9;
+    if (j.isStarving) return 9;
     return j.spec.priority * 2 + (guaranteed.has(j.spec.id) ? 1 : 0);
   };
   const slack = (j: JobView): number => j.slackMs ?? Infinity;
@@ -45,7 +45,7 @@
 }
 
 /** How many more tasks of the job its team's limit allows. */
-export function teamRoom(team: Team, use: TeamUse, spec: JobSpec): number {
+export function remainingQuota(team: Team, use: TeamUsage, spec: JobSpec): number {
   const eps = 1e-9;
   let room = Infinity;
   if (team.cpusMax !== null && spec.cpus > 0) room = Math.floor((team.cpusMax - use.cpus + eps) / spec.cpus);
--- a/src/scheduler/urgency.ts
+++ b/src/scheduler/urgency.ts
@@ -1,5 +1,5 @@
 import { type JobSpec, Priority } from '../model/job.js';
-import { type Steady, since } from '../model/time.js';
+import { type MonotonicTime, since } from '../model/time.js';
 import type { Objective } from '../wire/settings.js';
 
 /** Room for a task that runs longer than expected, and for its image. */
@@ -29,12 +29,16 @@
  * behind high ones; on a full cluster both could wait for ever.
  */
 export function isStarving(
-  job: { readonly spec: JobSpec; readonly servedAt: Steady | null; readonly heldCount: number },
+  job: {
+    readonly spec: JobSpec;
+    readonly lastPlacedAt: MonotonicTime | null;
+    readonly assignedCount: number;
+  },
   ageMs: number,
-  now: Steady,
+  now: MonotonicTime,
 ): boolean {
-  if (job.spec.priority === Priority.Production || job.heldCount > 0 || ageMs <= STARVED_MS) return false;
-  return job.servedAt === null || since(now, job.servedAt) > STARVED_MS;
+  if (job.spec.priority === Priority.Production || job.assignedCount > 0 || ageMs <= STARVED_MS) return false;
+  return job.lastPlacedAt === null || since(now, job.lastPlacedAt) > STARVED_MS;
 }
 
 /**
@@ -48,13 +52,13 @@
   private readonly deadline = new Map<string, number>();
 
   constructor(objectives: readonly Objective[]) {
-    for (const { kind, jobClass, within, share } of objectives) {
+    for (const { kind, jobClass, target, share } of objectives) {
       if (jobClass === null) continue;
       const allowed = 1 - (share ?? DEFAULT_SHARE);
       if (kind === 'deadline') this.deadline.set(jobClass, allowed);
-      if (within === null) continue;
-      if (kind === 'finished') addTarget(this.finished, jobClass, { ms: within, allowed });
-      if (kind === 'wait') addTarget(this.started, jobClass, { ms: within, allowed });
+      if (target === null) continue;
+      if (kind === 'finished') addTarget(this.finished, jobClass, { ms: target, allowed });
+      if (kind === 'wait') addTarget(this.started, jobClass, { ms: target, allowed });
     }
   }
 
--- a/src/store/job-record.ts
+++ b/src/store/job-record.ts
@@ -2,10 +2,10 @@
  * A job's record. Its description is a tuple by position, because every version reads it so: places are
  * only ever added at its end, and an earlier version reads no further than the places that it knows.
  */
-import type { ImageId, JobId, TeamId, TypeId, ZoneId } from '../model/ids.js';
+import type { ImageId, JobId, TeamId, MachineTypeId, ZoneId } from '../model/ids.js';
 import type { JobKind, JobRecord, JobSpec, JobState } from '../model/job.js';
 import type { WallTime } from '../model/time.js';
-import type { Write } from '../wire/key-value-store.js';
+import type { WriteOperation } from '../wire/key-value-store.js';
 import { keys } from './keys.js';
 
 type JobTuple = [
@@ -23,9 +23,9 @@
   zone: string | null,
   flags: number,
   spot: boolean,
-  estimateS: number,
-  checkpointS: number,
-  saveS: number,
+  estimatedRunS: number,
+  checkpointIntervalS: number,
+  checkpointWriteS: number,
   deadlineS: number | null,
   /** The jobs that it needs, or in how many further records they are. */
   dependencies?: string[] | number,
@@ -62,37 +62,37 @@
   jobClass: '',
   team: '' as TeamId,
   image: '' as ImageId,
-  types: null,
+  allowedTypes: null,
   zone: null,
 });
 
 /** Without the names where further records hold them. */
 export function encodeJob({ spec: whole, state, acceptedAt }: JobRecord): StoredJob {
-  const spec = whole.descriptionRecords > 0 ? withoutNames(whole) : whole;
+  const spec = whole.descriptionRecordCount > 0 ? withoutNames(whole) : whole;
   const j: JobTuple = [
     spec.jobClass,
     spec.team,
     spec.kind,
     spec.priority,
-    spec.tasks,
+    spec.taskCount,
     spec.cpus,
     spec.gpus,
     spec.memoryGb,
     spec.image,
     spec.imageGb,
-    spec.types as string[] | null,
+    spec.allowedTypes as string[] | null,
     spec.zone,
-    (spec.oneZone ? ONE_ZONE : 0) + (spec.spread ? SPREAD : 0),
-    spec.spot,
-    spec.estimateS,
-    spec.checkpointS,
-    spec.saveS,
+    (spec.zoneAffinity ? ONE_ZONE : 0) + (spec.zoneAntiAffinity ? SPREAD : 0),
+    spec.allowsSpot,
+    spec.estimatedRunS,
+    spec.checkpointIntervalS,
+    spec.checkpointWriteS,
     spec.deadlineS,
   ];
-  if (spec.dependencyRecords > 0) j.push(spec.dependencyRecords);
+  if (spec.dependencyRecordCount > 0) j.push(spec.dependencyRecordCount);
   else if (spec.dependencies.length > 0) j.push([...spec.dependencies]);
-  else if (spec.descriptionRecords > 0) j.push(0);
-  if (spec.descriptionRecords > 0) j.push(spec.descriptionRecords);
+  else if (spec.descriptionRecordCount > 0) j.push(0);
+  if (spec.descriptionRecordCount > 0) j.push(spec.descriptionRecordCount);
   return { s: STATE_LETTERS[state], at: acceptedAt, j };
 }
 
@@ -104,7 +104,7 @@
   const spec = { ...record.spec, dependencies: [], dependencyRecords: 0 };
   const stored = encodeJob({ ...record, spec });
   if (storedBytes(stored) <= valueBytes) return stored;
-  return encodeJob({ ...record, spec: withoutNames({ ...spec, descriptionRecords: 0 }) });
+  return encodeJob({ ...record, spec: withoutNames({ ...spec, descriptionRecordCount: 0 }) });
 }
 
 /** Throws on what no version writes. With `descriptionRecords` above 0 the names are still to be read. */
@@ -113,31 +113,42 @@
   const state = STATES[stored.s];
   if (!state || !Array.isArray(stored.j)) throw new Error(`job record ${id} cannot be read`);
   const [jobClass, team, kind, priority, tasks, cpus, gpus, memoryGb, image, imageGb, ...rest] = stored.j;
-  const [types, zone, flags, spot, estimateS, checkpointS, saveS, deadlineS, needed, described] = rest;
+  const [
+    types,
+    zone,
+    flags,
+    spot,
+    estimatedRunS,
+    checkpointIntervalS,
+    checkpointWriteS,
+    deadlineS,
+    needed,
+    described,
+  ] = rest;
   const spec: JobSpec = {
     id,
     jobClass,
     team: team as TeamId,
     kind,
     priority,
-    tasks,
+    taskCount: tasks,
     cpus,
     gpus,
     memoryGb,
     image: image as ImageId,
     imageGb,
-    types: types as TypeId[] | null,
+    allowedTypes: types as MachineTypeId[] | null,
     zone: zone as ZoneId | null,
-    oneZone: (flags & ONE_ZONE) !== 0,
-    spread: (flags & SPREAD) !== 0,
-    spot,
-    estimateS,
-    checkpointS,
-    saveS,
+    zoneAffinity: (flags & ONE_ZONE) !== 0,
+    zoneAntiAffinity: (flags & SPREAD) !== 0,
+    allowsSpot: spot,
+    estimatedRunS,
+    checkpointIntervalS,
+    checkpointWriteS,
     deadlineS,
     dependencies: Array.isArray(needed) ? (needed as JobId[]) : [],
-    dependencyRecords: typeof needed === 'number' ? needed : 0,
-    descriptionRecords: described ?? 0,
+    dependencyRecordCount: typeof needed === 'number' ? needed : 0,
+    descriptionRecordCount: described ?? 0,
   };
   return { spec, state, acceptedAt: stored.at as WallTime };
 }
@@ -145,7 +156,7 @@
 /** A job as it is stored: what has no room in its record stands in further ones, written before it. */
 export interface StoredInParts {
   readonly spec: JobSpec;
-  readonly records: readonly Write[];
+  readonly records: readonly WriteOperation[];
 }
 
 /**
@@ -165,14 +176,14 @@
   if (fits(spec)) return { spec, records: [] };
   const lists = spec.dependencies.length > 0 ? dependencyRecords(spec.id, named, valueBytes) : [];
   const listed: JobSpec =
-    lists.length > 0 ? { ...spec, dependencies: [], dependencyRecords: lists.length } : spec;
+    lists.length > 0 ? { ...spec, dependencies: [], dependencyRecordCount: lists.length } : spec;
   if (fits(listed)) return { spec: listed, records: lists };
   const names = descriptionRecords(spec, valueBytes);
-  return { spec: { ...listed, descriptionRecords: names.length }, records: [...lists, ...names] };
+  return { spec: { ...listed, descriptionRecordCount: names.length }, records: [...lists, ...names] };
 }
 
-function dependencyRecords(id: JobId, named: readonly JobId[], valueBytes: number): Write[] {
-  const records: Write[] = [];
+function dependencyRecords(id: JobId, named: readonly JobId[], valueBytes: number): WriteOperation[] {
+  const records: WriteOperation[] = [];
   let part: JobId[] = [];
   let bytes = LIST_BYTES;
   const close = (): void => {
@@ -190,12 +201,18 @@
   return records;
 }
 
-function descriptionRecords(spec: JobSpec, valueBytes: number): Write[] {
-  const names: Names = [spec.jobClass, spec.team, spec.image, spec.types as string[] | null, spec.zone];
+function descriptionRecords(spec: JobSpec, valueBytes: number): WriteOperation[] {
+  const names: Names = [
+    spec.jobClass,
+    spec.team,
+    spec.image,
+    spec.allowedTypes as string[] | null,
+    spec.zone,
+  ];
   // In letters that take one byte each and need no escape, so that it can be cut anywhere.
   const text = Buffer.from(JSON.stringify(names)).toString('base64');
   const most = valueBytes - LIST_BYTES;
-  const records: Write[] = [];
+  const records: WriteOperation[] = [];
   for (let at = 0; at < text.length; at += most) {
     records.push({ set: keys.description(spec.id, records.length), value: text.slice(at, at + most) });
   }
@@ -213,7 +230,7 @@
       jobClass,
       team: team as TeamId,
       image: image as ImageId,
-      types: types as TypeId[] | null,
+      allowedTypes: types as MachineTypeId[] | null,
       zone: zone as ZoneId | null,
     },
   };
@@ -221,7 +238,7 @@
 
 /** The keys of all further records of a job. */
 export function furtherKeys(spec: JobSpec): string[] {
-  const lists = Array.from({ length: spec.dependencyRecords }, (_, n) => keys.dependencies(spec.id, n));
-  const names = Array.from({ length: spec.descriptionRecords }, (_, n) => keys.description(spec.id, n));
+  const lists = Array.from({ length: spec.dependencyRecordCount }, (_, n) => keys.dependencies(spec.id, n));
+  const names = Array.from({ length: spec.descriptionRecordCount }, (_, n) => keys.description(spec.id, n));
   return [...lists, ...names];
 }
--- a/src/store/limit-probe.ts
+++ b/src/store/limit-probe.ts
@@ -1,7 +1,7 @@
 /** Asks the state service whether the limits that the settings announce hold by now. */
 import { NO_REVISION } from '../model/ids.js';
 import type { Settings } from '../wire/settings.js';
-import { type StateStore, StateTooLarge } from './client.js';
+import { type KeyValueStore, StoreRequestTooLargeError } from './client.js';
 import { keys } from './keys.js';
 import type { LimitProbe } from './store-limits.js';
 
@@ -14,20 +14,23 @@
  * limits allow the same.
  */
 export function limitProbe(
-  store: StateStore,
-  { state, stateNext }: Pick<Settings, 'state' | 'stateNext'>,
+  store: KeyValueStore,
+  { storeLimits, announcedStoreLimits }: Pick<Settings, 'storeLimits' | 'announcedStoreLimits'>,
 ): LimitProbe | null {
-  if (stateNext.txnOps >= state.txnOps) return null;
-  const conditions = Array.from({ length: stateNext.txnOps * CONDITIONS_PER_WRITE + 1 }, (_, n) => ({
-    key: keys.unused(n),
-    revision: NO_REVISION,
-  }));
+  if (announcedStoreLimits.txnOps >= storeLimits.txnOps) return null;
+  const conditions = Array.from(
+    { length: announcedStoreLimits.txnOps * CONDITIONS_PER_WRITE + 1 },
+    (_, n) => ({
+      key: keys.unused(n),
+      revision: NO_REVISION,
+    }),
+  );
   return async () => {
     try {
-      await store.commit(conditions, []);
+      await store.txn(conditions, []);
       return false;
     } catch (error) {
-      return error instanceof StateTooLarge ? true : null;
+      return error instanceof StoreRequestTooLargeError ? true : null;
     }
   };
 }
--- a/src/store/progress-record.ts
+++ b/src/store/progress-record.ts
@@ -1,5 +1,5 @@
 /** Records of progress: which tasks of one chunk are done, and which may be on which machine. */
-import type { HostId, TaskIndex, TryNo } from '../model/ids.js';
+import type { MachineId, TaskIndex, AttemptNumber } from '../model/ids.js';
 import { CHUNK_TASKS } from './keys.js';
 
 /** What one task takes in a record at most, and what the record takes besides. */
@@ -13,8 +13,8 @@
 
 /** Where a task may be: its current attempt and host. */
 export interface Placement {
-  readonly tryNo: TryNo;
-  readonly host: HostId;
+  readonly attemptNumber: AttemptNumber;
+  readonly machine: MachineId;
 }
 
 /** Progress of one chunk; tasks that were never touched do not appear. */
@@ -22,7 +22,7 @@
   readonly done: ReadonlySet<TaskIndex>;
   readonly placed: ReadonlyMap<TaskIndex, Placement>;
   /** Tries used up by tasks that are neither done nor placed. */
-  readonly used: ReadonlyMap<TaskIndex, TryNo>;
+  readonly used: ReadonlyMap<TaskIndex, AttemptNumber>;
 }
 
 /** `d` done ranges, `p` placements, `u` tries used up. */
@@ -43,7 +43,7 @@
     else ranges.push([i, i]);
   }
   if (ranges.length) stored.d = ranges;
-  if (progress.placed.size) stored.p = [...progress.placed].map(([i, a]) => [i, a.tryNo, a.host]);
+  if (progress.placed.size) stored.p = [...progress.placed].map(([i, a]) => [i, a.attemptNumber, a.machine]);
   if (progress.used.size) stored.u = [...progress.used];
   return stored;
 }
@@ -54,10 +54,13 @@
   const done = new Set<TaskIndex>();
   for (const [from, to] of v.d ?? []) for (let i = from; i <= to; i++) done.add(i as TaskIndex);
   const placed = new Map<TaskIndex, Placement>();
-  for (const [i, tryNo, host] of v.p ?? []) {
-    placed.set(i as TaskIndex, { tryNo: tryNo as TryNo, host: host as HostId });
+  for (const [i, attemptNumber, machine] of v.p ?? []) {
+    placed.set(i as TaskIndex, {
+      attemptNumber: attemptNumber as AttemptNumber,
+      machine: machine as MachineId,
+    });
   }
-  const used = new Map<TaskIndex, TryNo>();
-  for (const [i, tryNo] of v.u ?? []) used.set(i as TaskIndex, tryNo as TryNo);
+  const used = new Map<TaskIndex, AttemptNumber>();
+  for (const [i, attemptNumber] of v.u ?? []) used.set(i as TaskIndex, attemptNumber as AttemptNumber);
   return { done, placed, used };
 }
--- a/src/store/records.ts
+++ b/src/store/records.ts
@@ -1,12 +1,12 @@
 /** Reads whole prefixes of the state service, page by page, and asks again what was refused for too many requests. */
 import type { Revision } from '../model/ids.js';
 import { type Clock, sleep } from '../model/time.js';
-import type { Row } from '../wire/key-value-store.js';
-import { StateRefused, type StateStore } from './client.js';
+import type { KeyValue } from '../wire/key-value-store.js';
+import { StoreRefusedError, type KeyValueStore } from './client.js';
 
 /** All rows under a prefix, as of one revision or later: changes after it may or may not be in them. */
-export interface Records {
-  readonly rows: Row[];
+export interface RecordSet {
+  readonly rows: KeyValue[];
   readonly revision: Revision;
 }
 
@@ -18,7 +18,7 @@
 }
 
 /** Repeats what was refused for too many requests alone; any other error is the caller's, as is one nobody waits for. */
-export async function retryTooMany<T>(
+export async function retryWhileRateLimited<T>(
   { clock, pauseMs, wanted }: RetryPolicy,
   ask: () => Promise<T>,
 ): Promise<T> {
@@ -26,7 +26,7 @@
     try {
       return await ask();
     } catch (error) {
-      if (!(error instanceof StateRefused && error.tooMany) || !wanted()) throw error;
+      if (!(error instanceof StoreRefusedError && error.isRateLimited) || !wanted()) throw error;
       await sleep(clock, pauseMs());
     }
   }
@@ -34,11 +34,11 @@
 
 /** Reads all pages under a prefix, each by `askPage`. */
 export async function readRecords(
-  store: StateStore,
+  store: KeyValueStore,
   prefix: string,
   askPage: <T>(ask: () => Promise<T>) => Promise<T>,
-): Promise<Records> {
-  const rows: Row[] = [];
+): Promise<RecordSet> {
+  const rows: KeyValue[] = [];
   let revision: Revision | null = null;
   let after: string | undefined;
   for (;;) {
--- a/src/store/store-limits.ts
+++ b/src/store/store-limits.ts
@@ -1,7 +1,7 @@
 /** What the state service takes, now and after the change that the settings announce. */
 import type { Cancel, Clock } from '../model/time.js';
-import type { Settings, StateLimitsOf } from '../wire/settings.js';
-import { StateRefused, StateTooLarge } from './client.js';
+import type { Settings, StoreLimitSettings } from '../wire/settings.js';
+import { StoreRefusedError, StoreRequestTooLargeError } from './client.js';
 import { CHUNK_TASKS } from './keys.js';
 import { chunkTasks } from './progress-record.js';
 
@@ -25,7 +25,7 @@
  * settings announce. Sizes keep to the smaller of both from the first write on. Rates follow a refusal at
  * once; since a crowd of submissions is refused long before the limits fall, the service is then asked.
  */
-export class StateLimits {
+export class StoreLimits {
   readonly valueBytes: number;
   readonly txnOps: number;
   private fallen = false;
@@ -40,18 +40,18 @@
   private readonly listeners = new Set<() => void>();
 
   constructor(
-    private readonly settings: Pick<Settings, 'state' | 'stateNext'>,
+    private readonly settings: Pick<Settings, 'storeLimits' | 'announcedStoreLimits'>,
     private readonly clock: Clock,
     /** Null: the announced limits can't be told from today's by asking. */
     private readonly probe: LimitProbe | null = null,
   ) {
-    const { state, stateNext } = settings;
-    this.valueBytes = Math.min(state.valueBytes, stateNext.valueBytes);
-    this.txnOps = Math.min(state.txnOps, stateNext.txnOps);
+    const { storeLimits, announcedStoreLimits } = settings;
+    this.valueBytes = Math.min(storeLimits.valueBytes, announcedStoreLimits.valueBytes);
+    this.txnOps = Math.min(storeLimits.txnOps, announcedStoreLimits.txnOps);
   }
 
-  private get rates(): StateLimitsOf {
-    return this.fallen ? this.settings.stateNext : this.settings.state;
+  private get rates(): StoreLimitSettings {
+    return this.fallen ? this.settings.announcedStoreLimits : this.settings.storeLimits;
   }
 
   get rps(): number {
@@ -63,31 +63,32 @@
   }
 
   /** Called at once, and whenever a rate has changed, until it is called off. */
-  whenRated(listener: () => void): Cancel {
+  onRateChange(listener: () => void): Cancel {
     this.listeners.add(listener);
     listener();
     return () => this.listeners.delete(listener);
   }
 
   /** A call failed: a refusal for too much, or of something too large, tells of the limits. */
-  failed(error: unknown): void {
-    if (error instanceof StateTooLarge) this.fallForGood();
-    else if (error instanceof StateRefused && error.tooMany) this.refused();
+  recordFailure(error: unknown): void {
+    if (error instanceof StoreRequestTooLargeError) this.fallForGood();
+    else if (error instanceof StoreRefusedError && error.isRateLimited) this.refused();
   }
 
   /**
    * The same for a write of records whose entries are only reckoned. Where they keep to the announced limits
    * already and are too large, entries are longer than reckoned: fewer of them share a record then.
    */
-  recordsFailed(error: unknown): void {
-    if (error instanceof StateTooLarge && this.split) this.entryScale *= 2;
-    this.failed(error);
+  recordWriteFailure(error: unknown): void {
+    if (error instanceof StoreRequestTooLargeError && this.split) this.entryScale *= 2;
+    this.recordFailure(error);
   }
 
   private refused(): void {
-    const { state, stateNext } = this.settings;
+    const { storeLimits, announcedStoreLimits } = this.settings;
     if (this.fallen || this.explained) return;
-    if (stateNext.rps >= state.rps && stateNext.writeRps >= state.writeRps) return;
+    if (announcedStoreLimits.rps >= storeLimits.rps && announcedStoreLimits.writeRps >= storeLimits.writeRps)
+      return;
     this.rate(true);
     if (this.probe) {
       void this.ask(this.probe);
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,30 +1,30 @@
 import * as z from 'zod/mini';
-import type { HostId, RentalName, TypeId, ZoneId } from '../model/ids.js';
+import type { MachineId, ScaleOutRequestId, MachineTypeId, ZoneId } from '../model/ids.js';
 import type { ListedMachine, MachineType } from '../model/machine.js';
 import { seconds } from '../model/time.js';
-import { amount, word } from './common.js';
+import { nonNegativeNumber, shortName } from './common.js';
 
 const types = z.object({
   flavours: z.array(
     z.object({
-      name: word,
-      cpus: amount,
-      gpus: z.nullish(amount),
-      memoryGb: amount,
-      cacheGb: z.nullish(amount),
-      fetchGbPerS: z.nullish(amount),
-      price: amount,
-      spotPrice: z.nullish(amount),
-      startupS: amount,
-      halls: z.array(word),
+      name: shortName,
+      cpus: nonNegativeNumber,
+      gpus: z.nullish(nonNegativeNumber),
+      memoryGb: nonNegativeNumber,
+      cacheGb: z.nullish(nonNegativeNumber),
+      fetchGbPerS: z.nullish(nonNegativeNumber),
+      price: nonNegativeNumber,
+      spotPrice: z.nullish(nonNegativeNumber),
+      startupS: nonNegativeNumber,
+      halls: z.array(shortName),
     }),
   ),
 });
 
 /** Machine types as the cloud lists them. Throws on anything else. */
-export function readTypes(body: unknown): MachineType[] {
+export function readMachineTypes(body: unknown): MachineType[] {
   return types.parse(body).flavours.map((t) => ({
-    id: t.name as TypeId,
+    id: t.name as MachineTypeId,
     cpus: t.cpus,
     gpus: t.gpus ?? 0,
     memoryGb: t.memoryGb,
@@ -32,28 +32,28 @@
     fetchGbPerS: t.fetchGbPerS ?? 1,
     price: t.price,
     spotPrice: t.spotPrice ?? t.price,
-    boot: seconds(t.startupS),
+    bootTime: seconds(t.startupS),
     zones: t.halls as ZoneId[],
   }));
 }
 
-const hosts = z.object({ hosts: z.array(word) });
+const hosts = z.object({ hosts: z.array(shortName) });
 
 /** The machines that a rental brought. Throws on anything else. */
-export function readRented(body: unknown): HostId[] {
-  return hosts.parse(body).hosts as HostId[];
+export function readCreatedMachines(body: unknown): MachineId[] {
+  return hosts.parse(body).hosts as MachineId[];
 }
 
 const list = z.object({
   hosts: z.array(
     z.object({
-      ref: word,
+      ref: shortName,
       address: z.nullish(z.string()),
-      flavour: word,
-      hall: word,
+      flavour: shortName,
+      hall: shortName,
       reclaimable: z.boolean(),
-      status: word,
-      heldS: amount,
+      status: shortName,
+      heldS: nonNegativeNumber,
     }),
   ),
   more: z.nullish(z.boolean()),
@@ -63,14 +63,14 @@
 const LISTED_STATES: Record<string, ListedMachine['status']> = { failed: 'failed', running: 'running' };
 
 /** One page of the machine list. Throws on anything else. */
-export function readList(body: unknown): { machines: ListedMachine[]; more: boolean } {
+export function readMachineList(body: unknown): { machines: ListedMachine[]; more: boolean } {
   const page = list.parse(body);
   return {
     more: page.more ?? false,
     machines: page.hosts.map((h) => ({
-      id: h.ref as HostId,
+      id: h.ref as MachineId,
       address: h.address ?? '',
-      type: h.flavour as TypeId,
+      type: h.flavour as MachineTypeId,
       zone: h.hall as ZoneId,
       spot: h.reclaimable,
       status: LISTED_STATES[h.status] ?? 'starting',
@@ -80,15 +80,15 @@
 }
 
 /** A request for machines. */
-export interface Rental {
-  readonly name: RentalName;
-  readonly type: TypeId;
+export interface ScaleOutRequest {
+  readonly name: ScaleOutRequestId;
+  readonly type: MachineTypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
   readonly count: number;
 }
 
 /** The body of a rental request. */
-export function rentalBody(r: Rental): object {
+export function scaleOutBody(r: ScaleOutRequest): object {
   return { hire: r.name, flavour: r.type, hall: r.zone, reclaimable: r.spot, howMany: r.count };
 }
--- a/src/wire/common.ts
+++ b/src/wire/common.ts
@@ -1,10 +1,10 @@
 import * as z from 'zod/mini';
 
-export const count = z.int().check(z.nonnegative());
-export const amount = z.number().check(z.nonnegative());
-export const word = z.string().check(z.minLength(1), z.maxLength(200));
+export const nonNegativeInteger = z.int().check(z.nonnegative());
+export const nonNegativeNumber = z.number().check(z.nonnegative());
+export const shortName = z.string().check(z.minLength(1), z.maxLength(200));
 
-function words(issue: z.core.$ZodIssue): string {
+function describeIssue(issue: z.core.$ZodIssue): string {
   switch (issue.code) {
     case 'invalid_type':
       return issue.input === undefined ? `missing, or no ${issue.expected}` : `no ${issue.expected}`;
@@ -26,5 +26,5 @@
   const issue = error.issues[0];
   if (!issue) return 'invalid';
   const where = issue.path.map(String).join('.');
-  return where ? `${where}: ${words(issue)}` : words(issue);
+  return where ? `${where}: ${describeIssue(issue)}` : describeIssue(issue);
 }
--- a/src/wire/key-value-store.ts
+++ b/src/wire/key-value-store.ts
@@ -1,80 +1,85 @@
 import * as z from 'zod/mini';
-import type { GrantId, Revision } from '../model/ids.js';
-import { count } from './common.js';
+import type { LeaseId, Revision } from '../model/ids.js';
+import { nonNegativeInteger } from './common.js';
 
-const row = z.object({ key: z.string(), data: z.unknown(), stamp: count, tether: z.nullish(count) });
-const rows = z.object({ rows: z.array(row), more: z.nullish(z.boolean()), ledger: count });
-const committed = z.object({ ledger: count });
-const conflict = z.object({ failed: z.array(z.string()), ledger: z.nullish(count) });
-const grant = z.object({ tether: count });
+const row = z.object({
+  key: z.string(),
+  data: z.unknown(),
+  stamp: nonNegativeInteger,
+  tether: z.nullish(nonNegativeInteger),
+});
+const rows = z.object({ rows: z.array(row), more: z.nullish(z.boolean()), ledger: nonNegativeInteger });
+const committed = z.object({ ledger: nonNegativeInteger });
+const conflict = z.object({ failed: z.array(z.string()), ledger: z.nullish(nonNegativeInteger) });
+const grant = z.object({ tether: nonNegativeInteger });
 const changes = z.object({
-  ledger: count,
+  ledger: nonNegativeInteger,
   news: z.nullish(
     z.array(
       z.object({
         set: z.nullish(z.string()),
         drop: z.nullish(z.string()),
         data: z.optional(z.unknown()),
-        stamp: count,
+        stamp: nonNegativeInteger,
       }),
     ),
   ),
 });
 
 /** A key with its value and the revision of its last change. */
-export interface Row {
+export interface KeyValue {
   readonly key: string;
   readonly value: unknown;
   readonly revision: Revision;
   /** The grant that the key is bound to. Told where a single key is read, not in lists. */
-  readonly grant?: GrantId;
+  readonly lease?: LeaseId;
 }
 
 /** Rows in the order of their keys, as of one revision. */
-export interface Page {
-  readonly rows: Row[];
+export interface KeyValuePage {
+  readonly rows: KeyValue[];
   readonly more: boolean;
   readonly revision: Revision;
 }
 
 /** A key that was set, or dropped when `value` is undefined. */
-export interface Change {
+export interface WatchEvent {
   readonly key: string;
   readonly value: unknown;
   readonly revision: Revision;
 }
 
 /** The key must have this revision. */
-export interface Condition {
+export interface Compare {
   readonly key: string;
   readonly revision: Revision;
 }
 
 /** A key to be set or dropped. */
-export type Write =
-  { readonly set: string; readonly value: unknown; readonly grant?: GrantId } | { readonly drop: string };
+export type WriteOperation =
+  { readonly set: string; readonly value: unknown; readonly grant?: LeaseId } | { readonly drop: string };
 
-function toRow({ key, data, stamp, tether }: z.infer<typeof row>): Row {
+function toRow({ key, data, stamp, tether }: z.infer<typeof row>): KeyValue {
   const plain = { key, value: data, revision: stamp as Revision };
-  return tether == null ? plain : { ...plain, grant: tether as GrantId };
+  return tether == null ? plain : { ...plain, lease: tether as LeaseId };
 }
 
-export const readRow = (body: unknown): Row => toRow(row.parse(body));
+export const readRow = (body: unknown): KeyValue => toRow(row.parse(body));
 
 /** Throws on anything else. */
-export function readPage(body: unknown): Page {
+export function readPage(body: unknown): KeyValuePage {
   const page = rows.parse(body);
   return { rows: page.rows.map(toRow), more: page.more ?? false, revision: page.ledger as Revision };
 }
 
 export const readRevision = (body: unknown): Revision => committed.parse(body).ledger as Revision;
 export const readFailed = (body: unknown): string[] => conflict.parse(body).failed;
-export const readGrant = (body: unknown): GrantId => grant.parse(body).tether as GrantId;
+export const readLease = (body: unknown): LeaseId => grant.parse(body).tether as LeaseId;
 
 /** Throws on anything else. */
-export function readChanges(body: unknown): { revision: Revision; changes: Change[] } {
+export function readWatchEvents(body: unknown): { revision: Revision; changes: WatchEvent[] } {
   const read = changes.parse(body);
-  const list: Change[] = [];
+  const list: WatchEvent[] = [];
   for (const c of read.news ?? []) {
     const key = c.set ?? c.drop;
     if (key == null) continue;
@@ -84,14 +89,14 @@
 }
 
 /** The body of a transaction. */
-export function commitBody(conditions: readonly Condition[], writes: readonly Write[]): object {
+export function encodeTxn(conditions: readonly Compare[], writes: readonly WriteOperation[]): object {
   return {
     if: conditions.map((c) => ({ key: c.key, stamp: c.revision })),
     writes: writes.map(writeBody),
   };
 }
 
-function writeBody(write: Write): object {
+function writeBody(write: WriteOperation): object {
   if ('drop' in write) return { drop: write.drop };
   const { set, value, grant: tether } = write;
   return tether === undefined ? { set, data: value } : { set, data: value, tether };
--- a/src/wire/members.ts
+++ b/src/wire/members.ts
@@ -1,13 +1,13 @@
 /** The list of controllers as one of them sees it, in the words that operators' tools read. */
 import * as z from 'zod/mini';
-import { amount, count, word } from './common.js';
+import { nonNegativeNumber, nonNegativeInteger, shortName } from './common.js';
 
 const memberSchema = z.object({
-  member: word,
-  state: word,
-  forMs: amount,
-  connection: word,
-  load: z.nullable(amount),
+  member: shortName,
+  state: shortName,
+  forMs: nonNegativeNumber,
+  connection: shortName,
+  load: z.nullable(nonNegativeNumber),
   ready: z.boolean(),
   evidence: z.array(z.string()),
   /** What the member owns, as far as is known here: `cluster (epoch 7)`. */
@@ -15,12 +15,12 @@
 });
 const reportSchema = z.object({
   /** Who says so. */
-  observer: word,
-  version: count,
+  observer: shortName,
+  version: nonNegativeInteger,
   failureDetection: z.boolean(),
   members: z.array(memberSchema),
   /** Messages that were dropped, by reason. */
-  dropped: z.record(z.string(), count),
+  dropped: z.record(z.string(), nonNegativeInteger),
 });
 
 /** One controller in the list. */
--- a/src/wire/settings.ts
+++ b/src/wire/settings.ts
@@ -2,7 +2,7 @@
 import type { MemberId, TeamId, ZoneId } from '../model/ids.js';
 import type { Team } from '../model/team.js';
 import { type Millis, ms, seconds } from '../model/time.js';
-import { amount, count, firstIssue, word } from './common.js';
+import { nonNegativeNumber, nonNegativeInteger, firstIssue, shortName } from './common.js';
 
 const address = z
   .string()
@@ -14,31 +14,31 @@
 const positive = z.number().check(z.positive());
 
 const settings = z.object({
-  member: word,
-  site: word,
+  member: shortName,
+  site: shortName,
   front: address,
   cluster_listen: address,
-  siblings: z.nullish(z.array(z.object({ member: word, site: z.nullish(word), address }))),
+  siblings: z.nullish(z.array(z.object({ member: shortName, site: z.nullish(shortName), address }))),
   endpoints: z.object({ cloud: address, state: address }),
   facts: z.object({
-    clock_error_ms: z.nullish(amount),
-    zones: z.nullish(z.array(word)),
+    clock_error_ms: z.nullish(nonNegativeNumber),
+    zones: z.nullish(z.array(shortName)),
     teams: z.array(
       z.object({
-        name: word,
-        cpus: z.nullish(amount),
-        gpus: z.nullish(amount),
-        cpus_max: z.nullish(amount),
-        gpus_max: z.nullish(amount),
+        name: shortName,
+        cpus: z.nullish(nonNegativeNumber),
+        gpus: z.nullish(nonNegativeNumber),
+        cpus_max: z.nullish(nonNegativeNumber),
+        gpus_max: z.nullish(nonNegativeNumber),
       }),
     ),
     objectives: z.nullish(
       z.array(
         z.object({
-          kind: word,
-          class: z.nullish(word),
-          within_s: z.nullish(amount),
-          share: z.nullish(amount),
+          kind: shortName,
+          class: z.nullish(shortName),
+          within_s: z.nullish(nonNegativeNumber),
+          share: z.nullish(nonNegativeNumber),
         }),
       ),
     ),
@@ -47,25 +47,29 @@
       rps: positive,
       write_rps: positive,
       value_kb: positive,
-      txn_ops: count,
+      txn_ops: nonNegativeInteger,
       next: z.nullish(
         z.object({
           rps: z.nullish(positive),
           write_rps: z.nullish(positive),
           value_kb: z.nullish(positive),
-          txn_ops: z.nullish(count),
+          txn_ops: z.nullish(nonNegativeInteger),
         }),
       ),
     }),
-    cloud: z.object({ rps: positive, list_lag_s: amount }),
+    cloud: z.object({ rps: positive, list_lag_s: nonNegativeNumber }),
     resources: z.nullish(
-      z.object({ cpu: z.nullish(z.number()), sockets: z.nullish(count), memory_mb: z.nullish(amount) }),
+      z.object({
+        cpu: z.nullish(z.number()),
+        sockets: z.nullish(nonNegativeInteger),
+        memory_mb: z.nullish(nonNegativeNumber),
+      }),
     ),
   }),
 });
 
 /** Another controller. */
-export interface Sibling {
+export interface PeerAddress {
   readonly member: MemberId;
   readonly address: string;
 }
@@ -74,12 +78,12 @@
 export interface Objective {
   readonly kind: string;
   readonly jobClass: string | null;
-  readonly within: Millis | null;
+  readonly target: Millis | null;
   readonly share: number | null;
 }
 
 /** What the state service takes. */
-export interface StateLimitsOf {
+export interface StoreLimitSettings {
   readonly rps: number;
   readonly writeRps: number;
   readonly valueBytes: number;
@@ -90,29 +94,29 @@
 export interface Settings {
   readonly member: MemberId;
   readonly zone: ZoneId;
-  readonly front: string;
-  readonly clusterListen: string;
-  readonly siblings: readonly Sibling[];
+  readonly frontAddress: string;
+  readonly peerAddress: string;
+  readonly peers: readonly PeerAddress[];
   readonly cloudAddress: string;
-  readonly stateAddress: string;
+  readonly storeAddress: string;
   readonly teams: readonly Team[];
   readonly objectives: readonly Objective[];
   readonly clockError: Millis;
-  readonly reportEvery: Millis;
-  readonly workerLease: Millis;
-  readonly cancelWithin: Millis;
-  readonly state: StateLimitsOf;
+  readonly heartbeatInterval: Millis;
+  readonly workerLeaseDuration: Millis;
+  readonly cancellationLimit: Millis;
+  readonly storeLimits: StoreLimitSettings;
   /** What it will take from some moment on, without notice; the same where no change is announced. */
-  readonly stateNext: StateLimitsOf;
-  readonly cloudRps: number;
+  readonly announcedStoreLimits: StoreLimitSettings;
+  readonly cloudRequestsPerSecond: number;
   readonly listLag: Millis;
   /** The share of a core that this process gets, as the platform says it; null: it does not say. */
   readonly cpuShare: number | null;
-  readonly sockets: number;
+  readonly maxSockets: number;
   readonly memoryMb: number | null;
 }
 
-const NO_LIMITS: StateLimitsOf = { rps: 0, writeRps: 0, valueBytes: 0, txnOps: 0 };
+const NO_LIMITS: StoreLimitSettings = { rps: 0, writeRps: 0, valueBytes: 0, txnOps: 0 };
 
 interface StatedLimits {
   readonly rps?: number | null | undefined;
@@ -122,7 +126,7 @@
 }
 
 /** What a field leaves out stays as it was. */
-function stateLimits(field: string, stated: StatedLimits, before: StateLimitsOf): StateLimitsOf {
+function stateLimits(field: string, stated: StatedLimits, before: StoreLimitSettings): StoreLimitSettings {
   const txnOps = stated.txn_ops ?? before.txnOps;
   const valueBytes = stated.value_kb == null ? before.valueBytes : stated.value_kb * 1024;
   if (txnOps < LEAST_TXN_OPS) throw new Error(`${field}.txn_ops: at least ${LEAST_TXN_OPS} is needed`);
@@ -150,11 +154,11 @@
   return {
     member: w.member as MemberId,
     zone: w.site as ZoneId,
-    front: w.front,
-    clusterListen: w.cluster_listen,
-    siblings: (w.siblings ?? []).map((s) => ({ member: s.member as MemberId, address: s.address })),
+    frontAddress: w.front,
+    peerAddress: w.cluster_listen,
+    peers: (w.siblings ?? []).map((s) => ({ member: s.member as MemberId, address: s.address })),
     cloudAddress: w.endpoints.cloud,
-    stateAddress: w.endpoints.state,
+    storeAddress: w.endpoints.state,
     teams: f.teams.map((t) => ({
       id: t.name as TeamId,
       cpus: t.cpus ?? 0,
@@ -165,19 +169,19 @@
     objectives: (f.objectives ?? []).map((o) => ({
       kind: o.kind,
       jobClass: o.class ?? null,
-      within: o.within_s == null ? null : seconds(o.within_s),
+      target: o.within_s == null ? null : seconds(o.within_s),
       share: o.share ?? null,
     })),
     clockError: ms(f.clock_error_ms ?? 0),
-    reportEvery: seconds(f.workers.report_s),
-    workerLease: seconds(f.workers.lease_s),
-    cancelWithin: seconds(f.workers.cancel_s),
-    state,
-    stateNext,
-    cloudRps: f.cloud.rps,
+    heartbeatInterval: seconds(f.workers.report_s),
+    workerLeaseDuration: seconds(f.workers.lease_s),
+    cancellationLimit: seconds(f.workers.cancel_s),
+    storeLimits: state,
+    announcedStoreLimits: stateNext,
+    cloudRequestsPerSecond: f.cloud.rps,
     listLag: seconds(f.cloud.list_lag_s),
     cpuShare: f.resources?.cpu ?? null,
-    sockets: f.resources?.sockets ?? 1000,
+    maxSockets: f.resources?.sockets ?? 1000,
     memoryMb: f.resources?.memory_mb ?? null,
   };
 }
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -1,7 +1,7 @@
 import * as z from 'zod/mini';
-import type { ImageId, JobId, TeamId, TypeId, ZoneId } from '../model/ids.js';
+import type { ImageId, JobId, TeamId, MachineTypeId, ZoneId } from '../model/ids.js';
 import { type JobSpec, type JobState, Priority } from '../model/job.js';
-import { amount, firstIssue, word } from './common.js';
+import { nonNegativeNumber, firstIssue, shortName } from './common.js';
 
 const PRIORITIES = {
   production: Priority.Production,
@@ -14,25 +14,25 @@
 
 const submission = z.object({
   ref: jobId,
-  jobclass: word,
-  owner: word,
+  jobclass: shortName,
+  owner: shortName,
   shape: z.enum(['array', 'service']),
   rank: z.enum(['production', 'urgent', 'standard', 'idle']),
   shards: z.int().check(z.gte(1), z.lte(100_000)),
-  cpus: amount,
-  gpus: amount,
-  memoryGb: amount,
-  bundle: word,
-  pullGb: amount,
-  flavours: z.nullish(z.array(word)),
-  hall: z.nullish(word),
+  cpus: nonNegativeNumber,
+  gpus: nonNegativeNumber,
+  memoryGb: nonNegativeNumber,
+  bundle: shortName,
+  pullGb: nonNegativeNumber,
+  flavours: z.nullish(z.array(shortName)),
+  hall: z.nullish(shortName),
   samePlace: z.boolean(),
   apart: z.boolean(),
   reclaimable: z.boolean(),
-  expectedS: amount,
-  savepointS: amount,
-  flushS: amount,
-  dueS: z.nullish(amount),
+  expectedS: nonNegativeNumber,
+  savepointS: nonNegativeNumber,
+  flushS: nonNegativeNumber,
+  dueS: z.nullish(nonNegativeNumber),
   awaits: z.nullish(z.array(jobId)),
 });
 
@@ -52,24 +52,24 @@
       team: w.owner as TeamId,
       kind: w.shape,
       priority: PRIORITIES[w.rank],
-      tasks: w.shards,
+      taskCount: w.shards,
       cpus: w.cpus,
       gpus: w.gpus,
       memoryGb: w.memoryGb,
       image: w.bundle as ImageId,
       imageGb: w.pullGb,
-      types: (w.flavours as TypeId[] | null | undefined) ?? null,
+      allowedTypes: (w.flavours as MachineTypeId[] | null | undefined) ?? null,
       zone: (w.hall as ZoneId | null | undefined) ?? null,
-      oneZone: w.samePlace,
-      spread: w.apart,
-      spot: w.reclaimable,
-      estimateS: w.expectedS,
-      checkpointS: w.savepointS,
-      saveS: w.flushS,
+      zoneAffinity: w.samePlace,
+      zoneAntiAffinity: w.apart,
+      allowsSpot: w.reclaimable,
+      estimatedRunS: w.expectedS,
+      checkpointIntervalS: w.savepointS,
+      checkpointWriteS: w.flushS,
       deadlineS: w.dueS ?? null,
       dependencies: [...new Set(w.awaits ?? [])] as JobId[],
-      dependencyRecords: 0,
-      descriptionRecords: 0,
+      dependencyRecordCount: 0,
+      descriptionRecordCount: 0,
     },
   };
 }
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,111 +1,127 @@
+/** Heartbeats of workers, and the commands to them, in the protocol's form. */
 import * as z from 'zod/mini';
 import type {
-  Counter,
-  HostId,
+  HeartbeatSequence,
+  MachineId,
   MemberId,
   TaskId,
-  SessionNumber,
-  Token,
-  TryNo,
-  TypeId,
+  AgentIncarnation,
+  FencingToken,
+  AttemptNumber,
+  MachineTypeId,
   ZoneId,
 } from '../model/ids.js';
-import type { Attempt, AttemptState, Order, Report } from '../model/heartbeat.js';
+import type { Attempt, AttemptState, WorkerCommand, Heartbeat } from '../model/heartbeat.js';
 import { seconds } from '../model/time.js';
-import { amount, count, firstIssue, word } from './common.js';
+import { nonNegativeNumber, nonNegativeInteger, firstIssue, shortName } from './common.js';
 import type { Parsed } from './users.js';
 
-const STATES: Record<string, AttemptState> = {
+/** The wire's words for the states of an attempt. */
+const ATTEMPT_STATES: Record<string, AttemptState> = {
   pulling: 'fetching',
   running: 'running',
   flushing: 'saving',
   ended: 'exited',
 };
 
-/** What a report has to look like. */
-export const reportSchema = z.object({
-  host: word,
-  address: word,
-  flavour: word,
-  hall: word,
+/** The form of a heartbeat on the wire. */
+export const heartbeatSchema = z.object({
+  host: shortName,
+  address: shortName,
+  flavour: shortName,
+  hall: shortName,
   reclaimable: z.boolean(),
-  tenure: count,
-  counter: count,
-  epoch: count,
-  warningS: z.nullish(amount),
+  tenure: nonNegativeInteger,
+  counter: nonNegativeInteger,
+  epoch: nonNegativeInteger,
+  warningS: z.nullish(nonNegativeNumber),
   shards: z.nullish(
-    z.array(z.object({ shard: word, try: count, status: word, cause: z.nullish(z.string()) })),
+    z.array(
+      z.object({
+        shard: shortName,
+        try: nonNegativeInteger,
+        status: shortName,
+        cause: z.nullish(z.string()),
+      }),
+    ),
   ),
 });
 
-type WireReport = z.infer<typeof reportSchema>;
-type WireAttempt = NonNullable<WireReport['shards']>[number];
+type WireHeartbeat = z.infer<typeof heartbeatSchema>;
+type WireAttempt = NonNullable<WireHeartbeat['shards']>[number];
 /** A field whose type is still to be checked. */
 type Unchecked<T> = { readonly [Field in keyof T]?: unknown };
 
-const MOST_LETTERS = 200;
-const isWord = (value: unknown): boolean =>
-  typeof value === 'string' && value.length > 0 && value.length <= MOST_LETTERS;
+const MAX_NAME_LENGTH = 200;
+const isName = (value: unknown): boolean =>
+  typeof value === 'string' && value.length > 0 && value.length <= MAX_NAME_LENGTH;
 const isCount = (value: unknown): boolean => Number.isSafeInteger(value) && (value as number) >= 0;
 const isObject = (value: unknown): value is object => typeof value === 'object' && value !== null;
 
 function isAttempt(value: unknown): value is WireAttempt {
   if (!isObject(value)) return false;
-  const { shard, try: tryNo, status, cause } = value as Unchecked<WireAttempt>;
-  return isWord(shard) && isCount(tryNo) && isWord(status) && (cause == null || typeof cause === 'string');
+  const { shard, try: attemptNumber, status, cause } = value as Unchecked<WireAttempt>;
+  return (
+    isName(shard) && isCount(attemptNumber) && isName(status) && (cause == null || typeof cause === 'string')
+  );
 }
 
 /**
- * The same as `reportSchema` checks, in less time: reports come by the hundred a second, and next to all of them
- * are well-formed. the schema says what is wrong with the others; a test compares the two.
+ * Checks the same as `heartbeatSchema`, in less time: heartbeats come by the hundred a second, and next to all of them
+ * are well-formed (measured, docs/results.md). The schema names the fault of the others; a test compares the two.
  */
-function isReport(body: unknown): body is WireReport {
+function isHeartbeat(body: unknown): body is WireHeartbeat {
   if (!isObject(body)) return false;
-  const w = body as Unchecked<WireReport>;
-  const words = isWord(w.host) && isWord(w.address) && isWord(w.flavour) && isWord(w.hall);
-  const counts = isCount(w.tenure) && isCount(w.counter) && isCount(w.epoch);
-  const notice = w.warningS == null || (typeof w.warningS === 'number' && w.warningS >= 0);
-  if (!words || !counts || !notice || typeof w.reclaimable !== 'boolean') return false;
-  return w.shards == null || (Array.isArray(w.shards) && w.shards.every(isAttempt));
+  const wire = body as Unchecked<WireHeartbeat>;
+  const hasNames = isName(wire.host) && isName(wire.address) && isName(wire.flavour) && isName(wire.hall);
+  const hasCounts = isCount(wire.tenure) && isCount(wire.counter) && isCount(wire.epoch);
+  const hasNotice = wire.warningS == null || (typeof wire.warningS === 'number' && wire.warningS >= 0);
+  if (!hasNames || !hasCounts || !hasNotice || typeof wire.reclaimable !== 'boolean') return false;
+  return wire.shards == null || (Array.isArray(wire.shards) && wire.shards.every(isAttempt));
 }
 
-/** Checks every field of a report. */
-export function parseReport(body: unknown): Parsed<Report> {
-  if (!isReport(body)) {
-    const { error } = reportSchema.safeParse(body);
+/** Checks every field of a heartbeat. */
+export function parseHeartbeat(body: unknown): Parsed<Heartbeat> {
+  if (!isHeartbeat(body)) {
+    const { error } = heartbeatSchema.safeParse(body);
     return { ok: false, error: error ? firstIssue(error) : 'not a report' };
   }
-  const w = body;
   const attempts: Attempt[] = [];
-  for (const s of w.shards ?? []) {
+  for (const shard of body.shards ?? []) {
     attempts.push({
-      task: s.shard as TaskId,
-      tryNo: s.try as TryNo,
-      // A state that we do not know still holds the machine: the task counts as being there.
-      state: STATES[s.status] ?? 'running',
-      cause: s.cause ?? null,
+      task: shard.shard as TaskId,
+      attemptNumber: shard.try as AttemptNumber,
+      // A state that this version does not know still holds the machine: the task counts as being there.
+      state: ATTEMPT_STATES[shard.status] ?? 'running',
+      cause: shard.cause ?? null,
     });
   }
   return {
     ok: true,
     value: {
-      host: w.host as HostId,
-      address: w.address,
-      type: w.flavour as TypeId,
-      zone: w.hall as ZoneId,
-      spot: w.reclaimable,
-      session: w.tenure as SessionNumber,
-      counter: w.counter as Counter,
-      token: w.epoch as Token,
-      notice: w.warningS == null ? null : seconds(w.warningS),
+      machine: body.host as MachineId,
+      address: body.address,
+      type: body.flavour as MachineTypeId,
+      zone: body.hall as ZoneId,
+      spot: body.reclaimable,
+      incarnation: body.tenure as AgentIncarnation,
+      sequence: body.counter as HeartbeatSequence,
+      token: body.epoch as FencingToken,
+      interruptionNotice: body.warningS == null ? null : seconds(body.warningS),
       attempts,
     },
   };
 }
 
-function order(o: Order): object {
-  const base = { verb: o.verb, shard: o.task, try: o.tryNo };
-  return o.verb === 'kill' ? { ...base, drainS: o.graceS } : base;
+/** The wire's words for the kinds of commands. */
+const VERBS = { start: 'run', stop: 'kill', forget: 'clear' } as const satisfies Record<
+  WorkerCommand['kind'],
+  string
+>;
+
+function encodeCommand(command: WorkerCommand): object {
+  const encoded = { verb: VERBS[command.kind], shard: command.task, try: command.attemptNumber };
+  return command.kind === 'stop' ? { ...encoded, drainS: command.graceS } : encoded;
 }
 
 /** The body of an answer that sends a worker to another controller. */
@@ -113,24 +129,29 @@
   return Buffer.from(JSON.stringify({ foreman: member }));
 }
 
-/** The body of an answer to a report. */
-export function encodeOrders(token: Token, orders: readonly Order[]): Buffer {
-  return Buffer.from(JSON.stringify({ epoch: token, orders: orders.map(order) }));
+/** The body of an answer to a heartbeat. */
+export function encodeCommands(token: FencingToken, commands: readonly WorkerCommand[]): Buffer {
+  return Buffer.from(JSON.stringify({ epoch: token, orders: commands.map(encodeCommand) }));
 }
 
-/** The body of a direct call with orders. */
-export function commandBody(token: Token, session: SessionNumber, orders: readonly Order[]): object {
-  return { epoch: token, tenure: session, orders: orders.map(order) };
+/** The body of a direct call that brings commands to a worker. */
+export function directCommandBody(
+  token: FencingToken,
+  incarnation: AgentIncarnation,
+  commands: readonly WorkerCommand[],
+): object {
+  return { epoch: token, tenure: incarnation, orders: commands.map(encodeCommand) };
 }
 
 /** A worker's answer to a direct call. */
 export interface CommandReply {
+  /** False: the worker refused, because of the fencing token or the incarnation. */
   readonly executed: boolean;
-  readonly report: Report | null;
+  readonly heartbeat: Heartbeat | null;
 }
 
-/** Reads such an answer; a body that is no report gives none. */
+/** Reads a worker's answer to a direct call; a body that is no heartbeat gives none. */
 export function readCommandReply(status: number, body: unknown): CommandReply {
-  const parsed = parseReport(body);
-  return { executed: status === 200, report: parsed.ok ? parsed.value : null };
+  const parsed = parseHeartbeat(body);
+  return { executed: status === 200, heartbeat: parsed.ok ? parsed.value : null };
 }
--- a/src/workers/command-dispatcher.ts
+++ b/src/workers/command-dispatcher.ts
@@ -1,10 +1,10 @@
 import type { LeaderContext } from '../core/context.js';
-import { reason } from '../log/logger.js';
-import { NoSocket } from '../net/http-client.js';
-import type { Order, Report } from '../model/heartbeat.js';
-import { type Steady, since } from '../model/time.js';
-import type { Host } from './state/worker.js';
-import type { OrderIssuer } from './command-issuer.js';
+import { errorMessage } from '../log/logger.js';
+import { NoSocketError } from '../net/http-client.js';
+import type { WorkerCommand, Heartbeat } from '../model/heartbeat.js';
+import { type MonotonicTime, since } from '../model/time.js';
+import type { Worker } from './state/worker.js';
+import type { CommandIssuer } from './command-issuer.js';
 
 const COMMAND_MS = 1500;
 /** After calls that brought no answer, orders wait for the host's reports this long. */
@@ -17,59 +17,59 @@
 const CONTACTS_SHARE = 0.25;
 
 /** Sends orders straight to the workers, one call at a time to each, so many at once. */
-export class Dispatcher {
-  private readonly restUntil = new Map<string, Steady>();
-  private readonly waiting = new Set<Host>();
-  private readonly strangers = new Set<Host>();
+export class CommandDispatcher {
+  private readonly restUntil = new Map<string, MonotonicTime>();
+  private readonly waiting = new Set<Worker>();
+  private readonly strangers = new Set<Worker>();
   private inFlight = 0;
   private contacts = 0;
 
   constructor(
     private readonly ctx: LeaderContext,
-    private readonly issuer: OrderIssuer,
-    private readonly onReport: (host: Host, report: Report) => void,
+    private readonly issuer: CommandIssuer,
+    private readonly onReport: (worker: Worker, heartbeat: Heartbeat) => void,
     private readonly most: number,
   ) {}
 
-  wake(host: Host): void {
-    if (host.commandInFlight) {
-      host.commandWanted = true;
+  dispatch(worker: Worker): void {
+    if (worker.commandInFlight) {
+      worker.commandWanted = true;
       return;
     }
-    if (!this.mayCall(host)) return;
-    if (host.known) this.order(host);
+    if (!this.mayCall(worker)) return;
+    if (worker.hasReported) this.command(worker);
     else {
-      this.strangers.add(host);
+      this.strangers.add(worker);
       this.meet();
     }
   }
 
-  private mayCall(host: Host): boolean {
-    if (host.address === '' || this.ctx.ended()) return false;
-    const rest = this.restUntil.get(host.id);
+  private mayCall(worker: Worker): boolean {
+    if (worker.address === '' || this.ctx.isEnded()) return false;
+    const rest = this.restUntil.get(worker.id);
     return rest === undefined || rest <= this.ctx.clock.now();
   }
 
-  private order(host: Host): void {
+  private command(worker: Worker): void {
     if (this.inFlight >= this.most) {
-      this.waiting.add(host);
+      this.waiting.add(worker);
       return;
     }
-    const orders = this.issuer.issue(host, this.ctx.sure(), [], MOST_ORDERS);
-    if (orders.length > 0) void this.send(host, orders);
+    const commands = this.issuer.issue(worker, this.ctx.isLeaseValid(), [], MOST_ORDERS);
+    if (commands.length > 0) void this.send(worker, commands);
   }
 
   /** An empty command tells a worker our epoch and brings its report. */
   private meet(): void {
-    for (const host of this.strangers) {
+    for (const worker of this.strangers) {
       // The busier this process is, the more of them are left to report by themselves.
       const mostContacts = Math.max(1, this.most * CONTACTS_SHARE * (1 - this.ctx.load()));
       if (this.contacts >= mostContacts || this.inFlight >= this.most) return;
-      this.strangers.delete(host);
+      this.strangers.delete(worker);
       // It may have reported by itself meanwhile.
-      if (host.known || host.commandInFlight || !this.mayCall(host)) continue;
+      if (worker.hasReported || worker.commandInFlight || !this.mayCall(worker)) continue;
       this.contacts++;
-      void this.send(host, []).finally(() => {
+      void this.send(worker, []).finally(() => {
         this.contacts--;
         this.meet();
       });
@@ -77,43 +77,49 @@
   }
 
   private next(): void {
-    for (const host of this.waiting) {
+    for (const worker of this.waiting) {
       if (this.inFlight >= this.most) return;
-      this.waiting.delete(host);
-      this.wake(host);
+      this.waiting.delete(worker);
+      this.dispatch(worker);
     }
   }
 
-  private async send(host: Host, orders: Order[]): Promise<void> {
-    const token = host.token(this.ctx.epoch);
-    host.commandInFlight = true;
-    host.commandWanted = false;
+  private async send(worker: Worker, commands: WorkerCommand[]): Promise<void> {
+    const token = worker.fencingToken(this.ctx.epoch);
+    worker.commandInFlight = true;
+    worker.commandWanted = false;
     this.inFlight++;
     const sentAt = this.ctx.clock.now();
     try {
-      const answer = await this.ctx.workers.command(host.address, token, host.session, orders, COMMAND_MS);
-      host.unreachable = 0;
-      host.contactAt = this.ctx.clock.now();
-      this.restUntil.delete(host.id);
-      if (answer.report) this.onReport(host, answer.report);
+      const answer = await this.ctx.workerClient.sendCommands(
+        worker.address,
+        token,
+        worker.incarnation,
+        commands,
+        COMMAND_MS,
+      );
+      worker.failedCalls = 0;
+      worker.lastContactAt = this.ctx.clock.now();
+      this.restUntil.delete(worker.id);
+      if (answer.heartbeat) this.onReport(worker, answer.heartbeat);
     } catch (error) {
-      if (error instanceof NoSocket) {
+      if (error instanceof NoSocketError) {
         // Nothing has left; the host's next report brings the orders if no socket is free before.
-        host.commandWanted = false;
+        worker.commandWanted = false;
         return;
       }
       // The orders may still arrive, minutes late: until the host's token is raised.
-      host.unreachable++;
-      host.failedAt = this.ctx.clock.now();
-      this.restUntil.set(host.id, (this.ctx.clock.now() + REST_MS) as Steady);
+      worker.failedCalls++;
+      worker.lastCallFailedAt = this.ctx.clock.now();
+      this.restUntil.set(worker.id, (this.ctx.clock.now() + REST_MS) as MonotonicTime);
       this.ctx.log.debug(
-        { host: host.id, error: reason(error), ms: since(this.ctx.clock.now(), sentAt) },
+        { worker: worker.id, error: errorMessage(error), ms: since(this.ctx.clock.now(), sentAt) },
         'command not answered',
       );
     } finally {
-      host.commandInFlight = false;
+      worker.commandInFlight = false;
       this.inFlight--;
-      if (host.commandWanted) this.wake(host);
+      if (worker.commandWanted) this.dispatch(worker);
       this.next();
     }
   }
--- a/src/workers/failure-detector.ts
+++ b/src/workers/failure-detector.ts
@@ -1,10 +1,10 @@
 import type { LeaderContext } from '../core/context.js';
 import type { ZoneId } from '../model/ids.js';
-import type { Report } from '../model/heartbeat.js';
-import { NoSocket } from '../net/http-client.js';
+import type { Heartbeat } from '../model/heartbeat.js';
+import { NoSocketError } from '../net/http-client.js';
 import { usableShare } from '../wire/settings.js';
-import { atMost, type Millis, ms, type Steady, plus, since } from '../model/time.js';
-import type { Host } from './state/worker.js';
+import { maxLocalDuration, type Millis, ms, type MonotonicTime, plus, since } from '../model/time.js';
+import type { Worker } from './state/worker.js';
 
 const PROBES = 2;
 /** A report's way here. */
@@ -44,7 +44,7 @@
 const FEW_LOST = 3;
 const FEW_MUTE = 2;
 
-interface ZoneSurvey {
+interface ZoneHealth {
   up: number;
   lost: number;
   /** Machines that are asked between their reports, and those of them that do not answer. */
@@ -53,18 +53,18 @@
 }
 
 /** What one look at all machines has found. */
-interface Survey {
+interface FleetHealthSnapshot {
   up: number;
-  readonly lost: Host[];
-  readonly mute: Host[];
+  readonly lost: Worker[];
+  readonly mute: Worker[];
   /** Machines that hold replicas and have said nothing for a while. */
-  readonly unheard: Host[];
-  readonly zones: Map<ZoneId, ZoneSurvey>;
+  readonly unheard: Worker[];
+  readonly zones: Map<ZoneId, ZoneHealth>;
 }
 
 /** What was found of the host's zone; undefined: the zone is not known. */
-function zoneOf(host: Host, zones: ReadonlyMap<ZoneId, ZoneSurvey>): ZoneSurvey | undefined {
-  const id = host.presumed?.machine.zone;
+function zoneOf(worker: Worker, zones: ReadonlyMap<ZoneId, ZoneHealth>): ZoneHealth | undefined {
+  const id = worker.presumedFacts?.machine.zone;
   return id === undefined ? undefined : zones.get(id);
 }
 
@@ -72,10 +72,10 @@
  * Many at once: more likely a part of the network, or our own. Their reports may come another way.
  * All at once, however few: a deaf leader would fence healthy machines before it gives way.
  */
-function isCut(host: Host, { up, lost, zones }: Survey): boolean {
+function isCut(worker: Worker, { up, lost, zones }: FleetHealthSnapshot): boolean {
   const all = up >= 2 && lost.length === up;
   if (all || lost.length > Math.max(FEW_LOST, up * MANY)) return true;
-  const zone = zoneOf(host, zones);
+  const zone = zoneOf(worker, zones);
   return zone !== undefined && zone.lost > Math.max(FEW_LOST, zone.up * MOST_OF_A_ZONE);
 }
 
@@ -83,11 +83,11 @@
  * Watches for machines that are silent, or heard and not reached, and fences them; notices when it
  * is the leader who is deaf.
  */
-export class Health {
-  private lastHeard: Steady;
+export class WorkerFailureDetector {
+  private lastHeard: MonotonicTime;
   private heardAny = false;
-  private lastTick: Steady;
-  private strangerAt: Steady;
+  private lastTick: MonotonicTime;
+  private strangerAt: MonotonicTime;
   private asked = 0;
   private probing = 0;
   /** Early questions that one tick may ask. */
@@ -98,9 +98,9 @@
   constructor(
     private readonly ctx: LeaderContext,
     private readonly answerAloneMs: number,
-    private readonly onReport: (host: Host, report: Report) => void,
-    private readonly fence: (host: Host, why: string) => void,
-    private readonly leaseOver: (host: Host) => void,
+    private readonly onReport: (worker: Worker, heartbeat: Heartbeat) => void,
+    private readonly fence: (worker: Worker, why: string) => void,
+    private readonly leaseOver: (worker: Worker) => void,
   ) {
     const processorMs = TICK_MS * usableShare(ctx.settings) * ASKED_PROCESSOR_SHARE;
     this.askedPerTick = Math.max(1, Math.floor(processorMs / QUESTION_MS));
@@ -108,177 +108,179 @@
     this.lastTick = ctx.startedAt;
     this.strangerAt = ctx.startedAt;
     // A healthy worker's reports lie up to a quarter more than `report_s` apart (PROTOCOL).
-    const { silent_s: asked } = ctx.ops.workers;
-    this.silent = ms(asked === undefined ? ctx.settings.reportEvery * 1.25 + LATE_MS : asked * 1000);
+    const { silenceTimeout } = ctx.operators.workers;
+    this.silent = silenceTimeout ?? ms(ctx.settings.heartbeatInterval * 1.25 + LATE_MS);
     // One change of controller and two reports: then an answered worker has shown that it is.
     this.unreached = ms(2 * this.silent + ANSWER_MS);
   }
 
-  heard(host: Host, now: Steady): void {
-    host.heardAt = now;
-    host.metAt ??= now;
+  recordHeartbeat(worker: Worker, now: MonotonicTime): void {
+    worker.lastHeartbeatAt = now;
+    worker.firstHeartbeatAt ??= now;
     this.lastHeard = now;
     this.heardAny = true;
     // One that is heard and not reached stays under suspicion: only a contact clears it.
-    if (this.lost(host, now)) return;
-    host.probes = 0;
-    if (host.closed === 'silent' && !host.removing) host.closed = null;
+    if (this.lost(worker, now)) return;
+    worker.failedProbes = 0;
+    if (worker.cordon === 'unresponsive' && !worker.isRemoving) worker.cordon = null;
   }
 
   /** A machine was answered before we had read that it exists. */
-  answeredStranger(now: Steady): void {
+  recordAnswerToUnknownMachine(now: MonotonicTime): void {
     this.strangerAt = now;
   }
 
   /** Nobody is judged while it is not sure that we lead; leases that run out meanwhile still do. */
-  unsure(now: Steady): void {
+  checkLeases(now: MonotonicTime): void {
     this.lastTick = now;
-    for (const host of this.ctx.hosts.values()) if (this.leasePassed(host, now)) this.leaseOver(host);
+    for (const worker of this.ctx.workers.values()) if (this.leasePassed(worker, now)) this.leaseOver(worker);
   }
 
-  private silentFor(host: Host, now: Steady): Millis {
+  private silentFor(worker: Worker, now: MonotonicTime): Millis {
     // A host that holds a predecessor's tasks and was never heard counts from the takeover.
-    return since(now, host.heardAt ?? this.ctx.startedAt);
+    return since(now, worker.lastHeartbeatAt ?? this.ctx.startedAt);
   }
 
   /** Silent, or heard without a sign that our answers arrive. */
-  private lost(host: Host, now: Steady): boolean {
-    if (this.silentFor(host, now) > this.silent) return true;
-    const contact = host.contactAt ?? host.metAt ?? this.ctx.startedAt;
+  private lost(worker: Worker, now: MonotonicTime): boolean {
+    if (this.silentFor(worker, now) > this.silent) return true;
+    const contact = worker.lastContactAt ?? worker.firstHeartbeatAt ?? this.ctx.startedAt;
     return since(now, contact) > this.unreached;
   }
 
   /** True: the leader hears none of the machines that are up. */
-  deaf(now: Steady): boolean {
+  isInboundPartitioned(now: MonotonicTime): boolean {
     const held = since(now, this.lastTick);
     // Held up ourselves, we have not listened either.
     if (held > TICK_LATE_MS) this.lastHeard = plus(this.lastHeard, held);
     let up = 0;
     let overdue = 0;
-    for (const host of this.ctx.hosts.values()) {
-      if (!host.up && host.empty) continue;
+    for (const worker of this.ctx.workers.values()) {
+      if (!worker.isUp && worker.isEmpty) continue;
       up++;
-      if (this.silentFor(host, now) > this.silent) overdue++;
+      if (this.silentFor(worker, now) > this.silent) overdue++;
     }
     if (up < 2) return false;
     // After a takeover all machines may report at the same moments, and between these nobody is heard.
     if (this.heardAny && overdue < up * DEAF_OVERDUE) return false;
-    const expected = (this.ctx.settings.reportEvery / up) * DEAF_REPORTS;
+    const expected = (this.ctx.settings.heartbeatInterval / up) * DEAF_REPORTS;
     return since(now, this.lastHeard) > Math.min(DEAF_MOST_MS, Math.max(DEAF_LEAST_MS, expected));
   }
 
   /** Looks at every machine, and fences those that are lost. */
-  tick(now: Steady): void {
+  tick(now: MonotonicTime): void {
     const survey = this.survey(now);
     this.askLongestSilent(survey.unheard, now);
-    for (const host of survey.mute) this.fenceMute(host, survey);
-    for (const host of survey.lost) this.judge(host, survey, now);
+    for (const worker of survey.mute) this.fenceMute(worker, survey);
+    for (const worker of survey.lost) this.judge(worker, survey, now);
   }
 
-  private survey(now: Steady): Survey {
+  private survey(now: MonotonicTime): FleetHealthSnapshot {
     const late = since(now, this.lastTick) > TICK_LATE_MS;
     this.lastTick = now;
-    const survey: Survey = { up: 0, lost: [], mute: [], unheard: [], zones: new Map() };
-    for (const host of this.ctx.hosts.values()) {
-      if (!host.up && host.empty) continue;
+    const survey: FleetHealthSnapshot = { up: 0, lost: [], mute: [], unheard: [], zones: new Map() };
+    for (const worker of this.ctx.workers.values()) {
+      if (!worker.isUp && worker.isEmpty) continue;
       survey.up++;
-      const zone = zoneOf(host, survey.zones) ?? { up: 0, lost: 0, asked: 0, mute: 0 };
-      if (host.presumed) survey.zones.set(host.presumed.machine.zone, zone);
+      const zone = zoneOf(worker, survey.zones) ?? { up: 0, lost: 0, asked: 0, mute: 0 };
+      if (worker.presumedFacts) survey.zones.set(worker.presumedFacts.machine.zone, zone);
       zone.up++;
-      if (late) host.probes = 0;
-      else this.look(host, zone, survey, now);
+      if (late) worker.failedProbes = 0;
+      else this.look(worker, zone, survey, now);
     }
     return survey;
   }
 
-  private look(host: Host, zone: ZoneSurvey, survey: Survey, now: Steady): void {
-    if (this.lost(host, now)) {
-      survey.lost.push(host);
+  private look(worker: Worker, zone: ZoneHealth, survey: FleetHealthSnapshot, now: MonotonicTime): void {
+    if (this.lost(worker, now)) {
+      survey.lost.push(worker);
       zone.lost++;
       return;
     }
-    if (!this.askedEarly(host)) return;
+    if (!this.askedEarly(worker)) return;
     zone.asked++;
-    if (this.silentFor(host, now) < ASK_AFTER_MS) return;
-    if (host.probes >= PROBES) {
-      survey.mute.push(host);
+    if (this.silentFor(worker, now) < ASK_AFTER_MS) return;
+    if (worker.failedProbes >= PROBES) {
+      survey.mute.push(worker);
       zone.mute++;
-    } else survey.unheard.push(host);
+    } else survey.unheard.push(worker);
   }
 
   /** Several at once are judged by their reports: it may be a cut. */
-  private fenceMute(host: Host, survey: Survey): void {
-    const zone = zoneOf(host, survey.zones);
+  private fenceMute(worker: Worker, survey: FleetHealthSnapshot): void {
+    const zone = zoneOf(worker, survey.zones);
     if (!zone || zone.mute > Math.max(FEW_MUTE, zone.asked * MANY_MUTE)) return;
-    host.closed ??= 'silent';
-    this.fence(host, 'does not answer');
+    worker.cordon ??= 'unresponsive';
+    this.fence(worker, 'does not answer');
   }
 
-  private judge(host: Host, survey: Survey, now: Steady): void {
-    if (host.probes < PROBES) this.probe(host);
-    else if (!isCut(host, survey) || this.givenUp(host, now)) {
-      host.closed ??= 'silent';
-      this.fence(host, 'silent');
+  private judge(worker: Worker, survey: FleetHealthSnapshot, now: MonotonicTime): void {
+    if (worker.failedProbes < PROBES) this.probe(worker);
+    else if (!isCut(worker, survey) || this.givenUp(worker, now)) {
+      worker.cordon ??= 'unresponsive';
+      this.fence(worker, 'silent');
     }
-    if (this.leasePassed(host, now)) this.leaseOver(host);
+    if (this.leasePassed(worker, now)) this.leaseOver(worker);
   }
 
   /**
    * Behind a cut the work goes on, and what it completes is kept: its machines are fenced only
    * shortly before their leases would end it.
    */
-  private givenUp(host: Host, now: Steady): boolean {
-    const givenUpAfter = this.ctx.settings.workerLease * CUT_PATIENCE;
-    return since(now, host.answeredAt ?? this.ctx.startedAt) > givenUpAfter;
+  private givenUp(worker: Worker, now: MonotonicTime): boolean {
+    const givenUpAfter = this.ctx.settings.workerLeaseDuration * CUT_PATIENCE;
+    return since(now, worker.lastAnsweredAt ?? this.ctx.startedAt) > givenUpAfter;
   }
 
   /**
    * The worker's lease has surely run out: its tasks were killed. An earlier leader may have gone
    * on answering for `answerAlone` after our takeover, or after its grant was sure for the last time.
    */
-  private leasePassed(host: Host, now: Steady): boolean {
-    if (host.empty) return false;
-    const alone = plus(this.ctx.startedAt, atMost(this.answerAloneMs));
+  private leasePassed(worker: Worker, now: MonotonicTime): boolean {
+    if (worker.isEmpty) return false;
+    const alone = plus(this.ctx.startedAt, maxLocalDuration(this.answerAloneMs));
     const from = this.strangerAt > alone ? this.strangerAt : alone;
-    return now > host.leaseEnd(from, atMost(this.ctx.settings.workerLease) + 1000);
+    return now > worker.leaseExpiry(from, maxLocalDuration(this.ctx.settings.workerLeaseDuration) + 1000);
   }
 
   /** A machine with replicas is asked between its reports, if direct calls reach it at all. */
-  private askedEarly(host: Host): boolean {
-    if (!host.known || host.address === '' || host.unreachable > 0 || host.removing) return false;
-    return host.hasReplicas;
+  private askedEarly(worker: Worker): boolean {
+    if (!worker.hasReported || worker.address === '' || worker.failedCalls > 0 || worker.isRemoving)
+      return false;
+    return worker.hasReplicas;
   }
 
   /**
    * One that hangs rises to the head of the list. With every silent machine asked, the questions were reckoned to
    * take a third of a leader's time on a tenth of a core, and reports and decisions waited.
    */
-  private askLongestSilent(hosts: Host[], now: Steady): void {
+  private askLongestSilent(workers: Worker[], now: MonotonicTime): void {
     if (this.ctx.load() > BUSY_LOAD) return;
-    hosts.sort((a, b) => this.silentFor(b, now) - this.silentFor(a, now));
-    for (const host of hosts.slice(0, this.askedPerTick)) this.askEarly(host);
+    workers.sort((a, b) => this.silentFor(b, now) - this.silentFor(a, now));
+    for (const worker of workers.slice(0, this.askedPerTick)) this.askEarly(worker);
   }
 
-  private askEarly(host: Host): void {
-    if (host.probing || this.asked >= Math.max(1, this.ctx.workerCalls * ASKED_SHARE)) return;
-    if (this.probing >= this.ctx.workerCalls) return;
+  private askEarly(worker: Worker): void {
+    if (worker.isProbing || this.asked >= Math.max(1, this.ctx.maxConcurrentWorkerCalls * ASKED_SHARE))
+      return;
+    if (this.probing >= this.ctx.maxConcurrentWorkerCalls) return;
     this.asked++;
-    this.probe(host, () => {
+    this.probe(worker, () => {
       this.asked--;
     });
   }
 
-  private probe(host: Host, over?: () => void): void {
-    if (host.probing) return;
-    if (host.address === '') {
-      host.probes++;
+  private probe(worker: Worker, over?: () => void): void {
+    if (worker.isProbing) return;
+    if (worker.address === '') {
+      worker.failedProbes++;
       return;
     }
-    if (this.probing >= this.ctx.workerCalls) return;
-    host.probing = true;
+    if (this.probing >= this.ctx.maxConcurrentWorkerCalls) return;
+    worker.isProbing = true;
     this.probing++;
-    void this.ask(host).finally(() => {
-      host.probing = false;
+    void this.ask(worker).finally(() => {
+      worker.isProbing = false;
       this.probing--;
       over?.();
     });
@@ -288,36 +290,36 @@
    * Probes follow each other at once: every second counts for the replicas on a dead machine. The
    * last one takes every way: a direct one that fails may be a cut between it and us alone.
    */
-  private async ask(host: Host): Promise<void> {
-    const before = host.heardAt;
-    while (host.probes < PROBES && !this.ctx.ended()) {
-      const last = host.probes === PROBES - 1;
+  private async ask(worker: Worker): Promise<void> {
+    const before = worker.lastHeartbeatAt;
+    while (worker.failedProbes < PROBES && !this.ctx.isEnded()) {
+      const last = worker.failedProbes === PROBES - 1;
       const began = this.ctx.clock.now();
-      const deadline = this.ctx.ops.workers.probe_s * 1000;
+      const deadline = this.ctx.operators.workers.probeTimeout;
       try {
-        const report = await this.ctx.workers.show(
-          host.address,
+        const heartbeat = await this.ctx.workerClient.fetchHeartbeat(
+          worker.address,
           deadline,
-          last || this.silentFor(host, this.ctx.clock.now()) > this.silent,
+          last || this.silentFor(worker, this.ctx.clock.now()) > this.silent,
         );
-        if (!report || report.host !== host.id) throw new Error('not the worker asked for');
+        if (!heartbeat || heartbeat.machine !== worker.id) throw new Error('not the worker asked for');
         const now = this.ctx.clock.now();
-        host.contactAt = now;
-        host.unreachable = 0;
-        this.heard(host, now);
-        this.onReport(host, report);
+        worker.lastContactAt = now;
+        worker.failedCalls = 0;
+        this.recordHeartbeat(worker, now);
+        this.onReport(worker, heartbeat);
         return;
       } catch (error) {
         // Our own lack of sockets says nothing of the machine.
-        if (error instanceof NoSocket) return;
+        if (error instanceof NoSocketError) return;
         // Nor does a deadline that we noticed late: the answer may lie unread, as after a takeover.
         if (since(this.ctx.clock.now(), began) > deadline * HELD_UP) return;
-        host.probes++;
-        if (host.heardAt === before || this.lost(host, this.ctx.clock.now())) continue;
+        worker.failedProbes++;
+        if (worker.lastHeartbeatAt === before || this.lost(worker, this.ctx.clock.now())) continue;
         // It reports and is not reached: from now on its reports alone tell whether it lives.
-        host.unreachable++;
-        host.failedAt = this.ctx.clock.now();
-        host.probes = 0;
+        worker.failedCalls++;
+        worker.lastCallFailedAt = this.ctx.clock.now();
+        worker.failedProbes = 0;
         return;
       }
     }
--- a/src/workers/reconciliation.ts
+++ b/src/workers/reconciliation.ts
@@ -1,12 +1,12 @@
-import { type Epoch, epochOfToken, splitTaskId, type Token } from '../model/ids.js';
-import type { Attempt, Report } from '../model/heartbeat.js';
-import type { Steady } from '../model/time.js';
+import { type Epoch, epochOfFencingToken, parseTaskId, type FencingToken } from '../model/ids.js';
+import type { Attempt, Heartbeat } from '../model/heartbeat.js';
+import type { MonotonicTime } from '../model/time.js';
 import type { JobStore } from '../scheduler/job-store.js';
 import type { Task } from '../scheduler/task.js';
-import { type EndedAttempt, type Host } from './state/worker.js';
+import { type EndedAttempt, type Worker } from './state/worker.js';
 
 /** What a report told that others want to know. */
-export interface Told {
+export interface ReconciliationResult {
   /** Something now waits, or room was made. */
   changed: boolean;
   finished: { task: Task; ranMs: number | null }[];
@@ -15,7 +15,7 @@
   started: Task[];
 }
 
-const attemptKey = (a: { task: string; tryNo: number }): string => `${a.task}#${a.tryNo}`;
+const attemptKey = (a: { task: string; attemptNumber: number }): string => `${a.task}#${a.attemptNumber}`;
 
 /**
  * Takes in a report that was made under our epoch and is newer than the last one.
@@ -23,146 +23,166 @@
  * Only such a report proves a task gone: an older one may have been held back by the network
  * while the task started.
  */
-export function applyReport(host: Host, report: Report, epoch: Epoch, jobs: JobStore, now: Steady): Told {
-  const told: Told = { changed: false, finished: [], failed: [], lost: [], started: [] };
-  if (epochOfToken(report.token) !== epoch || !host.newer(report)) return told;
-  meet(host, report, told, now);
+export function reconcile(
+  worker: Worker,
+  heartbeat: Heartbeat,
+  epoch: Epoch,
+  jobs: JobStore,
+  now: MonotonicTime,
+): ReconciliationResult {
+  const told: ReconciliationResult = { changed: false, finished: [], failed: [], lost: [], started: [] };
+  if (epochOfFencingToken(heartbeat.token) !== epoch || !worker.isNewer(heartbeat)) return told;
+  meet(worker, heartbeat, told, now);
   const current = new Map<string, Task>();
-  for (const task of host.tasks) current.set(attemptKey({ task: task.id, tryNo: task.tryNo }), task);
-  const shown = new Set(report.attempts.map(attemptKey));
-  takeAttempts(host, report, current, jobs, host.token(epoch), told, now);
-  for (const key of host.ended.keys()) if (!shown.has(key)) host.ended.delete(key);
+  for (const task of worker.tasks)
+    current.set(attemptKey({ task: task.id, attemptNumber: task.attemptNumber }), task);
+  const shown = new Set(heartbeat.attempts.map(attemptKey));
+  takeAttempts(worker, heartbeat, current, jobs, worker.fencingToken(epoch), told, now);
+  for (const key of worker.endedAttempts.keys()) if (!shown.has(key)) worker.endedAttempts.delete(key);
   for (const [key, task] of current) {
     if (shown.has(key) || task.phase !== 'placed') continue;
-    if (provenGone(task, report)) lose(host, task, now, told);
-    else if (task.shown !== null) host.doubted = true;
+    if (provenGone(task, heartbeat)) lose(worker, task, now, told);
+    else if (task.observedState !== null) worker.needsHigherToken = true;
   }
-  host.idleSince = host.empty ? (host.idleSince ?? now) : null;
+  worker.idleSince = worker.isEmpty ? (worker.idleSince ?? now) : null;
   return told;
 }
 
 /** What the report says of the machine itself. */
-function meet(host: Host, report: Report, told: Told, now: Steady): void {
-  const newSession = host.known && report.session > host.session;
-  if (!host.known || !host.up || newSession) told.changed = true;
-  if (!host.known || newSession) host.beginSession(report.session, now);
-  host.known = true;
-  host.up = true;
-  host.counter = report.counter;
-  host.address = report.address;
-  if (report.notice !== null) {
-    const takenAt = (now + report.notice) as Steady;
-    if (host.takenAt === null) told.changed = true;
-    host.takenAt = host.takenAt === null || takenAt < host.takenAt ? takenAt : host.takenAt;
+function meet(worker: Worker, heartbeat: Heartbeat, told: ReconciliationResult, now: MonotonicTime): void {
+  const newSession = worker.hasReported && heartbeat.incarnation > worker.incarnation;
+  if (!worker.hasReported || !worker.isUp || newSession) told.changed = true;
+  if (!worker.hasReported || newSession) worker.beginIncarnation(heartbeat.incarnation, now);
+  worker.hasReported = true;
+  worker.isUp = true;
+  worker.sequence = heartbeat.sequence;
+  worker.address = heartbeat.address;
+  if (heartbeat.interruptionNotice !== null) {
+    const takenAt = (now + heartbeat.interruptionNotice) as MonotonicTime;
+    if (worker.interruptionAt === null) told.changed = true;
+    worker.interruptionAt =
+      worker.interruptionAt === null || takenAt < worker.interruptionAt ? takenAt : worker.interruptionAt;
   }
-  if (newSession) host.ended.clear();
+  if (newSession) worker.endedAttempts.clear();
 }
 
 function takeAttempts(
-  host: Host,
-  report: Report,
+  worker: Worker,
+  heartbeat: Heartbeat,
   current: ReadonlyMap<string, Task>,
   jobs: JobStore,
-  token: Token,
-  told: Told,
-  now: Steady,
+  token: FencingToken,
+  told: ReconciliationResult,
+  now: MonotonicTime,
 ): void {
   const strays: Attempt[] = [];
-  for (const attempt of report.attempts) {
+  for (const attempt of heartbeat.attempts) {
     const key = attemptKey(attempt);
     const task = current.get(key);
-    if (task) show(host, task, attempt, now, told);
+    if (task) show(worker, task, attempt, now, told);
     else if (attempt.state !== 'exited') strays.push(attempt);
-    else if (!host.ended.has(key)) host.ended.set(key, endedStray(attempt, jobs, token));
+    else if (!worker.endedAttempts.has(key)) worker.endedAttempts.set(key, endedStray(attempt, jobs, token));
   }
-  host.strays = strays;
+  worker.unwantedAttempts = strays;
 }
 
-function provenGone(task: Task, report: Report): boolean {
+function provenGone(task: Task, heartbeat: Heartbeat): boolean {
   // Orders of earlier epochs are refused by a worker that has seen ours.
-  if (task.inherited) return true;
+  if (task.isInherited) return true;
   // No order has left yet; it will, unless it is to be killed.
-  if (task.sentSession === null) return task.kill !== null;
+  if (task.startSentIncarnation === null) return task.pendingStop !== null;
   // Orders of an earlier session are refused, and the session's tasks were killed.
-  if (report.session > task.sentSession) return true;
+  if (heartbeat.incarnation > task.startSentIncarnation) return true;
   // Every run order that left, and every copy of one, is refused from now on.
-  return task.sentToken === null || report.token > task.sentToken;
+  return task.startSentToken === null || heartbeat.token > task.startSentToken;
 }
 
-function show(host: Host, task: Task, attempt: Attempt, now: Steady, told: Told): void {
-  task.inherited = false;
-  task.sentSession ??= host.session;
+function show(
+  worker: Worker,
+  task: Task,
+  attempt: Attempt,
+  now: MonotonicTime,
+  told: ReconciliationResult,
+): void {
+  task.isInherited = false;
+  task.startSentIncarnation ??= worker.incarnation;
   if (attempt.state === 'exited') {
-    exit(host, task, attempt, now, told);
+    exit(worker, task, attempt, now, told);
     return;
   }
-  if (attempt.state === 'running' && task.shown !== 'running') {
+  if (attempt.state === 'running' && task.observedState !== 'running') {
     task.runningAt ??= now;
     told.started.push(task);
-    host.keepImage(task.job.spec.image, task.job.spec.imageGb);
+    worker.cacheImage(task.job.spec.image, task.job.spec.imageGb);
   }
-  task.shown = attempt.state;
+  task.observedState = attempt.state;
 }
 
-function exit(host: Host, task: Task, attempt: Attempt, now: Steady, told: Told): void {
+function exit(
+  worker: Worker,
+  task: Task,
+  attempt: Attempt,
+  now: MonotonicTime,
+  told: ReconciliationResult,
+): void {
   const ranMs = task.runningAt === null ? null : now - task.runningAt;
-  const { sentToken } = task;
-  host.drop(task);
+  const { startSentToken } = task;
+  worker.unassign(task);
   told.changed = true;
   if (attempt.cause === 'done') {
-    host.keepImage(task.job.spec.image, task.job.spec.imageGb);
-    host.failures = 0;
-    host.failedJobs.clear();
-    task.job.finish(task, now);
+    worker.cacheImage(task.job.spec.image, task.job.spec.imageGb);
+    worker.failures = 0;
+    worker.failedJobs.clear();
+    task.job.finishTask(task, now);
     told.finished.push({ task, ranMs });
   } else {
-    task.job.release(task, now);
+    task.job.releaseTask(task, now);
     told.failed.push({ task, cause: attempt.cause });
   }
   const chunk = task.job.chunkOf(task.index);
   const ended: EndedAttempt = {
     task: attempt.task,
-    tryNo: attempt.tryNo,
+    attemptNumber: attempt.attemptNumber,
     chunk,
     version: chunk.version,
-    sentToken,
+    startSentToken,
   };
-  host.ended.set(attemptKey(attempt), ended);
+  worker.endedAttempts.set(attemptKey(attempt), ended);
 }
 
 /**
  * An ended attempt that is not the current one of its task: nothing of it is still wanted. What run
  * orders it had is not known any more: any of ours may have been one.
  */
-function endedStray(attempt: Attempt, jobs: JobStore, sentToken: Token): EndedAttempt {
-  const id = splitTaskId(attempt.task);
+function endedStray(attempt: Attempt, jobs: JobStore, startSentToken: FencingToken): EndedAttempt {
+  const id = parseTaskId(attempt.task);
   const job = id ? jobs.get(id.job) : undefined;
   const chunk = job && id ? job.chunkOf(id.index) : null;
   return {
     task: attempt.task,
-    tryNo: attempt.tryNo,
+    attemptNumber: attempt.attemptNumber,
     chunk,
     version: chunk?.version ?? 0,
-    sentToken,
+    startSentToken,
   };
 }
 
-function lose(host: Host, task: Task, now: Steady, told: Told): void {
-  host.drop(task);
-  task.job.release(task, now);
+function lose(worker: Worker, task: Task, now: MonotonicTime, told: ReconciliationResult): void {
+  worker.unassign(task);
+  task.job.releaseTask(task, now);
   told.lost.push(task);
   told.changed = true;
 }
 
 /** The host and everything on it is proven gone. */
-export function loseAll(host: Host, now: Steady): Task[] {
+export function releaseAllTasks(worker: Worker, now: MonotonicTime): Task[] {
   const lost: Task[] = [];
-  for (const task of [...host.tasks]) {
+  for (const task of [...worker.tasks]) {
     // A start that is still being committed keeps its place: dropped here it would, once committed, be
     // ordered by nobody and proven gone by nobody, and its job would wait for ever.
     if (task.phase !== 'placed') continue;
-    host.drop(task);
-    task.job.release(task, now);
+    worker.unassign(task);
+    task.job.releaseTask(task, now);
     lost.push(task);
   }
   return lost;
--- a/src/workers/state/worker-registry.ts
+++ b/src/workers/state/worker-registry.ts
@@ -1,39 +1,39 @@
-import type { HostId } from '../../model/ids.js';
-import type { Host } from './worker.js';
+import type { MachineId } from '../../model/ids.js';
+import type { Worker } from './worker.js';
 
 /** All machines that may exist, as the leader knows them. */
-export class HostRegistry {
-  private readonly hosts = new Map<HostId, Host>();
+export class WorkerRegistry {
+  private readonly workers = new Map<MachineId, Worker>();
   /** Machines proven gone: a late report or list must not bring them back. */
-  private readonly gone = new Set<HostId>();
+  private readonly gone = new Set<MachineId>();
 
   get size(): number {
-    return this.hosts.size;
+    return this.workers.size;
   }
 
-  get(id: HostId): Host | undefined {
-    return this.hosts.get(id);
+  get(id: MachineId): Worker | undefined {
+    return this.workers.get(id);
   }
 
-  has(id: HostId): boolean {
-    return this.hosts.has(id);
+  has(id: MachineId): boolean {
+    return this.workers.has(id);
   }
 
-  values(): Iterable<Host> {
-    return this.hosts.values();
+  values(): Iterable<Worker> {
+    return this.workers.values();
   }
 
   /** Whether the machine was proven gone. */
-  isGone(id: HostId): boolean {
+  isGone(id: MachineId): boolean {
     return this.gone.has(id);
   }
 
-  add(host: Host): void {
-    if (!this.gone.has(host.id)) this.hosts.set(host.id, host);
+  add(worker: Worker): void {
+    if (!this.gone.has(worker.id)) this.workers.set(worker.id, worker);
   }
 
-  remove(id: HostId): void {
-    this.hosts.delete(id);
+  remove(id: MachineId): void {
+    this.workers.delete(id);
     this.gone.add(id);
     if (this.gone.size > 5000) {
       const oldest = this.gone.values().next().value;
--- a/src/workers/state/worker.ts
+++ b/src/workers/state/worker.ts
@@ -1,23 +1,23 @@
 import {
-  type Counter,
+  type HeartbeatSequence,
   type Epoch,
-  type HostId,
+  type MachineId,
   type ImageId,
   type JobId,
-  LAST_ROUND,
+  MAX_FENCE_GENERATION,
   type MemberId,
-  type Round,
+  type FenceGeneration,
   type TaskId,
-  type SessionNumber,
-  type Token,
-  tokenOf,
-  type TryNo,
+  type AgentIncarnation,
+  type FencingToken,
+  fencingTokenOf,
+  type AttemptNumber,
 } from '../../model/ids.js';
-import { type Resources, type Room, take } from '../../model/job.js';
+import { type Resources, type FreeCapacity, allocate } from '../../model/job.js';
 import type { MachineType } from '../../model/machine.js';
 import type { ConfirmedFacts, MachineFacts, UnconfirmedFacts } from '../../model/machine-facts.js';
-import type { Attempt, Report } from '../../model/heartbeat.js';
-import { type Steady, plus } from '../../model/time.js';
+import type { Attempt, Heartbeat } from '../../model/heartbeat.js';
+import { type MonotonicTime, plus } from '../../model/time.js';
 import type { Chunk } from '../../scheduler/chunk.js';
 import type { Task } from '../../scheduler/task.js';
 
@@ -26,70 +26,73 @@
 /** An attempt that has ended and that the host still shows. */
 export interface EndedAttempt {
   readonly task: TaskId;
-  readonly tryNo: TryNo;
+  readonly attemptNumber: AttemptNumber;
   /** The outcome is durable once this chunk has reached `version`; null: nothing waits to be written. */
   readonly chunk: Chunk | null;
   readonly version: number;
   /** A run order with this token, or a copy of it, may still arrive; null: only with earlier epochs' ones. */
-  readonly sentToken: Token | null;
+  readonly startSentToken: FencingToken | null;
 }
 
+/** Why nothing more is placed on a machine. */
+export type CordonReason = 'failing' | 'draining' | 'scaling in' | 'unresponsive';
+
 /** A machine that may exist, with the tasks that may be on it. */
-export class Host {
+export class Worker {
   address = '';
   /** Heard under our epoch. */
-  known = false;
-  up = false;
+  hasReported = false;
+  isUp = false;
   /** Most machines are in their first session: the first direct call then hits. */
-  session = 1 as SessionNumber;
-  counter = 0 as Counter;
-  heardAt: Steady | null = null;
+  incarnation = 1 as AgentIncarnation;
+  sequence = 0 as HeartbeatSequence;
+  lastHeartbeatAt: MonotonicTime | null = null;
   /** When we first heard it under our epoch. */
-  metAt: Steady | null = null;
+  firstHeartbeatAt: MonotonicTime | null = null;
   /** When the host last showed that something of ours had reached it. */
-  contactAt: Steady | null = null;
+  lastContactAt: MonotonicTime | null = null;
   /** The last report that we answered, and the controller that it came through. */
-  private answeredReport: { readonly via: MemberId; readonly counter: Counter } | null = null;
+  private answeredReport: { readonly via: MemberId; readonly counter: HeartbeatSequence } | null = null;
   /** When we last answered a report of this host: its lease may run from then. */
-  answeredAt: Steady | null = null;
+  lastAnsweredAt: MonotonicTime | null = null;
   /** When we first heard of its present session, which began before: its lease may run from then, too. */
-  private sessionAt: Steady | null = null;
+  private incarnationSeenAt: MonotonicTime | null = null;
   /** When the cloud takes the machine, by its notice. */
-  takenAt: Steady | null = null;
+  interruptionAt: MonotonicTime | null = null;
   /** Nothing more is placed here. */
-  closed: 'sick' | 'emptying' | 'returning' | 'silent' | null = null;
-  private readonly held = new Set<Task>();
+  cordon: CordonReason | null = null;
+  private readonly assignedTasks = new Set<Task>();
   /** What is left of the machine; null: to be reckoned again. */
-  private room: Room | null = null;
-  readonly ended = new Map<string, EndedAttempt>();
+  private freeCapacity: FreeCapacity | null = null;
+  readonly endedAttempts = new Map<string, EndedAttempt>();
   /** Attempts shown that nobody wants: killed at every chance. */
-  strays: Attempt[] = [];
+  unwantedAttempts: Attempt[] = [];
   /** Cached images, oldest use first. */
   readonly images = new Map<ImageId, number>();
-  idleSince: Steady | null = null;
+  idleSince: MonotonicTime | null = null;
   /** Jobs whose tasks failed here since the last success. */
   readonly failedJobs = new Set<JobId>();
   failures = 0;
-  probes = 0;
-  probing = false;
-  removing = false;
+  failedProbes = 0;
+  isProbing = false;
+  isRemoving = false;
   /** The cloud's list shows it as running. */
-  listed = false;
+  isListedRunning = false;
   /** Raised when run orders have to lose their force; see `clearsFor`. */
-  private round = 0 as Round;
+  private fenceGeneration = 0 as FenceGeneration;
   /** Something that we count as being here can only be proven gone under a higher token. */
-  doubted = false;
+  needsHigherToken = false;
   commandInFlight = false;
   commandWanted = false;
   /** Direct calls that brought no answer in a row: orders then wait for reports. */
-  unreachable = 0;
+  failedCalls = 0;
   /** The last of them. */
-  failedAt: Steady | null = null;
+  lastCallFailedAt: MonotonicTime | null = null;
 
   constructor(
-    readonly id: HostId,
+    readonly id: MachineId,
     private knownFacts: MachineFacts,
-    readonly since: Steady,
+    readonly rentedAt: MonotonicTime,
   ) {}
 
   get facts(): MachineFacts {
@@ -97,61 +100,61 @@
   }
 
   /** What placement may rest on; null: nothing yet. */
-  get confirmed(): ConfirmedFacts | null {
+  get confirmedFacts(): ConfirmedFacts | null {
     return this.knownFacts.state === 'confirmed' ? this.knownFacts : null;
   }
 
   /** What planning may rest on, confirmed or not. */
-  get presumed(): ConfirmedFacts | UnconfirmedFacts | null {
+  get presumedFacts(): ConfirmedFacts | UnconfirmedFacts | null {
     return this.knownFacts.state === 'unknown' ? null : this.knownFacts;
   }
 
   get type(): MachineType | null {
-    return this.presumed?.type ?? null;
+    return this.presumedFacts?.type ?? null;
   }
 
   /** Somebody who knows has told what the machine is. */
   learn(facts: ConfirmedFacts): void {
     this.knownFacts = facts;
-    this.room = null;
-    for (const task of this.held) task.job.locate(task, facts.machine.zone);
+    this.freeCapacity = null;
+    for (const task of this.assignedTasks) task.job.locate(task, facts.machine.zone);
   }
 
   /** Tasks that may be on the machine. */
   get tasks(): ReadonlySet<Task> {
-    return this.held;
+    return this.assignedTasks;
   }
 
-  put(task: Task): void {
-    this.held.add(task);
-    task.job.locate(task, this.confirmed?.machine.zone ?? null);
-    this.room = null;
+  assign(task: Task): void {
+    this.assignedTasks.add(task);
+    task.job.locate(task, this.confirmedFacts?.machine.zone ?? null);
+    this.freeCapacity = null;
   }
 
-  drop(task: Task): void {
-    this.held.delete(task);
-    this.room = null;
+  unassign(task: Task): void {
+    this.assignedTasks.delete(task);
+    this.freeCapacity = null;
   }
 
-  get free(): Readonly<Room> {
-    if (this.room) return this.room;
+  get free(): Readonly<FreeCapacity> {
+    if (this.freeCapacity) return this.freeCapacity;
     const { cpus, gpus, memoryGb } = this.type ?? NO_RESOURCES;
     const free = { cpus, gpus, memoryGb };
-    for (const task of this.held) take(free, task.job.spec);
-    this.room = free;
+    for (const task of this.assignedTasks) allocate(free, task.job.spec);
+    this.freeCapacity = free;
     return free;
   }
 
   /** What orders to this host carry. */
-  token(epoch: Epoch): Token {
-    return tokenOf(epoch, this.round);
+  fencingToken(epoch: Epoch): FencingToken {
+    return fencingTokenOf(epoch, this.fenceGeneration);
   }
 
   /** From the next answer on the worker refuses every order that left before. */
-  raise(): boolean {
-    if (this.round >= LAST_ROUND) return false;
-    this.round = (this.round + 1) as Round;
-    this.doubted = false;
+  raiseFence(): boolean {
+    if (this.fenceGeneration >= MAX_FENCE_GENERATION) return false;
+    this.fenceGeneration = (this.fenceGeneration + 1) as FenceGeneration;
+    this.needsHigherToken = false;
     return true;
   }
 
@@ -159,9 +162,9 @@
    * A report that proves nothing yet, being of an earlier epoch, still tells the session to address.
    * True: it is another one than we thought.
    */
-  learnSession(report: Report, now: Steady): boolean {
-    if (this.known || report.session <= this.session) return false;
-    this.beginSession(report.session, now);
+  learnIncarnation(heartbeat: Heartbeat, now: MonotonicTime): boolean {
+    if (this.hasReported || heartbeat.incarnation <= this.incarnation) return false;
+    this.beginIncarnation(heartbeat.incarnation, now);
     return true;
   }
 
@@ -170,28 +173,32 @@
    * report that follows the last one through the same controller, with no message between them,
    * shows that its answer arrived. Reports alone show nothing: a machine may be heard and not reached.
    */
-  reported(report: Report, via: MemberId, now: Steady): void {
+  recordHeartbeat(heartbeat: Heartbeat, via: MemberId, now: MonotonicTime): void {
     const before = this.answeredReport;
-    if (before && before.via === via && report.counter === before.counter + 1) this.contactAt = now;
+    if (before && before.via === via && heartbeat.sequence === before.counter + 1) this.lastContactAt = now;
   }
 
-  answered(report: Report, via: MemberId, now: Steady): void {
-    this.answeredAt = now;
-    this.answeredReport = { via, counter: report.counter };
+  recordAnswer(heartbeat: Heartbeat, via: MemberId, now: MonotonicTime): void {
+    this.lastAnsweredAt = now;
+    this.answeredReport = { via, counter: heartbeat.sequence };
   }
 
   /** Direct calls fail, and no report has shown since that our answers arrive. */
-  get unreached(): boolean {
-    return this.unreachable > 0 && (this.contactAt === null || this.contactAt < (this.failedAt ?? 0));
+  get isUnreachable(): boolean {
+    return (
+      this.failedCalls > 0 &&
+      (this.lastContactAt === null || this.lastContactAt < (this.lastCallFailedAt ?? 0))
+    );
   }
 
-  newer(report: Report): boolean {
+  isNewer(heartbeat: Heartbeat): boolean {
     return (
-      report.session > this.session || (report.session === this.session && report.counter > this.counter)
+      heartbeat.incarnation > this.incarnation ||
+      (heartbeat.incarnation === this.incarnation && heartbeat.sequence > this.sequence)
     );
   }
 
-  keepImage(image: ImageId, gb: number): void {
+  cacheImage(image: ImageId, gb: number): void {
     this.images.delete(image);
     this.images.set(image, gb);
     let total = 0;
@@ -204,27 +211,31 @@
   }
 
   /** Whether the machine may hold a task that has not been proven gone. */
-  get empty(): boolean {
-    return this.held.size === 0;
+  get isEmpty(): boolean {
+    return this.assignedTasks.size === 0;
   }
 
   get hasReplicas(): boolean {
-    for (const task of this.held) if (task.job.spec.kind === 'service') return true;
+    for (const task of this.assignedTasks) if (task.job.spec.kind === 'service') return true;
     return false;
   }
 
   /** A session that we hear of for the first time. */
-  beginSession(session: SessionNumber, now: Steady): void {
-    this.session = session;
-    this.sessionAt = now;
+  beginIncarnation(session: AgentIncarnation, now: MonotonicTime): void {
+    this.incarnation = session;
+    this.incarnationSeenAt = now;
   }
 
   /**
    * Until then the worker may keep what it runs. A machine that reaches no controller goes through its sessions
    * unanswered, and runs what direct orders bring it in each.
    */
-  leaseEnd(start: Steady, lease: number): Steady {
-    const from = Math.max(start, this.answeredAt ?? start, this.sessionAt ?? start) as Steady;
+  leaseExpiry(start: MonotonicTime, lease: number): MonotonicTime {
+    const from = Math.max(
+      start,
+      this.lastAnsweredAt ?? start,
+      this.incarnationSeenAt ?? start,
+    ) as MonotonicTime;
     return plus(from, lease);
   }
 }
--- a/src/workers/worker-commands.ts
+++ b/src/workers/worker-commands.ts
@@ -1,8 +1,8 @@
-import { type Epoch, type JobId, splitTaskId, type Token } from '../model/ids.js';
-import type { Order, Report } from '../model/heartbeat.js';
-import type { Steady } from '../model/time.js';
+import { type Epoch, type JobId, parseTaskId, type FencingToken } from '../model/ids.js';
+import type { WorkerCommand, Heartbeat } from '../model/heartbeat.js';
+import type { MonotonicTime } from '../model/time.js';
 import type { Task } from '../scheduler/task.js';
-import type { EndedAttempt, Host } from './state/worker.js';
+import type { EndedAttempt, Worker } from './state/worker.js';
 
 /** A cancelled task whose start may be on its way is tombstoned only this long; then its host is fenced. */
 const TOMBSTONE_MS = 15_000;
@@ -14,64 +14,77 @@
  * given up on. When such a task has to go, `run` and `kill` leave together: the attempt then
  * stands as ended on the host, and a late `run` does nothing.
  */
-export function ordersFor(host: Host, now: Steady, sure: boolean): Order[] {
-  if (!sure) return killsWhileUnsure(host);
+export function commandsFor(worker: Worker, now: MonotonicTime, sure: boolean): WorkerCommand[] {
+  if (!sure) return stopCommandsWithoutLease(worker);
   return [
-    ...host.strays.map(({ task, tryNo }): Order => ({ verb: 'kill', task, tryNo, graceS: 0 })),
-    ...[...host.tasks].flatMap((task) => killsFor(task, now)),
-    ...[...host.tasks]
+    ...worker.unwantedAttempts.map(({ task, attemptNumber }): WorkerCommand => ({
+      kind: 'stop',
+      task,
+      attemptNumber,
+      graceS: 0,
+    })),
+    ...[...worker.tasks].flatMap((task) => stopCommandsFor(task, now)),
+    ...[...worker.tasks]
       .filter(mayRun)
-      .map((task): Order => ({ verb: 'run', task: task.id, tryNo: task.tryNo })),
+      .map((task): WorkerCommand => ({ kind: 'start', task: task.id, attemptNumber: task.attemptNumber })),
   ];
 }
 
 /** A cancelled task is of no use whoever leads; nothing else is ordered without being sure, no start above all. */
-function killsWhileUnsure(host: Host): Order[] {
-  return [...host.tasks]
-    .filter(({ phase, kill, shown }) => phase === 'placed' && kill?.why === 'cancelled' && shown !== null)
-    .map((task) => ({ verb: 'kill', task: task.id, tryNo: task.tryNo, graceS: 0 }));
+function stopCommandsWithoutLease(worker: Worker): WorkerCommand[] {
+  return [...worker.tasks]
+    .filter(
+      ({ phase, pendingStop, observedState }) =>
+        phase === 'placed' && pendingStop?.reason === 'cancelled' && observedState !== null,
+    )
+    .map((task) => ({ kind: 'stop', task: task.id, attemptNumber: task.attemptNumber, graceS: 0 }));
 }
 
-function killsFor(task: Task, now: Steady): Order[] {
-  const { id, tryNo, phase, kill, shown, sentSession } = task;
-  if (phase !== 'placed' || !kill) return [];
-  const stop: Order = { verb: 'kill', task: id, tryNo, graceS: kill.graceS };
-  if (shown !== null) return [stop];
-  if (sentSession === null) return [];
-  if (kill.why === 'cancelled' && now - kill.at > TOMBSTONE_MS) return [];
-  return [{ verb: 'run', task: id, tryNo }, stop];
+function stopCommandsFor(task: Task, now: MonotonicTime): WorkerCommand[] {
+  const { id, attemptNumber, phase, pendingStop, observedState, startSentIncarnation } = task;
+  if (phase !== 'placed' || !pendingStop) return [];
+  const stop: WorkerCommand = { kind: 'stop', task: id, attemptNumber, graceS: pendingStop.graceS };
+  if (observedState !== null) return [stop];
+  if (startSentIncarnation === null) return [];
+  if (pendingStop.reason === 'cancelled' && now - pendingStop.since > TOMBSTONE_MS) return [];
+  return [{ kind: 'start', task: id, attemptNumber }, stop];
 }
 
-function mayRun({ phase, kill, shown, inherited }: Task): boolean {
-  return phase === 'placed' && kill === null && shown === null && !inherited;
+function mayRun({ phase, pendingStop, observedState, isInherited }: Task): boolean {
+  return phase === 'placed' && pendingStop === null && observedState === null && !isInherited;
 }
 
 /** Kills for what a report shows of cancelled jobs, whoever started it. */
-export function killsOf(report: Report, cancelled: (id: JobId) => boolean): Order[] {
-  const orders: Order[] = [];
-  for (const { task, tryNo, state } of report.attempts) {
-    const id = state === 'exited' ? null : splitTaskId(task);
-    if (id && cancelled(id.job)) orders.push({ verb: 'kill', task, tryNo, graceS: 0 });
+export function stopCommandsForCancelled(
+  heartbeat: Heartbeat,
+  cancelled: (id: JobId) => boolean,
+): WorkerCommand[] {
+  const commands: WorkerCommand[] = [];
+  for (const { task, attemptNumber, state } of heartbeat.attempts) {
+    const id = state === 'exited' ? null : parseTaskId(task);
+    if (id && cancelled(id.job)) commands.push({ kind: 'stop', task, attemptNumber, graceS: 0 });
   }
-  return orders;
+  return commands;
 }
 
 /**
  * Whether a start of a cancelled task may still be on its way to the host. Who is not sure orders no
  * tombstone; a higher token, which the worker takes over with the answer, makes it refuse such a start.
  */
-export function mustForget(host: Host, epoch: Epoch): boolean {
-  const token = host.token(epoch);
-  for (const { phase, kill, shown, sentToken } of host.tasks) {
-    if (phase !== 'placed' || kill?.why !== 'cancelled' || shown !== null) continue;
-    if (sentToken !== null && sentToken >= token) return true;
+export function mustFenceLateStarts(worker: Worker, epoch: Epoch): boolean {
+  const token = worker.fencingToken(epoch);
+  for (const { phase, pendingStop, observedState, startSentToken } of worker.tasks) {
+    if (phase !== 'placed' || pendingStop?.reason !== 'cancelled' || observedState !== null) continue;
+    if (startSentToken !== null && startSentToken >= token) return true;
   }
   return false;
 }
 
 /** Ended attempts whose outcome is durable: the worker need not keep them. */
-function settled(host: Host): EndedAttempt[] {
-  return [...host.ended.values()].filter(({ chunk, version }) => !chunk || chunk.holds(version));
+function durableEndedAttempts(worker: Worker): EndedAttempt[] {
+  return [...worker.endedAttempts.values()].filter(
+    ({ chunk, version }) => !chunk || chunk.isDurable(version),
+  );
 }
 
 /**
@@ -80,27 +93,36 @@
  * or as a copy of one that was carried out, would start the attempt again. Under the higher token,
  * which the worker takes over with the `clear` itself, it is refused.
  */
-export function clearsFor(host: Host, token: Token): Order[] {
-  return settled(host)
-    .filter(({ sentToken }) => sentToken === null || sentToken < token)
-    .map(({ task, tryNo }) => ({ verb: 'clear', task, tryNo }));
+export function forgetCommandsFor(worker: Worker, token: FencingToken): WorkerCommand[] {
+  return durableEndedAttempts(worker)
+    .filter(({ startSentToken }) => startSentToken === null || startSentToken < token)
+    .map(({ task, attemptNumber }) => ({ kind: 'forget', task, attemptNumber }));
 }
 
 /** Whether the host's token should be raised before it is answered. */
-export function needsRaise(host: Host, token: Token): boolean {
+export function mustRaiseFence(worker: Worker, token: FencingToken): boolean {
   // Orders on their way would be refused: the next report is soon enough.
-  if (host.commandInFlight) return false;
-  return host.doubted || settled(host).some(({ sentToken }) => sentToken !== null && sentToken >= token);
+  if (worker.commandInFlight) return false;
+  return (
+    worker.needsHigherToken ||
+    durableEndedAttempts(worker).some(
+      ({ startSentToken }) => startSentToken !== null && startSentToken >= token,
+    )
+  );
 }
 
 /** Remembers which run orders leave, in which session and with which token. */
-export function markSent(host: Host, orders: readonly Order[], token: Token): void {
+export function markStartsSent(
+  worker: Worker,
+  commands: readonly WorkerCommand[],
+  token: FencingToken,
+): void {
   const runs = new Set<string>();
-  for (const order of orders) if (order.verb === 'run') runs.add(order.task);
+  for (const command of commands) if (command.kind === 'start') runs.add(command.task);
   if (runs.size === 0) return;
-  for (const task of host.tasks) {
+  for (const task of worker.tasks) {
     if (!runs.has(task.id)) continue;
-    task.sentSession ??= host.session;
-    task.sentToken = token;
+    task.startSentIncarnation ??= worker.incarnation;
+    task.startSentToken = token;
   }
 }
--- a/src/workers/worker-connections.ts
+++ b/src/workers/worker-connections.ts
@@ -1,6 +1,6 @@
 /** Calls to the workers' own addresses. */
 import type { CallVerb } from '../peer/frames.js';
-import { HttpTarget, NoSocket, type Reply, SocketCount } from '../net/http-client.js';
+import { HttpTarget, NoSocketError, type HttpReply, SocketCount } from '../net/http-client.js';
 
 interface Target {
   readonly http: HttpTarget;
@@ -14,7 +14,7 @@
  * Calls over kept connections; where a new one would be one too many, the least recently used worker's are closed.
  * Few workers need their second connection: reckoned with two each, half of the calls had to connect anew.
  */
-export class WorkerTargets {
+export class WorkerConnections {
   private readonly targets = new Map<string, Target>();
   private readonly count = new SocketCount();
 
@@ -40,11 +40,11 @@
       this.targets.delete(address);
       return;
     }
-    throw new NoSocket('no socket is free');
+    throw new NoSocketError('no socket is free');
   }
 
   /** Throws `NoSocket` where nothing was sent for want of a socket. */
-  async raw(verb: CallVerb, address: string, body: unknown, deadlineMs: number): Promise<Reply> {
+  async call(verb: CallVerb, address: string, body: unknown, deadlineMs: number): Promise<HttpReply> {
     const target = this.target(address);
     target.inFlight++;
     try {
--- a/test/profile/main.ts
+++ b/test/profile/main.ts
@@ -8,13 +8,13 @@
 import { parseArgs } from 'node:util';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
-import type { HostId, ImageId, JobId, TypeId, ZoneId } from '../../src/model/ids.js';
-import { realClock, sleep } from '../../src/model/time.js';
-import { HttpTarget, NoAnswer } from '../../src/net/http-client.js';
-import { StandInCloud } from '../standins/cloud.js';
+import type { MachineId, ImageId, JobId, MachineTypeId, ZoneId } from '../../src/model/ids.js';
+import { systemClock, sleep } from '../../src/model/time.js';
+import { HttpTarget, NoAnswerError } from '../../src/net/http-client.js';
+import { FakeCloud } from '../standins/cloud.js';
 import { type JobWish, LEASE_S, submissionBody, TYPES } from '../standins/site-setup.js';
-import { StandInState } from '../standins/state.js';
-import { type JobFacts, StandInWorker, type WorkerWorld } from '../standins/worker.js';
+import { FakeKeyValueStore } from '../standins/state.js';
+import { type JobFacts, FakeWorker, type WorkerWorld } from '../standins/worker.js';
 import {
   cloudHandler,
   heartbeatAnswer,
@@ -57,17 +57,17 @@
 const POLL_MS = 5000;
 const RUN_S = 35;
 
-const addressOf = (id: HostId): string => {
+const addressOf = (id: MachineId): string => {
   const n = Number(id.slice('host-'.length));
   return `127.1.${n >> 8}.${n & 255}:${WORKERS}`;
 };
-const hostAt = (ip: string): HostId => {
+const hostAt = (ip: string): MachineId => {
   const [, , high, low] = ip.split('.').map(Number);
-  return `host-${String(((high ?? 0) << 8) + (low ?? 0)).padStart(6, '0')}` as HostId;
+  return `host-${String(((high ?? 0) << 8) + (low ?? 0)).padStart(6, '0')}` as MachineId;
 };
 
-const workers = new Map<HostId, StandInWorker>();
-const links = new Map<HostId, HttpTarget[]>();
+const workers = new Map<MachineId, FakeWorker>();
+const links = new Map<MachineId, HttpTarget[]>();
 const jobs = new Map<JobId, JobFacts>();
 const fronts = NODES.map((n) => new HttpTarget(`127.0.0.1:${FRONT + n}`, 200));
 let started = 0;
@@ -95,12 +95,12 @@
   },
 };
 
-const state = new StandInState(realClock);
-const cloud = new StandInCloud(
-  realClock,
+const state = new FakeKeyValueStore(systemClock);
+const cloud = new FakeCloud(
+  systemClock,
   TYPES,
   (machine) =>
-    workers.set(machine.id, new StandInWorker(machine, realClock, world, LEASE_S * 1000, REPORT_MS)),
+    workers.set(machine.id, new FakeWorker(machine, systemClock, world, LEASE_S * 1000, REPORT_MS)),
   (id) => {
     workers.get(id)?.vanish();
     workers.delete(id);
@@ -200,9 +200,9 @@
         if ((reply.body as { status?: string })?.status === 'done') return;
       }
     } catch (error) {
-      if (!(error instanceof NoAnswer)) throw error;
+      if (!(error instanceof NoAnswerError)) throw error;
     }
-    await sleep(realClock, accepted ? POLL_MS : 1000);
+    await sleep(systemClock, accepted ? POLL_MS : 1000);
   }
   await front()
     .call('POST', `/v2/runs/${ref}/cancel`, {}, 5000)
@@ -211,7 +211,7 @@
 
 function arrive(kind: 'array' | 'service', perSecond: number): void {
   if (perSecond <= 0) return;
-  realClock.after((-Math.log(1 - random()) * 1000) / perSecond, () => {
+  systemClock.after((-Math.log(1 - random()) * 1000) / perSecond, () => {
     void user(kind);
     arrive(kind, perSecond);
   });
@@ -227,8 +227,8 @@
   rmSync(OUT, { recursive: true, force: true });
   mkdirSync(OUT, { recursive: true });
   writeFileSync(`${OUT}/exit.cjs`, "process.on('SIGTERM', () => process.exit(0));\n");
-  await serve(STATE, '127.0.0.1', stateHandler(state.for('all', realClock)));
-  await serve(CLOUD, '127.0.0.1', cloudHandler(cloud.for(realClock), TYPES, addressOf));
+  await serve(STATE, '127.0.0.1', stateHandler(state.for('all', systemClock)));
+  await serve(CLOUD, '127.0.0.1', cloudHandler(cloud.for(systemClock), TYPES, addressOf));
   await serve(
     WORKERS,
     '0.0.0.0',
@@ -236,22 +236,22 @@
   );
   for (let n = 0; n < Number(values.machines); n++)
     cloud.adopt({
-      id: `host-${String(n).padStart(6, '0')}` as HostId,
-      type: TYPES[0]?.id as TypeId,
+      id: `host-${String(n).padStart(6, '0')}` as MachineId,
+      type: TYPES[0]?.id as MachineTypeId,
       zone: (n % 2 ? 'north' : 'south') as ZoneId,
       spot: n % 3 === 0,
     });
   let nodes = NODES.map(startNode);
-  await sleep(realClock, 3000);
+  await sleep(systemClock, 3000);
   for (let n = 0; n < 150 * Number(values.services); n++) void user('service');
   arrive('service', Number(values.services));
   arrive('array', Number(values.arrays));
   if (Number(values['restart-after']) > 0) {
-    await sleep(realClock, Number(values['restart-after']) * 1000);
+    await sleep(systemClock, Number(values['restart-after']) * 1000);
     await end(nodes);
     nodes = NODES.map(startNode);
   }
-  await sleep(realClock, Number(values.seconds) * 1000);
+  await sleep(systemClock, Number(values.seconds) * 1000);
   await end(nodes);
   console.log(
     `${workers.size} machines, ${started} starts, ${nextJob} jobs, ${state.requests} state requests`,
