--- a/test/profile/placement-main.ts
+++ b/test/profile/placement-main.ts
@@ -4,15 +4,15 @@
  */
 import { parseArgs } from 'node:util';
 import { DecisionLog } from '../../src/log/decision-log.js';
-import { silentLog } from '../../src/log/logger.js';
-import type { Epoch, HostId, JobId, Revision, TypeId } from '../../src/model/ids.js';
+import { silentLogger } from '../../src/log/logger.js';
+import type { Epoch, MachineId, JobId, Revision, MachineTypeId } from '../../src/model/ids.js';
 import type { JobSpec } from '../../src/model/job.js';
-import { realClock, type WallTime } from '../../src/model/time.js';
-import { OpenJob } from '../../src/scheduler/active-job.js';
-import type { Host } from '../../src/workers/state/worker.js';
-import { OrderIssuer } from '../../src/workers/command-issuer.js';
-import { markSent, ordersFor } from '../../src/workers/worker-commands.js';
-import { hostOf } from '../standins/host.js';
+import { systemClock, type WallTime } from '../../src/model/time.js';
+import { ActiveJob } from '../../src/scheduler/active-job.js';
+import type { Worker } from '../../src/workers/state/worker.js';
+import { CommandIssuer } from '../../src/workers/command-issuer.js';
+import { markStartsSent, commandsFor } from '../../src/workers/worker-commands.js';
+import { workerOf } from '../standins/host.js';
 import { MIXED_ZONES, TYPES } from '../standins/site-setup.js';
 import { submission } from '../standins/submission.js';
 
@@ -27,30 +27,33 @@
 });
 
 /** Every third job is spread: the zones of its other tasks are asked as well. */
-function jobAt(n: number): OpenJob {
+function jobAt(n: number): ActiveJob {
   const spec: JobSpec = {
     ...submission({}),
     id: `j-${n}` as JobId,
-    tasks: TASKS_A_JOB,
-    spot: true,
-    spread: n % 3 === 0,
+    taskCount: TASKS_A_JOB,
+    allowsSpot: true,
+    zoneAntiAffinity: n % 3 === 0,
   };
-  return new OpenJob(spec, 1 as Revision, 0 as WallTime);
+  return new ActiveJob(spec, 1 as Revision, 0 as WallTime);
 }
 
-function fleet(machines: number, tasks: number): Host[] {
-  const now = realClock.now();
-  const hosts: Host[] = [];
+function fleet(machines: number, tasks: number): Worker[] {
+  const now = systemClock.now();
+  const hosts: Worker[] = [];
   let job = jobAt(0);
   let jobs = 1;
   for (let n = 0; n < machines; n++) {
     const zone = MIXED_ZONES[n % MIXED_ZONES.length] as (typeof MIXED_ZONES)[0];
-    const host = hostOf({ id: `host-${n}` as HostId, type: TYPES[0]?.id as TypeId, zone, spot: true }, now);
+    const host = workerOf(
+      { id: `host-${n}` as MachineId, type: TYPES[0]?.id as MachineTypeId, zone, spot: true },
+      now,
+    );
     for (let t = 0; t < tasks; t++) {
-      if (job.waiting === 0) job = jobAt(jobs++);
-      const task = job.decide(host.id, zone, now);
-      job.placed(task);
-      host.put(task);
+      if (job.waitingCount === 0) job = jobAt(jobs++);
+      const task = job.beginAttempt(host.id, zone, now);
+      job.confirmPlacement(task);
+      host.assign(task);
     }
     hosts.push(host);
   }
@@ -58,7 +61,7 @@
 }
 
 /** Milliseconds for the first orders of all machines. */
-function timed(issue: (host: Host) => void): number {
+function timed(issue: (host: Worker) => void): number {
   const hosts = fleet(Number(values.machines), Number(values.tasks));
   const began = performance.now();
   for (const host of hosts) issue(host);
@@ -69,17 +72,17 @@
   return numbers.sort((a, b) => a - b)[Math.floor(numbers.length / 2)] ?? 0;
 }
 
-function rounds(issue: (host: Host) => void): number {
+function rounds(issue: (host: Worker) => void): number {
   return median(Array.from({ length: ROUNDS }, () => timed(issue)));
 }
 
-const issuer = new OrderIssuer(
-  { epoch: EPOCH, log: silentLog, clock: realClock },
-  new DecisionLog(silentLog, realClock),
+const issuer = new CommandIssuer(
+  { epoch: EPOCH, log: silentLogger, clock: systemClock },
+  new DecisionLog(silentLogger, systemClock),
 );
 const plainMs = rounds((host) => {
-  const orders = ordersFor(host, realClock.now(), true);
-  markSent(host, orders, host.token(EPOCH));
+  const orders = commandsFor(host, systemClock.now(), true);
+  markStartsSent(host, orders, host.fencingToken(EPOCH));
 });
 const checkedMs = rounds((host) => void issuer.issue(host, true, [], MOST_ORDERS));
 const orders = Number(values.machines) * Number(values.tasks);
--- a/test/soak/broken-controller.ts
+++ b/test/soak/broken-controller.ts
@@ -31,7 +31,7 @@
     { file: RULE, from: 'if (machine.spot && !spec.spot) return PlacementRefusal.Spot;', to: '' },
     { file: 'scheduler/place.ts', from: "spec.spot ? 'spot' : 'firm'", to: "'spot'" },
   ],
-  oneZone: [{ file: RULE, from: 'if (spec.oneZone && isInOtherZone(others, zone)) return 0;', to: '' }],
+  zoneAffinity: [{ file: RULE, from: 'if (spec.oneZone && isInOtherZone(others, zone)) return 0;', to: '' }],
   spread: [{ file: RULE, from: 'return spec.spread ?', to: 'return spec.spread && false ?' }],
 } satisfies Record<string, readonly Change[]>;
 
--- a/test/soak/loopback-controllers.ts
+++ b/test/soak/loopback-controllers.ts
@@ -2,8 +2,8 @@
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { Relay } from '@plumyoke/standins';
-import { ORDER_WITHHELD } from '../../src/workers/command-issuer.js';
-import { KNOWN_BY_TASK } from '../../src/fleet/inventory.js';
+import { START_WITHHELD } from '../../src/workers/command-issuer.js';
+import { KNOWN_BY_TASK_ONLY } from '../../src/fleet/inventory.js';
 import { ControllerProcess, type LogLine } from './controller-process.js';
 import { ObservedSet } from './observed-set.js';
 import { type ControllerSettings, settingsFile } from '../standins/settings-file.js';
@@ -121,8 +121,8 @@
       this.leading.delete(member);
       listener.trace(`${member}     leads no more: ${String(line['why'])}`);
     }
-    if (msg === KNOWN_BY_TASK) this.unknownMachines++;
-    if (msg === ORDER_WITHHELD) listener.breach(`withheld: ${JSON.stringify(line)}`);
+    if (msg === KNOWN_BY_TASK_ONLY) this.unknownMachines++;
+    if (msg === START_WITHHELD) listener.breach(`withheld: ${JSON.stringify(line)}`);
     if (msg === 'uncaught exception') listener.breach(`exception: ${member}: ${String(line['error'])}`);
   }
 
--- a/test/soak/loopback-machines.ts
+++ b/test/soak/loopback-machines.ts
@@ -1,10 +1,10 @@
 /** The machines of a site on loopback: each worker serves its own address and reports over real sockets. */
 import type { Server } from 'node:http';
-import type { HostId, JobId, TaskId, Token, TryNo } from '../../src/model/ids.js';
-import { epochOfToken } from '../../src/model/ids.js';
+import type { MachineId, JobId, TaskId, FencingToken, AttemptNumber } from '../../src/model/ids.js';
+import { epochOfFencingToken } from '../../src/model/ids.js';
 import type { Machine } from '../../src/model/machine.js';
-import type { Report } from '../../src/model/heartbeat.js';
-import { realClock, sleep } from '../../src/model/time.js';
+import type { Heartbeat } from '../../src/model/heartbeat.js';
+import { systemClock, sleep } from '../../src/model/time.js';
 import { HttpTarget } from '../../src/net/http-client.js';
 import {
   AnswerLost,
@@ -14,7 +14,7 @@
   serve,
   workersHandler,
 } from '../standins/servers.js';
-import { type HeartbeatAnswer, type JobFacts, StandInWorker, type WorkerWorld } from '../standins/worker.js';
+import { type HeartbeatAnswer, type JobFacts, FakeWorker, type WorkerWorld } from '../standins/worker.js';
 
 const WORKER_PORT = 9000;
 const ANSWER_MS = 4000;
@@ -33,37 +33,37 @@
   readonly leader: () => string | undefined;
   readonly leaderOf: (epoch: number) => string | undefined;
   readonly job: (id: JobId) => JobFacts | undefined;
-  readonly started: (task: TaskId, tryNo: TryNo, machine: Machine) => void;
+  readonly started: (task: TaskId, attemptNumber: AttemptNumber, machine: Machine) => void;
   readonly left: (task: TaskId, machine: Machine, why: string) => void;
   readonly trace: (text: string) => void;
 }
 
 interface Up {
-  readonly worker: StandInWorker;
+  readonly worker: FakeWorker;
   readonly server: Promise<Server | null>;
   readonly links: readonly HttpTarget[];
 }
 
 /** Workers, and what the network does to them. */
 export class LoopbackMachines implements WorkerWorld {
-  readonly workers = new Map<HostId, StandInWorker>();
+  readonly workers = new Map<MachineId, FakeWorker>();
   /** `node host`: nothing passes between them. */
   readonly cuts = new Set<string>();
   /** Their reports arrive; no answer and no command reaches them. */
-  readonly oneWay = new Set<HostId>();
+  readonly oneWay = new Set<MachineId>();
   /** They reach no controller; commands sent straight reach them. */
-  readonly mute = new Set<HostId>();
+  readonly mute = new Set<MachineId>();
   copyShare = 0;
   /** Of this share of the reports the answer is lost, or the report itself. */
   lostShare = 0;
   /** Commands arrive once more, so many ms later. */
   repeatAfterMs: number | null = null;
   /** The first order to start something has come to a machine. */
-  onFirstWork: (id: HostId) => void = () => {};
-  private readonly worked = new Set<HostId>();
-  private readonly holding = new Set<HostId>();
+  onFirstWork: (id: MachineId) => void = () => {};
+  private readonly worked = new Set<MachineId>();
+  private readonly holding = new Set<MachineId>();
   private held: (() => void)[] = [];
-  private readonly up = new Map<HostId, Up>();
+  private readonly up = new Map<MachineId, Up>();
 
   constructor(private readonly options: MachinesOptions) {}
 
@@ -71,11 +71,11 @@
     return this.options.nodes;
   }
 
-  addressOf(id: HostId): string {
+  addressOf(id: MachineId): string {
     return `${this.ipOf(id)}:${WORKER_PORT}`;
   }
 
-  private ipOf(id: HostId): string {
+  private ipOf(id: MachineId): string {
     const n = Number(id.slice('host-'.length));
     return `${this.options.network}.${1 + (n >> 8)}.${n & 255}`;
   }
@@ -84,13 +84,13 @@
   begin(machine: Machine): void {
     const { leaseMs, reportMs, fronts, trace } = this.options;
     trace(`${machine.id} is up (${machine.type}, ${machine.zone}${machine.spot ? ', spot' : ''})`);
-    const worker = new StandInWorker(machine, realClock, this, leaseMs, reportMs);
+    const worker = new FakeWorker(machine, systemClock, this, leaseMs, reportMs);
     const server = serve(WORKER_PORT, this.ipOf(machine.id), this.handlerOf(worker)).catch(() => null);
     this.workers.set(machine.id, worker);
     this.up.set(machine.id, { worker, server, links: fronts.map((front) => new HttpTarget(front, 1)) });
   }
 
-  gone(id: HostId): void {
+  gone(id: MachineId): void {
     this.workers.get(id)?.vanish();
     this.workers.delete(id);
     const up = this.up.get(id);
@@ -103,34 +103,34 @@
 
   // Commands
 
-  private handlerOf(worker: StandInWorker): Handler {
+  private handlerOf(worker: FakeWorker): Handler {
     const act = workersHandler(
       () => worker,
       (id) => this.addressOf(id),
     );
     return async (request) => {
       const { id } = worker.machine;
-      const { epoch } = (request.body ?? {}) as { epoch?: Token };
+      const { epoch } = (request.body ?? {}) as { epoch?: FencingToken };
       if (this.oneWay.has(id) || this.cutFrom(id, epoch)) throw new AnswerLost();
       if (this.holding.has(id)) await new Promise<void>((resolve) => this.held.push(resolve));
       // A machine that hangs carries it out when it goes on.
       await new Promise<void>((resolve) => worker.whenAwake(resolve));
       const { orders } = (request.body ?? {}) as { orders?: readonly { verb: string }[] };
-      this.noteWork(id, orders ?? []);
+      this.noteWork(id, orders?.some(({ verb }) => verb === 'run') ?? false);
       const after = this.repeatAfterMs;
-      if (after !== null) realClock.after(after, () => worker.whenAwake(() => void act(request)));
+      if (after !== null) systemClock.after(after, () => worker.whenAwake(() => void act(request)));
       return act(request);
     };
   }
 
   /** Only a leader calls workers: an order tells which by its epoch, a question is taken for the present one's. */
-  private cutFrom(id: HostId, token: Token | undefined): boolean {
+  private cutFrom(id: MachineId, token: FencingToken | undefined): boolean {
     const { leader, leaderOf } = this.options;
-    const caller = token === undefined ? leader() : leaderOf(epochOfToken(token));
+    const caller = token === undefined ? leader() : leaderOf(epochOfFencingToken(token));
     return caller !== undefined && this.cuts.has(`${caller} ${id}`);
   }
 
-  hold(host: HostId): void {
+  hold(host: MachineId): void {
     this.holding.add(host);
   }
 
@@ -143,10 +143,10 @@
 
   // Reports
 
-  async heartbeat(worker: StandInWorker, node: string, report: Report): Promise<HeartbeatAnswer | null> {
+  async heartbeat(worker: FakeWorker, node: string, report: Heartbeat): Promise<HeartbeatAnswer | null> {
     const { id } = worker.machine;
     if (this.mute.has(id) || this.cuts.has(`${node} ${id}`)) {
-      await sleep(realClock, 2);
+      await sleep(systemClock, 2);
       return null;
     }
     const body = reportBody(report, (host) => this.addressOf(host));
@@ -154,18 +154,18 @@
     if (this.options.random() < this.lostShare / 2) return this.lost();
     const answer = await this.call(this.up.get(id)?.links[this.nodes.indexOf(node)], body);
     if (this.oneWay.has(id) || this.options.random() < this.lostShare / 2) return this.lost();
-    this.noteWork(id, answer?.orders ?? []);
+    this.noteWork(id, answer?.orders.some(({ kind }) => kind === 'start') ?? false);
     return answer;
   }
 
-  private noteWork(id: HostId, orders: readonly { readonly verb: string }[]): void {
-    if (this.worked.has(id) || !orders.some(({ verb }) => verb === 'run')) return;
+  private noteWork(id: MachineId, hasStart: boolean): void {
+    if (this.worked.has(id) || !hasStart) return;
     this.worked.add(id);
     this.onFirstWork(id);
   }
 
   private async lost(): Promise<null> {
-    await sleep(realClock, ANSWER_MS);
+    await sleep(systemClock, ANSWER_MS);
     return null;
   }
 
@@ -181,7 +181,7 @@
   /** At whoever leads then. */
   private copyLater(body: object): void {
     const { fronts, random, leader } = this.options;
-    realClock.after(COPY_LEAST_MS + COPY_SPREAD_MS * random(), () => {
+    systemClock.after(COPY_LEAST_MS + COPY_SPREAD_MS * random(), () => {
       const front = fronts[Math.max(0, this.nodes.indexOf(leader() ?? ''))];
       if (front) void this.call(new HttpTarget(front, 1), body);
     });
@@ -193,11 +193,11 @@
     return this.options.job(id);
   }
 
-  started(worker: StandInWorker, task: TaskId, tryNo: TryNo): void {
-    this.options.started(task, tryNo, worker.machine);
+  started(worker: FakeWorker, task: TaskId, attemptNumber: AttemptNumber): void {
+    this.options.started(task, attemptNumber, worker.machine);
   }
 
-  left(worker: StandInWorker, task: TaskId, why: string): void {
+  left(worker: FakeWorker, task: TaskId, why: string): void {
     this.options.left(task, worker.machine, why);
   }
 }
--- a/test/soak/loopback-site.ts
+++ b/test/soak/loopback-site.ts
@@ -1,10 +1,10 @@
 /** A whole site on loopback: controllers as processes, and the stand-ins of all that is around them over HTTP. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
-import type { HostId, ImageId, JobId, TypeId } from '../../src/model/ids.js';
-import { realClock } from '../../src/model/time.js';
-import { HttpTarget, type Reply } from '../../src/net/http-client.js';
-import { StandInCloud } from '../standins/cloud.js';
+import type { MachineId, ImageId, JobId, MachineTypeId } from '../../src/model/ids.js';
+import { systemClock } from '../../src/model/time.js';
+import { HttpTarget, type HttpReply } from '../../src/net/http-client.js';
+import { FakeCloud } from '../standins/cloud.js';
 import type { DaySite } from '../standins/day-site.js';
 import { RuleChecker } from '../standins/rules.js';
 import { cloudHandler, serve, stateHandler } from '../standins/servers.js';
@@ -16,8 +16,8 @@
   MIXED_ZONES,
   submissionBody,
 } from '../standins/site-setup.js';
-import { StandInState } from '../standins/state.js';
-import type { JobFacts, StandInWorker } from '../standins/worker.js';
+import { FakeKeyValueStore } from '../standins/state.js';
+import type { JobFacts, FakeWorker } from '../standins/worker.js';
 import { frontOf, LoopbackControllers, type Place } from './loopback-controllers.js';
 import { LoopbackMachines } from './loopback-machines.js';
 import { ScaledClock } from './scaled-clock.js';
@@ -56,16 +56,16 @@
   readonly clock = new ScaledClock(SCALE);
   readonly nodes: readonly string[];
   readonly rules = new RuleChecker((text) => this.trace(`BROKEN     ${text}`));
-  readonly state = new StandInState(realClock);
+  readonly state = new FakeKeyValueStore(systemClock);
   readonly random: () => number;
   readonly machines: LoopbackMachines;
   readonly controllers: LoopbackControllers;
-  private readonly cloud: StandInCloud;
+  private readonly cloud: FakeCloud;
   private readonly jobs = new Map<JobId, JobFacts>();
   private readonly lines: string[] = [];
   private readonly users: ReadonlyMap<string, HttpTarget>;
   private readonly places: readonly Place[];
-  private readonly began = realClock.now();
+  private readonly began = systemClock.now();
 
   private constructor(
     private readonly options: LoopbackOptions,
@@ -99,8 +99,8 @@
       leader: () => this.leader,
       leaderOf: (epoch) => this.controllers.leaderOf(epoch),
       job: (id) => this.jobs.get(id),
-      started: (task, tryNo, machine) => {
-        this.trace(`${machine.id} runs ${task} try ${tryNo}`);
+      started: (task, attemptNumber, machine) => {
+        this.trace(`${machine.id} runs ${task} try ${attemptNumber}`);
         this.rules.started(task, machine, this.clock.now());
       },
       left: (task, machine, why) => {
@@ -134,9 +134,9 @@
     });
   }
 
-  private createCloud(): StandInCloud {
-    const cloud = new StandInCloud(
-      realClock,
+  private createCloud(): FakeCloud {
+    const cloud = new FakeCloud(
+      systemClock,
       MIXED_TYPES,
       (machine) => this.machines.begin(machine),
       (id) => this.machines.gone(id),
@@ -164,8 +164,8 @@
   private async listen(): Promise<boolean> {
     try {
       for (const { member, host } of this.places) {
-        await serve(STATE_PORT, host, stateHandler(this.state.for(member, realClock)));
-        const cloud = cloudHandler(this.cloud.for(realClock), MIXED_TYPES, (id) =>
+        await serve(STATE_PORT, host, stateHandler(this.state.for(member, systemClock)));
+        const cloud = cloudHandler(this.cloud.for(systemClock), MIXED_TYPES, (id) =>
           this.machines.addressOf(id),
         );
         await serve(CLOUD_PORT, host, cloud);
@@ -179,15 +179,15 @@
   private adoptMachines(): void {
     for (let n = 0; n < this.options.machines; n++)
       this.cloud.adopt({
-        id: `host-${String(n).padStart(6, '0')}` as HostId,
-        type: MIXED_TYPES[n % 4 === 0 ? 1 : 0]?.id as TypeId,
+        id: `host-${String(n).padStart(6, '0')}` as MachineId,
+        type: MIXED_TYPES[n % 4 === 0 ? 1 : 0]?.id as MachineTypeId,
         zone: MIXED_ZONES[n % MIXED_ZONES.length] as (typeof MIXED_ZONES)[0],
         spot: n % 2 === 0,
       });
   }
 
   trace(text: string): void {
-    this.lines.push(`${((realClock.now() - this.began) / 1000).toFixed(3).padStart(8)}  ${text}`);
+    this.lines.push(`${((systemClock.now() - this.began) / 1000).toFixed(3).padStart(8)}  ${text}`);
   }
 
   get text(): string {
@@ -240,11 +240,11 @@
 
   // Machines
 
-  get workers(): ReadonlyMap<HostId, StandInWorker> {
+  get workers(): ReadonlyMap<MachineId, FakeWorker> {
     return this.machines.workers;
   }
 
-  worker(id: HostId): StandInWorker {
+  worker(id: MachineId): FakeWorker {
     const worker = this.workers.get(id);
     if (!worker) throw new Error(`${id} is not up`);
     return worker;
@@ -254,11 +254,11 @@
     return this.machines.cuts;
   }
 
-  get oneWay(): Set<HostId> {
+  get oneWay(): Set<MachineId> {
     return this.machines.oneWay;
   }
 
-  get mute(): Set<HostId> {
+  get mute(): Set<MachineId> {
     return this.machines.mute;
   }
 
@@ -270,7 +270,7 @@
     this.machines.copyShare = share;
   }
 
-  hold(_node: string, host: HostId): void {
+  hold(_node: string, host: MachineId): void {
     this.machines.hold(host);
   }
 
@@ -278,7 +278,7 @@
     this.machines.release();
   }
 
-  takeAway(id: HostId): void {
+  takeAway(id: MachineId): void {
     this.trace(`${id} dies`);
     this.machines.gone(id);
     this.cloud.machines.delete(id);
@@ -292,7 +292,7 @@
     path: string,
     body: unknown,
     ms: number,
-  ): Promise<Reply | null> {
+  ): Promise<HttpReply | null> {
     try {
       return (await this.users.get(node)?.call(method, path, body, ms)) ?? null;
     } catch {
@@ -348,7 +348,7 @@
     return state;
   }
 
-  private heard(ref: string, reply: Reply, askedAt: number): string {
+  private heard(ref: string, reply: HttpReply, askedAt: number): string {
     const state = reply.status === 404 ? '404' : (reply.body as { status: string }).status;
     this.rules.told(ref as JobId, state, this.clock.now(), askedAt);
     return state;
@@ -361,11 +361,11 @@
   /** Cancelled work is gone, and every node tells of every accepted job. */
   async finish(): Promise<void> {
     this.rules.checkCancelled(this.clock.now());
-    const until = realClock.now() + FORGOTTEN_MS;
+    const until = systemClock.now() + FORGOTTEN_MS;
     const open = new Set(
       [...this.rules.acceptedJobs()].flatMap((ref) => this.nodes.map((node) => `${ref} ${node}`)),
     );
-    while (open.size > 0 && realClock.now() < until) {
+    while (open.size > 0 && systemClock.now() < until) {
       for (const question of open) {
         const [ref, node] = question.split(' ') as [string, string];
         if ((await this.poll(ref, node)) !== null) open.delete(question);
--- a/test/soak/scaled-clock.ts
+++ b/test/soak/scaled-clock.ts
@@ -1,4 +1,4 @@
-import { type Clock, realClock, type Steady } from '../../src/model/time.js';
+import { type Clock, systemClock, type MonotonicTime } from '../../src/model/time.js';
 
 /**
  * The time of users and troubles on real processes: faster than the wall's, as leases and limits in the controllers'
@@ -8,12 +8,12 @@
   /** `scale`: real milliseconds that one of ours lasts. */
   constructor(readonly scale: number) {}
 
-  now(): Steady {
-    return (realClock.now() / this.scale) as Steady;
+  now(): MonotonicTime {
+    return (systemClock.now() / this.scale) as MonotonicTime;
   }
 
   after(d: number, run: () => void): () => void {
-    return realClock.after(d * this.scale, run);
+    return systemClock.after(d * this.scale, run);
   }
 
   sleep(d: number): Promise<void> {
--- a/test/standins/clock.ts
+++ b/test/standins/clock.ts
@@ -1,11 +1,11 @@
 /** The simulation's clocks with the service's own types of time. */
 import { ProcessClock as SimulatedProcessClock, VirtualClock as SimulatedTime } from '@plumyoke/standins';
-import type { Clock, Steady, WallTime } from '../../src/model/time.js';
+import type { Clock, MonotonicTime, WallTime } from '../../src/model/time.js';
 
 /** Time that moves only when a test moves it. */
 export class VirtualClock extends SimulatedTime implements Clock {
-  override now(): Steady {
-    return super.now() as Steady;
+  override now(): MonotonicTime {
+    return super.now() as MonotonicTime;
   }
 
   override wall(): WallTime {
@@ -15,8 +15,8 @@
 
 /** The clock of one process: nothing of it runs after the process was killed. */
 export class ProcessClock extends SimulatedProcessClock implements Clock {
-  override now(): Steady {
-    return super.now() as Steady;
+  override now(): MonotonicTime {
+    return super.now() as MonotonicTime;
   }
 
   override wall(): WallTime {
--- a/test/standins/cloud.ts
+++ b/test/standins/cloud.ts
@@ -1,5 +1,5 @@
-import { type Cloud, CloudRefused, type Rented } from '../../src/cloud/client.js';
-import type { HostId, TypeId, ZoneId } from '../../src/model/ids.js';
+import { type Cloud, CloudRequestRefusedError, type ScaleOutResult } from '../../src/cloud/client.js';
+import type { MachineId, MachineTypeId, ZoneId } from '../../src/model/ids.js';
 import type { ListedMachine, Machine, MachineType } from '../../src/model/machine.js';
 import { type Clock, ms } from '../../src/model/time.js';
 import { poolKey } from '../../src/fleet/capacity-plan.js';
@@ -14,9 +14,9 @@
 }
 
 /** A cloud in memory, by the published protocol. */
-export class StandInCloud {
-  readonly machines = new Map<HostId, Rented1>();
-  private readonly answers = new Map<string, HostId[]>();
+export class FakeCloud {
+  readonly machines = new Map<MachineId, Rented1>();
+  private readonly answers = new Map<string, MachineId[]>();
   /** Digits of a machine's number. */
   idLength = 6;
   private next = 0;
@@ -36,19 +36,19 @@
     private readonly clock: Clock,
     private readonly types: readonly MachineType[],
     private readonly onUp: (machine: Machine) => void,
-    private readonly onGone: (id: HostId) => void,
+    private readonly onGone: (id: MachineId) => void,
     private readonly trace: (text: string) => void,
   ) {}
 
-  private create(type: TypeId, zone: ZoneId, spot: boolean): HostId {
-    const id = `host-${String(this.next++).padStart(this.idLength, '0')}` as HostId;
+  private create(type: MachineTypeId, zone: ZoneId, spot: boolean): MachineId {
+    const id = `host-${String(this.next++).padStart(this.idLength, '0')}` as MachineId;
     const machine: Rented1 = { id, type, zone, spot, at: this.clock.now(), up: false };
     this.machines.set(id, machine);
     if (this.deadBoots > 0) {
       this.deadBoots--;
       return id;
     }
-    const boot = this.bootMs ?? this.types.find((t) => t.id === type)?.boot ?? 0;
+    const boot = this.bootMs ?? this.types.find((t) => t.id === type)?.bootTime ?? 0;
     this.clock.after(boot, () => {
       if (!this.machines.has(id)) return;
       machine.up = true;
@@ -68,7 +68,7 @@
     const ask = <T>(act: () => T): Promise<T> =>
       new Promise((resolve, reject) => {
         clock.after(LATENCY_MS, () => {
-          if (this.outage) reject(new CloudRefused('cloud answered 503'));
+          if (this.outage) reject(new CloudRequestRefusedError('cloud answered 503'));
           else resolve(act());
         });
       });
@@ -78,11 +78,11 @@
         return act();
       });
     return {
-      types: () => ask(() => [...this.types]),
-      rent: (r) =>
-        twice((): Rented => {
+      listMachineTypes: () => ask(() => [...this.types]),
+      createMachines: (r) =>
+        twice((): ScaleOutResult => {
           const known = this.answers.get(r.name);
-          if (known) return { hosts: known };
+          if (known) return { machines: known };
           const key = poolKey(r);
           const room = this.room.get(key) ?? Infinity;
           const count = Math.min(r.count, room);
@@ -91,9 +91,9 @@
           const hosts = Array.from({ length: count }, () => this.create(r.type, r.zone, r.spot));
           this.answers.set(r.name, hosts);
           this.trace(`cloud      rents ${count} ${key}`);
-          return { hosts };
+          return { machines: hosts };
         }),
-      remove: (hosts) =>
+      deleteMachines: (hosts) =>
         twice(() => {
           for (const id of hosts) {
             if (!this.machines.delete(id)) continue;
@@ -101,7 +101,7 @@
             this.onGone(id);
           }
         }),
-      list: (after) =>
+      listMachines: (after) =>
         ask(() => {
           const rest = [...this.machines.values()].filter(
             (m) => m.id > after && this.clock.now() - m.at >= this.listLagMs,
@@ -118,4 +118,4 @@
   }
 }
 
-export const address = (id: HostId): string => `${id}:9000`;
+export const address = (id: MachineId): string => `${id}:9000`;
--- a/test/standins/day-site.ts
+++ b/test/standins/day-site.ts
@@ -1,5 +1,5 @@
 /** What a day of users and troubles needs of a site, on the virtual clock or on real processes. */
-import type { HostId } from '../../src/model/ids.js';
+import type { MachineId } from '../../src/model/ids.js';
 import type { Clock } from '../../src/model/time.js';
 import type { JobWish } from './site-setup.js';
 
@@ -28,12 +28,12 @@
   readonly nodes: readonly string[];
   readonly rules: DayRules;
   readonly state: TroubledState;
-  readonly workers: ReadonlyMap<HostId, TroubledWorker>;
+  readonly workers: ReadonlyMap<MachineId, TroubledWorker>;
   readonly leader: string | undefined;
   readonly cuts: Set<string>;
   readonly alone: Set<string>;
-  readonly oneWay: Set<HostId>;
-  readonly mute: Set<HostId>;
+  readonly oneWay: Set<MachineId>;
+  readonly mute: Set<MachineId>;
   copyShare: number;
   trace(text: string): void;
   run(s: number): Promise<void>;
@@ -43,10 +43,10 @@
   crash(node: string): void;
   standStill(node: string, s: number): void;
   isRunning(node: string): boolean;
-  worker(id: HostId): TroubledWorker;
-  hold(node: string, host: HostId): void;
+  worker(id: MachineId): TroubledWorker;
+  hold(node: string, host: MachineId): void;
   release(): void;
-  takeAway(id: HostId): void;
+  takeAway(id: MachineId): void;
   post(wish: JobWish, node: string): Promise<number>;
   poll(ref: string, node: string): Promise<string | null>;
   postCancel(ref: string, node: string): Promise<string | null>;
--- a/test/standins/rules.ts
+++ b/test/standins/rules.ts
@@ -1,4 +1,4 @@
-import { type HostId, type JobId, splitTaskId, type TaskId } from '../../src/model/ids.js';
+import { type MachineId, type JobId, parseTaskId, type TaskId } from '../../src/model/ids.js';
 import type { Machine } from '../../src/model/machine.js';
 
 interface Accepted {
@@ -54,7 +54,7 @@
     return this.known.keys();
   }
 
-  where(task: TaskId): HostId | undefined {
+  where(task: TaskId): MachineId | undefined {
     return this.on.get(task)?.id;
   }
 
@@ -63,7 +63,7 @@
   }
 
   started(task: TaskId, machine: Machine, now: number): void {
-    const id = splitTaskId(task)?.job as JobId;
+    const id = parseTaskId(task)?.job as JobId;
     const job = this.jobs.get(id);
     if (!job) return this.breach(`invented: ${task} was never submitted`);
     if (this.on.has(task)) this.breach(`ran_twice: ${task} on ${machine.id} and ${this.on.get(task)?.id}`);
@@ -84,7 +84,7 @@
     }
     if (machine.spot && !job.reclaimable) this.breach(`wrong_place: ${task} on a spot machine`);
     if (!job.samePlace && !job.apart) return;
-    const zones = [...this.on].filter(([other]) => splitTaskId(other)?.job === id).map(([, m]) => m.zone);
+    const zones = [...this.on].filter(([other]) => parseTaskId(other)?.job === id).map(([, m]) => m.zone);
     if (job.samePlace && new Set(zones).size > 1) this.breach(`wrong_place: ${id} in several zones`);
     const here = zones.filter((zone) => zone === machine.zone).length;
     if (job.apart && here > Math.ceil(job.shards / 2)) {
@@ -110,15 +110,15 @@
     this.used.set(job.owner, (this.used.get(job.owner) ?? 0) + tasks * job.cpus);
   }
 
-  left(task: TaskId, host: HostId, done: boolean): void {
+  left(task: TaskId, host: MachineId, done: boolean): void {
     if (this.on.get(task)?.id === host) {
       this.on.delete(task);
-      const job = this.jobs.get(splitTaskId(task)?.job as JobId);
+      const job = this.jobs.get(parseTaskId(task)?.job as JobId);
       if (job) this.use(job, -1);
     }
     if (!done || this.done.has(task)) return;
     this.done.add(task);
-    const ref = splitTaskId(task)?.job as string;
+    const ref = parseTaskId(task)?.job as string;
     this.doneOf.set(ref, (this.doneOf.get(ref) ?? 0) + 1);
   }
 
@@ -150,7 +150,7 @@
 
   checkCancelled(now: number): void {
     for (const [id, limit] of this.cancelledBy) {
-      if (now > limit && this.count((t) => splitTaskId(t)?.job === id) > 0) {
+      if (now > limit && this.count((t) => parseTaskId(t)?.job === id) > 0) {
         this.breach(`ran_cancelled: ${id} is still on a machine`);
       }
     }
--- a/test/standins/servers.ts
+++ b/test/standins/servers.ts
@@ -1,23 +1,23 @@
 /** The stand-ins of state service, cloud and workers behind real sockets, in the words of their protocols. */
 import { createServer, type IncomingMessage, type Server } from 'node:http';
-import { type Cloud, CloudRefused } from '../../src/cloud/client.js';
+import { type Cloud, CloudRequestRefusedError } from '../../src/cloud/client.js';
 import type {
-  GrantId,
-  HostId,
-  RentalName,
+  LeaseId,
+  MachineId,
+  ScaleOutRequestId,
   Revision,
-  SessionNumber,
-  Token,
-  TryNo,
-  TypeId,
+  AgentIncarnation,
+  FencingToken,
+  AttemptNumber,
+  MachineTypeId,
   ZoneId,
   TaskId,
 } from '../../src/model/ids.js';
 import type { MachineType } from '../../src/model/machine.js';
-import type { Attempt, Order, Report } from '../../src/model/heartbeat.js';
-import { StateRefused, type StateStore, StateUnknown } from '../../src/store/client.js';
-import type { Write } from '../../src/wire/key-value-store.js';
-import type { HeartbeatAnswer, StandInWorker } from './worker.js';
+import type { Attempt, WorkerCommand, Heartbeat } from '../../src/model/heartbeat.js';
+import { StoreRefusedError, type KeyValueStore, StoreOutcomeUnknownError } from '../../src/store/client.js';
+import type { WriteOperation } from '../../src/wire/key-value-store.js';
+import type { HeartbeatAnswer, FakeWorker } from './worker.js';
 
 /** A request, its body parsed. */
 interface Request {
@@ -47,9 +47,9 @@
 export class AnswerLost extends Error {}
 
 function answerTo(error: unknown): Answer | null {
-  if (error instanceof AnswerLost || error instanceof StateUnknown) return null;
-  if (error instanceof StateRefused) return { status: error.tooMany ? 429 : 503, body: {} };
-  if (error instanceof CloudRefused) return { status: 503, body: { error: 'trouble' } };
+  if (error instanceof AnswerLost || error instanceof StoreOutcomeUnknownError) return null;
+  if (error instanceof StoreRefusedError) return { status: error.isRateLimited ? 429 : 503, body: {} };
+  if (error instanceof CloudRequestRefusedError) return { status: 503, body: { error: 'trouble' } };
   return { status: 400, body: { error: String(error) } };
 }
 
@@ -91,16 +91,16 @@
   readonly set?: string;
   readonly drop?: string;
   readonly data?: unknown;
-  readonly tether?: GrantId;
+  readonly tether?: LeaseId;
 }
 
-function writeOf({ set, drop, data, tether }: WireWrite): Write {
+function writeOf({ set, drop, data, tether }: WireWrite): WriteOperation {
   if (set === undefined) return { drop: drop ?? '' };
   return tether === undefined ? { set, value: data } : { set, value: data, grant: tether };
 }
 
-async function commit(store: StateStore, { if: conditions, writes = [] }: WireCommit): Promise<Answer> {
-  const result = await store.commit(
+async function commit(store: KeyValueStore, { if: conditions, writes = [] }: WireCommit): Promise<Answer> {
+  const result = await store.txn(
     conditions.map(({ key, stamp }) => ({ key, revision: stamp })),
     writes.map(writeOf),
   );
@@ -108,33 +108,33 @@
   return { status: 409, body: { failed: result.failed } };
 }
 
-async function changes(store: StateStore, query: URLSearchParams): Promise<Answer> {
+async function changes(store: KeyValueStore, query: URLSearchParams): Promise<Answer> {
   const after = Number(query.get('after')) as Revision;
-  const read = await store.changes(query.get('under') ?? '', after, Number(query.get('waitMs')));
+  const read = await store.watch(query.get('under') ?? '', after, Number(query.get('waitMs')));
   const news = (read?.changes ?? []).map(({ key, value, revision }) =>
     value === undefined ? { drop: key, stamp: revision } : { set: key, data: value, stamp: revision },
   );
   return { status: 200, body: { ledger: read?.revision, news } };
 }
 
-async function range(store: StateStore, query: URLSearchParams): Promise<Answer> {
+async function range(store: KeyValueStore, query: URLSearchParams): Promise<Answer> {
   const page = await store.range(query.get('under') ?? '', query.get('after') ?? undefined);
   return { status: 200, body: { rows: page.rows.map(rowOf), more: page.more, ledger: page.revision } };
 }
 
-async function grants(store: StateStore, { method, url, body }: Request): Promise<Answer> {
+async function grants(store: KeyValueStore, { method, url, body }: Request): Promise<Answer> {
   if (url.pathname === '/grants') {
     const { ttlMs } = body as { ttlMs: number };
-    return { status: 200, body: { tether: await store.grant(ttlMs) } };
+    return { status: 200, body: { tether: await store.grantLease(ttlMs) } };
   }
-  const grant = Number(url.pathname.split('/')[2]) as GrantId;
-  if (method !== 'DELETE') return { status: (await store.touch(grant)) ? 200 : 404, body: {} };
-  await store.release(grant);
+  const grant = Number(url.pathname.split('/')[2]) as LeaseId;
+  if (method !== 'DELETE') return { status: (await store.keepLeaseAlive(grant)) ? 200 : 404, body: {} };
+  await store.revokeLease(grant);
   return { status: 200, body: {} };
 }
 
 /** The state service's interface over a stand-in. */
-export function stateHandler(store: StateStore): Handler {
+export function stateHandler(store: KeyValueStore): Handler {
   return async (request) => {
     const { pathname, searchParams } = request.url;
     if (pathname === '/commit') return commit(store, request.body);
@@ -150,7 +150,7 @@
 export function cloudHandler(
   cloud: Cloud,
   types: readonly MachineType[],
-  addressOf: (id: HostId) => string,
+  addressOf: (id: MachineId) => string,
 ): Handler {
   return async ({ method, url, body }) => {
     if (url.pathname === '/machine_types') {
@@ -163,24 +163,24 @@
         fetchGbPerS: t.fetchGbPerS,
         price: t.price,
         spotPrice: t.spotPrice,
-        startupS: t.boot / 1000,
+        startupS: t.bootTime / 1000,
         halls: t.zones,
       }));
       return { status: 200, body: { flavours } };
     }
     if (url.pathname === '/machines/delete') {
-      await cloud.remove((body as { hosts: HostId[] }).hosts);
+      await cloud.deleteMachines((body as { hosts: MachineId[] }).hosts);
       return { status: 200, body: {} };
     }
     if (method === 'POST') {
       const w = body as {
-        hire: RentalName;
-        flavour: TypeId;
+        hire: ScaleOutRequestId;
+        flavour: MachineTypeId;
         hall: ZoneId;
         reclaimable: boolean;
         howMany: number;
       };
-      const rented = await cloud.rent({
+      const rented = await cloud.createMachines({
         name: w.hire,
         type: w.flavour,
         zone: w.hall,
@@ -189,10 +189,10 @@
       });
       return rented === 'no capacity'
         ? { status: 503, body: { error: rented } }
-        : { status: 200, body: { hosts: rented.hosts } };
+        : { status: 200, body: { hosts: rented.machines } };
     }
     const most = Number(url.searchParams.get('most') ?? 500);
-    const { machines } = await cloud.list(url.searchParams.get('after') ?? '');
+    const { machines } = await cloud.listMachines(url.searchParams.get('after') ?? '');
     const hosts = machines.slice(0, most).map((m) => ({
       ref: m.id,
       address: addressOf(m.id),
@@ -214,20 +214,20 @@
 };
 
 /** A worker's report in the words of the protocol. */
-export function reportBody(report: Report, addressOf: (id: HostId) => string): object {
+export function reportBody(heartbeat: Heartbeat, addressOf: (id: MachineId) => string): object {
   return {
-    host: report.host,
-    address: addressOf(report.host),
-    flavour: report.type,
-    hall: report.zone,
-    reclaimable: report.spot,
-    tenure: report.session,
-    counter: report.counter,
-    epoch: report.token,
-    warningS: report.notice,
-    shards: report.attempts.map((a) => ({
+    host: heartbeat.machine,
+    address: addressOf(heartbeat.machine),
+    flavour: heartbeat.type,
+    hall: heartbeat.zone,
+    reclaimable: heartbeat.spot,
+    tenure: heartbeat.incarnation,
+    counter: heartbeat.sequence,
+    epoch: heartbeat.token,
+    warningS: heartbeat.interruptionNotice,
+    shards: heartbeat.attempts.map((a) => ({
       shard: a.task,
-      try: a.tryNo,
+      try: a.attemptNumber,
       status: STATES[a.state],
       cause: a.cause,
     })),
@@ -237,7 +237,7 @@
 interface WireOrder {
   readonly verb: 'run' | 'kill' | 'clear';
   readonly shard: TaskId;
-  readonly try: TryNo;
+  readonly try: AttemptNumber;
   readonly drainS?: number;
 }
 
@@ -247,28 +247,36 @@
   readonly foreman?: string;
 }
 
-const orderOf = ({ verb, shard: task, try: tryNo, drainS: graceS = 0 }: WireOrder): Order =>
-  verb === 'kill' ? { verb, task, tryNo, graceS } : { verb, task, tryNo };
+const KINDS = { run: 'start', kill: 'stop', clear: 'forget' } as const;
+
+function commandOf({ verb, shard: task, try: attemptNumber, drainS: graceS = 0 }: WireOrder): WorkerCommand {
+  const kind = KINDS[verb];
+  return kind === 'stop' ? { kind, task, attemptNumber, graceS } : { kind, task, attemptNumber };
+}
 
 /** What a controller answered to a report. */
 export function heartbeatAnswer(status: number, body: unknown): HeartbeatAnswer {
   const { epoch = 0, orders = [], foreman } = (body ?? {}) as WireAnswer;
-  const answer = { status, token: epoch as Token, orders: orders.map(orderOf) };
+  const answer = { status, token: epoch as FencingToken, orders: orders.map(commandOf) };
   return foreman === undefined ? answer : { ...answer, foreman };
 }
 
 /** All workers' interfaces; which one is meant, the address that was called tells. */
 export function workersHandler(
-  workerAt: (address: string) => StandInWorker | undefined,
-  addressOf: (id: HostId) => string,
+  workerAt: (address: string) => FakeWorker | undefined,
+  addressOf: (id: MachineId) => string,
 ): Handler {
   return ({ url, body, to }) => {
     const worker = workerAt(to);
     if (!worker) return Promise.resolve({ status: 404, body: {} });
     if (url.pathname === '/show')
       return Promise.resolve({ status: 200, body: reportBody(worker.show(), addressOf) });
-    const { epoch, tenure, orders } = body as { epoch: Token; tenure: SessionNumber; orders: WireOrder[] };
-    const { executed, report } = worker.command(epoch, tenure, orders.map(orderOf));
-    return Promise.resolve({ status: executed ? 200 : 409, body: reportBody(report, addressOf) });
+    const { epoch, tenure, orders } = body as {
+      epoch: FencingToken;
+      tenure: AgentIncarnation;
+      orders: WireOrder[];
+    };
+    const { executed, heartbeat } = worker.command(epoch, tenure, orders.map(commandOf));
+    return Promise.resolve({ status: executed ? 200 : 409, body: reportBody(heartbeat, addressOf) });
   };
 }
--- a/test/standins/site-machines.ts
+++ b/test/standins/site-machines.ts
@@ -1,25 +1,32 @@
 /** The machines of a stand-in site, and the network between them and the controllers. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
-import type { WorkerCaller } from '../../src/core/context.js';
-import type { HostId, JobId, TaskId, SessionNumber, Token, TryNo } from '../../src/model/ids.js';
+import type { WorkerClient } from '../../src/core/context.js';
+import type {
+  MachineId,
+  JobId,
+  TaskId,
+  AgentIncarnation,
+  FencingToken,
+  AttemptNumber,
+} from '../../src/model/ids.js';
 import type { Machine } from '../../src/model/machine.js';
-import type { Order, Report } from '../../src/model/heartbeat.js';
-import { NoAnswer } from '../../src/net/http-client.js';
+import type { WorkerCommand, Heartbeat } from '../../src/model/heartbeat.js';
+import { NoAnswerError } from '../../src/net/http-client.js';
 import { type ProcessClock, VirtualClock } from './clock.js';
-import { StandInCloud } from './cloud.js';
+import { FakeCloud } from './cloud.js';
 import { RuleChecker } from './rules.js';
 import { LEASE_S, SMALL, TYPES } from './site-setup.js';
-import { StandInState } from './state.js';
-import { type HeartbeatAnswer, type JobFacts, StandInWorker, type WorkerWorld } from './worker.js';
+import { FakeKeyValueStore } from './state.js';
+import { type HeartbeatAnswer, type JobFacts, FakeWorker, type WorkerWorld } from './worker.js';
 
 /** State service, cloud, workers and the checker of rules, on one virtual clock. */
 export abstract class SiteMachines implements WorkerWorld {
   readonly clock = new VirtualClock();
-  readonly state = new StandInState(this.clock);
-  readonly cloud: StandInCloud;
+  readonly state = new FakeKeyValueStore(this.clock);
+  readonly cloud: FakeCloud;
   readonly nodes: readonly string[];
-  readonly workers = new Map<HostId, StandInWorker>();
+  readonly workers = new Map<MachineId, FakeWorker>();
   readonly rules = new RuleChecker((text) => this.trace(`BROKEN     ${text}`));
   protected readonly jobs = new Map<JobId, JobFacts>();
   protected readonly lines: string[] = [];
@@ -29,9 +36,9 @@
   /** `node host`: orders sent straight are held back until released. */
   readonly holding = new Set<string>();
   /** Their reports arrive; no answer and no command reaches them. */
-  readonly oneWay = new Set<HostId>();
+  readonly oneWay = new Set<MachineId>();
   /** They reach no controller; commands sent straight reach them. */
-  readonly mute = new Set<HostId>();
+  readonly mute = new Set<MachineId>();
   protected repeating: number | null = null;
   protected readonly heldOrders: { pair: string; run: () => void }[] = [];
   /** Direct calls to workers under way, at most so far. */
@@ -43,7 +50,7 @@
     const generator = xoroshiro128plus(7);
     this.random = () => uniformFloat64(generator);
     this.state.random = this.random;
-    this.cloud = new StandInCloud(
+    this.cloud = new FakeCloud(
       this.clock,
       size.types ?? TYPES,
       (machine) => this.machineUp(machine),
@@ -53,7 +60,7 @@
   }
 
   /** A worker's report arrives at a node. */
-  abstract heartbeat(worker: StandInWorker, node: string, report: Report): Promise<HeartbeatAnswer | null>;
+  abstract heartbeat(worker: FakeWorker, node: string, heartbeat: Heartbeat): Promise<HeartbeatAnswer | null>;
 
   trace(text: string): void {
     this.lines.push(`${(this.clock.now() / 1000).toFixed(2).padStart(7)}  ${text}`);
@@ -67,10 +74,10 @@
     await this.clock.advance(s * 1000);
   }
 
-  protected callerFor(node: string, clock: ProcessClock): WorkerCaller {
-    const reach = <T>(addr: string, deadline: number, act: (w: StandInWorker) => T): Promise<T> =>
+  protected callerFor(node: string, clock: ProcessClock): WorkerClient {
+    const reach = <T>(addr: string, deadline: number, act: (w: FakeWorker) => T): Promise<T> =>
       new Promise((resolve, reject) => {
-        const host = addr.slice(0, addr.indexOf(':')) as HostId;
+        const host = addr.slice(0, addr.indexOf(':')) as MachineId;
         const pair = `${node} ${host}`;
         const worker = this.workers.get(host);
         this.mostCalls = Math.max(this.mostCalls, ++this.calls);
@@ -81,7 +88,7 @@
         };
         clock.after(deadline, () => {
           over();
-          reject(new NoAnswer('deadline passed'));
+          reject(new NoAnswerError('deadline passed'));
         });
         if (!worker || this.cuts.has(pair) || this.oneWay.has(host)) return;
         const arrive = (): void =>
@@ -96,18 +103,18 @@
         else this.clock.after(2, arrive);
       });
     return {
-      command: (addr, token, session, orders, deadline) =>
+      sendCommands: (addr, token, session, orders, deadline) =>
         reach(addr, deadline, (w) => {
           const after = this.repeating;
           if (after !== null && orders.length > 0)
             this.clock.after(after * 1000, () => this.repeat(w, token, session, orders));
           return w.command(token, session, orders);
         }),
-      show: (addr, deadline) => reach(addr, deadline, (w) => w.show()),
+      fetchHeartbeat: (addr, deadline) => reach(addr, deadline, (w) => w.show()),
     };
   }
 
-  hold(node: string, host: HostId): void {
+  hold(node: string, host: MachineId): void {
     this.holding.add(`${node} ${host}`);
     this.trace(`network    holds orders from ${node} to ${host}`);
   }
@@ -126,10 +133,10 @@
   }
 
   protected repeat(
-    worker: StandInWorker,
-    token: Token,
-    session: SessionNumber,
-    orders: readonly Order[],
+    worker: FakeWorker,
+    token: FencingToken,
+    session: AgentIncarnation,
+    orders: readonly WorkerCommand[],
   ): void {
     worker.whenAwake(() => {
       const { executed } = worker.command(token, session, orders);
@@ -141,29 +148,29 @@
     this.trace(`${machine.id} is up (${machine.zone}${machine.spot ? ', spot' : ''})`);
     this.workers.set(
       machine.id,
-      new StandInWorker(machine, this.clock, this, LEASE_S * 1000, this.size.reportS * 1000),
+      new FakeWorker(machine, this.clock, this, LEASE_S * 1000, this.size.reportS * 1000),
     );
   }
 
-  protected machineGone(id: HostId): void {
+  protected machineGone(id: MachineId): void {
     this.workers.get(id)?.vanish();
     this.workers.delete(id);
   }
 
   /** The cloud takes a machine, without a word. */
-  takeAway(id: HostId): void {
+  takeAway(id: MachineId): void {
     this.trace(`${id} dies`);
     this.machineGone(id);
     this.cloud.machines.delete(id);
   }
 
-  hostOf(task: string): HostId {
+  workerOf(task: string): MachineId {
     const host = this.rules.where(task as TaskId);
     if (!host) throw new Error(`${task} is on no machine`);
     return host;
   }
 
-  worker(id: HostId): StandInWorker {
+  worker(id: MachineId): FakeWorker {
     const worker = this.workers.get(id);
     if (!worker) throw new Error(`${id} is not up`);
     return worker;
@@ -173,12 +180,12 @@
     return this.jobs.get(id);
   }
 
-  started(worker: StandInWorker, task: TaskId, tryNo: TryNo): void {
-    this.trace(`${worker.machine.id} runs ${task} try ${tryNo}`);
+  started(worker: FakeWorker, task: TaskId, attemptNumber: AttemptNumber): void {
+    this.trace(`${worker.machine.id} runs ${task} try ${attemptNumber}`);
     this.rules.started(task, worker.machine, this.clock.now());
   }
 
-  left(worker: StandInWorker, task: TaskId, why: string): void {
+  left(worker: FakeWorker, task: TaskId, why: string): void {
     this.trace(`${worker.machine.id} ends ${task}: ${why}`);
     this.rules.left(task, worker.machine.id, why === 'done');
   }
--- a/test/standins/site-nodes.ts
+++ b/test/standins/site-nodes.ts
@@ -2,27 +2,27 @@
 import { PeerSupport } from '@plumyoke/membership';
 import { SimulatedNetwork } from '@plumyoke/standins';
 import { UserService } from '../../src/api/user-service.js';
-import { Cancellations } from '../../src/core/confirmed-cancellations.js';
-import type { NodeContext, Siblings } from '../../src/core/context.js';
+import { ConfirmedCancellations } from '../../src/core/confirmed-cancellations.js';
+import type { ControllerContext, PeerStatusSource } from '../../src/core/context.js';
 import { Failover } from '../../src/leadership/failover/failover.js';
 import { Leadership } from '../../src/controller/leadership.js';
 import type { FailoverFeature } from '../../src/config/features.js';
 import { defaultOperators } from '../../src/config/operators.js';
-import { type Log, silentLog } from '../../src/log/logger.js';
-import type { HostId, MemberId, Token } from '../../src/model/ids.js';
-import type { Report } from '../../src/model/heartbeat.js';
+import { type Logger, silentLogger } from '../../src/log/logger.js';
+import type { MachineId, MemberId, FencingToken } from '../../src/model/ids.js';
+import type { Heartbeat } from '../../src/model/heartbeat.js';
 import { PROTOCOL_VERSION } from '../../src/model/protocol.js';
 import { seconds } from '../../src/model/time.js';
-import type { CancellationsWord } from '../../src/peer/frames.js';
+import type { PeerStatus } from '../../src/peer/frames.js';
 import { limitProbe } from '../../src/store/limit-probe.js';
-import { StateLimits } from '../../src/store/store-limits.js';
-import { ORDER_WITHHELD } from '../../src/workers/command-issuer.js';
+import { StoreLimits } from '../../src/store/store-limits.js';
+import { START_WITHHELD } from '../../src/workers/command-issuer.js';
 import type { MemberLine } from '../../src/wire/members.js';
 import type { Settings } from '../../src/wire/settings.js';
 import { ProcessClock } from './clock.js';
 import { CANCEL_S, settingsOf, SMALL, TYPES } from './site-setup.js';
 import { SiteMachines } from './site-machines.js';
-import { type HeartbeatAnswer, type StandInWorker } from './worker.js';
+import { type HeartbeatAnswer, type FakeWorker } from './worker.js';
 
 /** One way between two controllers. */
 const PEER_MS = 3;
@@ -33,7 +33,7 @@
   readonly clock: ProcessClock;
   readonly leadership: Leadership;
   readonly users: UserService;
-  readonly cancellations: Cancellations;
+  readonly cancellations: ConfirmedCancellations;
 }
 
 /** Controllers that start, end, stand still and are cut off from each other. */
@@ -56,10 +56,10 @@
   load = 0;
 
   /** A controller that had to withhold an order would have broken a rule without that check: no test may pass. */
-  private readonly log: Log = {
-    ...silentLog,
+  private readonly log: Logger = {
+    ...silentLogger,
     error: (fields, text) => {
-      if (text === ORDER_WITHHELD) this.rules.breach(`withheld: ${JSON.stringify(fields)}`);
+      if (text === START_WITHHELD) this.rules.breach(`withheld: ${JSON.stringify(fields)}`);
     },
   };
 
@@ -72,27 +72,29 @@
     const clock = new ProcessClock(this.clock);
     const settings = this.failover ? this.settingsWithSiblings(name) : settingsOf(name, this.size);
     const store = this.state.for(name, clock);
-    const limits = new StateLimits(settings, clock, limitProbe(store, settings));
+    const limits = new StoreLimits(settings, clock, limitProbe(store, settings));
     if (this.old.size === 0) limits.allowSplitProgress();
-    const cancellations = new Cancellations(clock, seconds(CANCEL_S));
-    const ctx: NodeContext = {
+    const cancellations = new ConfirmedCancellations(clock, seconds(CANCEL_S));
+    const ctx: ControllerContext = {
       member: name as MemberId,
       clock,
       log: this.log,
       settings,
-      ops: defaultOperators(),
+      operators: defaultOperators(),
       store,
       cloud: this.cloud.for(clock),
-      workers: this.callerFor(name, clock),
+      workerClient: this.callerFor(name, clock),
       random: this.random,
-      types: new Map(this.typesUnknown ? [] : (this.size.types ?? TYPES).map((t) => [t.id, t])),
-      workerCalls: 64,
+      machineTypes: new Map(this.typesUnknown ? [] : (this.size.types ?? TYPES).map((t) => [t.id, t])),
+      maxConcurrentWorkerCalls: 64,
       load: () => this.load,
-      limits,
+      storeLimits: limits,
       cancellations,
-      allSpeak: (version) => version <= this.version && !this.nodes.some((other) => this.old.has(other)),
-      siblings: this.siblingsOf(name, clock),
-      readAhead: (prefix) => this.running.get(name)?.failover?.readAhead(prefix) ?? Promise.resolve(null),
+      allPeersSupport: (version) =>
+        version <= this.version && !this.nodes.some((other) => this.old.has(other)),
+      peers: this.siblingsOf(name, clock),
+      prefetchedRecords: (prefix) =>
+        this.running.get(name)?.failover?.readAhead(prefix) ?? Promise.resolve(null),
     };
     const leadership = new Leadership(ctx, () => Promise.resolve());
     const failover = this.failoverOf(name, ctx, leadership, clock);
@@ -108,7 +110,7 @@
       ),
     });
     cancellations.onLearned((ids) => {
-      leadership.leader?.cancelled(ids);
+      leadership.leader?.onCancellationsConfirmed(ids);
       const told = cancellations.list(ids);
       for (const other of this.nodes) {
         if (other === name || !this.hears(name, other)) continue;
@@ -126,12 +128,12 @@
   protected settingsWithSiblings(name: string): Settings {
     const others = this.nodes.filter((other) => other !== name);
     const siblings = others.map((member) => ({ member: member as MemberId, address: '127.0.0.1:2' }));
-    return { ...settingsOf(name, this.size), siblings };
+    return { ...settingsOf(name, this.size), peers: siblings };
   }
 
   protected failoverOf(
     name: string,
-    context: NodeContext,
+    context: ControllerContext,
     leadership: Leadership,
     clock: ProcessClock,
   ): Failover | null {
@@ -177,25 +179,25 @@
     return ![a, b].some((name) => this.alone.has(name) || this.old.has(name) || !this.running.has(name));
   }
 
-  protected siblingsOf(name: string, clock: ProcessClock): Siblings {
-    const ask = (other: string, deadlineMs: number): Promise<CancellationsWord | null> =>
+  protected siblingsOf(name: string, clock: ProcessClock): PeerStatusSource {
+    const ask = (other: string, deadlineMs: number): Promise<PeerStatus | null> =>
       new Promise((resolve) => {
         clock.after(deadlineMs, () => resolve(null));
         if (!this.hears(name, other)) return;
         this.clock.after(PEER_MS, () => {
           const to = this.running.get(other);
           to?.clock.whenRunning(() => {
-            const word: CancellationsWord = {
-              upFor: to.cancellations.upFor,
-              leading: to.leadership.leader?.epoch ?? null,
-              told: to.cancellations.list(),
+            const word: PeerStatus = {
+              uptime: to.cancellations.uptime,
+              leadingEpoch: to.leadership.leader?.epoch ?? null,
+              cancellations: to.cancellations.list(),
             };
             clock.after(PEER_MS, () => resolve(word));
           });
         });
       });
     return {
-      cancellations: (deadlineMs) =>
+      collectStatus: (deadlineMs) =>
         Promise.all(this.nodes.filter((n) => n !== name).map((other) => ask(other, deadlineMs))),
     };
   }
@@ -245,8 +247,8 @@
   /** Machines in the leader's book. */
   get fleetSize(): number {
     const summary = this.running.get(this.leader ?? '')?.leadership.leader?.summary() as
-      { hosts: number } | undefined;
-    return summary?.hosts ?? 0;
+      { workers: number } | undefined;
+    return summary?.workers ?? 0;
   }
 
   isRunning(node: string): boolean {
@@ -254,22 +256,26 @@
   }
 
   /** What the machine says now comes once more, so much later, through the node that leads then. */
-  copyLater(id: HostId, s: number): void {
-    const report = this.worker(id).copy();
+  copyLater(id: MachineId, s: number): void {
+    const heartbeat = this.worker(id).copy();
     this.clock.after(s * 1000, () => {
       this.trace(`network    delivers a copy of what ${id} said ${s} s ago`);
-      this.deliverCopy(report);
+      this.deliverCopy(heartbeat);
     });
   }
 
-  protected deliverCopy(report: Report): void {
+  protected deliverCopy(heartbeat: Heartbeat): void {
     const name = this.leader;
-    if (name) void this.running.get(name)?.leadership.report(report, name as MemberId);
+    if (name) void this.running.get(name)?.leadership.handleHeartbeat(heartbeat, name as MemberId);
   }
 
-  override heartbeat(worker: StandInWorker, node: string, report: Report): Promise<HeartbeatAnswer | null> {
+  override heartbeat(
+    worker: FakeWorker,
+    node: string,
+    heartbeat: Heartbeat,
+  ): Promise<HeartbeatAnswer | null> {
     if (this.copyShare > 0 && this.random() < this.copyShare) {
-      this.clock.after(2000 + 38_000 * this.random(), () => this.deliverCopy(report));
+      this.clock.after(2000 + 38_000 * this.random(), () => this.deliverCopy(heartbeat));
     }
     return new Promise((resolve) => {
       this.clock.after(4000, () => resolve(null));
@@ -293,13 +299,13 @@
             return;
           }
           const take = async (): Promise<void> => {
-            const answer = await leader.leadership.report(report, node as MemberId);
+            const answer = await leader.leadership.handleHeartbeat(heartbeat, node as MemberId);
             if (!reached) return;
             this.clock.after(2, () =>
               resolve(
-                answer?.kind === 'orders'
-                  ? { status: 200, token: answer.token, orders: answer.orders }
-                  : { status: 503, token: 0 as Token, orders: [] },
+                answer?.kind === 'commands'
+                  ? { status: 200, token: answer.token, orders: answer.commands }
+                  : { status: 503, token: 0 as FencingToken, orders: [] },
               ),
             );
           };
--- a/test/standins/site-setup.ts
+++ b/test/standins/site-setup.ts
@@ -1,5 +1,5 @@
 /** What a stand-in site is set up with: its settings, machine types, and jobs as tests ask for them. */
-import type { TypeId, ZoneId } from '../../src/model/ids.js';
+import type { MachineTypeId, ZoneId } from '../../src/model/ids.js';
 import type { MachineType } from '../../src/model/machine.js';
 import { seconds } from '../../src/model/time.js';
 import { readSettings, type Settings } from '../../src/wire/settings.js';
@@ -42,7 +42,7 @@
 /** The machine types that the cloud offers. */
 export const TYPES: MachineType[] = [
   {
-    id: 'small' as TypeId,
+    id: 'small' as MachineTypeId,
     cpus: 8,
     gpus: 0,
     memoryGb: 32,
@@ -50,7 +50,7 @@
     fetchGbPerS: 1,
     price: 0.4,
     spotPrice: 0.1,
-    boot: seconds(20),
+    bootTime: seconds(20),
     zones: ['north' as ZoneId, 'south' as ZoneId],
   },
 ];
@@ -58,15 +58,15 @@
 /** Three zones, two types: what a site needs where every part of a placement rule is to bind. */
 export const MIXED_ZONES = ['north', 'south', 'west'] as ZoneId[];
 export const MIXED_TYPES: MachineType[] = [
-  { ...(TYPES[0] as MachineType), boot: seconds(2), zones: MIXED_ZONES },
+  { ...(TYPES[0] as MachineType), bootTime: seconds(2), zones: MIXED_ZONES },
   {
     ...(TYPES[0] as MachineType),
-    id: 'large' as TypeId,
+    id: 'large' as MachineTypeId,
     cpus: 16,
     memoryGb: 64,
     price: 0.9,
     spotPrice: 0.25,
-    boot: seconds(2),
+    bootTime: seconds(2),
     zones: MIXED_ZONES,
   },
 ];
--- a/test/standins/site.ts
+++ b/test/standins/site.ts
@@ -1,19 +1,19 @@
 /** A whole stand-in site: controllers, machines, and users. */
 import { type UserService } from '../../src/api/user-service.js';
 import type {
-  HostId,
+  MachineId,
   ImageId,
   JobId,
   TaskId,
   TeamId,
-  SessionNumber,
-  Token,
-  TryNo,
-  TypeId,
+  AgentIncarnation,
+  FencingToken,
+  AttemptNumber,
+  MachineTypeId,
   ZoneId,
 } from '../../src/model/ids.js';
-import { splitTaskId } from '../../src/model/ids.js';
-import type { Row } from '../../src/wire/key-value-store.js';
+import { parseTaskId } from '../../src/model/ids.js';
+import type { KeyValue } from '../../src/wire/key-value-store.js';
 import { type RuleChecker } from './rules.js';
 import { CANCEL_S, type JobWish, settingsOf, submissionBody } from './site-setup.js';
 import { SiteNodes } from './site-nodes.js';
@@ -24,7 +24,7 @@
    * Goes on with the records that others have left, on the machines and with the tasks that they tell of.
    * `token`: the highest that the workers have seen. The leader's key is not among them: its grant ended.
    */
-  restore(records: readonly Row[], wishes: readonly JobWish[], token: Token): void {
+  restore(records: readonly KeyValue[], wishes: readonly JobWish[], token: FencingToken): void {
     this.state.restore(records);
     for (const wish of wishes) {
       this.describe(wish, this.nodes[0] as string);
@@ -37,15 +37,16 @@
     }
     for (const { key, value } of records) {
       if (!key.startsWith('fleet/')) continue;
-      for (const [id, type, zone, spot] of (value as { m: [HostId, TypeId, ZoneId, number][] }).m)
+      for (const [id, type, zone, spot] of (value as { m: [MachineId, MachineTypeId, ZoneId, number][] }).m)
         this.cloud.adopt({ id, type, zone, spot: spot === 1 });
     }
     for (const { key, value } of records) {
       const job = /^open\/(j-\d+)\/(?:\d+-)?\d+$/.exec(key)?.[1];
       if (job === undefined) continue;
-      for (const [index, tryNo, host] of (value as { p?: [number, TryNo, HostId][] }).p ?? [])
-        this.worker(host).command(token, 1 as SessionNumber, [
-          { verb: 'run', task: `${job}/${index}` as TaskId, tryNo },
+      for (const [index, attemptNumber, host] of (value as { p?: [number, AttemptNumber, MachineId][] }).p ??
+        [])
+        this.worker(host).command(token, 1 as AgentIncarnation, [
+          { kind: 'start', task: `${job}/${index}` as TaskId, attemptNumber },
         ]);
     }
   }
@@ -174,7 +175,7 @@
 
   /** Every running task of a job, by the checker's own account. */
   tasksOn(ref: string): number {
-    return this.rules.count((task) => splitTaskId(task)?.job === ref);
+    return this.rules.count((task) => parseTaskId(task)?.job === ref);
   }
 
   /**
--- a/test/standins/state.ts
+++ b/test/standins/state.ts
@@ -1,19 +1,25 @@
-import type { GrantId, Revision } from '../../src/model/ids.js';
+import type { LeaseId, Revision } from '../../src/model/ids.js';
 import type { Clock } from '../../src/model/time.js';
-import type { Budget } from '../../src/net/token-bucket.js';
+import type { TokenBucket } from '../../src/net/token-bucket.js';
 import {
-  type Committed,
-  StateRefused,
-  type StateStore,
-  StateTooLarge,
-  StateUnknown,
+  type TxnResult,
+  StoreRefusedError,
+  type KeyValueStore,
+  StoreRequestTooLargeError,
+  StoreOutcomeUnknownError,
 } from '../../src/store/client.js';
-import type { Change, Condition, Page, Row, Write } from '../../src/wire/key-value-store.js';
+import type {
+  WatchEvent,
+  Compare,
+  KeyValuePage,
+  KeyValue,
+  WriteOperation,
+} from '../../src/wire/key-value-store.js';
 
 interface Entry {
   value: unknown;
   revision: Revision;
-  grant: GrantId | null;
+  grant: LeaseId | null;
 }
 
 const LATENCY_MS = 5;
@@ -30,8 +36,8 @@
 /** What the service answers 400. */
 function malformed(
   { txnOps, valueBytes }: Sizes,
-  conditions: readonly Condition[],
-  writes: readonly Write[],
+  conditions: readonly Compare[],
+  writes: readonly WriteOperation[],
 ): string | null {
   if (writes.length > txnOps) return 'too many writes';
   if (conditions.length > txnOps * 4) return 'too many conditions';
@@ -41,15 +47,15 @@
 }
 
 /** Compares nothing but keys that nobody writes, to learn the limits. */
-function isProbe(conditions: readonly Condition[], writes: readonly Write[]): boolean {
+function isProbe(conditions: readonly Compare[], writes: readonly WriteOperation[]): boolean {
   return writes.length === 0 && conditions.every(({ key }) => key.startsWith('unused/'));
 }
 
 /** A state service in memory, by the published protocol. */
-export class StandInState {
+export class FakeKeyValueStore {
   readonly keys = new Map<string, Entry>();
-  private readonly log: Change[] = [];
-  private readonly grants = new Map<GrantId, { ttl: number; until: number }>();
+  private readonly log: WatchEvent[] = [];
+  private readonly grants = new Map<LeaseId, { ttl: number; until: number }>();
   private readonly watchers = new Set<() => void>();
   private revision = 0;
   private nextGrant = 1;
@@ -64,7 +70,7 @@
   probes = 0;
   outage = false;
   /** Requests and changes a second; more are answered 429, bursts of a second's worth aside. */
-  limits: { readonly requests: Budget; readonly writes: Budget } | null = null;
+  limits: { readonly requests: TokenBucket; readonly writes: TokenBucket } | null = null;
   /** Every commit comes once more, so many ms after it was carried out. */
   repeatAfter: number | null = null;
   /** Nodes that are refused while the others are served. */
@@ -92,13 +98,13 @@
     });
   }
 
-  private endGrant(id: GrantId): void {
+  private endGrant(id: LeaseId): void {
     this.grants.delete(id);
     const drops = [...this.keys].filter(([, e]) => e.grant === id).map(([key]) => ({ drop: key }));
     if (drops.length > 0) this.apply(drops);
   }
 
-  private apply(writes: readonly Write[]): Revision {
+  private apply(writes: readonly WriteOperation[]): Revision {
     this.revision++;
     const revision = this.revision as Revision;
     for (const w of writes) {
@@ -112,7 +118,7 @@
     return revision;
   }
 
-  private decide(conditions: readonly Condition[], writes: readonly Write[]): Committed {
+  private decide(conditions: readonly Compare[], writes: readonly WriteOperation[]): TxnResult {
     this.writes += writes.length;
     const failed = conditions
       .filter((c) => (this.keys.get(c.key)?.revision ?? 0) !== c.revision)
@@ -123,7 +129,7 @@
 
   private tooMany(writes: number): boolean {
     if (!this.limits) return false;
-    return !this.limits.requests.take() || (writes > 0 && !this.limits.writes.take(writes));
+    return !this.limits.requests.tryTake() || (writes > 0 && !this.limits.writes.tryTake(writes));
   }
 
   value(key: string): unknown {
@@ -131,7 +137,7 @@
   }
 
   /** What an earlier day has left. */
-  restore(records: readonly Row[]): void {
+  restore(records: readonly KeyValue[]): void {
     for (const { key, value, revision } of records) {
       this.keys.set(key, { value, revision, grant: null });
       this.revision = Math.max(this.revision, revision);
@@ -139,38 +145,38 @@
   }
 
   /** The service as one process sees it. */
-  for(node: string, clock: Clock): StateStore {
+  for(node: string, clock: Clock): KeyValueStore {
     const ask = <T>(act: () => T, writes = 0): Promise<T> =>
       new Promise((resolve, reject) => {
         this.requests++;
         clock.after(LATENCY_MS, () => {
-          if (this.outage || this.refused.has(node)) reject(new StateRefused('state answered 503'));
-          else if (this.tooMany(writes)) reject(new StateRefused('state answered 429', true));
+          if (this.outage || this.refused.has(node)) reject(new StoreRefusedError('state answered 503'));
+          else if (this.tooMany(writes)) reject(new StoreRefusedError('state answered 429', true));
           else resolve(act());
         });
       });
     return {
       get: (key) =>
-        ask((): Row | null => {
+        ask((): KeyValue | null => {
           const e = this.keys.get(key);
           if (!e) return null;
           const row = { key, value: e.value, revision: e.revision };
-          return e.grant === null ? row : { ...row, grant: e.grant };
+          return e.grant === null ? row : { ...row, lease: e.grant };
         }),
       range: (prefix, after) =>
-        ask((): Page => {
+        ask((): KeyValuePage => {
           const rows = [...this.keys]
             .filter(([key]) => key.startsWith(prefix) && (after === undefined || key > after))
             .sort(([a], [b]) => (a < b ? -1 : 1))
             .map(([key, e]) => ({ key, value: e.value, revision: e.revision }));
           return { rows: rows.slice(0, PAGE), more: rows.length > PAGE, revision: this.revision as Revision };
         }),
-      commit: (conditions, writes) => {
+      txn: (conditions, writes) => {
         const error = malformed(this.sizes, conditions, writes);
         if (error) {
           if (isProbe(conditions, writes)) this.probes++;
           else this.malformed.push(error);
-          return Promise.reject(new StateTooLarge(`state: commit refused ${error}`));
+          return Promise.reject(new StoreRequestTooLargeError(`state: commit refused ${error}`));
         }
         const late = writes.length > 0 && this.lateShare > 0 && this.random() < this.lateShare;
         const delay = late ? 2000 + 10_000 * this.random() : this.delayCommit.get(node);
@@ -183,29 +189,30 @@
         this.delayCommit.delete(node);
         this.clock.after(delay, () => this.decide(conditions, writes));
         return new Promise((_, reject) => {
-          clock.after(DEADLINE_MS, () => reject(new StateUnknown('state: deadline passed')));
+          clock.after(DEADLINE_MS, () => reject(new StoreOutcomeUnknownError('state: deadline passed')));
         });
       },
-      grant: (ttl) =>
+      grantLease: (ttl) =>
         ask(() => {
-          const id = this.nextGrant++ as GrantId;
+          const id = this.nextGrant++ as LeaseId;
           this.grants.set(id, { ttl, until: this.clock.now() + ttl });
           return id;
         }),
-      touch: (id) =>
+      keepLeaseAlive: (id) =>
         ask(() => {
           const grant = this.grants.get(id);
           if (grant) grant.until = this.clock.now() + grant.ttl;
           return grant !== undefined;
         }),
-      release: (id) => ask(() => this.endGrant(id)),
-      changes: (prefix, after, waitMs) =>
+      revokeLease: (id) => ask(() => this.endGrant(id)),
+      watch: (prefix, after, waitMs) =>
         new Promise((resolve, reject) => {
           if (this.refused.has(node) || this.outage) {
-            clock.after(LATENCY_MS, () => reject(new StateRefused('state: watch answered 503')));
+            clock.after(LATENCY_MS, () => reject(new StoreRefusedError('state: watch answered 503')));
             return;
           }
-          const news = (): Change[] => this.log.filter((c) => c.revision > after && c.key.startsWith(prefix));
+          const news = (): WatchEvent[] =>
+            this.log.filter((c) => c.revision > after && c.key.startsWith(prefix));
           const answer = (): void => {
             if (this.outage || this.refused.has(node)) return;
             if (news().length === 0 && this.clock.now() < end) return;
--- a/test/standins/troubles.ts
+++ b/test/standins/troubles.ts
@@ -1,4 +1,4 @@
-import type { HostId } from '../../src/model/ids.js';
+import type { MachineId } from '../../src/model/ids.js';
 import type { DaySite } from './day-site.js';
 
 /** Users of a day, as far as troubles need them. */
@@ -20,7 +20,7 @@
 
 const BACK_S = 3;
 
-function some(site: DaySite, share: number, random: () => number): HostId[] {
+function some(site: DaySite, share: number, random: () => number): MachineId[] {
   return [...site.workers.keys()].filter(() => random() < share);
 }
 
@@ -40,7 +40,7 @@
 const nothing = (): void => {};
 
 /** A controller and some machines reach each other, and nothing else. */
-export function cutOff(site: DaySite, node: string, isInside: (host: HostId) => boolean): () => void {
+export function cutOff(site: DaySite, node: string, isInside: (host: MachineId) => boolean): () => void {
   site.state.refused.add(node);
   site.alone.add(node);
   for (const host of site.workers.keys()) {
--- a/test/standins/worker.ts
+++ b/test/standins/worker.ts
@@ -1,7 +1,15 @@
-import type { Counter, ImageId, JobId, TaskId, SessionNumber, Token, TryNo } from '../../src/model/ids.js';
-import { splitTaskId } from '../../src/model/ids.js';
+import type {
+  HeartbeatSequence,
+  ImageId,
+  JobId,
+  TaskId,
+  AgentIncarnation,
+  FencingToken,
+  AttemptNumber,
+} from '../../src/model/ids.js';
+import { parseTaskId } from '../../src/model/ids.js';
 import type { Machine } from '../../src/model/machine.js';
-import type { Attempt, AttemptState, Order, Report } from '../../src/model/heartbeat.js';
+import type { Attempt, AttemptState, WorkerCommand, Heartbeat } from '../../src/model/heartbeat.js';
 import type { Clock } from '../../src/model/time.js';
 import { address } from './cloud.js';
 
@@ -16,8 +24,8 @@
 
 export interface HeartbeatAnswer {
   readonly status: number;
-  readonly token: Token;
-  readonly orders: readonly Order[];
+  readonly token: FencingToken;
+  readonly orders: readonly WorkerCommand[];
   /** The controller that the worker is sent to. */
   readonly foreman?: string;
 }
@@ -25,10 +33,10 @@
 export interface WorkerWorld {
   readonly nodes: readonly string[];
   job(id: JobId): JobFacts | undefined;
-  started(worker: StandInWorker, task: TaskId, tryNo: TryNo): void;
-  left(worker: StandInWorker, task: TaskId, why: string): void;
+  started(worker: FakeWorker, task: TaskId, attemptNumber: AttemptNumber): void;
+  left(worker: FakeWorker, task: TaskId, why: string): void;
   /** Null: no answer. */
-  heartbeat(worker: StandInWorker, node: string, report: Report): Promise<HeartbeatAnswer | null>;
+  heartbeat(worker: FakeWorker, node: string, heartbeat: Heartbeat): Promise<HeartbeatAnswer | null>;
 }
 
 const SENT_ELSEWHERE = 421;
@@ -36,13 +44,13 @@
 const REDIRECTED_MS = 250;
 
 interface Here {
-  tryNo: TryNo;
+  attemptNumber: AttemptNumber;
   state: AttemptState;
   cause: string | null;
 }
 
 /** One machine's worker, by the published protocol. */
-export class StandInWorker {
+export class FakeWorker {
   private session = 1;
   private counter = 0;
   private token = 0;
@@ -88,7 +96,7 @@
       if (!this.hung) {
         this.checkLease();
         const wait = this.dirty ? 500 : this.reportMs;
-        if (!this.reporting && this.clock.now() - this.lastSent >= wait) void this.report();
+        if (!this.reporting && this.clock.now() - this.lastSent >= wait) void this.heartbeat();
       }
       this.tick();
     });
@@ -103,29 +111,29 @@
     this.dirty = true;
   }
 
-  private snapshot(): Report {
+  private snapshot(): Heartbeat {
     this.counter++;
     const attempts: Attempt[] = [...this.here].map(([task, t]) => ({
       task,
-      tryNo: t.tryNo,
+      attemptNumber: t.attemptNumber,
       state: t.state,
       cause: t.cause,
     }));
     return {
-      host: this.machine.id,
+      machine: this.machine.id,
       address: address(this.machine.id),
       type: this.machine.type,
       zone: this.machine.zone,
       spot: this.machine.spot,
-      session: this.session as SessionNumber,
-      counter: this.counter as Counter,
-      token: this.token as Token,
-      notice: this.notice as Report['notice'],
+      incarnation: this.session as AgentIncarnation,
+      sequence: this.counter as HeartbeatSequence,
+      token: this.token as FencingToken,
+      interruptionNotice: this.notice as Heartbeat['interruptionNotice'],
       attempts,
     };
   }
 
-  private async report(): Promise<void> {
+  private async heartbeat(): Promise<void> {
     this.reporting = true;
     this.dirty = false;
     const sent = this.clock.now();
@@ -155,15 +163,16 @@
 
   /** POST /commands; a hanging machine carries it out when it goes on. */
   command(
-    token: Token,
-    session: SessionNumber,
-    orders: readonly Order[],
-  ): { executed: boolean; report: Report } {
-    if (token < this.token || session !== this.session) return { executed: false, report: this.snapshot() };
+    token: FencingToken,
+    session: AgentIncarnation,
+    orders: readonly WorkerCommand[],
+  ): { executed: boolean; heartbeat: Heartbeat } {
+    if (token < this.token || session !== this.session)
+      return { executed: false, heartbeat: this.snapshot() };
     if (token > this.token) this.dirty = true;
     this.token = token;
     this.execute(orders);
-    return { executed: true, report: this.snapshot() };
+    return { executed: true, heartbeat: this.snapshot() };
   }
 
   /** Runs now, or once the machine goes on. */
@@ -173,27 +182,27 @@
   }
 
   /** What it says now, without its counter moving on. */
-  copy(): Report {
-    const report = this.snapshot();
+  copy(): Heartbeat {
+    const heartbeat = this.snapshot();
     this.counter--;
-    return report;
+    return heartbeat;
   }
 
-  show(): Report {
+  show(): Heartbeat {
     return this.snapshot();
   }
 
-  private execute(orders: readonly Order[]): void {
+  private execute(orders: readonly WorkerCommand[]): void {
     for (const order of orders) {
       const known = this.here.get(order.task);
-      if (order.verb === 'run') {
-        if (known && known.tryNo === order.tryNo) continue;
+      if (order.kind === 'start') {
+        if (known && known.attemptNumber === order.attemptNumber) continue;
         if (known && known.state !== 'exited') continue;
-        this.start(order.task, order.tryNo);
-      } else if (order.verb === 'kill') {
-        if (known && known.tryNo === order.tryNo && known.state !== 'exited')
+        this.start(order.task, order.attemptNumber);
+      } else if (order.kind === 'stop') {
+        if (known && known.attemptNumber === order.attemptNumber && known.state !== 'exited')
           this.exit(order.task, known, 'stopped');
-      } else if (known && known.tryNo === order.tryNo && known.state === 'exited')
+      } else if (known && known.attemptNumber === order.attemptNumber && known.state === 'exited')
         this.here.delete(order.task);
     }
   }
@@ -206,9 +215,9 @@
     if (was === 'running') this.world.left(this, task, cause);
   }
 
-  private start(task: TaskId, tryNo: TryNo): void {
-    const job = this.world.job(splitTaskId(task)?.job as JobId);
-    const t: Here = { tryNo, state: 'fetching', cause: null };
+  private start(task: TaskId, attemptNumber: AttemptNumber): void {
+    const job = this.world.job(parseTaskId(task)?.job as JobId);
+    const t: Here = { attemptNumber, state: 'fetching', cause: null };
     this.here.set(task, t);
     this.dirty = true;
     if (!job) {
@@ -223,7 +232,7 @@
     this.images.add(job.image);
     t.state = 'running';
     this.dirty = true;
-    this.world.started(this, task, t.tryNo);
+    this.world.started(this, task, t.attemptNumber);
     if (this.sick || job.broken) this.finishAfter(task, t, 800, 'error');
     else if (job.runMs !== null) this.finishAfter(task, t, job.runMs, 'done');
   }
--- a/test/traces/failover.test.ts
+++ b/test/traces/failover.test.ts
@@ -2,18 +2,18 @@
 import type { FailoverFeature } from '../../src/config/features.js';
 import { Day } from '../standins/day.js';
 import { Site } from '../standins/site.js';
+import { seconds } from '../../src/model/time.js';
 import { CANCEL_S } from '../standins/site-setup.js';
 import { TROUBLES } from '../standins/troubles.js';
 
 /** Whole sites with failure detection between their controllers, and leaders replaced before their grants end. */
 const FEATURE: FailoverFeature = {
-  enabled: true,
-  early_takeover: true,
-  probe_interval_s: 0.5,
-  probe_timeout_s: 0.3,
-  suspicion_s: 1,
-  pause_s: 0.4,
-  max_messages_per_s: 100,
+  earlyTakeover: true,
+  probeInterval: seconds(0.5),
+  probeTimeout: seconds(0.3),
+  suspicionTimeout: seconds(1),
+  pauseThreshold: seconds(0.4),
+  maxMessagesPerSecond: 100,
 };
 /** A grant's life: without failure detection nobody replaces a leader sooner. */
 const GRANT_S = 2.5;
@@ -60,7 +60,7 @@
   });
 
   it('is replaced when its grant has ended where early takeover is off', async () => {
-    const running = await site({ ...FEATURE, early_takeover: false });
+    const running = await site({ ...FEATURE, earlyTakeover: false });
     const former = running.leader as string;
     running.crash(former);
     const s = await replacedAfter(running, former);
@@ -85,7 +85,13 @@
 
   // By its own clock its grant still lives when it wakes: only the pause itself tells it to ask first.
   it('ends as soon as it wakes, before it rents, deletes or starts anything', async () => {
-    const quick = { ...FEATURE, probe_interval_s: 0.2, probe_timeout_s: 0.1, suspicion_s: 0.4, pause_s: 0.2 };
+    const quick = {
+      ...FEATURE,
+      probeInterval: seconds(0.2),
+      probeTimeout: seconds(0.1),
+      suspicionTimeout: seconds(0.4),
+      pauseThreshold: seconds(0.2),
+    };
     const running = await site(quick);
     const former = running.leader as string;
     const stillS = 1.7;
--- a/test/traces/faults.test.ts
+++ b/test/traces/faults.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { Budget } from '../../src/net/token-bucket.js';
+import { TokenBucket } from '../../src/net/token-bucket.js';
 import { begun, until } from './steps.js';
 import { expectTrace } from './trace.js';
 
@@ -8,12 +8,12 @@
     const site = await begun();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 2 });
     await until(site, () => site.tasksOn('j-000001') === 2);
-    const host = site.hostOf('j-000001/0');
+    const host = site.workerOf('j-000001/0');
     site.trace(`network    brings nothing to ${host} any more, only from it`);
     site.oneWay.add(host);
     const before = site.clock.now();
     await site.submit({ ref: 'j-000002', tasks: 3, runS: 4, team: 'blue' });
-    await until(site, () => site.tasksOn('j-000001') === 2 && site.hostOf('j-000001/0') !== host);
+    await until(site, () => site.tasksOn('j-000001') === 2 && site.workerOf('j-000001/0') !== host);
     // lease 20 s: its reports went on, but they showed no answer of ours
     expect(site.clock.now() - before).toBeLessThan(60_000);
     await until(site, () => site.state.value('open/j-000002') === undefined);
@@ -24,7 +24,7 @@
     const site = await begun();
     await site.submit({ ref: 'j-000001', tasks: 2, cpus: 2, runS: 90 });
     await until(site, () => site.tasksOn('j-000001') === 2);
-    const host = site.hostOf('j-000001/0');
+    const host = site.workerOf('j-000001/0');
     site.trace(`network    brings nothing to ${host} any more, only from it`);
     site.oneWay.add(host);
     const before = site.clock.now();
@@ -46,7 +46,7 @@
     const site = await begun();
     await site.submit({ ref: 'j-000001', tasks: 2, runS: 300 });
     await until(site, () => site.tasksOn('j-000001') === 2);
-    site.oneWay.add(site.hostOf('j-000001/0'));
+    site.oneWay.add(site.workerOf('j-000001/0'));
     expect(await site.cancel('j-000001')).toBe('cancelled');
     // the limit is 40 s
     await site.run(39);
@@ -58,10 +58,10 @@
     const site = await begun();
     await site.submit({ ref: 'j-000001', kind: 'service' });
     await until(site, () => site.tasksOn('j-000001') === 1);
-    const host = site.hostOf('j-000001/0');
+    const host = site.workerOf('j-000001/0');
     site.oneWay.add(host);
     site.crash(site.leader as string);
-    await until(site, () => site.tasksOn('j-000001') === 1 && site.hostOf('j-000001/0') !== host);
+    await until(site, () => site.tasksOn('j-000001') === 1 && site.workerOf('j-000001/0') !== host);
     await expectTrace('one-way-takeover', site);
   });
 });
@@ -71,7 +71,7 @@
     const site = await begun();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 6 });
     await until(site, () => site.tasksOn('j-000001') === 6);
-    const host = site.hostOf('j-000001/0');
+    const host = site.workerOf('j-000001/0');
     for (const s of [2, 9, 30, 75]) site.copyLater(host, s);
     await site.run(1);
     site.takeAway(host);
@@ -95,7 +95,7 @@
     await site.submit({ ref: 'j-000002', tasks: 4, runS: 5 });
     await until(site, () => site.tasksOn('j-000001') === 2 && site.tasksOn('j-000002') === 4);
     // Stopped for production work and started again elsewhere: the first attempts are cleared by then.
-    const sick = site.worker(site.hostOf('j-000001/0'));
+    const sick = site.worker(site.workerOf('j-000001/0'));
     sick.sick = true;
     await site.submit({ ref: 'j-000003', tasks: 3, runS: 12, team: 'blue' });
     await site.run(7);
@@ -185,7 +185,7 @@
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 6 });
     await until(site, () => site.tasksOn('j-000001') === 6);
     const old = site.leader as string;
-    const host = site.hostOf('j-000001/0');
+    const host = site.workerOf('j-000001/0');
     // Nobody succeeds it: the state service is out for all, and one machine is out of its reach.
     site.state.outage = true;
     site.trace('state      is out');
@@ -213,7 +213,7 @@
     const other = site.nodes.find((n) => n !== old) as string;
     // A start is being committed, a machine has just died, a report is about to be answered.
     await site.submit({ ref: 'j-000003', kind: 'service', tasks: 2, team: 'blue' }, other);
-    site.takeAway(site.hostOf('j-000001/0'));
+    site.takeAway(site.workerOf('j-000001/0'));
     await site.run(1.9);
     site.standStill(old, 14);
     await site.run(1);
@@ -280,7 +280,7 @@
     const site = await begun();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 2 });
     await until(site, () => site.tasksOn('j-000001') === 2);
-    site.worker(site.hostOf('j-000001/0')).restart();
+    site.worker(site.workerOf('j-000001/0')).restart();
     await until(site, () => site.tasksOn('j-000001') === 2);
     await expectTrace('worker-back', site);
   });
@@ -291,8 +291,8 @@
     const site = await begun();
     // What the sites' settings say: 200 requests and 60 changes a second.
     site.state.limits = {
-      requests: new Budget(site.clock, 200, 200),
-      writes: new Budget(site.clock, 60, 60),
+      requests: new TokenBucket(site.clock, 200, 200),
+      writes: new TokenBucket(site.clock, 60, 60),
     };
     const waiting = Array.from({ length: 450 }, (_, i) => `j-${String(i).padStart(6, '0')}`);
     const begin = site.clock.now();
--- a/test/traces/gap.test.ts
+++ b/test/traces/gap.test.ts
@@ -103,7 +103,7 @@
   it('a machine that hangs with the task is deleted, although nobody is sure to lead', async () => {
     const gap = await running();
     const { site } = gap;
-    const host = site.hostOf('j-000002/0');
+    const host = site.workerOf('j-000002/0');
     site.worker(host).hang();
     await cancelInGap(gap);
     await site.run(35);
--- a/test/traces/late-writes.test.ts
+++ b/test/traces/late-writes.test.ts
@@ -21,7 +21,7 @@
     await delayNext(site, 20_000);
     const lands = site.clock.now() + 20_000;
     await until(site, () => site.tasksOn('j-000001') === 1);
-    site.takeAway(site.hostOf('j-000001/0'));
+    site.takeAway(site.workerOf('j-000001/0'));
     await until(site, () => site.tasksOn('j-000001') === 1, 15);
     await site.run((lands - site.clock.now()) / 1000 + 0.1);
     site.crash(site.leader as string);
--- a/test/traces/pipelines.test.ts
+++ b/test/traces/pipelines.test.ts
@@ -98,7 +98,7 @@
     await site.submit({ ref: ref(1), runS: 200 });
     await until(site, () => site.tasksOn(ref(1)) === 1);
     // The cancelled task's machine hangs, so the leader still holds the job while the next one joins.
-    site.worker(site.hostOf(`${ref(1)}/0`)).hang();
+    site.worker(site.workerOf(`${ref(1)}/0`)).hang();
     expect(await site.query(ref(1), 'node-2')).toBe('pending');
     expect(await site.cancel(ref(1), 'node-1')).toBe('cancelled');
     expect(await site.submit({ ref: ref(2), awaits: [ref(1)] }, 'node-2')).toBe(201);
--- a/test/traces/placement-guard.test.ts
+++ b/test/traces/placement-guard.test.ts
@@ -10,11 +10,11 @@
 
 /** Each part of the rule, and a description that lacks it. */
 const PARTS = {
-  type: (spec: rule.PlacementSpec) => ({ ...spec, types: null }),
+  type: (spec: rule.PlacementSpec) => ({ ...spec, allowedTypes: null }),
   zone: (spec: rule.PlacementSpec) => ({ ...spec, zone: null }),
-  spot: (spec: rule.PlacementSpec) => ({ ...spec, spot: true }),
-  oneZone: (spec: rule.PlacementSpec) => ({ ...spec, oneZone: false }),
-  spread: (spec: rule.PlacementSpec) => ({ ...spec, spread: false }),
+  spot: (spec: rule.PlacementSpec) => ({ ...spec, allowsSpot: true }),
+  zoneAffinity: (spec: rule.PlacementSpec) => ({ ...spec, zoneAffinity: false }),
+  zoneAntiAffinity: (spec: rule.PlacementSpec) => ({ ...spec, zoneAntiAffinity: false }),
 };
 type Part = keyof typeof PARTS;
 
--- a/test/traces/placement.test.ts
+++ b/test/traces/placement.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import type { HostId } from '../../src/model/ids.js';
+import type { MachineId } from '../../src/model/ids.js';
 import { MIXED } from '../standins/site-setup.js';
 import { Site } from '../standins/site.js';
 import { until } from './steps.js';
@@ -15,19 +15,19 @@
 }
 
 /** The machine on which a running task is, which no controller hears from now on. */
-function silence(site: Site, task: string): HostId {
-  const host = site.hostOf(task);
+function silence(site: Site, task: string): MachineId {
+  const host = site.workerOf(task);
   site.trace(`network    takes ${host} to no controller any more`);
   site.mute.add(host);
   return host;
 }
 
 /** The leader ends before it has recorded the machine, as one that has no changes left for machines' records. */
-async function endBeforeRecorded(site: Site, host: HostId): Promise<void> {
+async function endBeforeRecorded(site: Site, host: MachineId): Promise<void> {
   site.crash(site.leader as string);
   for (const [key, entry] of site.state.keys) {
     if (!key.startsWith('fleet/')) continue;
-    const machines = (entry.value as { m: [HostId][] }).m;
+    const machines = (entry.value as { m: [MachineId][] }).m;
     entry.value = { m: machines.filter(([id]) => id !== host) };
   }
   await until(site, () => site.leader !== undefined, 10);
@@ -61,8 +61,8 @@
     // There is room in the south alone, and for two of its tasks: the others wait.
     await site.submit({ ref: 'j-000003', tasks: 4, samePlace: true, runS: 40 });
     await until(site, () => site.tasksOn('j-000003') === 2);
-    const host = site.hostOf('j-000003/0');
-    expect(site.hostOf('j-000002/0')).toBe(host);
+    const host = site.workerOf('j-000003/0');
+    expect(site.workerOf('j-000002/0')).toBe(host);
     silence(site, 'j-000003/0');
     await endBeforeRecorded(site, host);
     await site.run(14);
--- a/test/traces/scenarios.test.ts
+++ b/test/traces/scenarios.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import type { HostId } from '../../src/model/ids.js';
+import type { MachineId } from '../../src/model/ids.js';
 import { begun, until } from './steps.js';
 import { expectTrace } from './trace.js';
 
@@ -109,7 +109,7 @@
     const site = await begun();
     await site.submit({ ref: 'j-000001', kind: 'service' });
     await until(site, () => site.tasksOn('j-000001') === 1);
-    const host = site.hostOf('j-000001/0');
+    const host = site.workerOf('j-000001/0');
     site.hold(site.leader as string, host);
     await site.submit({ ref: 'j-000002', kind: 'service' });
     await site.run(0.3);
@@ -127,7 +127,7 @@
     await site.submit({ ref: 'j-000001', kind: 'service' });
     await until(site, () => site.tasksOn('j-000001') === 1);
     site.cloud.outage = true;
-    site.worker(site.hostOf('j-000001/0')).hang();
+    site.worker(site.workerOf('j-000001/0')).hang();
     expect(await site.cancel('j-000001')).toBe('cancelled');
     await site.run(15);
     site.cloud.outage = false;
@@ -142,7 +142,7 @@
     const site = await begun();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 6 });
     await until(site, () => site.tasksOn('j-000001') === 6);
-    site.takeAway(site.hostOf('j-000001/0'));
+    site.takeAway(site.workerOf('j-000001/0'));
     await until(site, () => site.tasksOn('j-000001') === 6);
     await expectTrace('dead-machine', site);
   });
@@ -151,7 +151,7 @@
     const site = await begun();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 2 });
     await until(site, () => site.tasksOn('j-000001') === 2);
-    const host = site.hostOf('j-000001/0');
+    const host = site.workerOf('j-000001/0');
     const worker = site.worker(host);
     site.cloud.outage = true;
     worker.hang();
@@ -169,7 +169,7 @@
     const site = await begun();
     await site.submit({ ref: 'j-000001', kind: 'service' });
     await until(site, () => site.tasksOn('j-000001') === 1);
-    const sick = site.worker(site.hostOf('j-000001/0'));
+    const sick = site.worker(site.workerOf('j-000001/0'));
     sick.sick = true;
     await site.submit({ ref: 'j-000002', tasks: 4, runS: 5 });
     await site.submit({ ref: 'j-000003', team: 'blue', broken: true });
@@ -212,7 +212,7 @@
     const site = await begun();
     await site.submit({ ref: 'j-000001', kind: 'service' });
     await until(site, () => site.tasksOn('j-000001') === 1);
-    const host = site.hostOf('j-000001/0');
+    const host = site.workerOf('j-000001/0');
     site.hold(site.leader as string, host);
     // It reaches the worker in a report's answer, runs and ends; the direct order is still on its way.
     await site.submit({ ref: 'j-000002', tasks: 2, runS: 4 });
@@ -243,7 +243,7 @@
     const site = await begun();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 3, cpus: 4 });
     await until(site, () => site.tasksOn('j-000001') === 3);
-    const host: HostId = site.hostOf('j-000001/0');
+    const host: MachineId = site.workerOf('j-000001/0');
     site.cloud.outage = true;
     for (const node of site.nodes) site.cuts.add(`${node} ${host}`);
     site.crash(site.leader as string);
--- a/test/traces/size-4500.test.ts
+++ b/test/traces/size-4500.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import type { HostId, TypeId, ZoneId } from '../../src/model/ids.js';
+import type { MachineId, MachineTypeId, ZoneId } from '../../src/model/ids.js';
 import { Site } from '../standins/site.js';
 
 const MACHINES = 4500;
@@ -19,9 +19,9 @@
     site.startAll();
     // They come up, and report, at different moments, as machines do.
     for (let n = 0; n < MACHINES; n++) {
-      const id = `host-${String(n).padStart(6, '0')}` as HostId;
+      const id = `host-${String(n).padStart(6, '0')}` as MachineId;
       const zone = (n % 2 === 0 ? 'north' : 'south') as ZoneId;
-      site.cloud.adopt({ id, type: 'small' as TypeId, zone, spot: n % 3 === 0 });
+      site.cloud.adopt({ id, type: 'small' as MachineTypeId, zone, spot: n % 3 === 0 });
       if (n % UP_TOGETHER === 0) await site.run(0.1);
     }
     const refs = Array.from({ length: JOBS }, (_, n) => `j-${String(n).padStart(6, '0')}`);
--- a/test/traces/state-limits.test.ts
+++ b/test/traces/state-limits.test.ts
@@ -1,11 +1,11 @@
 import { describe, expect, it } from 'vitest';
-import { Budget } from '../../src/net/token-bucket.js';
+import { TokenBucket } from '../../src/net/token-bucket.js';
 import { DEPENDENCIES_VERSION, PROTOCOL_VERSION } from '../../src/model/protocol.js';
-import { StateRefused } from '../../src/store/client.js';
+import { StoreRefusedError } from '../../src/store/client.js';
 import { limitProbe } from '../../src/store/limit-probe.js';
-import { StateLimits } from '../../src/store/store-limits.js';
+import { StoreLimits } from '../../src/store/store-limits.js';
 import { VirtualClock } from '../standins/clock.js';
-import { StandInState } from '../standins/state.js';
+import { FakeKeyValueStore } from '../standins/state.js';
 import { Site } from '../standins/site.js';
 import { until } from './steps.js';
 
@@ -23,8 +23,8 @@
   site.trace('state      takes less');
   site.state.sizes = { txnOps: NEXT.txn_ops, valueBytes: NEXT.value_kb * 1024 };
   site.state.limits = {
-    requests: new Budget(site.clock, 200, 200),
-    writes: new Budget(site.clock, NEXT.write_rps, NEXT.write_rps),
+    requests: new TokenBucket(site.clock, 200, 200),
+    writes: new TokenBucket(site.clock, NEXT.write_rps, NEXT.write_rps),
   };
 }
 
@@ -135,11 +135,11 @@
 
   it('are asked for once rates are refused: a crowd lowers nothing, the fall is known for good', async () => {
     const clock = new VirtualClock();
-    const settings = { state: limitsOf(60, 16), stateNext: limitsOf(30, 5) };
-    const state = new StandInState(clock);
-    const limits = new StateLimits(settings, clock, limitProbe(state.for('node-0', clock), settings));
-    const refused = new StateRefused('state answered 429', true);
-    limits.failed(refused);
+    const settings = { storeLimits: limitsOf(60, 16), announcedStoreLimits: limitsOf(30, 5) };
+    const state = new FakeKeyValueStore(clock);
+    const limits = new StoreLimits(settings, clock, limitProbe(state.for('node-0', clock), settings));
+    const refused = new StoreRefusedError('state answered 429', true);
+    limits.recordFailure(refused);
     // At once, until the service has answered.
     expect(limits.writeRps).toBe(30);
     await clock.advance(100);
@@ -147,7 +147,7 @@
     await clock.advance(3000);
     state.sizes = { txnOps: 5, valueBytes: 2048 };
     state.outage = true;
-    limits.failed(refused);
+    limits.recordFailure(refused);
     await clock.advance(1500);
     expect(limits.writeRps).toBe(30);
     state.outage = false;
--- a/test/traces/takeovers.test.ts
+++ b/test/traces/takeovers.test.ts
@@ -9,7 +9,7 @@
     await site.submit({ ref: 'j-000001', tasks: 16, runS: 90 });
     await until(site, () => site.tasksOn('j-000001') === 12);
     await site.submit({ ref: 'j-000002', tasks: 6, runS: 15 });
-    const host = site.hostOf('j-000001/0');
+    const host = site.workerOf('j-000001/0');
     site.cloud.outage = true;
     site.worker(host).hang();
     const old = site.leader as string;
@@ -31,7 +31,7 @@
     const site = await begun();
     await site.submit({ ref: 'j-000001', tasks: 3, cpus: 8, runS: 12 });
     await until(site, () => site.tasksOn('j-000001') === 3);
-    const [first, second] = [site.hostOf('j-000001/0'), site.hostOf('j-000001/1')];
+    const [first, second] = [site.workerOf('j-000001/0'), site.workerOf('j-000001/1')];
     // The first one's task ends unheard; the second one hangs and ends its own much later.
     site.mute.add(first);
     await site.run(6);
@@ -56,7 +56,7 @@
     await site.submit({ ref: 'j-000001', tasks: 2, runS: 300 });
     await site.submit({ ref: 'j-000002', kind: 'service', tasks: 2, team: 'blue' });
     await until(site, () => site.tasksOn('j-000001') === 2 && site.tasksOn('j-000002') === 2);
-    const host = site.hostOf('j-000001/0');
+    const host = site.workerOf('j-000001/0');
     site.worker(host).hang();
     expect(await site.cancel('j-000001', site.nodes[1])).toBe('cancelled');
     for (let i = 0; i < 10; i++) {
--- a/test/traces/upgrade.test.ts
+++ b/test/traces/upgrade.test.ts
@@ -5,8 +5,8 @@
   type Revision,
   type JobId,
   type MemberId,
-  type Round,
-  tokenOf,
+  type FenceGeneration,
+  fencingTokenOf,
 } from '../../src/model/ids.js';
 import {
   decodeCancellations,
@@ -17,7 +17,7 @@
   encodeProgress,
   encodeUser,
   FrameReader,
-  Kind,
+  FrameKind,
 } from '../../src/peer/frames.js';
 import {
   DEPENDENCIES_VERSION,
@@ -25,7 +25,7 @@
   SPLIT_DESCRIPTIONS_VERSION,
 } from '../../src/model/protocol.js';
 import { leaderRecord } from '../../src/store/leader-record.js';
-import type { Row } from '../../src/wire/key-value-store.js';
+import type { KeyValue } from '../../src/wire/key-value-store.js';
 import { Site } from '../standins/site.js';
 import type { JobWish } from '../standins/site-setup.js';
 import { begun, until } from './steps.js';
@@ -37,7 +37,11 @@
   records: { key: string; value: unknown; stamp: Revision }[];
   frames: Record<'ping' | 'progress' | 'user' | 'call', string>;
 };
-const records: Row[] = production.records.map(({ key, value, stamp }) => ({ key, value, revision: stamp }));
+const records: KeyValue[] = production.records.map(({ key, value, stamp }) => ({
+  key,
+  value,
+  revision: stamp,
+}));
 
 const WISHES: JobWish[] = [
   { ref: 'j-000001', tasks: 310, runS: 60 },
@@ -58,13 +62,13 @@
   site.restore(
     records.filter((r) => r.key !== 'leader'),
     WISHES,
-    tokenOf(1 as Epoch, 0 as Round),
+    fencingTokenOf(1 as Epoch, 0 as FenceGeneration),
   );
   if (old) for (const name of site.nodes.slice(1)) site.old.add(name);
   return site;
 }
 
-async function readRow(site: Site, key: string): Promise<Row> {
+async function readRow(site: Site, key: string): Promise<KeyValue> {
   const reading = site.state.for('node-9', site.clock).get(key);
   await site.run(0.1);
   const row = await reading;
@@ -91,7 +95,7 @@
     expect(await site.query('j-000004', 'node-1')).toBe('cancelled');
     if (next) site.state.sizes = { txnOps: 5, valueBytes: 2048 };
     // One machine dies: its tasks start elsewhere, and their records are written.
-    site.takeAway(site.hostOf('j-000001/0'));
+    site.takeAway(site.workerOf('j-000001/0'));
     await until(site, () => site.tasksOn('j-000001') === 310, 40);
     await site.run(1);
     const split = [...site.state.keys.keys()].some((key) => /^open\/j-\d+\/\d+-/.test(key));
@@ -112,7 +116,7 @@
     site.startAll();
     await site.run(3);
     const old = site.state.for('node-9', site.clock);
-    const late = old.commit(
+    const late = old.txn(
       [{ key: 'epoch', revision: epochBefore }],
       [{ set: 'open/j-000001/0000', value: { d: [[0, 299]] } }],
     );
@@ -121,7 +125,7 @@
     expect(site.tasksOn('j-000001')).toBe(310);
     // As the production version cancels: the record's state alone, on the record's revision.
     const row = await readRow(site, 'job/j-000001');
-    const cancelled = old.commit(
+    const cancelled = old.txn(
       [{ key: row.key, revision: row.revision }],
       [{ set: row.key, value: { ...(row.value as object), s: 'c' } }],
     );
@@ -165,7 +169,7 @@
     site.restore(
       rows.filter((row) => row.key !== 'leader'),
       LANDED_WISHES,
-      tokenOf(1 as Epoch, 0 as Round),
+      fencingTokenOf(1 as Epoch, 0 as FenceGeneration),
     );
     site.state.sizes = { txnOps: 5, valueBytes: 1024 };
     site.startAll();
@@ -176,7 +180,7 @@
     expect(await site.query('j-000003')).toBe('done');
     expect(await site.query('j-000007', 'node-1')).toBe('cancelled');
     // Its list of dependencies has a record of its own; a machine's end splits nothing anew.
-    site.takeAway(site.hostOf('j-000001/0'));
+    site.takeAway(site.workerOf('j-000001/0'));
     await until(site, () => site.state.value('open/j-000008') === undefined, 200);
     await until(site, () => site.state.value('open/j-000006') === undefined, 60);
     await until(site, () => site.state.value('open/j-000001') === undefined, 120);
@@ -191,14 +195,14 @@
   it('and its frames are read; what is new since is kept from it', () => {
     const bytes = Object.values(landed.frames).map((hex) => Buffer.from(hex, 'hex'));
     const frames = new FrameReader().push(Buffer.concat(bytes));
-    expect(frames.map((frame) => frame.kind)).toEqual([Kind.Ping, Kind.Cancelled]);
+    expect(frames.map((frame) => frame.kind)).toEqual([FrameKind.Ping, FrameKind.Cancelled]);
     const ping = decodePing(frames[0]?.payload as Buffer);
-    expect(ping).toMatchObject({ version: DEPENDENCIES_VERSION, leading: 5 });
+    expect(ping).toMatchObject({ version: DEPENDENCIES_VERSION, leadingEpoch: 5 });
     expect(ping.version).toBeLessThan(SPLIT_DESCRIPTIONS_VERSION);
     expect(decodeCancellations(frames[1]?.payload as Buffer)).toEqual({
-      upFor: 61_000,
-      leading: 5,
-      told: [{ id: 'j-000412', age: 1500 }],
+      uptime: 61_000,
+      leadingEpoch: 5,
+      cancellations: [{ id: 'j-000412', age: 1500 }],
     });
   });
 });
@@ -207,22 +211,27 @@
   it('are read, and the same frames are still written', () => {
     const bytes = Object.values(production.frames).map((hex) => Buffer.from(hex, 'hex'));
     const frames = new FrameReader().push(Buffer.concat(bytes));
-    expect(frames.map((f) => f.kind)).toEqual([Kind.Ping, Kind.Progress, Kind.User, Kind.Call]);
+    expect(frames.map((f) => f.kind)).toEqual([
+      FrameKind.Ping,
+      FrameKind.Progress,
+      FrameKind.User,
+      FrameKind.Call,
+    ]);
     expect(decodePing(frames[0]?.payload as Buffer)).toEqual({
       member: 'node-0',
-      stateOk: true,
-      leading: 5,
+      isStoreReachable: true,
+      leadingEpoch: 5,
       version: 0,
       load: 0,
     });
-    const hex = (kind: Kind, request: number, payload: Buffer): string =>
+    const hex = (kind: FrameKind, request: number, payload: Buffer): string =>
       encodeFrame(kind, request, payload).toString('hex');
     const job = { id: 'j-000412' as JobId, done: 3, running: 13 };
-    expect(encodeProgress([job]).map((payload) => hex(Kind.Progress, 0, payload))).toEqual([
+    expect(encodeProgress([job]).map((payload) => hex(FrameKind.Progress, 0, payload))).toEqual([
       production.frames.progress,
     ]);
-    expect(hex(Kind.User, 7, encodeUser('cancel', Buffer.from(job.id)))).toBe(production.frames.user);
-    expect(hex(Kind.Call, 8, encodeCall('show', '10.1.0.1:9000', 800, undefined))).toBe(
+    expect(hex(FrameKind.User, 7, encodeUser('cancel', Buffer.from(job.id)))).toBe(production.frames.user);
+    expect(hex(FrameKind.Call, 8, encodeCall('show', '10.1.0.1:9000', 800, undefined))).toBe(
       production.frames.call,
     );
   });
@@ -230,7 +239,13 @@
   // The last landing's pings end after the version: it leaves one byte unread, the production version two.
   it('differ from ours in a ping by two bytes at its end, which it leaves unread', () => {
     const member = 'node-0' as MemberId;
-    const ping = { member, stateOk: true, leading: 5 as Epoch, version: PROTOCOL_VERSION, load: 0.42 };
+    const ping = {
+      member,
+      isStoreReachable: true,
+      leadingEpoch: 5 as Epoch,
+      version: PROTOCOL_VERSION,
+      load: 0.42,
+    };
     const ours = encodePing(ping);
     const theirs = Buffer.from(production.frames.ping, 'hex').subarray(9);
     expect(ours.subarray(0, theirs.length).equals(theirs)).toBe(true);
--- a/test/unit/answering.test.ts
+++ b/test/unit/answering.test.ts
@@ -1,39 +1,39 @@
 import { describe, expect, it } from 'vitest';
-import { Answering } from '../../src/leader/worker-lease-policy.js';
-import { Cancellations } from '../../src/core/confirmed-cancellations.js';
-import type { NodeContext } from '../../src/core/context.js';
+import { WorkerLeasePolicy } from '../../src/leader/worker-lease-policy.js';
+import { ConfirmedCancellations } from '../../src/core/confirmed-cancellations.js';
+import type { ControllerContext } from '../../src/core/context.js';
 import { defaultOperators } from '../../src/config/operators.js';
-import { silentLog } from '../../src/log/logger.js';
+import { silentLogger } from '../../src/log/logger.js';
 import type { Epoch, JobId } from '../../src/model/ids.js';
 import { type Millis, ms, seconds } from '../../src/model/time.js';
-import type { CancellationsWord } from '../../src/peer/frames.js';
+import type { PeerStatus } from '../../src/peer/frames.js';
 import { VirtualClock } from '../standins/clock.js';
 
-type Word = CancellationsWord | null;
+type Word = PeerStatus | null;
 
 function leader(cancelS: number, words: () => Word[]) {
   const clock = new VirtualClock();
-  const cancellations = new Cancellations(clock, seconds(cancelS));
+  const cancellations = new ConfirmedCancellations(clock, seconds(cancelS));
   let unsureFor: Millis | null = null;
   const newer: number[] = [];
   const ctx = {
     clock,
-    log: silentLog,
+    log: silentLogger,
     cancellations,
-    settings: { cancelWithin: seconds(cancelS), workerLease: seconds(20) },
-    ops: defaultOperators(),
-    siblings: { cancellations: () => Promise.resolve(words()) },
-  } as unknown as NodeContext;
-  const grant = { sure: () => unsureFor === null, unsureFor: () => unsureFor ?? ms(0) };
-  const answering = new Answering(ctx, grant, (epoch) => newer.push(epoch));
-  answering.knew(clock.now());
+    settings: { cancellationLimit: seconds(cancelS), workerLeaseDuration: seconds(20) },
+    operators: defaultOperators(),
+    peers: { collectStatus: () => Promise.resolve(words()) },
+  } as unknown as ControllerContext;
+  const lease = { isLeaseValid: () => unsureFor === null, timeSinceLeaseExpiry: () => unsureFor ?? ms(0) };
+  const answering = new WorkerLeasePolicy(ctx, lease, (epoch) => newer.push(epoch));
+  answering.observedCancellationsUpTo(clock.now());
   /** Lives so many seconds without a grant, asking as a leader does; how long it answered. */
   const alone = async (s: number): Promise<number> => {
     let answered = 0;
     for (let t = 0; t < s; t += 0.5) {
       unsureFor = ms(t * 1000);
-      if (answering.may(clock.now())) answered = t;
-      await answering.ask();
+      if (answering.mayRenew(clock.now())) answered = t;
+      await answering.pollPeers();
       await clock.advance(500);
     }
     return answered;
@@ -41,10 +41,10 @@
   return { answering, alone, clock, cancellations, newer };
 }
 
-const word = (upFor: number, more: Partial<CancellationsWord> = {}): Word => ({
-  upFor: ms(upFor),
-  leading: null,
-  told: [],
+const word = (upFor: number, more: Partial<PeerStatus> = {}): Word => ({
+  uptime: ms(upFor),
+  leadingEpoch: null,
+  cancellations: [],
   ...more,
 });
 const OLD = 3_600_000;
@@ -66,7 +66,9 @@
 
   it('not at all after a newer epoch was named, and learns what the others have told', async () => {
     const told = [{ id: 'j-000007' as JobId, age: ms(900) }];
-    const { alone, newer, cancellations } = leader(40, () => [word(OLD, { leading: 9 as Epoch, told })]);
+    const { alone, newer, cancellations } = leader(40, () => [
+      word(OLD, { leadingEpoch: 9 as Epoch, cancellations: told }),
+    ]);
     await alone(1);
     expect(newer).toContain(9);
     expect(cancellations.has('j-000007' as JobId)).toBe(true);
@@ -77,8 +79,8 @@
   it('stops answering too when it has not seen the cancellations for long', async () => {
     const { answering, clock } = leader(40, () => []);
     await clock.advance(14_900);
-    expect(answering.may(clock.now())).toBe(true);
+    expect(answering.mayRenew(clock.now())).toBe(true);
     await clock.advance(200);
-    expect(answering.may(clock.now())).toBe(false);
+    expect(answering.mayRenew(clock.now())).toBe(false);
   });
 });
--- a/test/unit/failover.test.ts
+++ b/test/unit/failover.test.ts
@@ -11,8 +11,8 @@
 import { readRecords } from '../../src/store/records.js';
 import { checkFailover } from '../../src/leadership/failover/failover-settings.js';
 import { loadFeatures } from '../../src/config/features.js';
-import { BadSettings } from '../../src/config/operators.js';
-import { silentLog } from '../../src/log/logger.js';
+import { InvalidSettingsError } from '../../src/config/operators.js';
+import { silentLogger } from '../../src/log/logger.js';
 import type { MemberId as MemberIdOfNode } from '../../src/model/ids.js';
 import { MEMBERSHIP_VERSION } from '../../src/model/protocol.js';
 import type { AnswerFrame } from '../../src/peer/frames.js';
@@ -21,7 +21,7 @@
 import type { MembersReport } from '../../src/wire/members.js';
 import { VirtualClock } from '../standins/clock.js';
 import { settingsOf, SMALL } from '../standins/site-setup.js';
-import { StandInState } from '../standins/state.js';
+import { FakeKeyValueStore } from '../standins/state.js';
 
 const folders: string[] = [];
 afterEach(() => folders.splice(0).forEach((folder) => rmSync(folder, { recursive: true })));
@@ -38,7 +38,7 @@
     expect(loadFeatures(undefined).failover).toBeNull();
     expect(loadFeatures(folderWith(null)).failover).toBeNull();
     expect(loadFeatures(folderWith('enabled = false')).failover).toBeNull();
-    expect(loadFeatures(folderWith('enabled = true')).failover).toMatchObject({ early_takeover: false });
+    expect(loadFeatures(folderWith('enabled = true')).failover).toMatchObject({ earlyTakeover: false });
   });
 
   it.each([
@@ -61,8 +61,10 @@
     const sibling = { member: 'b' as MemberIdOfNode, address: '127.0.0.1:2' };
     const feature = loadFeatures(folderWith('enabled = true')).failover;
     if (feature === null) throw new Error('off');
-    expect(() => checkFailover({ ...settings, siblings: [sibling, sibling] }, feature)).toThrow(BadSettings);
-    expect(() => checkFailover({ ...settings, siblings: [sibling, sibling] }, feature)).toThrow(
+    expect(() => checkFailover({ ...settings, peers: [sibling, sibling] }, feature)).toThrow(
+      InvalidSettingsError,
+    );
+    expect(() => checkFailover({ ...settings, peers: [sibling, sibling] }, feature)).toThrow(
       'membership.toml: members: b is named twice',
     );
     const path = join(folderWith('enabled = 7'), 'membership.toml');
@@ -73,7 +75,7 @@
 });
 
 describe('plumyoke members', () => {
-  const report: MembersReport = {
+  const heartbeat: MembersReport = {
     observer: 'a',
     version: MEMBERSHIP_VERSION,
     failureDetection: true,
@@ -103,7 +105,7 @@
   };
 
   it('prints a table, the evidence where something is wrong, and what to do', () => {
-    expect(renderMembers(report)).toBe(
+    expect(renderMembers(heartbeat)).toBe(
       [
         'Controllers as a sees them:',
         '',
@@ -122,14 +124,14 @@
   });
 
   it('says so where failure detection is off', () => {
-    const off = { ...report, failureDetection: false };
+    const off = { ...heartbeat, failureDetection: false };
     expect(renderMembers(off)).toContain(
       'Failure detection is off on this controller (deploy/membership.toml)',
     );
   });
 
   it('tells a partly cut member and a deaf one what to do', () => {
-    const [line] = report.members as [MembersReport['members'][number]];
+    const [line] = heartbeat.members as [MembersReport['members'][number]];
     expect(adviceFor({ ...line, connection: 'partly-cut' })).toContain('look at the network');
     expect(adviceFor({ ...line, state: 'suspect', connection: 'deaf' })).toContain('hears nobody');
   });
@@ -160,9 +162,9 @@
   const asked: number[] = [];
   const whole = {
     member: 'b',
-    alive: true,
-    speaks: () => true,
-    ask: (kind: number) => {
+    isConnected: true,
+    supports: () => true,
+    request: (kind: number) => {
       asked.push(kind);
       return Promise.resolve({ status: 200, body: Buffer.from('answer') } satisfies AnswerFrame);
     },
@@ -177,7 +179,7 @@
 
   // An earlier version closes the connection on a kind that it does not know, and with it everything else that is said there.
   it('never go to a peer of an earlier version', async () => {
-    const { link: old, asked } = link({ speaks: () => false });
+    const { link: old, asked } = link({ supports: () => false });
     const transport = new PeerTransport([old], new VirtualClock());
     expect(transport.support(B)).toBe(PeerSupport.Unsupported);
     expect(await transport.request(B, nothing, 100)).toBeNull();
@@ -187,14 +189,14 @@
   it('tell a peer without failure detection from one that is silent', async () => {
     const clock = new VirtualClock();
     const off = { status: DETECTION_OFF_STATUS, body: Buffer.alloc(0) };
-    const { link: switchedOff } = link({ ask: () => Promise.resolve(off) });
+    const { link: switchedOff } = link({ request: () => Promise.resolve(off) });
     const transport = new PeerTransport([switchedOff], clock);
     expect(transport.support(B)).toBe(PeerSupport.Supported);
     expect(await transport.request(B, nothing, 100)).toBeNull();
     expect(transport.support(B)).toBe(PeerSupport.Unsupported);
     await clock.advance(6000);
     expect(transport.support(B)).toBe(PeerSupport.Supported);
-    const { link: silent } = link({ ask: () => Promise.resolve(null) });
+    const { link: silent } = link({ request: () => Promise.resolve(null) });
     const other = new PeerTransport([silent], clock);
     expect(await other.request(B, nothing, 100)).toBeNull();
     expect(other.support(B)).toBe(PeerSupport.Supported);
@@ -204,19 +206,23 @@
 describe('records read ahead', () => {
   const set = (key: string, value: unknown) => ({ set: key, value });
 
-  async function filled(): Promise<{ clock: VirtualClock; state: StandInState; prefetch: RecordPrefetch }> {
+  async function filled(): Promise<{
+    clock: VirtualClock;
+    state: FakeKeyValueStore;
+    prefetch: RecordPrefetch;
+  }> {
     const clock = new VirtualClock();
-    const state = new StandInState(clock);
+    const state = new FakeKeyValueStore(clock);
     const store = state.for('a', clock);
     for (let n = 0; n < 8; n++) {
-      void store.commit(
+      void store.txn(
         [],
         [1, 2, 3].map((part) => set(`open/j-${n}/${part}`, { n })),
       );
     }
-    void store.commit([], [set('fleet/0000', { m: [] })]);
+    void store.txn([], [set('fleet/0000', { m: [] })]);
     await clock.advance(1000);
-    return { clock, state, prefetch: new RecordPrefetch(store, clock, silentLog) };
+    return { clock, state, prefetch: new RecordPrefetch(store, clock, silentLogger) };
   }
 
   it('are what a reading would bring at the moment at which they are taken', async () => {
@@ -224,10 +230,7 @@
     void prefetch.begin();
     await clock.advance(100);
     const store = state.for('a', clock);
-    void store.commit(
-      [],
-      [{ drop: 'open/j-3/1' }, set('open/j-3/2', { n: 33 }), set('open/j-9/1', { n: 9 })],
-    );
+    void store.txn([], [{ drop: 'open/j-3/1' }, set('open/j-3/2', { n: 33 }), set('open/j-9/1', { n: 9 })]);
     await clock.advance(100);
     const taken = prefetch.take('open/');
     const read = readRecords(store, 'open/', (ask) => ask());
--- a/test/unit/forecast.test.ts
+++ b/test/unit/forecast.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import { Arrivals } from '../../src/forecast/arrivals.js';
-import { seconds, type Steady } from '../../src/model/time.js';
+import { seconds, type MonotonicTime } from '../../src/model/time.js';
 import { Ensemble, predictionCost } from '../../src/forecast/ensemble.js';
 import { Lifetimes } from '../../src/forecast/lifetimes.js';
 import { autoregression, movingAverage } from '../../src/forecast/predictors.js';
@@ -83,7 +83,7 @@
 
 describe('arrivals', () => {
   it('that cease are believed within a slot, few of them never', () => {
-    const at = (s: number): Steady => (s * 1000) as Steady;
+    const at = (s: number): MonotonicTime => (s * 1000) as MonotonicTime;
     const many = new Arrivals();
     const few = new Arrivals();
     for (let s = 0; s < 90; s += 3) many.arrived(at(s));
--- a/test/unit/health.test.ts
+++ b/test/unit/health.test.ts
@@ -1,43 +1,48 @@
 import { describe, expect, it } from 'vitest';
 import type { LeaderContext } from '../../src/core/context.js';
 import { defaultOperators } from '../../src/config/operators.js';
-import type { HostId, TypeId, ZoneId } from '../../src/model/ids.js';
+import type { MachineId, MachineTypeId, ZoneId } from '../../src/model/ids.js';
 import { seconds } from '../../src/model/time.js';
-import { NoAnswer } from '../../src/net/http-client.js';
-import { Health } from '../../src/workers/failure-detector.js';
-import { type Host } from '../../src/workers/state/worker.js';
-import { HostRegistry } from '../../src/workers/state/worker-registry.js';
+import { NoAnswerError } from '../../src/net/http-client.js';
+import { WorkerFailureDetector } from '../../src/workers/failure-detector.js';
+import { type Worker } from '../../src/workers/state/worker.js';
+import { WorkerRegistry } from '../../src/workers/state/worker-registry.js';
 import { VirtualClock } from '../standins/clock.js';
-import { hostOf } from '../standins/host.js';
+import { workerOf } from '../standins/host.js';
 
 /** Three machines, one of them silent; whether it is fenced when a probe fails after `failsMs`. */
 async function fenced(failsMs: number): Promise<boolean> {
   const clock = new VirtualClock();
-  const hosts = new HostRegistry();
+  const workers = new WorkerRegistry();
   for (const name of ['a', 'b', 'c']) {
-    const machine = { id: name as HostId, type: 'small' as TypeId, zone: 'north' as ZoneId, spot: false };
-    const host = hostOf(machine, clock.now());
-    host.up = true;
-    host.known = true;
+    const machine = {
+      id: name as MachineId,
+      type: 'small' as MachineTypeId,
+      zone: 'north' as ZoneId,
+      spot: false,
+    };
+    const host = workerOf(machine, clock.now());
+    host.isUp = true;
+    host.hasReported = true;
     host.address = `${name}:1`;
-    hosts.add(host);
+    workers.add(host);
   }
   let fence = false;
   const ctx = {
     clock,
-    hosts,
+    workers,
     startedAt: clock.now(),
-    ops: defaultOperators(),
-    settings: { reportEvery: seconds(3), workerLease: seconds(20) },
-    ended: () => false,
-    workerCalls: 64,
+    operators: defaultOperators(),
+    settings: { heartbeatInterval: seconds(3), workerLeaseDuration: seconds(20) },
+    isEnded: () => false,
+    maxConcurrentWorkerCalls: 64,
     load: () => 0,
-    workers: {
-      show: () =>
-        new Promise((_, reject) => clock.after(failsMs, () => reject(new NoAnswer('deadline passed')))),
+    workerClient: {
+      fetchHeartbeat: () =>
+        new Promise((_, reject) => clock.after(failsMs, () => reject(new NoAnswerError('deadline passed')))),
     },
   } as unknown as LeaderContext;
-  const health = new Health(
+  const health = new WorkerFailureDetector(
     ctx,
     0,
     () => {},
@@ -49,9 +54,9 @@
   for (let tick = 0; tick < 24; tick++) {
     await clock.advance(500);
     for (const id of ['b', 'c']) {
-      const host = hosts.get(id as HostId) as Host;
-      host.contactAt = clock.now();
-      health.heard(host, clock.now());
+      const host = workers.get(id as MachineId) as Worker;
+      host.lastContactAt = clock.now();
+      health.recordHeartbeat(host, clock.now());
     }
     health.tick(clock.now());
   }
--- a/test/unit/heartbeats.test.ts
+++ b/test/unit/heartbeats.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from 'vitest';
-import type { NodeContext } from '../../src/core/context.js';
+import type { ControllerContext } from '../../src/core/context.js';
 import { HeartbeatRouter } from '../../src/controller/heartbeat-router.js';
 import type { Leadership } from '../../src/controller/leadership.js';
 import type { PeerGroup } from '../../src/controller/peer-group.js';
-import { type AnswerFrame, Kind } from '../../src/peer/frames.js';
+import { type AnswerFrame, FrameKind } from '../../src/peer/frames.js';
 import type { PeerLink } from '../../src/peer/link.js';
 import { VirtualClock } from '../standins/clock.js';
 
@@ -16,16 +16,16 @@
 
 /** A follower whose link to the leader leads straight into the leader's router. */
 function nodes(): Nodes {
-  const context = { member: 'a', clock: new VirtualClock(), load: () => 0 } as unknown as NodeContext;
+  const context = { member: 'a', clock: new VirtualClock(), load: () => 0 } as unknown as ControllerContext;
   const leadership = { leader: {}, election: { leader: {} } } as unknown as Leadership;
-  const nobody = { leader: () => undefined, alive: [] } as unknown as PeerGroup;
+  const nobody = { leader: () => undefined, connected: [] } as unknown as PeerGroup;
   const leader = new HeartbeatRouter(context, leadership, nobody);
   const link = {
     member: 'a',
-    ask: (kind: Kind.Heartbeat, body: Buffer): Promise<AnswerFrame | null> =>
+    request: (kind: FrameKind.Heartbeat, body: Buffer): Promise<AnswerFrame | null> =>
       leader.takeFromPeer(kind, body, 'b' as never),
   } as unknown as PeerLink;
-  const withLeader = { leader: () => link, alive: [link] } as unknown as PeerGroup;
+  const withLeader = { leader: () => link, connected: [link] } as unknown as PeerGroup;
   const following = { leader: null, election: { leader: {} } } as unknown as Leadership;
   return { leader, follower: new HeartbeatRouter(context, following, withLeader) };
 }
@@ -42,7 +42,7 @@
 
   it('is answered 400 through a third controller as well', async () => {
     const { leader } = nodes();
-    const answer = await leader.takeFromPeer(Kind.Passed, MALFORMED, 'c' as never);
+    const answer = await leader.takeFromPeer(FrameKind.Passed, MALFORMED, 'c' as never);
     expect(answer?.status).toBe(400);
   });
 });
--- a/test/unit/http.test.ts
+++ b/test/unit/http.test.ts
@@ -1,9 +1,9 @@
 import { createServer, type Server, type Socket } from 'node:net';
 import type { AddressInfo } from 'node:net';
 import { afterEach, describe, expect, it, vi } from 'vitest';
-import { HttpTarget, NoAnswer, NoSocket } from '../../src/net/http-client.js';
-import { BadResponse, type HttpResponse, ResponseReader } from '../../src/net/http-response.js';
-import { WorkerTargets } from '../../src/workers/worker-connections.js';
+import { HttpTarget, NoAnswerError, NoSocketError } from '../../src/net/http-client.js';
+import { MalformedResponseError, type HttpResponse, ResponseReader } from '../../src/net/http-response.js';
+import { WorkerConnections } from '../../src/workers/worker-connections.js';
 
 const answers: Record<string, string> = {
   'with a length': 'HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n{"a":1}',
@@ -49,7 +49,7 @@
   it.each(['nonsense\r\n\r\n', 'HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n', 'x'.repeat(70_000)])(
     'is refused where it cannot be one',
     (text) => {
-      expect(() => new ResponseReader().push(Buffer.from(text))).toThrow(BadResponse);
+      expect(() => new ResponseReader().push(Buffer.from(text))).toThrow(MalformedResponseError);
     },
   );
 });
@@ -108,7 +108,7 @@
     const http = targetAt(address, 1);
     const late = http.call('GET', '/slow', undefined, 50);
     const next = http.call('GET', '/next', undefined, 5000);
-    await expect(late).rejects.toThrow(NoAnswer);
+    await expect(late).rejects.toThrow(NoAnswerError);
     expect((await next).status).toBe(200);
     expect(sockets[0]).not.toBe(sockets[1]);
   });
@@ -119,9 +119,11 @@
       else socket.write(OK);
     });
     const http = targetAt(address, 1);
-    await expect(http.call('GET', '/x', undefined, 5000)).rejects.toThrow(NoAnswer);
+    await expect(http.call('GET', '/x', undefined, 5000)).rejects.toThrow(NoAnswerError);
     expect((await http.call('GET', '/x', undefined, 5000)).status).toBe(200);
-    await expect(targetAt('127.0.0.1:1', 1).call('GET', '/x', undefined, 5000)).rejects.toThrow(NoAnswer);
+    await expect(targetAt('127.0.0.1:1', 1).call('GET', '/x', undefined, 5000)).rejects.toThrow(
+      NoAnswerError,
+    );
   });
 });
 
@@ -143,17 +145,17 @@
       }),
     );
     const [a, b, c] = addresses as [string, string, string];
-    const workers = new WorkerTargets(2);
+    const workers = new WorkerConnections(2);
     for (const address of [a, b, a, c, a, b, c]) {
-      expect((await workers.raw('show', address, undefined, 5000)).status).toBe(200);
+      expect((await workers.call('show', address, undefined, 5000)).status).toBe(200);
       // The other side sees a connection end some moments after we have given it up.
       await vi.waitFor(() => expect(connected).toBeLessThanOrEqual(2), { timeout: 10_000 });
     }
     expect(connected).toBe(2);
-    const busy = [workers.raw('show', a, undefined, 5000), workers.raw('show', b, undefined, 5000)];
-    await expect(workers.raw('show', c, undefined, 5000)).rejects.toThrow(NoSocket);
+    const busy = [workers.call('show', a, undefined, 5000), workers.call('show', b, undefined, 5000)];
+    await expect(workers.call('show', c, undefined, 5000)).rejects.toThrow(NoSocketError);
     await Promise.all(busy);
-    expect((await workers.raw('show', c, undefined, 5000)).status).toBe(200);
+    expect((await workers.call('show', c, undefined, 5000)).status).toBe(200);
   });
 });
 
--- a/test/unit/job-record.test.ts
+++ b/test/unit/job-record.test.ts
@@ -10,7 +10,7 @@
   storedBytes,
   withDescription,
 } from '../../src/store/job-record.js';
-import type { Write } from '../../src/wire/key-value-store.js';
+import type { WriteOperation } from '../../src/wire/key-value-store.js';
 import { submission } from '../standins/submission.js';
 
 const ID = 'j-000001' as JobId;
@@ -22,9 +22,9 @@
   Array.from({ length: count }, (_, n) => `j-${String(n).padStart(20, '0')}` as JobId);
 
 const recordOf = (spec: JobSpec): JobRecord => ({ spec, state: 'accepted', acceptedAt: AT });
-const longest = (records: readonly Write[]): number =>
+const longest = (records: readonly WriteOperation[]): number =>
   Math.max(0, ...records.map((write) => ('set' in write ? storedBytes(write.value) : 0)));
-const values = <T>(records: readonly Write[], prefix: string): T[] =>
+const values = <T>(records: readonly WriteOperation[], prefix: string): T[] =>
   records.flatMap((write) => ('set' in write && write.set.startsWith(prefix) ? [write.value as T] : []));
 
 describe('a job as it is accepted', () => {
@@ -33,7 +33,7 @@
     const bytes = storedBytes(encodeJob(recordOf(spec)));
     expect(splitJob(spec, spec.dependencies, AT, bytes)).toEqual({ spec, records: [] });
     const split = splitJob(spec, spec.dependencies, AT, bytes - 1);
-    expect(split.spec.dependencyRecords).toBe(1);
+    expect(split.spec.dependencyRecordCount).toBe(1);
     expect(values(split.records, 'deps/').flat()).toEqual(ids(3));
   });
 
@@ -50,7 +50,7 @@
       jobClass: LONG,
       image: LONG,
       zone: LONG,
-      types: ['small', LONG, LONG],
+      allowedTypes: ['small', LONG, LONG],
     });
   });
 
@@ -69,7 +69,7 @@
     const record: JobRecord = { ...recordOf(submission({ ...LONG_NAMES, awaits: ids(60) })), state: 'done' };
     const stored = encodeEnded(record, 1024);
     expect(storedBytes(stored)).toBeLessThanOrEqual(1024);
-    expect(decodeJob(ID, stored)).toMatchObject({ state: 'done', spec: { tasks: 200, kind: 'array' } });
+    expect(decodeJob(ID, stored)).toMatchObject({ state: 'done', spec: { taskCount: 200, kind: 'array' } });
     // The production version reads the first 18 places by position.
     expect(stored.j).toHaveLength(18);
     expect(decodeJob(ID, encodeEnded(record, 16_384)).spec.jobClass).toBe(LONG);
--- a/test/unit/load.test.ts
+++ b/test/unit/load.test.ts
@@ -5,28 +5,28 @@
 import { WorkerRedirects } from '../../src/controller/worker-redirects.js';
 import type { LeaderContext } from '../../src/core/context.js';
 import { defaultOperators } from '../../src/config/operators.js';
-import { openLog } from '../../src/log/logger.js';
+import { openLogger } from '../../src/log/logger.js';
 import type {
-  HostId,
+  MachineId,
   JobId,
   MemberId,
-  SessionNumber,
+  AgentIncarnation,
   TaskId,
-  Token,
-  TypeId,
+  FencingToken,
+  MachineTypeId,
   ZoneId,
 } from '../../src/model/ids.js';
 import { seconds } from '../../src/model/time.js';
-import { NoAnswer, NoSocket } from '../../src/net/http-client.js';
-import { Turns } from '../../src/net/work-queue.js';
+import { NoAnswerError, NoSocketError } from '../../src/net/http-client.js';
+import { YieldingWorkQueue } from '../../src/net/work-queue.js';
 import type { PeerLink } from '../../src/peer/link.js';
 import { NO_SOCKET_STATUS, RoutedCaller } from '../../src/peer/routed-caller.js';
 import type { Task } from '../../src/scheduler/task.js';
-import { Health } from '../../src/workers/failure-detector.js';
-import type { Host } from '../../src/workers/state/worker.js';
-import { HostRegistry } from '../../src/workers/state/worker-registry.js';
+import { WorkerFailureDetector } from '../../src/workers/failure-detector.js';
+import type { Worker } from '../../src/workers/state/worker.js';
+import { WorkerRegistry } from '../../src/workers/state/worker-registry.js';
 import { VirtualClock } from '../standins/clock.js';
-import { hostOf } from '../standins/host.js';
+import { workerOf } from '../standins/host.js';
 
 describe('the load monitor', () => {
   it('tells a process that has used up its share from one that waits', async () => {
@@ -48,7 +48,7 @@
 
 describe('a busy leader', () => {
   const others = ['b', 'c'] as MemberId[];
-  const host = (n: number): HostId => `host-${n}` as HostId;
+  const host = (n: number): MachineId => `host-${n}` as MachineId;
 
   it('sends its workers to the other controllers in turn, and a leader with time to spare none', () => {
     const clock = new VirtualClock();
@@ -74,42 +74,42 @@
 });
 
 /** Questions to 300 machines with replicas that have not reported for so long, in one tick. */
-async function questions(cpuShare: number | null, load: number): Promise<HostId[]> {
+async function questions(cpuShare: number | null, load: number): Promise<MachineId[]> {
   const clock = new VirtualClock();
-  const hosts = new HostRegistry();
-  const asked: HostId[] = [];
+  const workers = new WorkerRegistry();
+  const asked: MachineId[] = [];
   const ctx = {
     clock,
-    hosts,
+    workers,
     startedAt: clock.now(),
-    ops: defaultOperators(),
-    settings: { reportEvery: seconds(6), workerLease: seconds(34), cpuShare },
-    ended: () => false,
-    workerCalls: 1000,
+    operators: defaultOperators(),
+    settings: { heartbeatInterval: seconds(6), workerLeaseDuration: seconds(34), cpuShare },
+    isEnded: () => false,
+    maxConcurrentWorkerCalls: 1000,
     load: () => load,
-    workers: {
-      show: (address: string) => {
-        asked.push(address.split(':')[0] as HostId);
+    workerClient: {
+      fetchHeartbeat: (address: string) => {
+        asked.push(address.split(':')[0] as MachineId);
         return new Promise(() => {});
       },
     },
   } as unknown as LeaderContext;
   const ignore = (): void => {};
-  const health = new Health(ctx, 0, ignore, ignore, ignore);
+  const health = new WorkerFailureDetector(ctx, 0, ignore, ignore, ignore);
   await clock.advance(4000);
   for (let n = 0; n < 300; n++) {
     const machine = {
-      id: `host-${n}` as HostId,
-      type: 'small' as TypeId,
+      id: `host-${n}` as MachineId,
+      type: 'small' as MachineTypeId,
       zone: 'north' as ZoneId,
       spot: false,
     };
-    const host = hostOf(machine, clock.now());
-    Object.assign(host, { up: true, known: true, address: `${machine.id}:1` });
+    const host = workerOf(machine, clock.now());
+    Object.assign(host, { isUp: true, hasReported: true, address: `${machine.id}:1` });
     const job = { spec: { id: `j-${n}` as JobId, kind: 'service' }, locate: ignore };
-    host.put({ id: `j-${n}/0` as TaskId, job } as unknown as Task);
-    host.heardAt = (clock.now() - 2000 - n) as Host['heardAt'];
-    hosts.add(host);
+    host.assign({ id: `j-${n}/0` as TaskId, job } as unknown as Task);
+    host.lastHeartbeatAt = (clock.now() - 2000 - n) as Worker['lastHeartbeatAt'];
+    workers.add(host);
   }
   await clock.advance(100);
   health.tick(clock.now());
@@ -138,7 +138,7 @@
 describe('the log', () => {
   it('writes one JSON object a line, at or above its level', () => {
     const lines: string[] = [];
-    const log = openLog('node-0', 'info', (line) => lines.push(line));
+    const log = openLogger('node-0', 'info', (line) => lines.push(line));
     log.debug({}, 'not written');
     log.info({ jobs: 3 }, 'written');
     log.error({ error: 'a\nb' }, 'written too');
@@ -154,7 +154,7 @@
   // A socket brings hundreds of reports at once; a grant's renewal must not wait for all of them.
   it('are given in order, a few at a time, with room for other work between them', async () => {
     const deferred: (() => void)[] = [];
-    const turns = new Turns((run) => deferred.push(run), 3);
+    const turns = new YieldingWorkQueue((run) => deferred.push(run), 3);
     const done: number[] = [];
     const all = Array.from({ length: 7 }, (_, n) => turns.turn().then(() => done.push(n)));
     const counts: number[] = [];
@@ -203,9 +203,9 @@
   const reply = { status: 200, body: Buffer.from('{}') };
   const link = (asked: string[], name: string, hasTime: boolean, status = 200): PeerLink =>
     ({
-      alive: true,
-      hasTime,
-      ask: () => {
+      isConnected: true,
+      hasSpareCapacity: hasTime,
+      request: () => {
         asked.push(name);
         return Promise.resolve({ ...reply, status });
       },
@@ -216,11 +216,12 @@
     const direct = {
       call: () => {
         asked.push('direct');
-        return Promise.resolve({ executed: true, report: null });
+        return Promise.resolve({ executed: true, heartbeat: null });
       },
     };
     const routed = new RoutedCaller(direct, links(asked), new VirtualClock(), () => load);
-    const command = () => routed.command('10.1.0.1:9000', 1 as Token, 1 as SessionNumber, [], 1500);
+    const command = () =>
+      routed.sendCommands('10.1.0.1:9000', 1 as FencingToken, 1 as AgentIncarnation, [], 1500);
     return { asked, command };
   }
 
@@ -238,11 +239,11 @@
 
   it('are made directly after they failed there: that a controller reaches no worker says nothing of the worker', async () => {
     const failing = caller(0.9, (asked) => [link(asked, 'b', true, 503)]);
-    await expect(failing.command()).rejects.toThrow(NoAnswer);
+    await expect(failing.command()).rejects.toThrow(NoAnswerError);
     await failing.command();
     expect(failing.asked).toEqual(['b', 'direct']);
     // Nothing was sent: the host is under no suspicion.
     const full = caller(0.9, (asked) => [link(asked, 'b', true, NO_SOCKET_STATUS)]);
-    await expect(full.command()).rejects.toThrow(NoSocket);
+    await expect(full.command()).rejects.toThrow(NoSocketError);
   });
 });
--- a/test/unit/open-job.test.ts
+++ b/test/unit/open-job.test.ts
@@ -1,15 +1,15 @@
 import { describe, expect, it } from 'vitest';
-import type { HostId, JobId, Revision, TaskIndex } from '../../src/model/ids.js';
-import type { Steady, WallTime } from '../../src/model/time.js';
+import type { MachineId, JobId, Revision, TaskIndex } from '../../src/model/ids.js';
+import type { MonotonicTime, WallTime } from '../../src/model/time.js';
 import { JobStore } from '../../src/scheduler/job-store.js';
-import { OpenJob } from '../../src/scheduler/active-job.js';
+import { ActiveJob } from '../../src/scheduler/active-job.js';
 import { decodeJob, encodeJob } from '../../src/store/job-record.js';
 import { CHUNK_TASKS, keys, parseOpenKey } from '../../src/store/keys.js';
 import { submission } from '../standins/submission.js';
 
 const SMALL = 56;
 
-const job = (size: number): OpenJob => new OpenJob(submission({}), 1 as Revision, 0 as WallTime, size);
+const job = (size: number): ActiveJob => new ActiveJob(submission({}), 1 as Revision, 0 as WallTime, size);
 
 const LARGE_RECORD = { p: [[0, 1, 'host-1'], [60, 1, 'host-1'], [61, 2, 'host-2']] }; // prettier-ignore
 const SMALL_RECORD = { d: [[0, 0]], u: [[1, 1]] };
@@ -20,25 +20,25 @@
     ['the small one first', false],
   ])('is told by the smaller where both tell: %s', (_name, first) => {
     const read = job(SMALL);
-    const large = (): void => read.restore(0, CHUNK_TASKS, LARGE_RECORD, 9 as Revision);
-    const small = (): void => read.restore(0, SMALL, SMALL_RECORD, 7 as Revision);
+    const large = (): void => read.addStoredProgress(0, CHUNK_TASKS, LARGE_RECORD, 9 as Revision);
+    const small = (): void => read.addStoredProgress(0, SMALL, SMALL_RECORD, 7 as Revision);
     if (first) [large, small].forEach((act) => act());
     else [small, large].forEach((act) => act());
-    read.settle();
-    expect(read.done).toBe(1);
-    expect(read.heldCount).toBe(2);
-    expect([...read.held()].map((task) => task.index)).toEqual([60, 61]);
-    expect(read.superseded).toEqual(['open/j-000001/0000']);
+    read.applyStoredProgress();
+    expect(read.doneCount).toBe(1);
+    expect(read.assignedCount).toBe(2);
+    expect([...read.assignedTasks()].map((task) => task.index)).toEqual([60, 61]);
+    expect(read.supersededKeys).toEqual(['open/j-000001/0000']);
     // What was tried once is not tried under that number again.
-    const next = read.decide('host-3' as HostId, 'north' as never, 0 as Steady);
-    expect([next.index, next.tryNo]).toEqual([1, 2]);
+    const next = read.beginAttempt('host-3' as MachineId, 'north' as never, 0 as MonotonicTime);
+    expect([next.index, next.attemptNumber]).toEqual([1, 2]);
   });
 
   // Larger records would be newer, and be told otherwise by the smaller ones that a later leader reads beside them.
   it('never goes back to larger ones', () => {
     const read = job(CHUNK_TASKS);
-    read.restore(0, SMALL, SMALL_RECORD, 7 as Revision);
-    read.settle();
+    read.addStoredProgress(0, SMALL, SMALL_RECORD, 7 as Revision);
+    read.applyStoredProgress();
     expect(read.chunkOf(0 as TaskIndex).key).toBe(keys.openChunk(read.spec.id, 0, SMALL));
   });
 
@@ -47,19 +47,19 @@
     const open = job(CHUNK_TASKS);
     book.add(open);
     const tasks = Array.from({ length: 120 }, () =>
-      open.decide('host-1' as HostId, 'north' as never, 0 as Steady),
+      open.beginAttempt('host-1' as MachineId, 'north' as never, 0 as MonotonicTime),
     );
     const large = open.chunkOf(0 as TaskIndex);
     const version = large.version;
-    open.rechunk(SMALL, 1 as Steady);
-    expect(book.dirty.size).toBe(3);
-    expect([...book.dirty].map((chunk) => chunk.deciding.size)).toEqual([56, 56, 8]);
-    expect(large.holds(version)).toBe(false);
-    for (const chunk of book.dirty) chunk.durable = chunk.version;
-    expect(large.holds(version)).toBe(true);
+    open.resizeChunks(SMALL, 1 as MonotonicTime);
+    expect(book.dirtyChunks.size).toBe(3);
+    expect([...book.dirtyChunks].map((chunk) => chunk.committing.size)).toEqual([56, 56, 8]);
+    expect(large.isDurable(version)).toBe(false);
+    for (const chunk of book.dirtyChunks) chunk.durableVersion = chunk.version;
+    expect(large.isDurable(version)).toBe(true);
     // A write of the old size that was under way when it was split makes its starts durable all the same.
-    open.placed(tasks[0] as (typeof tasks)[0]);
-    expect(open.chunkOf(0 as TaskIndex).deciding.size).toBe(55);
+    open.confirmPlacement(tasks[0] as (typeof tasks)[0]);
+    expect(open.chunkOf(0 as TaskIndex).committing.size).toBe(55);
   });
 
   it('has keys that tell the size, and none for the usual one', () => {
--- a/test/unit/place.test.ts
+++ b/test/unit/place.test.ts
@@ -1,16 +1,30 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { describe, expect, it } from 'vitest';
-import { lateNeeds } from '../../src/fleet/backlog.js';
-import { rentFor } from '../../src/fleet/capacity-plan.js';
-import type { HostId, ImageId, JobId, TaskId, TeamId, TypeId, ZoneId } from '../../src/model/ids.js';
+import { overdueDemand } from '../../src/fleet/backlog.js';
+import { planScaleOut } from '../../src/fleet/capacity-plan.js';
+import type {
+  MachineId,
+  ImageId,
+  JobId,
+  TaskId,
+  TeamId,
+  MachineTypeId,
+  ZoneId,
+} from '../../src/model/ids.js';
 import { type JobSpec, Priority } from '../../src/model/job.js';
 import type { Team } from '../../src/model/team.js';
-import type { Steady, WallTime } from '../../src/model/time.js';
+import type { MonotonicTime, WallTime } from '../../src/model/time.js';
 import { place as placeSnapshot } from '../../src/scheduler/placement.js';
 import { guaranteedJobs } from '../../src/scheduler/queue.js';
-import type { JobView, MachineView, Plan, Snapshot, Victim } from '../../src/scheduler/snapshot.js';
-import type { TeamUse } from '../../src/scheduler/job-store.js';
+import type {
+  JobView,
+  MachineView,
+  PlacementPlan,
+  PlacementSnapshot,
+  Victim,
+} from '../../src/scheduler/snapshot.js';
+import type { TeamUsage } from '../../src/scheduler/job-store.js';
 import { plainPlace, structuredCloneOf } from './plain-place.js';
 import { isStarving, Urgency } from '../../src/scheduler/urgency.js';
 import { TYPES } from '../standins/site-setup.js';
@@ -21,24 +35,24 @@
   team: 'red' as TeamId,
   kind: 'array',
   priority: Priority.Normal,
-  tasks: 1,
+  taskCount: 1,
   cpus: 2,
   gpus: 0,
   memoryGb: 1,
   image: 'img' as ImageId,
   imageGb: 1,
-  types: null,
+  allowedTypes: null,
   zone: null,
-  oneZone: false,
-  spread: false,
-  spot: true,
-  estimateS: 30,
-  checkpointS: 0,
-  saveS: 0,
+  zoneAffinity: false,
+  zoneAntiAffinity: false,
+  allowsSpot: true,
+  estimatedRunS: 30,
+  checkpointIntervalS: 0,
+  checkpointWriteS: 0,
   deadlineS: null,
   dependencies: [],
-  dependencyRecords: 0,
-  descriptionRecords: 0,
+  dependencyRecordCount: 0,
+  descriptionRecordCount: 0,
   ...over,
 });
 
@@ -46,27 +60,27 @@
   spec: spec(over),
   readyAt: 0 as WallTime,
   waitedMs: 10_000,
-  waiting: over.tasks ?? 1,
+  waitingCount: over.taskCount ?? 1,
   zones: new Map(),
-  avoid: new Set(),
-  heldBack: false,
+  avoidedMachines: new Set(),
+  isHeldBack: false,
   slackMs: 10_000,
-  starving: false,
+  isStarving: false,
   ...more,
 });
 
 type MachineWith = MachineView & { victims: Victim[] };
 
 const machine = (id: string, over: Partial<MachineWith> = {}): MachineWith => ({
-  id: id as HostId,
-  type: 'small' as TypeId,
+  id: id as MachineId,
+  type: 'small' as MachineTypeId,
   zone: 'north' as ZoneId,
   spot: false,
   cpus: 8,
   free: { cpus: 8, gpus: 0, memoryGb: 32 },
   images: new Set(),
   victims: [],
-  reachable: true,
+  isReachable: true,
   ...over,
 });
 
@@ -91,31 +105,31 @@
   jobs: JobView[],
   machines: MachineWith[],
   teams: Map<TeamId, Team>,
-  use: Map<TeamId, TeamUse>,
-): Snapshot {
+  use: Map<TeamId, TeamUsage>,
+): PlacementSnapshot {
   const victims = new Map(machines.map((m) => [m.id, m.victims]));
   return {
     jobs,
     machines,
     teams,
-    use,
+    teamUsage: use,
     guaranteed: guaranteedJobs(jobs, teams),
     victimsOf: (id) => [...(victims.get(id) ?? [])],
   };
 }
 
-const place = (...args: Parameters<typeof snapshot>): Plan => placeSnapshot(snapshot(...args));
+const place = (...args: Parameters<typeof snapshot>): PlacementPlan => placeSnapshot(snapshot(...args));
 
 const FULL = { cpus: 0, gpus: 0, memoryGb: 0 };
 
 describe('placement', () => {
   it('never goes over a team’s limit, whatever is free', () => {
-    const plan = place([job({ tasks: 9 })], [machine('a'), machine('b')], TEAMS, new Map());
+    const plan = place([job({ taskCount: 9 })], [machine('a'), machine('b')], TEAMS, new Map());
     expect(plan.starts).toHaveLength(4);
   });
 
   it('keeps other work off spot machines', () => {
-    const plan = place([job({ spot: false })], [machine('a', { spot: true })], TEAMS, new Map());
+    const plan = place([job({ allowsSpot: false })], [machine('a', { spot: true })], TEAMS, new Map());
     expect(plan.starts).toEqual([]);
     expect(plan.unmet).toHaveLength(1);
   });
@@ -126,37 +140,39 @@
       images: new Set(['img' as ImageId]),
       victims: [victim('j-000009/0', { lostMs: 500 }), victim('j-000009/1', { lostMs: 9000 })],
     });
-    const replica = job({ kind: 'service', priority: Priority.Production, spot: false });
+    const replica = job({ kind: 'service', priority: Priority.Production, allowsSpot: false });
     const plan = place([replica], [warm, machine('cold')], TEAMS, new Map());
-    expect(plan.starts).toEqual([{ job: 'j-000001', host: 'warm' }]);
-    expect(plan.stops).toEqual([{ host: 'warm', task: 'j-000009/0', for: 'j-000001' }]);
+    expect(plan.starts).toEqual([{ job: 'j-000001', machine: 'warm' }]);
+    expect(plan.preemptions).toEqual([{ machine: 'warm', task: 'j-000009/0', preemptor: 'j-000001' }]);
   });
 
   it('gives a team its guarantee from what others run beyond theirs, and nobody else’s', () => {
     const full = machine('a', { free: { ...FULL }, victims: [victim('j-000009/0')] });
-    const within = place([job({ tasks: 2 })], [full], TEAMS, new Map());
-    expect(within.stops).toHaveLength(1);
+    const within = place([job({ taskCount: 2 })], [full], TEAMS, new Map());
+    expect(within.preemptions).toHaveLength(1);
     const fullAgain = machine('a', { free: { ...FULL }, victims: [victim('j-000009/0')] });
-    const beyond = place([job({ tasks: 3 })], [fullAgain], TEAMS, new Map());
-    expect(beyond.stops).toEqual([]);
+    const beyond = place([job({ taskCount: 3 })], [fullAgain], TEAMS, new Map());
+    expect(beyond.preemptions).toEqual([]);
   });
 
   it('lets a guaranteed job wait for a moment before it stops anybody', () => {
     const full = machine('a', { free: { ...FULL }, victims: [victim('j-000009/0')] });
-    expect(place([job({ tasks: 2 }, { waitedMs: 900 })], [full], TEAMS, new Map()).stops).toEqual([]);
+    expect(place([job({ taskCount: 2 }, { waitedMs: 900 })], [full], TEAMS, new Map()).preemptions).toEqual(
+      [],
+    );
   });
 
   it('stops urgent work last: what waits for it waits as well', () => {
     const machineWith = (id: string, lostMs: number, priority: Priority): MachineWith =>
       machine(id, { free: { ...FULL }, victims: [victim(`j-00000${id}/0`, { lostMs, priority })] });
     const machines = [machineWith('7', 2000, Priority.High), machineWith('8', 20_000, Priority.Normal)];
-    const replica = job({ kind: 'service', priority: Priority.Production, spot: false });
+    const replica = job({ kind: 'service', priority: Priority.Production, allowsSpot: false });
     const plan = place([replica], machines, TEAMS, new Map());
-    expect(plan.stops.map((stop) => stop.host)).toEqual(['8']);
+    expect(plan.preemptions.map((stop) => stop.machine)).toEqual(['8']);
   });
 
   it('starts nothing of a job whose tasks are in unknown places', () => {
-    const plan = place([job({ oneZone: true }, { heldBack: true })], [machine('a')], TEAMS, new Map());
+    const plan = place([job({ zoneAffinity: true }, { isHeldBack: true })], [machine('a')], TEAMS, new Map());
     expect(plan.starts).toEqual([]);
   });
 });
@@ -166,7 +182,7 @@
   const draw = (n: number): number => uniformInt(generator, 0, n - 1);
 
   /** A drawn cluster: machines part full, jobs of all kinds, teams near their limits. */
-  function drawn(): Snapshot {
+  function drawn(): PlacementSnapshot {
     const machines = Array.from({ length: 30 }, (_, i) => {
       const cpus = draw(3) === 0 ? 64 : 8;
       const victims = Array.from({ length: draw(4) }, (_v, k) =>
@@ -184,7 +200,7 @@
         spot: draw(2) === 0,
         free: { cpus: draw(5) * 2, gpus: 0, memoryGb: draw(30) },
         images: new Set(draw(2) ? [`img-${draw(3)}` as ImageId] : []),
-        reachable: draw(8) > 0,
+        isReachable: draw(8) > 0,
         victims,
       });
     });
@@ -197,18 +213,18 @@
           team: (draw(2) ? 'red' : 'blue') as TeamId,
           priority: production ? Priority.Production : draw(2),
           kind: production ? 'service' : 'array',
-          spot: !production,
-          tasks,
+          allowsSpot: !production,
+          taskCount: tasks,
           cpus: 1 + draw(4),
           memoryGb: 1 + draw(6),
           image: `img-${draw(3)}` as ImageId,
-          oneZone: draw(5) === 0,
-          spread: draw(5) === 0,
+          zoneAffinity: draw(5) === 0,
+          zoneAntiAffinity: draw(5) === 0,
         },
         {
           readyAt: draw(1000) as WallTime,
           waitedMs: draw(3000),
-          waiting: 1 + draw(tasks),
+          waitingCount: 1 + draw(tasks),
           slackMs: draw(3) ? draw(90_000) : null,
         },
       );
@@ -225,9 +241,9 @@
       const plain = plainPlace(structuredCloneOf(now));
       const plan = placeSnapshot(now);
       expect(plan.starts).toEqual(plain.starts);
-      expect(plan.stops).toEqual(plain.stops);
+      expect(plan.preemptions).toEqual(plain.preemptions);
       starts += plan.starts.length;
-      stops += plan.stops.length;
+      stops += plan.preemptions.length;
     }
     // Otherwise the draws would show nothing.
     expect(starts).toBeGreaterThan(3000);
@@ -245,7 +261,7 @@
         },
       });
     });
-    const jobs = Array.from({ length: 200 }, (_, i) => job({ id: `j-${i}` as JobId, tasks: 50 }));
+    const jobs = Array.from({ length: 200 }, (_, i) => job({ id: `j-${i}` as JobId, taskCount: 50 }));
     const plan = place(jobs, machines, new Map([team('red', 0, null)]), new Map());
     expect(plan.unmet).toHaveLength(200);
     // one look for each of the two orders
@@ -253,21 +269,27 @@
   });
 
   it('lets a job begin that has waited unserved, with a part of its tasks', () => {
-    const late = job({ id: 'j-000002' as JobId, tasks: 8 }, { slackMs: null, starving: true });
-    const urgent = job({ id: 'j-000001' as JobId, tasks: 8, priority: Priority.High }, { slackMs: 1 });
+    const late = job({ id: 'j-000002' as JobId, taskCount: 8 }, { slackMs: null, isStarving: true });
+    const urgent = job({ id: 'j-000001' as JobId, taskCount: 8, priority: Priority.High }, { slackMs: 1 });
     const plan = place([urgent, late], [machine('a')], new Map([team('red', 0, null)]), new Map());
     expect(plan.starts.map((s) => s.job)).toEqual(['j-000002', 'j-000002', 'j-000001', 'j-000001']);
-    expect(isStarving({ spec: spec({}), servedAt: null, heldCount: 0 }, 119_000, 0 as Steady)).toBe(false);
-    expect(isStarving({ spec: spec({}), servedAt: null, heldCount: 0 }, 121_000, 0 as Steady)).toBe(true);
-    expect(isStarving({ spec: spec({}), servedAt: null, heldCount: 1 }, 121_000, 0 as Steady)).toBe(false);
+    expect(
+      isStarving({ spec: spec({}), lastPlacedAt: null, assignedCount: 0 }, 119_000, 0 as MonotonicTime),
+    ).toBe(false);
+    expect(
+      isStarving({ spec: spec({}), lastPlacedAt: null, assignedCount: 0 }, 121_000, 0 as MonotonicTime),
+    ).toBe(true);
+    expect(
+      isStarving({ spec: spec({}), lastPlacedAt: null, assignedCount: 1 }, 121_000, 0 as MonotonicTime),
+    ).toBe(false);
   });
 });
 
 describe('targets', () => {
   const urgency = new Urgency([
-    { kind: 'finished', jobClass: 'batch', within: 60_000 as never, share: 0.9 },
-    { kind: 'finished', jobClass: 'batch', within: 120_000 as never, share: 0.95 },
-    { kind: 'wait', jobClass: 'batch', within: 50_000 as never, share: 0.99 },
+    { kind: 'finished', jobClass: 'batch', target: 60_000 as never, share: 0.9 },
+    { kind: 'finished', jobClass: 'batch', target: 120_000 as never, share: 0.95 },
+    { kind: 'wait', jobClass: 'batch', target: 50_000 as never, share: 0.99 },
   ]);
 
   it('give way to the next one when they cannot be met any more', () => {
@@ -295,13 +317,13 @@
   it('takes the cheapest pool and counts what is coming', () => {
     const coming = [
       {
-        type: 'small' as TypeId,
+        type: 'small' as MachineTypeId,
         zone: 'north' as ZoneId,
         spot: true,
         free: { cpus: 4, gpus: 0, memoryGb: 9 },
       },
     ];
-    const wishes = rentFor([{ spec: spec({}), tasks: 7, zones: new Map() }], coming, pools, 100);
+    const wishes = planScaleOut([{ spec: spec({}), tasks: 7, zones: new Map() }], coming, pools, 100);
     // two of seven fit what is coming; five more need two machines of four
     expect(wishes.map((w) => [w.pool.spot, w.count])).toEqual([[true, 2]]);
   });
@@ -311,8 +333,8 @@
       { spec: spec({}), tasks: 10, zones: new Map(), runMs: 30_000, slackMs, slackFactor: 1 },
     ];
     // 600 CPU-seconds on 0.8 · 10 CPUs last 75 s
-    expect(lateNeeds(queue(60_000), 10, 0)).toEqual([]);
+    expect(overdueDemand(queue(60_000), 10, 0)).toEqual([]);
     // in 20 s + 30 s they take 12 CPUs: 4 are missing, 2 tasks' worth
-    expect(lateNeeds(queue(20_000), 10, 0).map((n) => n.tasks)).toEqual([2]);
+    expect(overdueDemand(queue(20_000), 10, 0).map((n) => n.tasks)).toEqual([2]);
   });
 });
--- a/test/unit/plain-place.ts
+++ b/test/unit/plain-place.ts
@@ -1,10 +1,10 @@
-import { fits, give, type JobSpec, Priority, take } from '../../src/model/job.js';
+import { fits, release, type JobSpec, Priority, allocate } from '../../src/model/job.js';
 import { machineRefusal, zoneRefusal } from '../../src/scheduler/placement-rule.js';
-import { queueOrder, teamRoom } from '../../src/scheduler/queue.js';
-import type { MachineView, Plan, Snapshot, Victim } from '../../src/scheduler/snapshot.js';
+import { queueOrder, remainingQuota } from '../../src/scheduler/queue.js';
+import type { MachineView, PlacementPlan, PlacementSnapshot, Victim } from '../../src/scheduler/snapshot.js';
 
 /** A copy that can be decided on without touching the original. */
-export function structuredCloneOf(now: Snapshot): Snapshot {
+export function structuredCloneOf(now: PlacementSnapshot): PlacementSnapshot {
   return {
     ...now,
     jobs: now.jobs.map((j) => ({ ...j, zones: new Map(j.zones) })),
@@ -16,9 +16,9 @@
 function machineOrder(spec: JobSpec, machines: readonly MachineView[]): MachineView[] {
   const image = (m: MachineView): number => (m.images.has(spec.image) ? 0 : 1);
   const key = (m: MachineView): (number | string)[] =>
-    spec.spot
-      ? [m.reachable ? 0 : 1, m.spot ? 0 : 1, m.free.cpus, image(m), m.id]
-      : [m.reachable ? 0 : 1, image(m), m.cpus, m.free.cpus, m.id];
+    spec.allowsSpot
+      ? [m.isReachable ? 0 : 1, m.spot ? 0 : 1, m.free.cpus, image(m), m.id]
+      : [m.isReachable ? 0 : 1, image(m), m.cpus, m.free.cpus, m.id];
   return machines
     .filter((m) => machineRefusal(spec, m) === null)
     .map((m) => ({ m, key: key(m) }))
@@ -43,7 +43,7 @@
   for (const v of from) {
     if (fits(spec, free)) break;
     if (!may(v)) continue;
-    give(free, v);
+    release(free, v);
     chosen.push(v);
   }
   return fits(spec, free) ? chosen : null;
@@ -61,29 +61,29 @@
   return (v.lostMs + 3000) * v.cpus * (v.priority >= Priority.High ? 8 : 1);
 }
 
-export function plainPlace(now: Snapshot): Plan {
-  const plan: Plan = { starts: [], stops: [], unmet: [] };
-  const used = new Map([...now.use].map(([team, u]) => [team, { ...u }]));
+export function plainPlace(now: PlacementSnapshot): PlacementPlan {
+  const plan: PlacementPlan = { starts: [], preemptions: [], unmet: [] };
+  const used = new Map([...now.teamUsage].map(([team, u]) => [team, { ...u }]));
   const victims = new Map(now.machines.map((m) => [m.id, now.victimsOf(m.id)]));
   for (const job of queueOrder(now.jobs, now.guaranteed)) {
     const { spec } = job;
     const team = now.teams.get(spec.team);
-    if (!team || job.waiting === 0 || job.heldBack) continue;
+    if (!team || job.waitingCount === 0 || job.isHeldBack) continue;
     const mine = used.get(spec.team) ?? { cpus: 0, gpus: 0 };
     used.set(spec.team, mine);
-    let left = Math.min(job.waiting, teamRoom(team, mine, spec));
+    let left = Math.min(job.waitingCount, remainingQuota(team, mine, spec));
     const start = (m: MachineView): void => {
-      plan.starts.push({ job: spec.id, host: m.id });
-      take(m.free, spec);
+      plan.starts.push({ job: spec.id, machine: m.id });
+      allocate(m.free, spec);
       mine.cpus += spec.cpus;
       mine.gpus += spec.gpus;
       job.zones.set(m.zone, (job.zones.get(m.zone) ?? 0) + 1);
-      job.waiting--;
+      job.waitingCount--;
       left--;
     };
     const firstFit = (which: (m: MachineView) => boolean): void => {
       for (const m of machineOrder(spec, now.machines)) {
-        if (!which(m) || job.avoid.has(m.id)) continue;
+        if (!which(m) || job.avoidedMachines.has(m.id)) continue;
         while (left > 0 && fits(spec, m.free) && zoneRefusal(spec, job.zones, m.zone) === null) start(m);
       }
     };
@@ -93,9 +93,9 @@
       (production && v.priority < spec.priority) ||
       (within && v.team !== spec.team && v.priority < Priority.Production && !now.guaranteed.has(v.job));
     const mayUse = (m: MachineView): boolean =>
-      m.reachable &&
+      m.isReachable &&
       machineRefusal(spec, m) === null &&
-      !job.avoid.has(m.id) &&
+      !job.avoidedMachines.has(m.id) &&
       zoneRefusal(spec, job.zones, m.zone) === null;
     const cheapest = (which: (m: MachineView) => boolean): Offer | null => {
       let best: Offer | null = null;
@@ -112,10 +112,10 @@
         const best = cheapest(which);
         if (!best) return;
         for (const v of best.stop) {
-          plan.stops.push({ host: best.m.id, task: v.task, for: spec.id });
+          plan.preemptions.push({ machine: best.m.id, task: v.task, preemptor: spec.id });
           const from = victims.get(best.m.id) ?? [];
           from.splice(from.indexOf(v), 1);
-          give(best.m.free, v);
+          release(best.m.free, v);
         }
         start(best.m);
       }
--- a/test/unit/share.test.ts
+++ b/test/unit/share.test.ts
@@ -1,28 +1,28 @@
 import { describe, expect, it } from 'vitest';
-import { Confirmations } from '../../src/api/job-cache.js';
-import { ConnectivityMonitor } from '../../src/controller/store-connectivity.js';
+import { RevisionConfirmations } from '../../src/api/job-cache.js';
+import { StoreConnectivityMonitor } from '../../src/controller/store-connectivity.js';
 import { machinesToEmpty, type PartlyUsed } from '../../src/fleet/consolidation.js';
-import type { HostId, Revision } from '../../src/model/ids.js';
+import type { MachineId, Revision } from '../../src/model/ids.js';
 import { shareSockets } from '../../src/net/sockets.js';
 import { VirtualClock } from '../standins/clock.js';
-import { StandInState } from '../standins/state.js';
+import { FakeKeyValueStore } from '../standins/state.js';
 
 describe('questions about many jobs', () => {
   it('are one comparison, and each gets its own answer', async () => {
     const clock = new VirtualClock();
-    const state = new StandInState(clock);
+    const state = new FakeKeyValueStore(clock);
     const store = state.for('node-0', clock);
     const revisions: Revision[] = [];
     for (let i = 0; i < 60; i++) {
-      void store.commit([], [{ set: `job/j-${i}`, value: i }]).then((r) => {
+      void store.txn([], [{ set: `job/j-${i}`, value: i }]).then((r) => {
         if (r.ok) revisions[i] = r.revision;
       });
     }
     await clock.advance(100);
-    void store.commit([], [{ set: 'job/j-7', value: 'cancelled' }]);
+    void store.txn([], [{ set: 'job/j-7', value: 'cancelled' }]);
     await clock.advance(100);
     const asked = state.requests;
-    const confirmations = new Confirmations(clock, store, 64, 25);
+    const confirmations = new RevisionConfirmations(clock, store, 64, 25);
     const same: boolean[] = [];
     for (let i = 0; i < 60; i++) {
       void confirmations.same(`job/j-${i}`, revisions[i] as Revision).then((s) => {
@@ -37,8 +37,8 @@
 
   it('fail together while the state service is out: nobody is told what was true before', async () => {
     const clock = new VirtualClock();
-    const state = new StandInState(clock);
-    const confirmations = new Confirmations(clock, state.for('node-0', clock), 64, 25);
+    const state = new FakeKeyValueStore(clock);
+    const confirmations = new RevisionConfirmations(clock, state.for('node-0', clock), 64, 25);
     state.outage = true;
     let failed = 0;
     for (let i = 0; i < 3; i++) void confirmations.same(`job/j-${i}`, 1 as Revision).catch(() => failed++);
@@ -64,17 +64,17 @@
 describe('a node’s place behind the load balancer', () => {
   it('is given up only when it alone reaches nobody', async () => {
     const clock = new VirtualClock();
-    const reach = new ConnectivityMonitor(clock);
-    reach.stateAnswered(true);
+    const reach = new StoreConnectivityMonitor(clock);
+    reach.recordCall(true);
     await clock.advance(10_000);
-    reach.stateAnswered(false);
+    reach.recordCall(false);
     // an outage that the others share
-    expect(reach.cutOff([{ alive: true }, { alive: false }])).toBe(false);
-    expect(reach.cutOff([{ alive: false }, { alive: false }])).toBe(true);
-    reach.stateAnswered(true);
-    expect(reach.cutOff([{ alive: false }])).toBe(false);
+    expect(reach.isPartitioned([{ isConnected: true }, { isConnected: false }])).toBe(false);
+    expect(reach.isPartitioned([{ isConnected: false }, { isConnected: false }])).toBe(true);
+    reach.recordCall(true);
+    expect(reach.isPartitioned([{ isConnected: false }])).toBe(false);
     // a site of one node has nobody to hand over to
-    expect(reach.cutOff([])).toBe(false);
+    expect(reach.isPartitioned([])).toBe(false);
   });
 });
 
@@ -88,7 +88,7 @@
     ...over,
   });
   const machine = (id: string, free: number, tasks: ReturnType<typeof task>[], price = 3): PartlyUsed => ({
-    id: id as HostId,
+    id: id as MachineId,
     cpus: 64,
     freeCpus: free,
     freeMemoryGb: free * 4,
--- a/test/unit/sockets.test.ts
+++ b/test/unit/sockets.test.ts
@@ -1,16 +1,16 @@
 import { createServer, connect, type AddressInfo } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
 import { type RequestHandler, requestListener, MAX_BODY } from '../../src/api/http-router.js';
-import { Cancellations } from '../../src/core/confirmed-cancellations.js';
+import { ConfirmedCancellations } from '../../src/core/confirmed-cancellations.js';
 import { PeerGroup } from '../../src/controller/peer-group.js';
-import { silentLog } from '../../src/log/logger.js';
+import { silentLogger } from '../../src/log/logger.js';
 import type { MemberId } from '../../src/model/ids.js';
 import { PROTOCOL_VERSION, UNVERSIONED } from '../../src/model/protocol.js';
-import { ms, realClock } from '../../src/model/time.js';
+import { ms, systemClock } from '../../src/model/time.js';
 import { HttpTarget } from '../../src/net/http-client.js';
 import { FrontServer } from '../../src/net/server.js';
 import { splitAddress } from '../../src/net/address.js';
-import { encodeFrame, encodePing, Kind, type Ping } from '../../src/peer/frames.js';
+import { encodeFrame, encodePing, FrameKind, type Ping } from '../../src/peer/frames.js';
 import { PeerLink, PeerServer } from '../../src/peer/link.js';
 
 /** Real sockets on loopback; every wait is for an event. */
@@ -34,7 +34,7 @@
     ...handler,
   };
   const limits = { sockets: 10, headersMs: 2000, requestMs: 2000, idleMs };
-  const server = new FrontServer(requestListener(whole), limits, silentLog);
+  const server = new FrontServer(requestListener(whole), limits, silentLogger);
   const address = await freeAddress();
   await server.listen(address);
   closing.push(() => server.close());
@@ -92,7 +92,7 @@
     };
     const address = await front({ heartbeat }, 60_000);
     // Ten sockets, 40 workers that keep their connections and come at the same moment, three times each.
-    const report = async (worker: HttpTarget): Promise<number> => {
+    const sendHeartbeat = async (worker: HttpTarget): Promise<number> => {
       for (let tries = 0; tries < 500; tries++) {
         const reply = await worker.call('POST', '/agent/beat', {}, 5000).catch(() => null);
         if (reply) return reply.status;
@@ -101,7 +101,7 @@
     };
     const workers = Array.from({ length: 40 }, () => target(address));
     const answers = await Promise.all(
-      workers.map(async (w) => [await report(w), await report(w), await report(w)]),
+      workers.map(async (w) => [await sendHeartbeat(w), await sendHeartbeat(w), await sendHeartbeat(w)]),
     );
     expect(answers.flat().every((status) => status === 200)).toBe(true);
     expect(most).toBeLessThanOrEqual(10);
@@ -123,7 +123,13 @@
 
 describe('the peer link', () => {
   it('carries questions and pings between two nodes', async () => {
-    const ping = (member: string): Ping => ({ member, stateOk: true, leading: null, version: 0, load: 0 });
+    const ping = (member: string): Ping => ({
+      member,
+      isStoreReachable: true,
+      leadingEpoch: null,
+      version: 0,
+      load: 0,
+    });
     const server = new PeerServer(
       {
         ping: () => ping('b'),
@@ -131,7 +137,7 @@
         ask: (_kind, payload) => Promise.resolve({ status: 200, body: payload }),
       },
       4,
-      silentLog,
+      silentLogger,
     );
     const address = await freeAddress();
     await server.listen(address);
@@ -140,15 +146,15 @@
       const link: PeerLink = new PeerLink(
         'b',
         address,
-        realClock,
-        silentLog,
+        systemClock,
+        silentLogger,
         () => ping('a'),
         (from) => resolve({ link, from }),
       );
       link.start();
     });
     expect(heard.from.member).toBe('b');
-    const answer = await heard.link.ask(Kind.Heartbeat, Buffer.from('{}'), 5000);
+    const answer = await heard.link.request(FrameKind.Heartbeat, Buffer.from('{}'), 5000);
     expect(answer).toMatchObject({ status: 200 });
     expect(answer?.body.toString()).toBe('{}');
   });
@@ -157,8 +163,8 @@
     const told = [PROTOCOL_VERSION, UNVERSIONED];
     const server = createServer((socket) => {
       const version = told.shift() ?? UNVERSIONED;
-      const ping: Ping = { member: 'b', stateOk: true, leading: null, version, load: 0 };
-      socket.write(encodeFrame(Kind.Ping, 0, encodePing(ping)));
+      const ping: Ping = { member: 'b', isStoreReachable: true, leadingEpoch: null, version, load: 0 };
+      socket.write(encodeFrame(FrameKind.Ping, 0, encodePing(ping)));
       // The first process ends, and another one takes its place.
       if (version > UNVERSIONED) setTimeout(() => socket.destroy(), 50);
     });
@@ -170,11 +176,17 @@
     const warning = await new Promise<object>((resolve) => {
       const group = new PeerGroup(
         [{ member: 'b' as MemberId, address }],
-        realClock,
-        { ...silentLog, warn: resolve },
-        new Cancellations(realClock, ms(1000)),
+        systemClock,
+        { ...silentLogger, warn: resolve },
+        new ConfirmedCancellations(systemClock, ms(1000)),
         {
-          ping: () => ({ member: 'a', stateOk: true, leading: null, version: PROTOCOL_VERSION, load: 0 }),
+          ping: () => ({
+            member: 'a',
+            isStoreReachable: true,
+            leadingEpoch: null,
+            version: PROTOCOL_VERSION,
+            load: 0,
+          }),
           leading: () => null,
           leaderRecord: () => null,
         },
--- a/test/unit/wire.test.ts
+++ b/test/unit/wire.test.ts
@@ -1,21 +1,21 @@
 import { describe, expect, it } from 'vitest';
-import { ProgressBoard } from '../../src/controller/progress-cache.js';
+import { ProgressCache } from '../../src/controller/progress-cache.js';
 import { readOperators } from '../../src/config/operators.js';
-import type { HostId, JobId, TaskIndex, TryNo } from '../../src/model/ids.js';
+import type { MachineId, JobId, TaskIndex, AttemptNumber } from '../../src/model/ids.js';
 import {
-  BadFrame,
+  MalformedFrameError,
   decodeProgress,
   encodeFrame,
   encodeProgress,
   FrameReader,
-  Kind,
+  FrameKind,
 } from '../../src/peer/frames.js';
 import { decodeChunk, encodeChunk } from '../../src/store/progress-record.js';
-import { tooSmall } from '../../src/config/limits.js';
+import { findTooSmallSettings } from '../../src/config/limits.js';
 import { readSettings } from '../../src/wire/settings.js';
 import { VirtualClock } from '../standins/clock.js';
 import { parseSubmission } from '../../src/wire/users.js';
-import { parseReport, reportSchema } from '../../src/wire/workers.js';
+import { parseHeartbeat, heartbeatSchema } from '../../src/wire/workers.js';
 
 const submission = {
   ref: 'j-000412',
@@ -40,7 +40,7 @@
 describe('submissions', () => {
   it('may omit what may be null, and may hold unknown fields', () => {
     const parsed = parseSubmission({ ...submission, later: 1, dueS: null });
-    expect(parsed).toMatchObject({ ok: true, value: { types: null, zone: null, deadlineS: null } });
+    expect(parsed).toMatchObject({ ok: true, value: { allowedTypes: null, zone: null, deadlineS: null } });
   });
 
   it.each([
@@ -76,8 +76,11 @@
 
   it('count a task in a state that we do not know as being on the machine', () => {
     const shards = [{ ...whole.shards[0], status: 'dreaming' }];
-    const parsed = parseReport({ ...whole, warningS: undefined, shards });
-    expect(parsed).toMatchObject({ ok: true, value: { attempts: [{ state: 'running' }], notice: null } });
+    const parsed = parseHeartbeat({ ...whole, warningS: undefined, shards });
+    expect(parsed).toMatchObject({
+      ok: true,
+      value: { attempts: [{ state: 'running' }], interruptionNotice: null },
+    });
   });
 
   // Reports are checked by hand first and by the schema only where that fails: neither may take what the other refuses.
@@ -89,8 +92,8 @@
     (field) => {
       for (const value of values) {
         const body = { ...whole, [field]: value };
-        const parsed = parseReport(body);
-        expect(parsed.ok, JSON.stringify(value)).toBe(reportSchema.safeParse(body).success);
+        const parsed = parseHeartbeat(body);
+        expect(parsed.ok, JSON.stringify(value)).toBe(heartbeatSchema.safeParse(body).success);
         if (!parsed.ok) expect(parsed.error).toContain(field);
       }
     },
@@ -101,33 +104,33 @@
     (field) => {
       for (const value of values) {
         const body = { ...whole, shards: [attempt, { ...attempt, [field]: value }] };
-        expect(parseReport(body).ok, JSON.stringify(value)).toBe(reportSchema.safeParse(body).success);
+        expect(parseHeartbeat(body).ok, JSON.stringify(value)).toBe(heartbeatSchema.safeParse(body).success);
       }
     },
   );
 
   it('are refused when they are no object', () => {
-    for (const body of [null, undefined, 3, 'x', []]) expect(parseReport(body).ok).toBe(false);
+    for (const body of [null, undefined, 3, 'x', []]) expect(parseHeartbeat(body).ok).toBe(false);
   });
 });
 
 describe('frames', () => {
   it('come out whole from any cuts of the stream', () => {
     const bytes = Buffer.concat([
-      encodeFrame(Kind.Heartbeat, 7, Buffer.from('{"a":1}')),
-      encodeFrame(Kind.Ping, 0, Buffer.alloc(3)),
+      encodeFrame(FrameKind.Heartbeat, 7, Buffer.from('{"a":1}')),
+      encodeFrame(FrameKind.Ping, 0, Buffer.alloc(3)),
     ]);
     const reader = new FrameReader();
     const frames = [...bytes].flatMap((b) => reader.push(Buffer.from([b])));
     expect(frames.map((f) => [f.kind, f.request, f.payload.length])).toEqual([
-      [Kind.Heartbeat, 7, 7],
-      [Kind.Ping, 0, 3],
+      [FrameKind.Heartbeat, 7, 7],
+      [FrameKind.Ping, 0, 3],
     ]);
   });
 
   it('are refused when they cannot be ours', () => {
-    expect(() => new FrameReader().push(Buffer.from('GET / HTTP/1.1\r\n'))).toThrow(BadFrame);
-    expect(() => decodeProgress(Buffer.from([200, 1, 2]))).toThrow(BadFrame);
+    expect(() => new FrameReader().push(Buffer.from('GET / HTTP/1.1\r\n'))).toThrow(MalformedFrameError);
+    expect(() => decodeProgress(Buffer.from([200, 1, 2]))).toThrow(MalformedFrameError);
   });
 
   it('carry the progress of jobs', () => {
@@ -141,8 +144,8 @@
     const payloads = encodeProgress(jobs, 4096);
     expect(payloads.every((payload) => payload.length <= 4096)).toBe(true);
     expect(payloads.flatMap(decodeProgress)).toEqual(jobs);
-    const board = new ProgressBoard(new VirtualClock());
-    for (const payload of payloads) board.take(payload);
+    const board = new ProgressCache(new VirtualClock());
+    for (const payload of payloads) board.store(payload);
     expect([board.of('j-0' as JobId)?.done, board.of('j-8999' as JobId)?.done]).toEqual([0, 8999]);
   });
 });
@@ -151,8 +154,10 @@
   it('keep a chunk’s progress, in ranges', () => {
     const progress = {
       done: new Set([0, 1, 2, 5] as TaskIndex[]),
-      placed: new Map([[3 as TaskIndex, { tryNo: 2 as TryNo, host: 'host-000001' as HostId }]]),
-      used: new Map([[4 as TaskIndex, 1 as TryNo]]),
+      placed: new Map([
+        [3 as TaskIndex, { attemptNumber: 2 as AttemptNumber, machine: 'host-000001' as MachineId }],
+      ]),
+      used: new Map([[4 as TaskIndex, 1 as AttemptNumber]]),
     };
     const stored = encodeChunk(progress);
     expect(stored).toEqual({
@@ -176,7 +181,7 @@
 
   it('with which no service can be held are told of, field by field', () => {
     const sized = (resources: object, workers: object): string[] =>
-      tooSmall(
+      findTooSmallSettings(
         readSettings({
           member: 'a',
           site: 'north',
