--- a/packages/membership/test/input.test.ts
+++ b/packages/membership/test/input.test.ts
@@ -11,7 +11,7 @@
   PeerSupport,
   RejectReason,
 } from '@plumyoke/membership';
-import { VirtualClock } from '@plumyoke/standins';
+import { VirtualClock } from '@plumyoke/simulation';
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 
--- a/packages/membership/test/members.test.ts
+++ b/packages/membership/test/members.test.ts
@@ -5,7 +5,7 @@
   MemberState,
   type MembershipEvent,
 } from '@plumyoke/membership';
-import { SimulatedCluster } from '@plumyoke/standins';
+import { SimulatedCluster } from '@plumyoke/simulation';
 import { describe, expect, it } from 'vitest';
 
 const A = 'c0' as MemberId;
--- a/packages/standins/src/index.ts
+++ b/packages/simulation/src/index.ts
@@ -5,6 +5,6 @@
 export { type ClusterOptions, type Defects, SimulatedCluster } from './simulated-cluster.js';
 export { ProcessClock, type SimulatedClock, VirtualClock } from './virtual-clock.js';
 export { buildController } from './loopback/build-controller.js';
-export { Laboratory } from './loopback/laboratory.js';
+export { Laboratory } from './loopback/loopback-cluster.js';
 export { Relay } from './loopback/relay.js';
 export { FailoverMode } from './loopback/protocol.js';
--- a/packages/standins/src/measure/failure-kinds.ts
+++ b/packages/simulation/src/measure/failure-kinds.ts
@@ -1,5 +1,5 @@
 /** The failures that are measured: how each is brought about. */
-import type { Laboratory } from '../loopback/laboratory.js';
+import type { Laboratory } from '../loopback/loopback-cluster.js';
 
 /** One way in which an owner fails. */
 export interface FailureKind {
--- a/packages/standins/src/measure/takeover-main.ts
+++ b/packages/simulation/src/measure/takeover-main.ts
@@ -10,13 +10,13 @@
 import { DEFAULT_TUNING, type MembershipTuning } from '@plumyoke/membership';
 import { buildController } from '../loopback/build-controller.js';
 import { FailoverMode } from '../loopback/protocol.js';
-import { BoxLoad } from './box-load.js';
+import { BoxLoad } from './host-load.js';
 import { FAILURE_KINDS, type FailureKind } from './failure-kinds.js';
 import { barPlot, htmlPage, htmlTable, linePlot } from './report.js';
 import { type TakeoverTimes, Trial } from './trial.js';
 
 /** From the repository's root, where `npm run` starts. */
-const CONTROLLER_SOURCE = 'packages/standins/src/loopback/controller-main.ts';
+const CONTROLLER_SOURCE = 'packages/simulation/src/loopback/controller-main.ts';
 const PERCENTILES = [50, 90, 99];
 const CURVE_STEP = 2;
 const HOUR_MS = 3_600_000;
--- a/packages/standins/src/measure/trial.ts
+++ b/packages/simulation/src/measure/trial.ts
@@ -1,7 +1,7 @@
 /** One laboratory in which owners fail again and again, and the times that each takeover took. */
 import type { MembershipTuning } from '@plumyoke/membership';
 import type { UnitId } from '@plumyoke/takeover';
-import { type LabEvent, Laboratory } from '../loopback/laboratory.js';
+import { type LabEvent, Laboratory } from '../loopback/loopback-cluster.js';
 import type { FailoverMode } from '../loopback/protocol.js';
 import type { FailureKind } from './failure-kinds.js';
 
--- a/packages/takeover/test/loopback.test.ts
+++ b/packages/takeover/test/loopback.test.ts
@@ -1,4 +1,4 @@
-import { buildController, FailoverMode, Laboratory } from '@plumyoke/standins';
+import { buildController, FailoverMode, Laboratory } from '@plumyoke/simulation';
 import type { UnitId } from '@plumyoke/takeover';
 import { afterEach, beforeAll, describe, expect, it } from 'vitest';
 
--- a/packages/takeover/test/random-schedules.test.ts
+++ b/packages/takeover/test/random-schedules.test.ts
@@ -1,5 +1,5 @@
 import { type MemberId, MemberState } from '@plumyoke/membership';
-import { type Defects, SimulatedCluster } from '@plumyoke/standins';
+import { type Defects, SimulatedCluster } from '@plumyoke/simulation';
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 
--- a/packages/takeover/test/takeover.test.ts
+++ b/packages/takeover/test/takeover.test.ts
@@ -6,7 +6,7 @@
   PeerSupport,
   type ProcessId,
 } from '@plumyoke/membership';
-import { SharedStore, SimulatedCluster, VirtualClock } from '@plumyoke/standins';
+import { SharedStore, SimulatedCluster, VirtualClock } from '@plumyoke/simulation';
 import {
   checkTakeover,
   Confirmation,
--- a/test/profile/main.ts
+++ b/test/profile/main.ts
@@ -11,10 +11,10 @@
 import type { MachineId, ImageId, JobId, MachineTypeId, ZoneId } from '../../src/model/ids.js';
 import { systemClock, sleep } from '../../src/model/time.js';
 import { HttpTarget, NoAnswerError } from '../../src/net/http-client.js';
-import { FakeCloud } from '../standins/cloud.js';
-import { type JobWish, LEASE_S, submissionBody, TYPES } from '../standins/site-setup.js';
-import { FakeKeyValueStore } from '../standins/state.js';
-import { type JobFacts, FakeWorker, type WorkerWorld } from '../standins/worker.js';
+import { FakeCloud } from '../simulation/fake-cloud.js';
+import { type JobWish, LEASE_S, submissionBody, TYPES } from '../simulation/site-setup.js';
+import { FakeKeyValueStore } from '../simulation/fake-key-value-store.js';
+import { type JobFacts, FakeWorker, type WorkerWorld } from '../simulation/fake-worker.js';
 import {
   cloudHandler,
   heartbeatAnswer,
@@ -22,8 +22,8 @@
   serve,
   stateHandler,
   workersHandler,
-} from '../standins/servers.js';
-import { settingsFile } from '../standins/settings-file.js';
+} from '../simulation/fake-servers.js';
+import { settingsFile } from '../simulation/settings-file.js';
 import { printShares } from './shares.js';
 
 const { values } = parseArgs({
--- a/test/profile/placement-main.ts
+++ b/test/profile/placement-main.ts
@@ -12,9 +12,9 @@
 import type { Worker } from '../../src/workers/state/worker.js';
 import { CommandIssuer } from '../../src/workers/command-issuer.js';
 import { markStartsSent, commandsFor } from '../../src/workers/worker-commands.js';
-import { workerOf } from '../standins/host.js';
-import { MIXED_ZONES, TYPES } from '../standins/site-setup.js';
-import { submission } from '../standins/submission.js';
+import { workerOf } from '../simulation/worker-state.js';
+import { MIXED_ZONES, TYPES } from '../simulation/site-setup.js';
+import { submission } from '../simulation/submission.js';
 
 const EPOCH = 1 as Epoch;
 const TASKS_A_JOB = 70;
--- a/test/standins/clock.ts
+++ b/test/simulation/clock.ts
@@ -1,5 +1,5 @@
 /** The simulation's clocks with the service's own types of time. */
-import { ProcessClock as SimulatedProcessClock, VirtualClock as SimulatedTime } from '@plumyoke/standins';
+import { ProcessClock as SimulatedProcessClock, VirtualClock as SimulatedTime } from '@plumyoke/simulation';
 import type { Clock, MonotonicTime, WallTime } from '../../src/model/time.js';
 
 /** Time that moves only when a test moves it. */
--- a/test/standins/day.ts
+++ b/test/simulation/day.ts
@@ -2,8 +2,8 @@
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import type { DaySite } from './day-site.js';
 import type { JobWish } from './site-setup.js';
-import { placementWish } from './placement-wish.js';
-import type { Trouble, Users } from './troubles.js';
+import { placementWish } from './placement-request.js';
+import type { Trouble, Users } from './faults.js';
 
 interface UserJob {
   readonly wish: JobWish;
--- a/test/standins/servers.ts
+++ b/test/simulation/fake-servers.ts
@@ -17,7 +17,7 @@
 import type { Attempt, WorkerCommand, Heartbeat } from '../../src/model/heartbeat.js';
 import { StoreRefusedError, type KeyValueStore, StoreOutcomeUnknownError } from '../../src/store/client.js';
 import type { WriteOperation } from '../../src/wire/key-value-store.js';
-import type { HeartbeatAnswer, FakeWorker } from './worker.js';
+import type { HeartbeatAnswer, FakeWorker } from './fake-worker.js';
 
 /** A request, its body parsed. */
 interface Request {
--- a/test/standins/worker.ts
+++ b/test/simulation/fake-worker.ts
@@ -11,7 +11,7 @@
 import type { Machine } from '../../src/model/machine.js';
 import type { Attempt, AttemptState, WorkerCommand, Heartbeat } from '../../src/model/heartbeat.js';
 import type { Clock } from '../../src/model/time.js';
-import { address } from './cloud.js';
+import { address } from './fake-cloud.js';
 
 export interface JobFacts {
   readonly image: ImageId;
--- a/test/standins/site-nodes.ts
+++ b/test/simulation/site-controllers.ts
@@ -1,6 +1,6 @@
 /** The controllers of a stand-in site. */
 import { PeerSupport } from '@plumyoke/membership';
-import { SimulatedNetwork } from '@plumyoke/standins';
+import { SimulatedNetwork } from '@plumyoke/simulation';
 import { UserService } from '../../src/api/user-service.js';
 import { ConfirmedCancellations } from '../../src/core/confirmed-cancellations.js';
 import type { ControllerContext, PeerStatusSource } from '../../src/core/context.js';
@@ -21,8 +21,8 @@
 import type { Settings } from '../../src/wire/settings.js';
 import { ProcessClock } from './clock.js';
 import { CANCEL_S, settingsOf, SMALL, TYPES } from './site-setup.js';
-import { SiteMachines } from './site-machines.js';
-import { type HeartbeatAnswer, type FakeWorker } from './worker.js';
+import { SiteMachines } from './site-workers.js';
+import { type HeartbeatAnswer, type FakeWorker } from './fake-worker.js';
 
 /** One way between two controllers. */
 const PEER_MS = 3;
--- a/test/standins/site-machines.ts
+++ b/test/simulation/site-workers.ts
@@ -14,11 +14,11 @@
 import type { WorkerCommand, Heartbeat } from '../../src/model/heartbeat.js';
 import { NoAnswerError } from '../../src/net/http-client.js';
 import { type ProcessClock, VirtualClock } from './clock.js';
-import { FakeCloud } from './cloud.js';
+import { FakeCloud } from './fake-cloud.js';
 import { RuleChecker } from './rules.js';
 import { LEASE_S, SMALL, TYPES } from './site-setup.js';
-import { FakeKeyValueStore } from './state.js';
-import { type HeartbeatAnswer, type JobFacts, FakeWorker, type WorkerWorld } from './worker.js';
+import { FakeKeyValueStore } from './fake-key-value-store.js';
+import { type HeartbeatAnswer, type JobFacts, FakeWorker, type WorkerWorld } from './fake-worker.js';
 
 /** State service, cloud, workers and the checker of rules, on one virtual clock. */
 export abstract class SiteMachines implements WorkerWorld {
--- a/test/standins/site.ts
+++ b/test/simulation/site.ts
@@ -16,7 +16,7 @@
 import type { KeyValue } from '../../src/wire/key-value-store.js';
 import { type RuleChecker } from './rules.js';
 import { CANCEL_S, type JobWish, settingsOf, submissionBody } from './site-setup.js';
-import { SiteNodes } from './site-nodes.js';
+import { SiteNodes } from './site-controllers.js';
 
 /** A whole site on a virtual clock: three nodes, state service, cloud, workers, users, rule checker. */
 export class Site extends SiteNodes {
--- a/test/soak/loopback-controllers.ts
+++ b/test/soak/loopback-controllers.ts
@@ -1,12 +1,12 @@
 /** The controllers of a site on loopback: real processes, the relays between them, and who of them leads. */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
-import { Relay } from '@plumyoke/standins';
+import { Relay } from '@plumyoke/simulation';
 import { START_WITHHELD } from '../../src/workers/command-issuer.js';
 import { KNOWN_BY_TASK_ONLY } from '../../src/fleet/inventory.js';
 import { ControllerProcess, type LogLine } from './controller-process.js';
 import { ObservedSet } from './observed-set.js';
-import { type ControllerSettings, settingsFile } from '../standins/settings-file.js';
+import { type ControllerSettings, settingsFile } from '../simulation/settings-file.js';
 
 const FRONT_PORT = 21_010;
 const PEER_PORT = 21_020;
--- a/test/soak/loopback-site.ts
+++ b/test/soak/loopback-site.ts
@@ -4,10 +4,10 @@
 import type { MachineId, ImageId, JobId, MachineTypeId } from '../../src/model/ids.js';
 import { systemClock } from '../../src/model/time.js';
 import { HttpTarget, type HttpReply } from '../../src/net/http-client.js';
-import { FakeCloud } from '../standins/cloud.js';
-import type { DaySite } from '../standins/day-site.js';
-import { RuleChecker } from '../standins/rules.js';
-import { cloudHandler, serve, stateHandler } from '../standins/servers.js';
+import { FakeCloud } from '../simulation/fake-cloud.js';
+import type { DaySite } from '../simulation/day-site.js';
+import { RuleChecker } from '../simulation/rules.js';
+import { cloudHandler, serve, stateHandler } from '../simulation/fake-servers.js';
 import {
   CANCEL_S,
   type JobWish,
@@ -15,11 +15,11 @@
   MIXED_TYPES,
   MIXED_ZONES,
   submissionBody,
-} from '../standins/site-setup.js';
-import { FakeKeyValueStore } from '../standins/state.js';
-import type { JobFacts, FakeWorker } from '../standins/worker.js';
+} from '../simulation/site-setup.js';
+import { FakeKeyValueStore } from '../simulation/fake-key-value-store.js';
+import type { JobFacts, FakeWorker } from '../simulation/fake-worker.js';
 import { frontOf, LoopbackControllers, type Place } from './loopback-controllers.js';
-import { LoopbackMachines } from './loopback-machines.js';
+import { LoopbackMachines } from './loopback-workers.js';
 import { ScaledClock } from './scaled-clock.js';
 
 /** Users, troubles, leases and limits go twice as fast as on the virtual site. */
--- a/test/soak/loopback-machines.ts
+++ b/test/soak/loopback-workers.ts
@@ -13,8 +13,13 @@
   reportBody,
   serve,
   workersHandler,
-} from '../standins/servers.js';
-import { type HeartbeatAnswer, type JobFacts, FakeWorker, type WorkerWorld } from '../standins/worker.js';
+} from '../simulation/fake-servers.js';
+import {
+  type HeartbeatAnswer,
+  type JobFacts,
+  FakeWorker,
+  type WorkerWorld,
+} from '../simulation/fake-worker.js';
 
 const WORKER_PORT = 9000;
 const ANSWER_MS = 4000;
--- a/test/soak/seed.ts
+++ b/test/soak/seed.ts
@@ -1,11 +1,11 @@
 /** One seed of the soak: a day of users on real processes, with troubles that overlap. */
 import { mkdirSync, rmSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
-import { Day, PLACEMENT_DAY } from '../standins/day.js';
-import { type Trouble, TROUBLES } from '../standins/troubles.js';
+import { Day, PLACEMENT_DAY } from '../simulation/day.js';
+import { type Trouble, TROUBLES } from '../simulation/faults.js';
 import type { RulePart } from './broken-controller.js';
 import { LoopbackSite } from './loopback-site.js';
-import { soakTroubles } from './soak-troubles.js';
+import { soakTroubles } from './soak-faults.js';
 
 /** What one run is made of. */
 export interface SeedOptions {
--- a/test/soak/soak-troubles.ts
+++ b/test/soak/soak-faults.ts
@@ -1,5 +1,5 @@
 /** Troubles that only real processes and sockets have, beside those of the virtual site. */
-import { cutOff, type Trouble } from '../standins/troubles.js';
+import { cutOff, type Trouble } from '../simulation/faults.js';
 import type { LoopbackSite } from './loopback-site.js';
 
 const LOST_SHARE = 0.15;
--- a/test/traces/failover.test.ts
+++ b/test/traces/failover.test.ts
@@ -1,10 +1,10 @@
 import { describe, expect, it } from 'vitest';
 import type { FailoverFeature } from '../../src/config/features.js';
-import { Day } from '../standins/day.js';
-import { Site } from '../standins/site.js';
+import { Day } from '../simulation/day.js';
+import { Site } from '../simulation/site.js';
 import { seconds } from '../../src/model/time.js';
-import { CANCEL_S } from '../standins/site-setup.js';
-import { TROUBLES } from '../standins/troubles.js';
+import { CANCEL_S } from '../simulation/site-setup.js';
+import { TROUBLES } from '../simulation/faults.js';
 
 /** Whole sites with failure detection between their controllers, and leaders replaced before their grants end. */
 const FEATURE: FailoverFeature = {
--- a/test/traces/meetings.test.ts
+++ b/test/traces/meetings.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
-import { Day } from '../standins/day.js';
-import { Site } from '../standins/site.js';
-import { type Trouble, TROUBLES } from '../standins/troubles.js';
+import { Day } from '../simulation/day.js';
+import { Site } from '../simulation/site.js';
+import { type Trouble, TROUBLES } from '../simulation/faults.js';
 
 /**
  * Every two troubles meet (docs/safety.md has the table). What is checked are the protocol's rules, by
--- a/test/traces/pipeline-troubles.test.ts
+++ b/test/traces/pipeline-troubles.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import type { Site } from '../standins/site.js';
+import type { Site } from '../simulation/site.js';
 import { begun, until } from './steps.js';
 import { expectTrace } from './trace.js';
 
--- a/test/traces/placement-days.test.ts
+++ b/test/traces/placement-days.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest';
-import { Day, PLACEMENT_DAY } from '../standins/day.js';
-import { MIXED } from '../standins/site-setup.js';
-import { Site } from '../standins/site.js';
-import { type Trouble, TROUBLES } from '../standins/troubles.js';
+import { Day, PLACEMENT_DAY } from '../simulation/day.js';
+import { MIXED } from '../simulation/site-setup.js';
+import { Site } from '../simulation/site.js';
+import { type Trouble, TROUBLES } from '../simulation/faults.js';
 
 const [LEADERS_CHANGE] = TROUBLES;
 /** To look for more: `PLACEMENT_SEEDS=10 npx vitest run test/traces/placement-days.test.ts`. */
--- a/test/traces/placement-guard.test.ts
+++ b/test/traces/placement-guard.test.ts
@@ -1,9 +1,9 @@
 import { beforeEach, describe, expect, it, vi } from 'vitest';
 import type * as views from '../../src/leader/placement-views.js';
 import type * as rule from '../../src/scheduler/placement-rule.js';
-import { Day, PLACEMENT_DAY } from '../standins/day.js';
-import { MIXED } from '../standins/site-setup.js';
-import { Site } from '../standins/site.js';
+import { Day, PLACEMENT_DAY } from '../simulation/day.js';
+import { MIXED } from '../simulation/site-setup.js';
+import { Site } from '../simulation/site.js';
 
 type Views = typeof views;
 type Rule = typeof rule;
--- a/test/traces/placement.test.ts
+++ b/test/traces/placement.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import type { MachineId } from '../../src/model/ids.js';
-import { MIXED } from '../standins/site-setup.js';
-import { Site } from '../standins/site.js';
+import { MIXED } from '../simulation/site-setup.js';
+import { Site } from '../simulation/site.js';
 import { until } from './steps.js';
 
 /** Machines are up after a second and appear in the list long after that: reports and records alone tell of them. */
--- a/test/traces/size-4500.test.ts
+++ b/test/traces/size-4500.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import type { MachineId, MachineTypeId, ZoneId } from '../../src/model/ids.js';
-import { Site } from '../standins/site.js';
+import { Site } from '../simulation/site.js';
 
 const MACHINES = 4500;
 const JOBS = 44;
--- a/test/traces/size.test.ts
+++ b/test/traces/size.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { Site } from '../standins/site.js';
+import { Site } from '../simulation/site.js';
 
 /** What is asked of the state service, the cloud and the workers must follow what happens, not what exists. */
 describe('a site of 2,000 machines and five controllers', () => {
--- a/test/traces/state-limits.test.ts
+++ b/test/traces/state-limits.test.ts
@@ -4,9 +4,9 @@
 import { StoreRefusedError } from '../../src/store/client.js';
 import { limitProbe } from '../../src/store/limit-probe.js';
 import { StoreLimits } from '../../src/store/store-limits.js';
-import { VirtualClock } from '../standins/clock.js';
-import { FakeKeyValueStore } from '../standins/state.js';
-import { Site } from '../standins/site.js';
+import { VirtualClock } from '../simulation/clock.js';
+import { FakeKeyValueStore } from '../simulation/fake-key-value-store.js';
+import { Site } from '../simulation/site.js';
 import { until } from './steps.js';
 
 const NEXT = { value_kb: 2, txn_ops: 5, write_rps: 30 };
--- a/test/traces/steps.ts
+++ b/test/traces/steps.ts
@@ -1,5 +1,5 @@
 import { expect } from 'vitest';
-import { Site } from '../standins/site.js';
+import { Site } from '../simulation/site.js';
 
 /** A site with a leader and nothing to do yet. */
 export async function begun(): Promise<Site> {
--- a/test/traces/trace.ts
+++ b/test/traces/trace.ts
@@ -1,6 +1,6 @@
 import { existsSync, readFileSync, writeFileSync } from 'node:fs';
 import { expect } from 'vitest';
-import type { Site } from '../standins/site.js';
+import type { Site } from '../simulation/site.js';
 
 /** Compares a scenario's event log with the kept one; a first run, or ACCEPT_TRACES, writes it. */
 export async function expectTrace(name: string, site: Site): Promise<void> {
--- a/test/traces/upgrade.test.ts
+++ b/test/traces/upgrade.test.ts
@@ -26,8 +26,8 @@
 } from '../../src/model/protocol.js';
 import { leaderRecord } from '../../src/store/leader-record.js';
 import type { KeyValue } from '../../src/wire/key-value-store.js';
-import { Site } from '../standins/site.js';
-import type { JobWish } from '../standins/site-setup.js';
+import { Site } from '../simulation/site.js';
+import type { JobWish } from '../simulation/site-setup.js';
 import { begun, until } from './steps.js';
 
 /** Made by the production version itself, on its stand-ins (docs/upgrade.md says how). */
--- a/test/unit/open-job.test.ts
+++ b/test/unit/active-job.test.ts
@@ -5,7 +5,7 @@
 import { ActiveJob } from '../../src/scheduler/active-job.js';
 import { decodeJob, encodeJob } from '../../src/store/job-record.js';
 import { CHUNK_TASKS, keys, parseOpenKey } from '../../src/store/keys.js';
-import { submission } from '../standins/submission.js';
+import { submission } from '../simulation/submission.js';
 
 const SMALL = 56;
 
--- a/test/unit/failover.test.ts
+++ b/test/unit/failover.test.ts
@@ -19,9 +19,9 @@
 import type { PeerLink } from '../../src/peer/link.js';
 import { epochRecord, encodeEpoch, encodeLeader, leaderRecord } from '../../src/store/leader-record.js';
 import type { MembersReport } from '../../src/wire/members.js';
-import { VirtualClock } from '../standins/clock.js';
-import { settingsOf, SMALL } from '../standins/site-setup.js';
-import { FakeKeyValueStore } from '../standins/state.js';
+import { VirtualClock } from '../simulation/clock.js';
+import { settingsOf, SMALL } from '../simulation/site-setup.js';
+import { FakeKeyValueStore } from '../simulation/fake-key-value-store.js';
 
 const folders: string[] = [];
 afterEach(() => folders.splice(0).forEach((folder) => rmSync(folder, { recursive: true })));
--- a/test/unit/health.test.ts
+++ b/test/unit/failure-detector.test.ts
@@ -7,8 +7,8 @@
 import { WorkerFailureDetector } from '../../src/workers/failure-detector.js';
 import { type Worker } from '../../src/workers/state/worker.js';
 import { WorkerRegistry } from '../../src/workers/state/worker-registry.js';
-import { VirtualClock } from '../standins/clock.js';
-import { workerOf } from '../standins/host.js';
+import { VirtualClock } from '../simulation/clock.js';
+import { workerOf } from '../simulation/worker-state.js';
 
 /** Three machines, one of them silent; whether it is fenced when a probe fails after `failsMs`. */
 async function fenced(failsMs: number): Promise<boolean> {
--- a/test/unit/heartbeats.test.ts
+++ b/test/unit/heartbeat-router.test.ts
@@ -5,7 +5,7 @@
 import type { PeerGroup } from '../../src/controller/peer-group.js';
 import { type AnswerFrame, FrameKind } from '../../src/peer/frames.js';
 import type { PeerLink } from '../../src/peer/link.js';
-import { VirtualClock } from '../standins/clock.js';
+import { VirtualClock } from '../simulation/clock.js';
 
 const MALFORMED = Buffer.from('{"host":7}');
 
--- a/test/unit/job-record.test.ts
+++ b/test/unit/job-record.test.ts
@@ -11,7 +11,7 @@
   withDescription,
 } from '../../src/store/job-record.js';
 import type { WriteOperation } from '../../src/wire/key-value-store.js';
-import { submission } from '../standins/submission.js';
+import { submission } from '../simulation/submission.js';
 
 const ID = 'j-000001' as JobId;
 const AT = 1_790_000_000_000 as WallTime;
--- a/test/unit/load.test.ts
+++ b/test/unit/load.test.ts
@@ -25,8 +25,8 @@
 import { WorkerFailureDetector } from '../../src/workers/failure-detector.js';
 import type { Worker } from '../../src/workers/state/worker.js';
 import { WorkerRegistry } from '../../src/workers/state/worker-registry.js';
-import { VirtualClock } from '../standins/clock.js';
-import { workerOf } from '../standins/host.js';
+import { VirtualClock } from '../simulation/clock.js';
+import { workerOf } from '../simulation/worker-state.js';
 
 describe('the load monitor', () => {
   it('tells a process that has used up its share from one that waits', async () => {
--- a/test/unit/machine-type-record.test.ts
+++ b/test/unit/machine-type-record.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import { decodeMachineTypes, encodeMachineTypes } from '../../src/store/machine-type-record.js';
-import { TYPES } from '../standins/site-setup.js';
+import { TYPES } from '../simulation/site-setup.js';
 
 /** The value under `cloud/types` as every landed version writes it. */
 const STORED = [
--- a/test/unit/place.test.ts
+++ b/test/unit/placement.test.ts
@@ -25,9 +25,9 @@
   Victim,
 } from '../../src/scheduler/snapshot.js';
 import type { TeamUsage } from '../../src/scheduler/job-store.js';
-import { plainPlace, structuredCloneOf } from './plain-place.js';
+import { plainPlace, structuredCloneOf } from './reference-placement.js';
 import { isStarving, Urgency } from '../../src/scheduler/urgency.js';
-import { TYPES } from '../standins/site-setup.js';
+import { TYPES } from '../simulation/site-setup.js';
 
 const spec = (over: Partial<JobSpec>): JobSpec => ({
   id: 'j-000001' as JobId,
--- a/test/unit/share.test.ts
+++ b/test/unit/share.test.ts
@@ -4,8 +4,8 @@
 import { machinesToEmpty, type PartlyUsed } from '../../src/fleet/consolidation.js';
 import type { MachineId, Revision } from '../../src/model/ids.js';
 import { shareSockets } from '../../src/net/sockets.js';
-import { VirtualClock } from '../standins/clock.js';
-import { FakeKeyValueStore } from '../standins/state.js';
+import { VirtualClock } from '../simulation/clock.js';
+import { FakeKeyValueStore } from '../simulation/fake-key-value-store.js';
 
 describe('questions about many jobs', () => {
   it('are one comparison, and each gets its own answer', async () => {
--- a/test/unit/wire.test.ts
+++ b/test/unit/wire.test.ts
@@ -13,7 +13,7 @@
 import { decodeChunk, encodeChunk } from '../../src/store/progress-record.js';
 import { findTooSmallSettings } from '../../src/config/limits.js';
 import { readSettings } from '../../src/wire/settings.js';
-import { VirtualClock } from '../standins/clock.js';
+import { VirtualClock } from '../simulation/clock.js';
 import { parseSubmission } from '../../src/wire/users.js';
 import { parseHeartbeat, heartbeatSchema } from '../../src/wire/workers.js';
 
--- a/test/unit/answering.test.ts
+++ b/test/unit/worker-lease-policy.test.ts
@@ -7,7 +7,7 @@
 import type { Epoch, JobId } from '../../src/model/ids.js';
 import { type Millis, ms, seconds } from '../../src/model/time.js';
 import type { PeerStatus } from '../../src/peer/frames.js';
-import { VirtualClock } from '../standins/clock.js';
+import { VirtualClock } from '../simulation/clock.js';
 
 type Word = PeerStatus | null;
 
--- a/test/unit/lease.test.ts
+++ b/test/unit/worker.test.ts
@@ -12,8 +12,8 @@
 import { JobStore } from '../../src/scheduler/job-store.js';
 import type { Worker } from '../../src/workers/state/worker.js';
 import { reconcile } from '../../src/workers/reconciliation.js';
-import { workerOf } from '../standins/host.js';
-import { TYPES } from '../standins/site-setup.js';
+import { workerOf } from '../simulation/worker-state.js';
+import { TYPES } from '../simulation/site-setup.js';
 
 const EPOCH = 3 as Epoch;
 const LEASE = 28_000;
