--- a/src/api/user-service.ts
+++ b/src/api/user-service.ts
@@ -11,7 +11,7 @@
 import { TokenBucket } from '../net/token-bucket.js';
 import { remainingQuota } from '../scheduler/queue.js';
 import { StoreRefusedError, StoreOutcomeUnknownError } from '../store/client.js';
-import { decodeJob, encodeEnded, encodeJob, splitJob, type StoredInParts } from '../store/job-record.js';
+import { decodeJob, encodeEndedJob, encodeJob, splitJob, type SplitJob } from '../store/job-record.js';
 import { keys } from '../store/keys.js';
 import { type Acceptable, Dependencies } from './dependencies.js';
 import { RevisionConfirmations, JobCache } from './job-cache.js';
@@ -221,7 +221,7 @@
     const key = keys.job(spec.id);
     if (state === 'cancelled') {
       // A job that is cancelled with one that it needs is nobody's to run.
-      const value = encodeEnded({ spec, state, acceptedAt }, storeLimits.valueBytes);
+      const value = encodeEndedJob({ spec, state, acceptedAt }, storeLimits.valueBytes);
       return { records: [], writes: [{ set: key, value }] };
     }
     const form = this.storedForm(spec, named, acceptedAt);
@@ -238,7 +238,7 @@
   }
 
   /** Null: no form that the state service takes would be read by every controller. */
-  private storedForm(spec: JobSpec, named: readonly JobId[], acceptedAt: WallTime): StoredInParts | null {
+  private storedForm(spec: JobSpec, named: readonly JobId[], acceptedAt: WallTime): SplitJob | null {
     const { storeLimits, settings } = this.ctx;
     const small = splitJob(spec, named, acceptedAt, storeLimits.valueBytes);
     if (small.spec.descriptionRecordCount === 0 || this.ctx.allPeersSupport(SPLIT_DESCRIPTIONS_VERSION))
@@ -343,7 +343,7 @@
           [
             {
               set: keys.job(id),
-              value: encodeEnded({ ...record, state: 'cancelled' }, this.ctx.storeLimits.valueBytes),
+              value: encodeEndedJob({ ...record, state: 'cancelled' }, this.ctx.storeLimits.valueBytes),
             },
           ],
         );
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -92,10 +92,10 @@
     const cancellations = new ConfirmedCancellations(clock, settings.cancellationLimit);
     const store = this.stateClient(shares);
     const limits = new StoreLimits(settings, clock, limitProbe(store, settings));
-    if (settings.peers.length === 0) limits.allowSplitProgress();
+    if (settings.peers.length === 0) limits.allowSmallChunks();
     this.peers = new PeerGroup(settings.peers, clock, log, cancellations, this.ownState(), {
       heardOfLeader: (epoch) => this.leadership.onPeerLeading(epoch),
-      allUpgraded: () => limits.allowSplitProgress(),
+      allUpgraded: () => limits.allowSmallChunks(),
     });
     this.ctx = {
       member: settings.member,
--- a/src/controller/machine-type-catalog.ts
+++ b/src/controller/machine-type-catalog.ts
@@ -34,7 +34,7 @@
   private async fromStore(): Promise<void> {
     while (this.ctx.machineTypes.size === 0) {
       try {
-        const row = await this.ctx.store.get(keys.types);
+        const row = await this.ctx.store.get(keys.machineTypes);
         if (row) this.learn(decodeMachineTypes(row.value));
       } catch (error) {
         this.ctx.log.debug({ error: errorMessage(error) }, 'types not read from the state service');
@@ -51,7 +51,7 @@
         this.learn(types);
         const shape = JSON.stringify(types.map((t) => [t.id, t.cpus, t.memoryGb, t.zones]));
         if (shape !== written) {
-          await this.ctx.store.txn([], [{ set: keys.types, value: encodeMachineTypes(types) }]);
+          await this.ctx.store.txn([], [{ set: keys.machineTypes, value: encodeMachineTypes(types) }]);
           written = shape;
         }
         await sleep(this.ctx.clock, REFRESH_MS * (0.8 + 0.4 * this.ctx.random()));
--- a/src/leader/committer.ts
+++ b/src/leader/committer.ts
@@ -1,7 +1,7 @@
 import type { LeaderContext } from '../core/context.js';
 import { errorMessage } from '../log/logger.js';
 import type { JobId } from '../model/ids.js';
-import { decodeJob, encodeEnded, furtherKeys } from '../store/job-record.js';
+import { decodeJob, encodeEndedJob, overflowKeys } from '../store/job-record.js';
 import { keys } from '../store/keys.js';
 import { encodeChunk } from '../store/progress-record.js';
 import type { WriteCounts } from './write-counts.js';
@@ -151,7 +151,7 @@
     const { id } = job.spec;
     const before = batch.writes.length;
     const stored = [...job.chunks.values()].filter((c) => c.revision > 0).map((c) => c.key);
-    const drops = [...stored, ...job.supersededKeys, ...furtherKeys(job.spec)];
+    const drops = [...stored, ...job.supersededKeys, ...overflowKeys(job.spec)];
     const postpones = this.mayPostpone();
     const need = 2 + (postpones ? 0 : drops.length);
     if (batch.writes.length > 0 && batch.writes.length + need > max) return;
@@ -159,7 +159,7 @@
       batch.conditions.push({ key: keys.job(id), revision: job.revision });
       batch.writes.push({
         set: keys.job(id),
-        value: encodeEnded(
+        value: encodeEndedJob(
           {
             spec: job.spec,
             state: job.cancelledByDependency ? 'cancelled' : 'done',
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -236,10 +236,10 @@
   /** Progress keeps to smaller records from the moment on when every controller reads them, or they have to be. */
   private resize(now: MonotonicTime): void {
     const { storeLimits } = this.ctx;
-    const size = storeLimits.chunkTasks(Infinity);
+    const size = storeLimits.chunkSize(Infinity);
     if (size === this.chunkTasks) return;
     this.chunkTasks = size;
-    for (const job of this.jobs.values()) job.resizeChunks(storeLimits.chunkTasks(job.spec.taskCount), now);
+    for (const job of this.jobs.values()) job.resizeChunks(storeLimits.chunkSize(job.spec.taskCount), now);
     this.committer.schedule();
   }
 
--- a/src/leader/record-loader.ts
+++ b/src/leader/record-loader.ts
@@ -5,7 +5,7 @@
 import type { MonotonicTime } from '../model/time.js';
 import { ActiveJob } from '../scheduler/active-job.js';
 import { decodeJob, withDescription } from '../store/job-record.js';
-import { CHUNK_TASKS, keys, parseOpenKey } from '../store/keys.js';
+import { DEFAULT_CHUNK_SIZE, keys, parseOpenKey } from '../store/keys.js';
 import { type RecordSet, readRecords, retryWhileRateLimited } from '../store/records.js';
 import type { Compare, KeyValue } from '../wire/key-value-store.js';
 import type { LeaderContext } from '../core/context.js';
@@ -18,7 +18,10 @@
 /** Asked too often is no reason to begin the whole takeover again: this one request waits a moment. */
 function patiently<T>(ctx: LeaderContext, ask: () => Promise<T>): Promise<T> {
   const pauseMs = (): number => REFUSED_PAUSE_MS + ctx.random() * REFUSED_JITTER_MS;
-  return retryWhileRateLimited({ clock: ctx.clock, pauseMs, wanted: () => !ctx.isEnded() }, ask);
+  return retryWhileRateLimited(
+    { clock: ctx.clock, retryDelayMs: pauseMs, isStillWanted: () => !ctx.isEnded() },
+    ask,
+  );
 }
 
 async function readAll(ctx: LeaderContext, prefix: string): Promise<RecordSet> {
@@ -29,7 +32,7 @@
 /** A job that is not over, as the limits of the state service want its progress kept. */
 export function openJob(ctx: LeaderContext, record: JobRecord, revision: Revision): ActiveJob {
   const { spec, acceptedAt } = record;
-  return new ActiveJob(spec, revision, acceptedAt, ctx.storeLimits.chunkTasks(spec.taskCount));
+  return new ActiveJob(spec, revision, acceptedAt, ctx.storeLimits.chunkSize(spec.taskCount));
 }
 
 async function readParts<T>(
@@ -74,8 +77,8 @@
 export async function loadOpenJobs(ctx: LeaderContext): Promise<LoadedJobs> {
   const { rows, revision } = await readAll(ctx, keys.open);
   // Whoever split a record knew that no version is left which couldn't read it.
-  if (rows.some((row) => (parseOpenKey(row.key)?.size ?? CHUNK_TASKS) < CHUNK_TASKS))
-    ctx.storeLimits.allowSplitProgress();
+  if (rows.some((row) => (parseOpenKey(row.key)?.size ?? DEFAULT_CHUNK_SIZE) < DEFAULT_CHUNK_SIZE))
+    ctx.storeLimits.allowSmallChunks();
   const jobs = new Map<JobId, ActiveJob>();
   const orphans: string[] = [];
   for (const row of rows) {
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -18,9 +18,9 @@
 import {
   encodeEpoch,
   encodeLeader,
-  epochRecord,
+  decodeEpoch,
   type LeaderRecord,
-  leaderRecord,
+  decodeLeader,
 } from '../store/leader-record.js';
 import type { ControllerContext } from '../core/context.js';
 
@@ -141,7 +141,7 @@
       try {
         const page = await store.range(keys.leader);
         const row = page.rows.find((r) => r.key === keys.leader);
-        this.noteLeader(row ? leaderRecord(row.value) : null);
+        this.noteLeader(row ? decodeLeader(row.value) : null);
         const paused = this.notBefore !== null && clock.now() < this.notBefore;
         if (this.retired) return;
         if (!this.term && !paused && (!row || this.leader?.member === this.ctx.member)) {
@@ -180,7 +180,7 @@
   private async tryTakeover(leaderRevision: Revision): Promise<void> {
     const { store, clock } = this.ctx;
     const epochRow = await store.get(keys.epoch);
-    const former = epochRecord(epochRow?.value);
+    const former = decodeEpoch(epochRow?.value);
     const epoch = (former.epoch + 1) as Epoch;
     const sentAt = clock.now();
     const { failureDetection } = this;
--- a/src/leadership/failover/leader-claims.ts
+++ b/src/leadership/failover/leader-claims.ts
@@ -22,7 +22,7 @@
 import { type Clock, sleep } from '../../model/time.js';
 import { StoreRefusedError, type KeyValueStore, StoreOutcomeUnknownError } from '../../store/client.js';
 import { keys } from '../../store/keys.js';
-import { encodeEpoch, epochRecord, leaderRecord } from '../../store/leader-record.js';
+import { encodeEpoch, decodeEpoch, decodeLeader } from '../../store/leader-record.js';
 import type { KeyValue } from '../../wire/key-value-store.js';
 import type { Election } from '../../leadership/election.js';
 
@@ -56,10 +56,10 @@
 
 /** What the two records tell; null: the leader runs without failure detection, and only its grant tells of it. */
 function interpret(leader: KeyValue | null, epochRow: KeyValue | null): OwnershipReading | null {
-  const epoch = epochRecord(epochRow?.value).epoch as number as FencingEpoch;
+  const epoch = decodeEpoch(epochRow?.value).epoch as number as FencingEpoch;
   const revisions = revisionsOf(leader, epochRow);
   if (leader === null) return { kind: 'unowned', epoch, revisions };
-  const record = leaderRecord(leader.value);
+  const record = decodeLeader(leader.value);
   if (record === null) return { kind: 'damaged', key: keys.leader, problem: 'is not a record' };
   if (record.process === undefined) return null;
   const member = record.member as string as MemberId;
--- a/src/leadership/failover/record-prefetch.ts
+++ b/src/leadership/failover/record-prefetch.ts
@@ -42,7 +42,7 @@
 
   private async read(prefix: string, generation: number): Promise<RecordSet | null> {
     const wanted = (): boolean => generation === this.generation;
-    const policy = { clock: this.clock, pauseMs: () => REFUSED_PAUSE_MS, wanted };
+    const policy = { clock: this.clock, retryDelayMs: () => REFUSED_PAUSE_MS, isStillWanted: wanted };
     const askPage = <T>(ask: () => Promise<T>): Promise<T> => {
       if (!wanted()) throw new Error('not wanted any more');
       return retryWhileRateLimited(policy, ask);
--- a/src/scheduler/active-job.ts
+++ b/src/scheduler/active-job.ts
@@ -2,8 +2,8 @@
 import type { MachineId, JobId, Revision, TaskIndex, AttemptNumber, ZoneId } from '../model/ids.js';
 import type { JobSpec, Priority } from '../model/job.js';
 import type { MonotonicTime, WallTime } from '../model/time.js';
-import { CHUNK_TASKS, keys } from '../store/keys.js';
-import { decodeChunk, type Placement } from '../store/progress-record.js';
+import { DEFAULT_CHUNK_SIZE, keys } from '../store/keys.js';
+import { decodeChunk, type TaskPlacement } from '../store/progress-record.js';
 import { Chunk } from './chunk.js';
 import type { JobStore } from './job-store.js';
 import { Task } from './task.js';
@@ -55,7 +55,7 @@
     readonly spec: JobSpec,
     readonly revision: Revision,
     readonly acceptedAt: WallTime,
-    private chunkTasks = CHUNK_TASKS,
+    private chunkTasks = DEFAULT_CHUNK_SIZE,
   ) {
     this.readyAt = acceptedAt;
     this.inheritedPriority = { priority: spec.priority, latestEnd: this.ownDeadline };
@@ -214,7 +214,10 @@
    * larger ones and list every task that was ever begun: they are read last, and what they say counts.
    */
   applyStoredProgress(): void {
-    const told = new Map<TaskIndex, { done: boolean; placed?: Placement; attemptNumber?: AttemptNumber }>();
+    const told = new Map<
+      TaskIndex,
+      { done: boolean; placed?: TaskPlacement; attemptNumber?: AttemptNumber }
+    >();
     for (const { chunk, size, value, revision } of this.storedProgress.sort((a, b) => b.size - a.size)) {
       const first = chunk * size;
       if (size === this.chunkTasks) this.chunkOf(first as TaskIndex).revision = revision;
@@ -222,7 +225,8 @@
       const stored = decodeChunk(value);
       for (const index of stored.done) told.set(index, { done: true });
       for (const [index, placed] of stored.placed) told.set(index, { done: false, placed });
-      for (const [index, attemptNumber] of stored.used) told.set(index, { done: false, attemptNumber });
+      for (const [index, attemptNumber] of stored.usedAttempts)
+        told.set(index, { done: false, attemptNumber });
     }
     this.storedProgress = [];
     for (const [index, { done, placed, attemptNumber }] of told) {
--- a/src/scheduler/chunk.ts
+++ b/src/scheduler/chunk.ts
@@ -2,7 +2,7 @@
 import { NO_REVISION, type Revision, type TaskIndex, type AttemptNumber } from '../model/ids.js';
 import type { MonotonicTime } from '../model/time.js';
 import { keys } from '../store/keys.js';
-import type { ChunkProgress, Placement } from '../store/progress-record.js';
+import type { ChunkProgress, TaskPlacement } from '../store/progress-record.js';
 import type { ActiveJob } from './active-job.js';
 import type { Task } from './task.js';
 
@@ -53,7 +53,7 @@
   /** The progress to be written; decisions being made count as placed. */
   progress(): ChunkProgress {
     const done = new Set<TaskIndex>();
-    const placed = new Map<TaskIndex, Placement>();
+    const placed = new Map<TaskIndex, TaskPlacement>();
     const used = new Map<TaskIndex, AttemptNumber>();
     for (const task of this.tasks.values()) {
       if (task.phase === 'done') done.add(task.index);
@@ -61,6 +61,6 @@
         placed.set(task.index, { attemptNumber: task.attemptNumber, machine: task.machine });
       else if (task.attemptNumber > 0) used.set(task.index, task.attemptNumber);
     }
-    return { done, placed, used };
+    return { done, placed, usedAttempts: used };
   }
 }
--- a/src/store/job-record.ts
+++ b/src/store/job-record.ts
@@ -53,7 +53,7 @@
 const ENTRY_BYTES = 3;
 
 /** How long a value is for the state service. */
-export function storedBytes(value: unknown): number {
+export function encodedLength(value: unknown): number {
   return Buffer.byteLength(JSON.stringify(value));
 }
 
@@ -100,10 +100,10 @@
  * The record of a job that is over. Nobody asks any more what it was called, so where its description is too
  * long for the state service as it is now, the names are left out: the end must be told in any case.
  */
-export function encodeEnded(record: JobRecord, valueBytes: number): StoredJob {
+export function encodeEndedJob(record: JobRecord, valueBytes: number): StoredJob {
   const spec = { ...record.spec, dependencies: [], dependencyRecords: 0 };
   const stored = encodeJob({ ...record, spec });
-  if (storedBytes(stored) <= valueBytes) return stored;
+  if (encodedLength(stored) <= valueBytes) return stored;
   return encodeJob({ ...record, spec: withoutNames({ ...spec, descriptionRecordCount: 0 }) });
 }
 
@@ -154,7 +154,7 @@
 }
 
 /** A job as it is stored: what has no room in its record stands in further ones, written before it. */
-export interface StoredInParts {
+export interface SplitJob {
   readonly spec: JobSpec;
   readonly records: readonly WriteOperation[];
 }
@@ -170,9 +170,9 @@
   named: readonly JobId[],
   acceptedAt: WallTime,
   valueBytes: number,
-): StoredInParts {
+): SplitJob {
   const fits = (one: JobSpec): boolean =>
-    storedBytes(encodeJob({ spec: one, state: 'accepted', acceptedAt })) <= valueBytes;
+    encodedLength(encodeJob({ spec: one, state: 'accepted', acceptedAt })) <= valueBytes;
   if (fits(spec)) return { spec, records: [] };
   const lists = spec.dependencies.length > 0 ? dependencyRecords(spec.id, named, valueBytes) : [];
   const listed: JobSpec =
@@ -237,7 +237,7 @@
 }
 
 /** The keys of all further records of a job. */
-export function furtherKeys(spec: JobSpec): string[] {
+export function overflowKeys(spec: JobSpec): string[] {
   const lists = Array.from({ length: spec.dependencyRecordCount }, (_, n) => keys.dependencies(spec.id, n));
   const names = Array.from({ length: spec.descriptionRecordCount }, (_, n) => keys.description(spec.id, n));
   return [...lists, ...names];
--- a/src/store/keys.ts
+++ b/src/store/keys.ts
@@ -2,7 +2,7 @@
 import type { JobId } from '../model/ids.js';
 
 /** Tasks of one job whose progress shares one record, as every version reads it: under 16 KiB. */
-export const CHUNK_TASKS = 300;
+export const DEFAULT_CHUNK_SIZE = 300;
 
 const NUMBER_DIGITS = 4;
 const padded = (n: number): string => String(n).padStart(NUMBER_DIGITS, '0');
@@ -17,18 +17,20 @@
   openHead: (id: JobId): string => `open/${id}`,
   /** Chunks of another size than the usual one name it: versions that don't know them leave them unread. */
   openChunk: (id: JobId, chunk: number, size: number): string => {
-    return size === CHUNK_TASKS ? `open/${id}/${padded(chunk)}` : `open/${id}/${size}-${padded(chunk)}`;
+    return size === DEFAULT_CHUNK_SIZE
+      ? `open/${id}/${padded(chunk)}`
+      : `open/${id}/${size}-${padded(chunk)}`;
   },
   /** Dependencies that don't fit their job's record. */
   dependencies: (id: JobId, n: number): string => `deps/${id}/${padded(n)}`,
   /** Parts of a description that doesn't fit its job's record. */
   description: (id: JobId, n: number): string => `desc/${id}/${padded(n)}`,
-  types: 'cloud/types',
+  machineTypes: 'cloud/types',
   fleet: 'fleet/',
   fleetChunk: (n: number): string => `fleet/${padded(n)}`,
   forecast: 'forecast/',
   /** Never written: only compared, to learn how much a transaction may hold. */
-  unused: (n: number): string => `unused/${n}`,
+  probe: (n: number): string => `unused/${n}`,
   forecastOf: (type: string): string => `forecast/${type}`,
 };
 
@@ -47,6 +49,6 @@
   return {
     job: parts[1] as JobId,
     chunk: parts[3] === undefined ? null : Number(parts[3]),
-    size: parts[2] === undefined ? CHUNK_TASKS : Number(parts[2]),
+    size: parts[2] === undefined ? DEFAULT_CHUNK_SIZE : Number(parts[2]),
   };
 }
--- a/src/store/leader-record.ts
+++ b/src/store/leader-record.ts
@@ -29,7 +29,7 @@
 }
 
 /** Null: no record of a leader. */
-export function leaderRecord(value: unknown): LeaderRecord | null {
+export function decodeLeader(value: unknown): LeaderRecord | null {
   const stored = value as Partial<StoredLeader> | null | undefined;
   if (!stored || typeof stored.member !== 'string' || typeof stored.epoch !== 'number') return null;
   const version = typeof stored.speaks === 'number' ? stored.speaks : UNVERSIONED;
@@ -54,7 +54,7 @@
 }
 
 /** Reads the value under `epoch`; absent: no epoch was taken yet. */
-export function epochRecord(value: unknown): EpochRecord {
+export function decodeEpoch(value: unknown): EpochRecord {
   const stored = value as { n?: unknown; early?: unknown } | null | undefined;
   return { epoch: (typeof stored?.n === 'number' ? stored.n : 0) as Epoch, early: stored?.early === true };
 }
--- a/src/store/limit-probe.ts
+++ b/src/store/limit-probe.ts
@@ -21,7 +21,7 @@
   const conditions = Array.from(
     { length: announcedStoreLimits.txnOps * CONDITIONS_PER_WRITE + 1 },
     (_, n) => ({
-      key: keys.unused(n),
+      key: keys.probe(n),
       revision: NO_REVISION,
     }),
   );
--- a/src/store/progress-record.ts
+++ b/src/store/progress-record.ts
@@ -1,18 +1,18 @@
 /** Records of progress: which tasks of one chunk are done, and which may be on which machine. */
 import type { MachineId, TaskIndex, AttemptNumber } from '../model/ids.js';
-import { CHUNK_TASKS } from './keys.js';
+import { DEFAULT_CHUNK_SIZE } from './keys.js';
 
 /** What one task takes in a record at most, and what the record takes besides. */
 const TASK_BYTES = 32;
 const CHUNK_BYTES = 128;
 
 /** How many tasks' progress fits a value of so many bytes. */
-export function chunkTasks(valueBytes: number): number {
-  return Math.max(1, Math.min(CHUNK_TASKS, Math.floor((valueBytes - CHUNK_BYTES) / TASK_BYTES)));
+export function maxTasksPerChunk(valueBytes: number): number {
+  return Math.max(1, Math.min(DEFAULT_CHUNK_SIZE, Math.floor((valueBytes - CHUNK_BYTES) / TASK_BYTES)));
 }
 
 /** Where a task may be: its current attempt and host. */
-export interface Placement {
+export interface TaskPlacement {
   readonly attemptNumber: AttemptNumber;
   readonly machine: MachineId;
 }
@@ -20,9 +20,9 @@
 /** Progress of one chunk; tasks that were never touched do not appear. */
 export interface ChunkProgress {
   readonly done: ReadonlySet<TaskIndex>;
-  readonly placed: ReadonlyMap<TaskIndex, Placement>;
+  readonly placed: ReadonlyMap<TaskIndex, TaskPlacement>;
   /** Tries used up by tasks that are neither done nor placed. */
-  readonly used: ReadonlyMap<TaskIndex, AttemptNumber>;
+  readonly usedAttempts: ReadonlyMap<TaskIndex, AttemptNumber>;
 }
 
 /** `d` done ranges, `p` placements, `u` tries used up. */
@@ -44,7 +44,7 @@
   }
   if (ranges.length) stored.d = ranges;
   if (progress.placed.size) stored.p = [...progress.placed].map(([i, a]) => [i, a.attemptNumber, a.machine]);
-  if (progress.used.size) stored.u = [...progress.used];
+  if (progress.usedAttempts.size) stored.u = [...progress.usedAttempts];
   return stored;
 }
 
@@ -53,7 +53,7 @@
   const v = (value ?? {}) as StoredChunk;
   const done = new Set<TaskIndex>();
   for (const [from, to] of v.d ?? []) for (let i = from; i <= to; i++) done.add(i as TaskIndex);
-  const placed = new Map<TaskIndex, Placement>();
+  const placed = new Map<TaskIndex, TaskPlacement>();
   for (const [i, attemptNumber, machine] of v.p ?? []) {
     placed.set(i as TaskIndex, {
       attemptNumber: attemptNumber as AttemptNumber,
@@ -62,5 +62,5 @@
   }
   const used = new Map<TaskIndex, AttemptNumber>();
   for (const [i, attemptNumber] of v.u ?? []) used.set(i as TaskIndex, attemptNumber as AttemptNumber);
-  return { done, placed, used };
+  return { done, placed, usedAttempts: used };
 }
--- a/src/store/records.ts
+++ b/src/store/records.ts
@@ -13,21 +13,21 @@
 /** When a refused request is asked again, and whether its answer is still wanted. */
 export interface RetryPolicy {
   readonly clock: Clock;
-  readonly pauseMs: () => number;
-  readonly wanted: () => boolean;
+  readonly retryDelayMs: () => number;
+  readonly isStillWanted: () => boolean;
 }
 
 /** Repeats what was refused for too many requests alone; any other error is the caller's, as is one nobody waits for. */
 export async function retryWhileRateLimited<T>(
-  { clock, pauseMs, wanted }: RetryPolicy,
+  { clock, retryDelayMs, isStillWanted }: RetryPolicy,
   ask: () => Promise<T>,
 ): Promise<T> {
   for (;;) {
     try {
       return await ask();
     } catch (error) {
-      if (!(error instanceof StoreRefusedError && error.isRateLimited) || !wanted()) throw error;
-      await sleep(clock, pauseMs());
+      if (!(error instanceof StoreRefusedError && error.isRateLimited) || !isStillWanted()) throw error;
+      await sleep(clock, retryDelayMs());
     }
   }
 }
--- a/src/store/store-limits.ts
+++ b/src/store/store-limits.ts
@@ -2,8 +2,8 @@
 import type { Cancel, Clock } from '../model/time.js';
 import type { Settings, StoreLimitSettings } from '../wire/settings.js';
 import { StoreRefusedError, StoreRequestTooLargeError } from './client.js';
-import { CHUNK_TASKS } from './keys.js';
-import { chunkTasks } from './progress-record.js';
+import { DEFAULT_CHUNK_SIZE } from './keys.js';
+import { maxTasksPerChunk } from './progress-record.js';
 
 /**
  * Where the service can't be asked whether its limits have fallen, the announced rates are kept to for so
@@ -131,14 +131,14 @@
    * No controller is left that could not read split records: it could take over. Chunks of a job then
    * keep to the smaller limit; until then to the size that every version reads.
    */
-  allowSplitProgress(): void {
+  allowSmallChunks(): void {
     this.split = true;
   }
 
   /** How many tasks share one record of progress, in a job of so many. */
-  chunkTasks(tasks: number): number {
-    const most = this.split ? chunkTasks(this.valueBytes / this.entryScale) : CHUNK_TASKS;
-    return tasks <= most ? CHUNK_TASKS : most;
+  chunkSize(tasks: number): number {
+    const most = this.split ? maxTasksPerChunk(this.valueBytes / this.entryScale) : DEFAULT_CHUNK_SIZE;
+    return tasks <= most ? DEFAULT_CHUNK_SIZE : most;
   }
 
   /** How many machines share one record. */
--- a/test/simulation/site-controllers.ts
+++ b/test/simulation/site-controllers.ts
@@ -73,7 +73,7 @@
     const settings = this.failover ? this.settingsWithSiblings(name) : settingsOf(name, this.size);
     const store = this.state.for(name, clock);
     const limits = new StoreLimits(settings, clock, limitProbe(store, settings));
-    if (this.old.size === 0) limits.allowSplitProgress();
+    if (this.old.size === 0) limits.allowSmallChunks();
     const cancellations = new ConfirmedCancellations(clock, seconds(CANCEL_S));
     const ctx: ControllerContext = {
       member: name as MemberId,
--- a/test/traces/upgrade.test.ts
+++ b/test/traces/upgrade.test.ts
@@ -24,7 +24,7 @@
   PROTOCOL_VERSION,
   SPLIT_DESCRIPTIONS_VERSION,
 } from '../../src/model/protocol.js';
-import { leaderRecord } from '../../src/store/leader-record.js';
+import { decodeLeader } from '../../src/store/leader-record.js';
 import type { KeyValue } from '../../src/wire/key-value-store.js';
 import { Site } from '../simulation/site.js';
 import type { JobWish } from '../simulation/site-setup.js';
@@ -138,7 +138,7 @@
 
   it('name no leader that could serve what is new', () => {
     const row = records.find((r) => r.key === 'leader');
-    expect(leaderRecord(row?.value)).toMatchObject({ version: 0, member: 'node-0' });
+    expect(decodeLeader(row?.value)).toMatchObject({ version: 0, member: 'node-0' });
   });
 });
 
--- a/test/unit/active-job.test.ts
+++ b/test/unit/active-job.test.ts
@@ -4,7 +4,7 @@
 import { JobStore } from '../../src/scheduler/job-store.js';
 import { ActiveJob } from '../../src/scheduler/active-job.js';
 import { decodeJob, encodeJob } from '../../src/store/job-record.js';
-import { CHUNK_TASKS, keys, parseOpenKey } from '../../src/store/keys.js';
+import { DEFAULT_CHUNK_SIZE, keys, parseOpenKey } from '../../src/store/keys.js';
 import { submission } from '../simulation/submission.js';
 
 const SMALL = 56;
@@ -20,7 +20,7 @@
     ['the small one first', false],
   ])('is told by the smaller where both tell: %s', (_name, first) => {
     const read = job(SMALL);
-    const large = (): void => read.addStoredProgress(0, CHUNK_TASKS, LARGE_RECORD, 9 as Revision);
+    const large = (): void => read.addStoredProgress(0, DEFAULT_CHUNK_SIZE, LARGE_RECORD, 9 as Revision);
     const small = (): void => read.addStoredProgress(0, SMALL, SMALL_RECORD, 7 as Revision);
     if (first) [large, small].forEach((act) => act());
     else [small, large].forEach((act) => act());
@@ -36,7 +36,7 @@
 
   // Larger records would be newer, and be told otherwise by the smaller ones that a later leader reads beside them.
   it('never goes back to larger ones', () => {
-    const read = job(CHUNK_TASKS);
+    const read = job(DEFAULT_CHUNK_SIZE);
     read.addStoredProgress(0, SMALL, SMALL_RECORD, 7 as Revision);
     read.applyStoredProgress();
     expect(read.chunkOf(0 as TaskIndex).key).toBe(keys.openChunk(read.spec.id, 0, SMALL));
@@ -44,7 +44,7 @@
 
   it('goes on in smaller ones: what was not durable is written anew, and outcomes wait for it', () => {
     const book = new JobStore();
-    const open = job(CHUNK_TASKS);
+    const open = job(DEFAULT_CHUNK_SIZE);
     book.add(open);
     const tasks = Array.from({ length: 120 }, () =>
       open.beginAttempt('host-1' as MachineId, 'north' as never, 0 as MonotonicTime),
@@ -64,9 +64,9 @@
 
   it('has keys that tell the size, and none for the usual one', () => {
     const id = 'j-000001' as JobId;
-    expect(keys.openChunk(id, 3, CHUNK_TASKS)).toBe('open/j-000001/0003');
+    expect(keys.openChunk(id, 3, DEFAULT_CHUNK_SIZE)).toBe('open/j-000001/0003');
     expect(parseOpenKey(keys.openChunk(id, 3, SMALL))).toEqual({ job: id, chunk: 3, size: SMALL });
-    expect(parseOpenKey('open/j-000001')).toEqual({ job: id, chunk: null, size: CHUNK_TASKS });
+    expect(parseOpenKey('open/j-000001')).toEqual({ job: id, chunk: null, size: DEFAULT_CHUNK_SIZE });
   });
 });
 
--- a/test/unit/failover.test.ts
+++ b/test/unit/failover.test.ts
@@ -17,7 +17,7 @@
 import { MEMBERSHIP_VERSION } from '../../src/model/protocol.js';
 import type { AnswerFrame } from '../../src/peer/frames.js';
 import type { PeerLink } from '../../src/peer/link.js';
-import { epochRecord, encodeEpoch, encodeLeader, leaderRecord } from '../../src/store/leader-record.js';
+import { decodeEpoch, encodeEpoch, encodeLeader, decodeLeader } from '../../src/store/leader-record.js';
 import type { MembersReport } from '../../src/wire/members.js';
 import { VirtualClock } from '../simulation/clock.js';
 import { settingsOf, SMALL } from '../simulation/site-setup.js';
@@ -264,12 +264,12 @@
 describe('the records of leadership', () => {
   it('are read by and from versions without failure detection', () => {
     const leader = { member: 'a' as never, epoch: 4 as never, version: 3 };
-    expect(leaderRecord(encodeLeader(leader))).toEqual(leader);
-    expect(leaderRecord(encodeLeader({ ...leader, process: 'p' }, 7))).toEqual({ ...leader, process: 'p' });
-    expect(leaderRecord({ member: 'a', epoch: 4 })).toEqual({ ...leader, version: 0 });
+    expect(decodeLeader(encodeLeader(leader))).toEqual(leader);
+    expect(decodeLeader(encodeLeader({ ...leader, process: 'p' }, 7))).toEqual({ ...leader, process: 'p' });
+    expect(decodeLeader({ member: 'a', epoch: 4 })).toEqual({ ...leader, version: 0 });
     expect(encodeEpoch({ epoch: 4 as never, early: false })).toEqual({ n: 4 });
-    expect(epochRecord({ n: 4 })).toEqual({ epoch: 4, early: false });
-    expect(epochRecord(encodeEpoch({ epoch: 4 as never, early: true }))).toEqual({ epoch: 4, early: true });
-    expect(epochRecord(undefined)).toEqual({ epoch: 0, early: false });
+    expect(decodeEpoch({ n: 4 })).toEqual({ epoch: 4, early: false });
+    expect(decodeEpoch(encodeEpoch({ epoch: 4 as never, early: true }))).toEqual({ epoch: 4, early: true });
+    expect(decodeEpoch(undefined)).toEqual({ epoch: 0, early: false });
   });
 });
--- a/test/unit/job-record.test.ts
+++ b/test/unit/job-record.test.ts
@@ -4,10 +4,10 @@
 import type { WallTime } from '../../src/model/time.js';
 import {
   decodeJob,
-  encodeEnded,
+  encodeEndedJob,
   encodeJob,
   splitJob,
-  storedBytes,
+  encodedLength,
   withDescription,
 } from '../../src/store/job-record.js';
 import type { WriteOperation } from '../../src/wire/key-value-store.js';
@@ -23,14 +23,14 @@
 
 const recordOf = (spec: JobSpec): JobRecord => ({ spec, state: 'accepted', acceptedAt: AT });
 const longest = (records: readonly WriteOperation[]): number =>
-  Math.max(0, ...records.map((write) => ('set' in write ? storedBytes(write.value) : 0)));
+  Math.max(0, ...records.map((write) => ('set' in write ? encodedLength(write.value) : 0)));
 const values = <T>(records: readonly WriteOperation[], prefix: string): T[] =>
   records.flatMap((write) => ('set' in write && write.set.startsWith(prefix) ? [write.value as T] : []));
 
 describe('a job as it is accepted', () => {
   it('stays whole in a record that just fits, and is split one byte above', () => {
     const spec = submission({ awaits: ids(3) });
-    const bytes = storedBytes(encodeJob(recordOf(spec)));
+    const bytes = encodedLength(encodeJob(recordOf(spec)));
     expect(splitJob(spec, spec.dependencies, AT, bytes)).toEqual({ spec, records: [] });
     const split = splitJob(spec, spec.dependencies, AT, bytes - 1);
     expect(split.spec.dependencyRecordCount).toBe(1);
@@ -40,7 +40,7 @@
   it('keeps a list of thousands, and names of two bytes a letter, to the size that a value may have', () => {
     const spec = submission({ ...LONG_NAMES, awaits: ids(2000) });
     const split = splitJob(spec, spec.dependencies, AT, 1024);
-    expect(storedBytes(encodeJob(recordOf(split.spec)))).toBeLessThanOrEqual(1024);
+    expect(encodedLength(encodeJob(recordOf(split.spec)))).toBeLessThanOrEqual(1024);
     expect(longest(split.records)).toBeLessThanOrEqual(1024);
     expect(values(split.records, 'deps/').flat()).toEqual(ids(2000));
     const stored: unknown = JSON.parse(JSON.stringify(encodeJob(recordOf(split.spec))));
@@ -67,11 +67,11 @@
 describe('a job that is over', () => {
   it('is told in a record of any size: names and dependencies are left out where they have no room', () => {
     const record: JobRecord = { ...recordOf(submission({ ...LONG_NAMES, awaits: ids(60) })), state: 'done' };
-    const stored = encodeEnded(record, 1024);
-    expect(storedBytes(stored)).toBeLessThanOrEqual(1024);
+    const stored = encodeEndedJob(record, 1024);
+    expect(encodedLength(stored)).toBeLessThanOrEqual(1024);
     expect(decodeJob(ID, stored)).toMatchObject({ state: 'done', spec: { taskCount: 200, kind: 'array' } });
     // The production version reads the first 18 places by position.
     expect(stored.j).toHaveLength(18);
-    expect(decodeJob(ID, encodeEnded(record, 16_384)).spec.jobClass).toBe(LONG);
+    expect(decodeJob(ID, encodeEndedJob(record, 16_384)).spec.jobClass).toBe(LONG);
   });
 });
--- a/test/unit/wire.test.ts
+++ b/test/unit/wire.test.ts
@@ -157,7 +157,7 @@
       placed: new Map([
         [3 as TaskIndex, { attemptNumber: 2 as AttemptNumber, machine: 'host-000001' as MachineId }],
       ]),
-      used: new Map([[4 as TaskIndex, 1 as AttemptNumber]]),
+      usedAttempts: new Map([[4 as TaskIndex, 1 as AttemptNumber]]),
     };
     const stored = encodeChunk(progress);
     expect(stored).toEqual({
