--- a/src/api/job-cache.ts
+++ b/src/api/job-cache.ts
@@ -1,7 +1,8 @@
 import type { JobId, Revision } from '../model/ids.js';
 import type { FinalState, JobKind, JobRecord } from '../model/job.js';
 import { type Clock, sleep } from '../model/time.js';
-import { type TxnResult, StoreRefusedError, type KeyValueStore } from '../store/client.js';
+import type { TxnResult, KeyValueStore } from '../store/client.js';
+import { StoreRefusedError } from '../store/errors.js';
 import { decodeJob } from '../store/job-record.js';
 import { keys } from '../store/keys.js';
 import type { WatchEvent, Compare } from '../wire/key-value-store.js';
--- a/src/api/user-service.ts
+++ b/src/api/user-service.ts
@@ -10,7 +10,7 @@
 import type { WatchEvent, Compare, WriteOperation } from '../wire/key-value-store.js';
 import { TokenBucket } from '../net/token-bucket.js';
 import { remainingQuota } from '../scheduler/queue.js';
-import { StoreRefusedError, StoreOutcomeUnknownError } from '../store/client.js';
+import { StoreRefusedError, StoreOutcomeUnknownError } from '../store/errors.js';
 import { decodeJob, encodeEndedJob, encodeJob, splitJob, type SplitJob } from '../store/job-record.js';
 import { keys } from '../store/keys.js';
 import { type Acceptable, Dependencies } from './dependencies.js';
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -180,12 +180,12 @@
 
   private stateClient(shares: SocketShares): KeyValueStoreClient {
     const { storeAddress } = this.settings;
-    return new KeyValueStoreClient(
-      new HttpTarget(storeAddress, shares.state),
-      new HttpTarget(storeAddress, shares.watches),
-      STATE_MS,
-      (answered) => this.connectivity.recordCall(answered),
-    );
+    return new KeyValueStoreClient({
+      http: new HttpTarget(storeAddress, shares.state),
+      watchHttp: new HttpTarget(storeAddress, shares.watches),
+      timeoutMs: STATE_MS,
+      onCall: (isAnswered) => this.connectivity.recordCall(isAnswered),
+    });
   }
 
   private directCaller(): RawCaller {
--- a/src/controller/user-router.ts
+++ b/src/controller/user-router.ts
@@ -3,7 +3,7 @@
 import { BusyError, unavailable, type UserAnswer, type UserService } from '../api/user-service.js';
 import { parseJson } from '../net/http-client.js';
 import { encodeUser, FrameKind, type UserVerb } from '../peer/frames.js';
-import { StoreRefusedError, StoreOutcomeUnknownError } from '../store/client.js';
+import { StoreRefusedError, StoreOutcomeUnknownError } from '../store/errors.js';
 import type { StoreConnectivityMonitor } from '../controller/store-connectivity.js';
 import type { PeerGroup } from '../controller/peer-group.js';
 
--- a/src/leader/committer.ts
+++ b/src/leader/committer.ts
@@ -5,7 +5,8 @@
 import { keys } from '../store/keys.js';
 import { encodeChunk } from '../store/progress-record.js';
 import type { WriteCounts } from './write-counts.js';
-import { type TxnResult, StoreRefusedError, StoreRequestTooLargeError } from '../store/client.js';
+import type { TxnResult } from '../store/client.js';
+import { StoreRefusedError, StoreRequestTooLargeError } from '../store/errors.js';
 import type { TokenBucket } from '../net/token-bucket.js';
 import type { Chunk } from '../scheduler/chunk.js';
 import type { ActiveJob } from '../scheduler/active-job.js';
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -13,7 +13,7 @@
   since,
   sleep,
 } from '../model/time.js';
-import { StoreRefusedError } from '../store/client.js';
+import { StoreRefusedError } from '../store/errors.js';
 import { keys } from '../store/keys.js';
 import {
   encodeEpoch,
--- a/src/leadership/failover/leader-claims.ts
+++ b/src/leadership/failover/leader-claims.ts
@@ -20,7 +20,8 @@
 import type { MemberId, ProcessId } from '@plumyoke/membership';
 import { type Epoch, NO_REVISION, type Revision } from '../../model/ids.js';
 import { type Clock, sleep } from '../../model/time.js';
-import { StoreRefusedError, type KeyValueStore, StoreOutcomeUnknownError } from '../../store/client.js';
+import type { KeyValueStore } from '../../store/client.js';
+import { StoreRefusedError, StoreOutcomeUnknownError } from '../../store/errors.js';
 import { keys } from '../../store/keys.js';
 import { encodeEpoch, decodeEpoch, decodeLeader } from '../../store/leader-record.js';
 import type { KeyValue } from '../../wire/key-value-store.js';
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -1,3 +1,5 @@
+/** The key-value store as the controllers use it, and its HTTP client. */
+import { errorMessage } from '../log/logger.js';
 import type { LeaseId, Revision } from '../model/ids.js';
 import type { HttpCaller, HttpReply } from '../net/http-client.js';
 import { NoAnswerError } from '../net/http-client.js';
@@ -15,135 +17,127 @@
   type KeyValue,
   type WriteOperation,
 } from '../wire/key-value-store.js';
+import { StoreOutcomeUnknownError, StoreRefusedError, StoreRequestTooLargeError } from './errors.js';
 
-/** The request was surely not carried out (503, 429). */
-export class StoreRefusedError extends Error {
-  /** Asked too often: worth asking again shortly. */
-  constructor(
-    message: string,
-    readonly isRateLimited = false,
-  ) {
-    super(message);
-  }
-}
-/** Too large for the state service as it is now (400). */
-export class StoreRequestTooLargeError extends StoreRefusedError {}
-/** No answer, or one that we cannot read: it may have been carried out, or may be later. */
-export class StoreOutcomeUnknownError extends Error {}
+/** The outcome of a transaction: committed, or the keys whose comparisons failed. */
+export type TxnResult =
+  { readonly ok: true; readonly revision: Revision } | { readonly ok: false; readonly failed: string[] };
 
-/** What a transaction came to: carried out, or the keys whose conditions failed. */
-export type TxnResult = { ok: true; revision: Revision } | { ok: false; failed: string[] };
+/**
+ * The changes under a prefix up to a revision. Null: the store has compacted the revision that the watch should
+ * start from, so the keys have to be read again.
+ */
+export type WatchResult = { readonly revision: Revision; readonly changes: WatchEvent[] } | null;
 
-/** What the controllers need of the state service. */
+/** The operations of the key-value store. Every one of them rejects with a `KeyValueStoreError`. */
 export interface KeyValueStore {
+  /** Reads one key; null: it does not exist. */
   get(key: string): Promise<KeyValue | null>;
+  /** Reads one page of the keys under a prefix, in their order, from the first one behind `after`. */
   range(prefix: string, after?: string): Promise<KeyValuePage>;
+  /** Writes all or nothing; without writes it only compares. */
   txn(conditions: readonly Compare[], writes: readonly WriteOperation[]): Promise<TxnResult>;
   grantLease(ttlMs: number): Promise<LeaseId>;
-  /** False: the grant has ended. */
-  keepLeaseAlive(grant: LeaseId): Promise<boolean>;
-  revokeLease(grant: LeaseId): Promise<void>;
-  /** Null: `after` is too old, the keys must be read again. */
-  watch(
-    prefix: string,
-    after: Revision,
-    waitMs: number,
-  ): Promise<{ revision: Revision; changes: WatchEvent[] } | null>;
+  /** Renews a lease; false: it has expired. */
+  keepLeaseAlive(lease: LeaseId): Promise<boolean>;
+  revokeLease(lease: LeaseId): Promise<void>;
+  /** Waits up to `waitMs` for changes after a revision; without any the result is empty. */
+  watch(prefix: string, after: Revision, waitMs: number): Promise<WatchResult>;
+}
+
+/** The collaborators and limits of a `KeyValueStoreClient`. */
+export interface KeyValueStoreClientOptions {
+  readonly http: HttpCaller;
+  /** Watches have connections of their own: they are kept waiting for seconds. */
+  readonly watchHttp: HttpCaller;
+  /** How long any call but a watch may take, ms. */
+  readonly timeoutMs: number;
+  /** Called after each call but a watch: false if the store did not answer, or with 503. */
+  readonly onCall?: (isAnswered: boolean) => void;
 }
 
-const PAGE = 500;
+/** Keys that one page of a range may hold. */
+const PAGE_SIZE = 500;
+/** How much longer than the wait that it asks for a watch may take. */
+const WATCH_GRACE_MS = 3000;
+
+/** Decodes a reply's body; what cannot be decoded leaves the outcome of the request unknown. */
+function decodeReply<T>(reply: HttpReply, decode: (body: unknown) => T): T {
+  try {
+    return decode(reply.body);
+  } catch (error) {
+    throw new StoreOutcomeUnknownError(`state: unexpected answer ${reply.status}`, { cause: error });
+  }
+}
 
-/** The state service's HTTP interface, with a deadline on every call. */
+/** The key-value store's HTTP interface, with a deadline on every call. */
 export class KeyValueStoreClient implements KeyValueStore {
-  constructor(
-    private readonly http: HttpCaller,
-    private readonly watchHttp: HttpCaller,
-    private readonly deadlineMs: number,
-    private readonly onCall: (answered: boolean) => void = () => {},
-  ) {}
+  constructor(private readonly options: KeyValueStoreClientOptions) {}
 
-  private async ask(
-    method: string,
-    path: string,
-    body?: unknown,
-    deadline = this.deadlineMs,
-  ): Promise<HttpReply> {
+  private async call(method: string, path: string, body?: unknown): Promise<HttpReply> {
+    const { http, timeoutMs, onCall } = this.options;
     try {
-      const reply = await this.http.call(method, path, body, deadline);
-      this.onCall(reply.status !== 503);
+      const reply = await http.call(method, path, body, timeoutMs);
+      onCall?.(reply.status !== 503);
       if (reply.status === 503 || reply.status === 429) {
-        throw new StoreRefusedError(`state answered ${reply.status}`, reply.status === 429);
+        throw new StoreRefusedError(`state answered ${reply.status}`, {
+          isRateLimited: reply.status === 429,
+        });
       }
       return reply;
     } catch (error) {
-      if (error instanceof NoAnswerError) {
-        this.onCall(false);
-        throw new StoreOutcomeUnknownError(`state: ${error.message}`);
-      }
-      throw error;
-    }
-  }
-
-  private static read<T>(reply: HttpReply, parse: (body: unknown) => T): T {
-    try {
-      return parse(reply.body);
-    } catch {
-      throw new StoreOutcomeUnknownError(`state: unexpected answer ${reply.status}`);
+      if (!(error instanceof NoAnswerError)) throw error;
+      onCall?.(false);
+      throw new StoreOutcomeUnknownError(`state: ${error.message}`, { cause: error });
     }
   }
 
   async get(key: string): Promise<KeyValue | null> {
-    const reply = await this.ask('GET', `/keys/${key}`);
+    const reply = await this.call('GET', `/keys/${key}`);
     if (reply.status === 404) return null;
-    return KeyValueStoreClient.read(reply, readRow);
+    return decodeReply(reply, readRow);
   }
 
   async range(prefix: string, after?: string): Promise<KeyValuePage> {
     const from = after === undefined ? '' : `&after=${after}`;
-    return KeyValueStoreClient.read(
-      await this.ask('GET', `/keys?under=${prefix}${from}&most=${PAGE}`),
-      readPage,
-    );
+    return decodeReply(await this.call('GET', `/keys?under=${prefix}${from}&most=${PAGE_SIZE}`), readPage);
   }
 
   async txn(conditions: readonly Compare[], writes: readonly WriteOperation[]): Promise<TxnResult> {
-    const reply = await this.ask('POST', '/commit', encodeTxn(conditions, writes));
-    if (reply.status === 200) return { ok: true, revision: KeyValueStoreClient.read(reply, readRevision) };
-    if (reply.status === 409) return { ok: false, failed: KeyValueStoreClient.read(reply, readFailed) };
-    if (reply.status === 400)
+    const reply = await this.call('POST', '/commit', encodeTxn(conditions, writes));
+    if (reply.status === 200) return { ok: true, revision: decodeReply(reply, readRevision) };
+    if (reply.status === 409) return { ok: false, failed: decodeReply(reply, readFailed) };
+    if (reply.status === 400) {
       throw new StoreRequestTooLargeError(`state: commit refused ${JSON.stringify(reply.body)}`);
+    }
     throw new StoreOutcomeUnknownError(`state: commit answered ${reply.status}`);
   }
 
   async grantLease(ttlMs: number): Promise<LeaseId> {
-    return KeyValueStoreClient.read(await this.ask('POST', '/grants', { ttlMs }), readLease);
+    return decodeReply(await this.call('POST', '/grants', { ttlMs }), readLease);
   }
 
-  async keepLeaseAlive(grant: LeaseId): Promise<boolean> {
-    const reply = await this.ask('POST', `/grants/${grant}/touch`);
+  async keepLeaseAlive(lease: LeaseId): Promise<boolean> {
+    const reply = await this.call('POST', `/grants/${lease}/touch`);
     if (reply.status === 404) return false;
     if (reply.status !== 200) throw new StoreOutcomeUnknownError(`state: touch answered ${reply.status}`);
     return true;
   }
 
-  async revokeLease(grant: LeaseId): Promise<void> {
-    await this.ask('DELETE', `/grants/${grant}`);
+  async revokeLease(lease: LeaseId): Promise<void> {
+    await this.call('DELETE', `/grants/${lease}`);
   }
 
-  async watch(
-    prefix: string,
-    after: Revision,
-    waitMs: number,
-  ): Promise<{ revision: Revision; changes: WatchEvent[] } | null> {
+  async watch(prefix: string, after: Revision, waitMs: number): Promise<WatchResult> {
     const path = `/changes?under=${prefix}&after=${after}&waitMs=${waitMs}`;
     let reply: HttpReply;
     try {
-      reply = await this.watchHttp.call('GET', path, undefined, waitMs + 3000);
+      reply = await this.options.watchHttp.call('GET', path, undefined, waitMs + WATCH_GRACE_MS);
     } catch (error) {
-      throw new StoreOutcomeUnknownError(`state: ${(error as Error).message}`);
+      throw new StoreOutcomeUnknownError(`state: ${errorMessage(error)}`, { cause: error });
     }
     if (reply.status === 410) return null;
     if (reply.status !== 200) throw new StoreRefusedError(`state: watch answered ${reply.status}`);
-    return KeyValueStoreClient.read(reply, readWatchEvents);
+    return decodeReply(reply, readWatchEvents);
   }
 }
--- a/src/store/keys.ts
+++ b/src/store/keys.ts
@@ -1,40 +1,48 @@
-/** The keys under which the controllers keep their records in the state service (docs/state.md). */
+/** The keys under which the controllers keep their records in the key-value store (docs/state.md). */
 import type { JobId } from '../model/ids.js';
 
 /** Tasks of one job whose progress shares one record, as every version reads it: under 16 KiB. */
 export const DEFAULT_CHUNK_SIZE = 300;
 
 const NUMBER_DIGITS = 4;
-const padded = (n: number): string => String(n).padStart(NUMBER_DIGITS, '0');
+const padNumber = (number: number): string => String(number).padStart(NUMBER_DIGITS, '0');
 
-/** Every key, and the prefixes under which they are listed and watched. */
+/** Every key, and the prefixes under which keys are listed and watched. */
 export const keys = {
+  /** The epoch last taken. */
   epoch: 'epoch',
+  /** The current leader, bound to its lease. */
   leader: 'leader',
+  /** Prefix of all jobs, finished ones included. */
   jobs: 'job/',
   job: (id: JobId): string => `job/${id}`,
+  /** Prefix of the unfinished jobs and their progress. */
   open: 'open/',
+  /** An unfinished job. */
   openHead: (id: JobId): string => `open/${id}`,
-  /** Chunks of another size than the usual one name it: versions that don't know them leave them unread. */
-  openChunk: (id: JobId, chunk: number, size: number): string => {
-    return size === DEFAULT_CHUNK_SIZE
-      ? `open/${id}/${padded(chunk)}`
-      : `open/${id}/${size}-${padded(chunk)}`;
-  },
-  /** Dependencies that don't fit their job's record. */
-  dependencies: (id: JobId, n: number): string => `deps/${id}/${padded(n)}`,
-  /** Parts of a description that doesn't fit its job's record. */
-  description: (id: JobId, n: number): string => `desc/${id}/${padded(n)}`,
+  /**
+   * One chunk of an unfinished job's progress. Chunks of another size than the default have it in their key:
+   * versions that don't know them leave them unread.
+   */
+  openChunk: (id: JobId, chunk: number, size: number): string =>
+    size === DEFAULT_CHUNK_SIZE ? `open/${id}/${padNumber(chunk)}` : `open/${id}/${size}-${padNumber(chunk)}`,
+  /** An overflow record with dependencies that don't fit their job's record. */
+  dependencies: (id: JobId, number: number): string => `deps/${id}/${padNumber(number)}`,
+  /** An overflow record with a part of a description that doesn't fit its job's record. */
+  description: (id: JobId, number: number): string => `desc/${id}/${padNumber(number)}`,
+  /** The machine types as last read from the cloud. */
   machineTypes: 'cloud/types',
+  /** Prefix of the rented machines. */
   fleet: 'fleet/',
-  fleetChunk: (n: number): string => `fleet/${padded(n)}`,
+  fleetChunk: (number: number): string => `fleet/${padNumber(number)}`,
+  /** Prefix of the forecast's state. */
   forecast: 'forecast/',
-  /** Never written: only compared, to learn how much a transaction may hold. */
-  probe: (n: number): string => `unused/${n}`,
-  forecastOf: (type: string): string => `forecast/${type}`,
+  forecastOf: (series: string): string => `forecast/${series}`,
+  /** Never written, only compared, to find out how much a transaction may hold (`limitProbe`). */
+  probe: (number: number): string => `unused/${number}`,
 };
 
-/** A key below `open/`: a job's head (`chunk` is null) or one record of its progress. */
+/** A parsed key under `open/`: a job's head (`chunk` is null) or one chunk of its progress. */
 export interface OpenKey {
   readonly job: JobId;
   readonly chunk: number | null;
@@ -42,13 +50,14 @@
   readonly size: number;
 }
 
-/** Null: no key that this version writes. */
+/** Parses a key under `open/`; null: this version writes no such key. */
 export function parseOpenKey(key: string): OpenKey | null {
   const parts = /^open\/(j-\d+)(?:\/(?:(\d+)-)?(\d+))?$/.exec(key);
   if (!parts) return null;
+  const [, job, size, chunk] = parts;
   return {
-    job: parts[1] as JobId,
-    chunk: parts[3] === undefined ? null : Number(parts[3]),
-    size: parts[2] === undefined ? DEFAULT_CHUNK_SIZE : Number(parts[2]),
+    job: job as JobId,
+    chunk: chunk === undefined ? null : Number(chunk),
+    size: size === undefined ? DEFAULT_CHUNK_SIZE : Number(size),
   };
 }
--- a/src/store/records.ts
+++ b/src/store/records.ts
@@ -1,49 +1,58 @@
-/** Reads whole prefixes of the state service, page by page, and asks again what was refused for too many requests. */
+/** Reads whole prefixes of the key-value store page by page, and repeats requests that were rate limited. */
 import type { Revision } from '../model/ids.js';
 import { type Clock, sleep } from '../model/time.js';
 import type { KeyValue } from '../wire/key-value-store.js';
-import { StoreRefusedError, type KeyValueStore } from './client.js';
+import type { KeyValueStore } from './client.js';
+import { StoreRefusedError } from './errors.js';
 
-/** All rows under a prefix, as of one revision or later: changes after it may or may not be in them. */
+/** All rows under a prefix as of one revision or later: changes after it may or may not be in them. */
 export interface RecordSet {
   readonly rows: KeyValue[];
   readonly revision: Revision;
 }
 
-/** When a refused request is asked again, and whether its answer is still wanted. */
+/** When a rate-limited request is repeated, and whether its answer is still wanted. */
 export interface RetryPolicy {
   readonly clock: Clock;
   readonly retryDelayMs: () => number;
   readonly isStillWanted: () => boolean;
 }
 
-/** Repeats what was refused for too many requests alone; any other error is the caller's, as is one nobody waits for. */
+/** Whether the request was refused for too many requests alone. */
+function isRateLimited(error: unknown): boolean {
+  return error instanceof StoreRefusedError && error.isRateLimited;
+}
+
+/**
+ * Repeats a request for as long as it is rate limited and its answer is still wanted. Any other error is thrown,
+ * and so is the last one once the answer is not wanted any more.
+ */
 export async function retryWhileRateLimited<T>(
   { clock, retryDelayMs, isStillWanted }: RetryPolicy,
-  ask: () => Promise<T>,
+  request: () => Promise<T>,
 ): Promise<T> {
   for (;;) {
     try {
-      return await ask();
+      return await request();
     } catch (error) {
-      if (!(error instanceof StoreRefusedError && error.isRateLimited) || !isStillWanted()) throw error;
+      if (!isRateLimited(error) || !isStillWanted()) throw error;
       await sleep(clock, retryDelayMs());
     }
   }
 }
 
-/** Reads all pages under a prefix, each by `askPage`. */
+/** Reads all pages under a prefix; `requestPage` makes the request for each of them. */
 export async function readRecords(
   store: KeyValueStore,
   prefix: string,
-  askPage: <T>(ask: () => Promise<T>) => Promise<T>,
+  requestPage: <T>(request: () => Promise<T>) => Promise<T>,
 ): Promise<RecordSet> {
   const rows: KeyValue[] = [];
   let revision: Revision | null = null;
   let after: string | undefined;
   for (;;) {
-    const page = await askPage(() => store.range(prefix, after));
-    // Changes that come between two pages are seen again by a watch from the first page on.
+    const page = await requestPage(() => store.range(prefix, after));
+    // Changes between two pages are seen again by a watch from the first page's revision.
     revision ??= page.revision;
     rows.push(...page.rows);
     const last = page.rows[page.rows.length - 1];
--- a/src/store/store-limits.ts
+++ b/src/store/store-limits.ts
@@ -1,48 +1,60 @@
-/** What the state service takes, now and after the change that the settings announce. */
+/** The limits of the key-value store: the current ones, and those that the settings announce. */
 import type { Cancel, Clock } from '../model/time.js';
 import type { Settings, StoreLimitSettings } from '../wire/settings.js';
-import { StoreRefusedError, StoreRequestTooLargeError } from './client.js';
+import { StoreRefusedError, StoreRequestTooLargeError } from './errors.js';
 import { DEFAULT_CHUNK_SIZE } from './keys.js';
 import { maxTasksPerChunk } from './progress-record.js';
 
 /**
- * Where the service can't be asked whether its limits have fallen, the announced rates are kept to for so
- * long after the first refusal, and twice as long after each further one.
+ * Where the store cannot be probed, the announced rates are kept to for so long after the first rate-limited
+ * request, and twice as long after each further one.
  */
-const FIRST_HELD_MS = 20_000;
-/** How long the answer that the limits have not fallen explains further refusals. */
-const ASKED_FOR_MS = 2000;
-/** A question that brought no answer is asked again after this. */
-const ASK_AGAIN_MS = 1000;
+const FIRST_HOLD_MS = 20_000;
+/** For so long after a probe found the current limits in force, rate-limited requests are no sign of a change. */
+const PROBE_VALID_MS = 2000;
+/** A probe that brought no answer is repeated after this. */
+const PROBE_RETRY_MS = 1000;
 /** What one machine takes in its record, with the longest names seen and room for longer ones. */
 const MACHINE_BYTES = 100;
 
-/** Whether the announced limits hold by now; null: the service has not said. */
+/** Asks the store whether the announced limits are in force; null: it gave no answer. Never rejects. */
 export type LimitProbe = () => Promise<boolean | null>;
 
 /**
- * What the state service takes, as we know it. Its limits may fall without notice to those that the
- * settings announce. Sizes keep to the smaller of both from the first write on. Rates follow a refusal at
- * once; since a crowd of submissions is refused long before the limits fall, the service is then asked.
+ * Which rate limits are kept to, and why:
+ * - `current`: today's.
+ * - `current-verified`: today's, as a probe has just confirmed.
+ * - `announced-assumed`: the announced ones, because a request was rate limited.
+ * - `announced-confirmed`: the announced ones for good, because the store was seen to enforce them.
+ */
+type RateState = 'current' | 'current-verified' | 'announced-assumed' | 'announced-confirmed';
+
+function areAnnounced(state: RateState): boolean {
+  return state === 'announced-assumed' || state === 'announced-confirmed';
+}
+
+/**
+ * The store's limits as far as this controller knows them. They may fall without notice to those that the
+ * settings announce. Sizes keep to the smaller of both from the first write on. Rates follow the first rate-limited
+ * request at once; since a crowd of submissions is rate limited long before the limits fall, the store is then probed.
  */
 export class StoreLimits {
+  /** The longest value, in bytes. */
   readonly valueBytes: number;
+  /** The most writes in one transaction. */
   readonly txnOps: number;
-  private fallen = false;
-  /** The announced limits hold, once and for all. */
-  private forGood = false;
-  private held = FIRST_HELD_MS;
-  private asking = false;
-  private explained = false;
-  private split = false;
-  /** Entries take so many times the room that they are reckoned with. */
-  private entryScale = 1;
-  private readonly listeners = new Set<() => void>();
+  private rateState: RateState = 'current';
+  private holdMs = FIRST_HOLD_MS;
+  /** Whether chunks of progress may be smaller than the default. */
+  private mayUseSmallChunks = false;
+  /** Entries take so many times the bytes that they are estimated with. */
+  private entrySizeFactor = 1;
+  private readonly rateListeners = new Set<() => void>();
 
   constructor(
     private readonly settings: Pick<Settings, 'storeLimits' | 'announcedStoreLimits'>,
     private readonly clock: Clock,
-    /** Null: the announced limits can't be told from today's by asking. */
+    /** Null: the announced limits can't be told from today's by a probe. */
     private readonly probe: LimitProbe | null = null,
   ) {
     const { storeLimits, announcedStoreLimits } = settings;
@@ -50,99 +62,112 @@
     this.txnOps = Math.min(storeLimits.txnOps, announcedStoreLimits.txnOps);
   }
 
-  private get rates(): StoreLimitSettings {
-    return this.fallen ? this.settings.announcedStoreLimits : this.settings.storeLimits;
+  private get rateLimits(): StoreLimitSettings {
+    const { storeLimits, announcedStoreLimits } = this.settings;
+    return areAnnounced(this.rateState) ? announcedStoreLimits : storeLimits;
   }
 
+  /** Requests per second. */
   get rps(): number {
-    return this.rates.rps;
+    return this.rateLimits.rps;
   }
 
+  /** Writes per second. */
   get writeRps(): number {
-    return this.rates.writeRps;
+    return this.rateLimits.writeRps;
   }
 
-  /** Called at once, and whenever a rate has changed, until it is called off. */
+  /** Calls the listener at once, and whenever a rate has changed until it is cancelled. */
   onRateChange(listener: () => void): Cancel {
-    this.listeners.add(listener);
+    this.rateListeners.add(listener);
     listener();
-    return () => this.listeners.delete(listener);
+    return () => this.rateListeners.delete(listener);
   }
 
-  /** A call failed: a refusal for too much, or of something too large, tells of the limits. */
+  /** Learns from a failed call: one that was rate limited or too large says something of the limits in force. */
   recordFailure(error: unknown): void {
-    if (error instanceof StoreRequestTooLargeError) this.fallForGood();
-    else if (error instanceof StoreRefusedError && error.isRateLimited) this.refused();
+    if (error instanceof StoreRequestTooLargeError) this.confirmAnnouncedLimits();
+    else if (error instanceof StoreRefusedError && error.isRateLimited) this.handleRateLimited();
   }
 
   /**
-   * The same for a write of records whose entries are only reckoned. Where they keep to the announced limits
-   * already and are too large, entries are longer than reckoned: fewer of them share a record then.
+   * The same for a write of records whose entries' lengths are only estimated. Where they keep to the announced
+   * limits already and are too large, entries are longer than estimated: fewer of them share a record then.
    */
   recordWriteFailure(error: unknown): void {
-    if (error instanceof StoreRequestTooLargeError && this.split) this.entryScale *= 2;
+    if (error instanceof StoreRequestTooLargeError && this.mayUseSmallChunks) this.entrySizeFactor *= 2;
     this.recordFailure(error);
   }
 
-  private refused(): void {
+  private get areLowerRatesAnnounced(): boolean {
     const { storeLimits, announcedStoreLimits } = this.settings;
-    if (this.fallen || this.explained) return;
-    if (announcedStoreLimits.rps >= storeLimits.rps && announcedStoreLimits.writeRps >= storeLimits.writeRps)
-      return;
-    this.rate(true);
+    return announcedStoreLimits.rps < storeLimits.rps || announcedStoreLimits.writeRps < storeLimits.writeRps;
+  }
+
+  private handleRateLimited(): void {
+    if (this.rateState !== 'current' || !this.areLowerRatesAnnounced) return;
+    this.setRateState('announced-assumed');
     if (this.probe) {
-      void this.ask(this.probe);
+      void this.verifyAssumption(this.probe);
+      return;
+    }
+    this.clock.after(this.holdMs, () => this.endAssumption('current'));
+    this.holdMs *= 2;
+  }
+
+  /** Probes until there is an answer. */
+  private async verifyAssumption(probe: LimitProbe): Promise<void> {
+    const areInForce = await probe();
+    if (this.rateState === 'announced-confirmed') return;
+    if (areInForce === null) {
+      this.clock.after(PROBE_RETRY_MS, () => void this.verifyAssumption(probe));
       return;
     }
-    this.clock.after(this.held, () => this.rate(this.forGood));
-    this.held *= 2;
-  }
-
-  private async ask(probe: LimitProbe): Promise<void> {
-    if (this.asking) return;
-    this.asking = true;
-    const fallen = await probe();
-    this.asking = false;
-    if (this.forGood) return;
-    if (fallen === null) this.clock.after(ASK_AGAIN_MS, () => void this.ask(probe));
-    else if (fallen) this.forGood = true;
-    else {
-      this.rate(false);
-      this.explained = true;
-      this.clock.after(ASKED_FOR_MS, () => {
-        this.explained = false;
-      });
+    if (areInForce) {
+      this.setRateState('announced-confirmed');
+      return;
     }
+    this.endAssumption('current-verified');
+    this.clock.after(PROBE_VALID_MS, () => {
+      if (this.rateState === 'current-verified') this.setRateState('current');
+    });
+  }
+
+  private endAssumption(next: 'current' | 'current-verified'): void {
+    if (this.rateState === 'announced-assumed') this.setRateState(next);
   }
 
-  private rate(fallen: boolean): void {
-    if (this.fallen === fallen) return;
-    this.fallen = fallen;
-    for (const listener of this.listeners) listener();
+  private setRateState(next: RateState): void {
+    const hasChangedRates = areAnnounced(next) !== areAnnounced(this.rateState);
+    this.rateState = next;
+    if (!hasChangedRates) return;
+    for (const listener of this.rateListeners) listener();
   }
 
-  private fallForGood(): void {
-    this.split = true;
-    this.forGood = true;
-    this.rate(true);
+  private confirmAnnouncedLimits(): void {
+    this.mayUseSmallChunks = true;
+    this.setRateState('announced-confirmed');
   }
 
   /**
-   * No controller is left that could not read split records: it could take over. Chunks of a job then
-   * keep to the smaller limit; until then to the size that every version reads.
+   * Allows chunks of a job's progress that are smaller than the default, so that they keep to the smaller limit.
+   * Called once no controller is left that cannot read them, since that one could take over.
    */
   allowSmallChunks(): void {
-    this.split = true;
+    this.mayUseSmallChunks = true;
   }
 
   /** How many tasks share one record of progress, in a job of so many. */
-  chunkSize(tasks: number): number {
-    const most = this.split ? maxTasksPerChunk(this.valueBytes / this.entryScale) : DEFAULT_CHUNK_SIZE;
-    return tasks <= most ? DEFAULT_CHUNK_SIZE : most;
+  chunkSize(taskCount: number): number {
+    const maximum = this.mayUseSmallChunks
+      ? maxTasksPerChunk(this.valueBytes / this.entrySizeFactor)
+      : DEFAULT_CHUNK_SIZE;
+    return taskCount <= maximum ? DEFAULT_CHUNK_SIZE : maximum;
   }
 
-  /** How many machines share one record. */
-  machinesPerRecord(most: number): number {
-    return Math.max(1, Math.min(most, Math.floor(this.valueBytes / (MACHINE_BYTES * this.entryScale))));
+  /** How many machines share one record, up to a maximum. */
+  machinesPerRecord(maximum: number): number {
+    const fitting = Math.floor(this.valueBytes / (MACHINE_BYTES * this.entrySizeFactor));
+    return Math.max(1, Math.min(maximum, fitting));
   }
 }
--- a/test/simulation/fake-key-value-store.ts
+++ b/test/simulation/fake-key-value-store.ts
@@ -1,13 +1,12 @@
 import type { LeaseId, Revision } from '../../src/model/ids.js';
 import type { Clock } from '../../src/model/time.js';
 import type { TokenBucket } from '../../src/net/token-bucket.js';
+import type { TxnResult, KeyValueStore } from '../../src/store/client.js';
 import {
-  type TxnResult,
   StoreRefusedError,
-  type KeyValueStore,
   StoreRequestTooLargeError,
   StoreOutcomeUnknownError,
-} from '../../src/store/client.js';
+} from '../../src/store/errors.js';
 import type {
   WatchEvent,
   Compare,
@@ -151,7 +150,8 @@
         this.requests++;
         clock.after(LATENCY_MS, () => {
           if (this.outage || this.refused.has(node)) reject(new StoreRefusedError('state answered 503'));
-          else if (this.tooMany(writes)) reject(new StoreRefusedError('state answered 429', true));
+          else if (this.tooMany(writes))
+            reject(new StoreRefusedError('state answered 429', { isRateLimited: true }));
           else resolve(act());
         });
       });
--- a/test/simulation/fake-servers.ts
+++ b/test/simulation/fake-servers.ts
@@ -15,7 +15,8 @@
 } from '../../src/model/ids.js';
 import type { MachineType } from '../../src/model/machine.js';
 import type { Attempt, WorkerCommand, Heartbeat } from '../../src/model/heartbeat.js';
-import { StoreRefusedError, type KeyValueStore, StoreOutcomeUnknownError } from '../../src/store/client.js';
+import type { KeyValueStore } from '../../src/store/client.js';
+import { StoreRefusedError, StoreOutcomeUnknownError } from '../../src/store/errors.js';
 import type { WriteOperation } from '../../src/wire/key-value-store.js';
 import type { HeartbeatAnswer, FakeWorker } from './fake-worker.js';
 
--- a/test/traces/state-limits.test.ts
+++ b/test/traces/state-limits.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import { TokenBucket } from '../../src/net/token-bucket.js';
 import { DEPENDENCIES_VERSION, PROTOCOL_VERSION } from '../../src/model/protocol.js';
-import { StoreRefusedError } from '../../src/store/client.js';
+import { StoreRefusedError } from '../../src/store/errors.js';
 import { limitProbe } from '../../src/store/limit-probe.js';
 import { StoreLimits } from '../../src/store/store-limits.js';
 import { VirtualClock } from '../simulation/clock.js';
@@ -138,7 +138,7 @@
     const settings = { storeLimits: limitsOf(60, 16), announcedStoreLimits: limitsOf(30, 5) };
     const state = new FakeKeyValueStore(clock);
     const limits = new StoreLimits(settings, clock, limitProbe(state.for('node-0', clock), settings));
-    const refused = new StoreRefusedError('state answered 429', true);
+    const refused = new StoreRefusedError('state answered 429', { isRateLimited: true });
     limits.recordFailure(refused);
     // At once, until the service has answered.
     expect(limits.writeRps).toBe(30);
