--- a/src/store/job-record.ts
+++ b/src/store/job-record.ts
@@ -1,6 +1,8 @@
 /**
- * A job's record. Its description is a tuple by position, because every version reads it so: places are
- * only ever added at its end, and an earlier version reads no further than the places that it knows.
+ * Codec of a job's record. Its description is a tuple by position, because every version reads it so: positions are
+ * only ever added at its end, and an earlier version reads no further than the positions that it knows.
+ *
+ * What does not fit a record goes into overflow records of its job, which are written before it.
  */
 import type { ImageId, JobId, TeamId, MachineTypeId, ZoneId } from '../model/ids.js';
 import type { JobKind, JobRecord, JobSpec, JobState } from '../model/job.js';
@@ -8,68 +10,83 @@
 import type { WriteOperation } from '../wire/key-value-store.js';
 import { keys } from './keys.js';
 
-type JobTuple = [
+/** A job's description by position (docs/state.md). */
+type SpecTuple = [
   jobClass: string,
   team: string,
   kind: JobKind,
   priority: number,
-  tasks: number,
+  taskCount: number,
   cpus: number,
   gpus: number,
   memoryGb: number,
   image: string,
   imageGb: number,
-  types: string[] | null,
+  allowedTypes: string[] | null,
   zone: string | null,
-  flags: number,
-  spot: boolean,
+  /** Bits `ZONE_AFFINITY_FLAG` and `ZONE_ANTI_AFFINITY_FLAG`. */
+  zoneFlags: number,
+  allowsSpot: boolean,
   estimatedRunS: number,
   checkpointIntervalS: number,
   checkpointWriteS: number,
   deadlineS: number | null,
-  /** The jobs that it needs, or in how many further records they are. */
+  /** The job's dependencies, or how many overflow records hold them. */
   dependencies?: string[] | number,
-  /** In how many further records its names are; they are empty here then. */
-  descriptionRecords?: number,
+  /** How many overflow records hold the names; they are empty here then. */
+  descriptionRecordCount?: number,
 ];
 
-/** The value under `job/<ref>` and `open/<ref>`: state, acceptance time, description. */
+/** The value under `job/<id>` and `open/<id>`. */
 export interface StoredJob {
+  /** State: accepted, done or cancelled. */
   s: 'a' | 'd' | 'c';
+  /** When the job was accepted, in milliseconds since 1970. */
   at: number;
-  j: JobTuple;
+  /** The description. */
+  j: SpecTuple;
 }
 
-/** What a further record of a description holds in all: everything whose length the user decides. */
-type Names = [jobClass: string, team: string, image: string, types: string[] | null, zone: string | null];
+/** The names of a description, that is everything whose length the user decides, as overflow records hold them. */
+type NameTuple = [
+  jobClass: string,
+  team: string,
+  image: string,
+  allowedTypes: string[] | null,
+  zone: string | null,
+];
 
 const STATE_LETTERS = { accepted: 'a', done: 'd', cancelled: 'c' } as const;
 const STATES: Record<string, JobState> = { a: 'accepted', d: 'done', c: 'cancelled' };
 
-const ONE_ZONE = 1;
-const SPREAD = 2;
+const ZONE_AFFINITY_FLAG = 1;
+const ZONE_ANTI_AFFINITY_FLAG = 2;
 /** What a list takes besides its entries, and an entry besides its text. */
-const LIST_BYTES = 16;
-const ENTRY_BYTES = 3;
+const LIST_OVERHEAD_BYTES = 16;
+const ENTRY_OVERHEAD_BYTES = 3;
 
-/** How long a value is for the state service. */
+/** The length of a value in the store, in bytes. */
 export function encodedLength(value: unknown): number {
   return Buffer.byteLength(JSON.stringify(value));
 }
 
-const withoutNames = (spec: JobSpec): JobSpec => ({
-  ...spec,
-  jobClass: '',
-  team: '' as TeamId,
-  image: '' as ImageId,
-  allowedTypes: null,
-  zone: null,
-});
-
-/** Without the names where further records hold them. */
-export function encodeJob({ spec: whole, state, acceptedAt }: JobRecord): StoredJob {
-  const spec = whole.descriptionRecordCount > 0 ? withoutNames(whole) : whole;
-  const j: JobTuple = [
+function withoutNames(spec: JobSpec): JobSpec {
+  return {
+    ...spec,
+    jobClass: '',
+    team: '' as TeamId,
+    image: '' as ImageId,
+    allowedTypes: null,
+    zone: null,
+  };
+}
+
+function encodeZoneFlags({ zoneAffinity, zoneAntiAffinity }: JobSpec): number {
+  return (zoneAffinity ? ZONE_AFFINITY_FLAG : 0) + (zoneAntiAffinity ? ZONE_ANTI_AFFINITY_FLAG : 0);
+}
+
+function encodeSpec(spec: JobSpec): SpecTuple {
+  const tuple: SpecTuple = [
     spec.jobClass,
     spec.team,
     spec.kind,
@@ -82,147 +99,159 @@
     spec.imageGb,
     spec.allowedTypes as string[] | null,
     spec.zone,
-    (spec.zoneAffinity ? ONE_ZONE : 0) + (spec.zoneAntiAffinity ? SPREAD : 0),
+    encodeZoneFlags(spec),
     spec.allowsSpot,
     spec.estimatedRunS,
     spec.checkpointIntervalS,
     spec.checkpointWriteS,
     spec.deadlineS,
   ];
-  if (spec.dependencyRecordCount > 0) j.push(spec.dependencyRecordCount);
-  else if (spec.dependencies.length > 0) j.push([...spec.dependencies]);
-  else if (spec.descriptionRecordCount > 0) j.push(0);
-  if (spec.descriptionRecordCount > 0) j.push(spec.descriptionRecordCount);
-  return { s: STATE_LETTERS[state], at: acceptedAt, j };
+  if (spec.dependencyRecordCount > 0) tuple.push(spec.dependencyRecordCount);
+  else if (spec.dependencies.length > 0) tuple.push([...spec.dependencies]);
+  else if (spec.descriptionRecordCount > 0) tuple.push(0);
+  if (spec.descriptionRecordCount > 0) tuple.push(spec.descriptionRecordCount);
+  return tuple;
+}
+
+/** Encodes a job's record, without the names where overflow records hold them. */
+export function encodeJob({ spec, state, acceptedAt }: JobRecord): StoredJob {
+  const storedSpec = spec.descriptionRecordCount > 0 ? withoutNames(spec) : spec;
+  return { s: STATE_LETTERS[state], at: acceptedAt, j: encodeSpec(storedSpec) };
 }
 
 /**
- * The record of a job that is over. Nobody asks any more what it was called, so where its description is too
- * long for the state service as it is now, the names are left out: the end must be told in any case.
+ * Encodes the record of a job that is over. Nobody asks any more what it was called, so the names are left out where
+ * its description is too long for the store as it is now: the end has to be written in any case.
  */
 export function encodeEndedJob(record: JobRecord, valueBytes: number): StoredJob {
-  const spec = { ...record.spec, dependencies: [], dependencyRecords: 0 };
+  const spec: JobSpec = { ...record.spec, dependencies: [], dependencyRecordCount: 0 };
   const stored = encodeJob({ ...record, spec });
   if (encodedLength(stored) <= valueBytes) return stored;
   return encodeJob({ ...record, spec: withoutNames({ ...spec, descriptionRecordCount: 0 }) });
 }
 
-/** Throws on what no version writes. With `descriptionRecords` above 0 the names are still to be read. */
-export function decodeJob(id: JobId, value: unknown): JobRecord {
-  const stored = value as StoredJob;
-  const state = STATES[stored.s];
-  if (!state || !Array.isArray(stored.j)) throw new Error(`job record ${id} cannot be read`);
-  const [jobClass, team, kind, priority, tasks, cpus, gpus, memoryGb, image, imageGb, ...rest] = stored.j;
-  const [
-    types,
-    zone,
-    flags,
-    spot,
-    estimatedRunS,
-    checkpointIntervalS,
-    checkpointWriteS,
-    deadlineS,
-    needed,
-    described,
-  ] = rest;
-  const spec: JobSpec = {
+function decodeSpec(id: JobId, tuple: SpecTuple): JobSpec {
+  const [jobClass, team, kind, priority, taskCount, cpus, gpus, memoryGb, image, imageGb, ...rest] = tuple;
+  const [allowedTypes, zone, zoneFlags, allowsSpot, ...times] = rest;
+  const [estimatedRunS, checkpointIntervalS, checkpointWriteS, deadlineS, ...optional] = times;
+  const [dependencies, descriptionRecordCount] = optional;
+  return {
     id,
     jobClass,
     team: team as TeamId,
     kind,
     priority,
-    taskCount: tasks,
+    taskCount,
     cpus,
     gpus,
     memoryGb,
     image: image as ImageId,
     imageGb,
-    allowedTypes: types as MachineTypeId[] | null,
+    allowedTypes: allowedTypes as MachineTypeId[] | null,
     zone: zone as ZoneId | null,
-    zoneAffinity: (flags & ONE_ZONE) !== 0,
-    zoneAntiAffinity: (flags & SPREAD) !== 0,
-    allowsSpot: spot,
+    zoneAffinity: (zoneFlags & ZONE_AFFINITY_FLAG) !== 0,
+    zoneAntiAffinity: (zoneFlags & ZONE_ANTI_AFFINITY_FLAG) !== 0,
+    allowsSpot,
     estimatedRunS,
     checkpointIntervalS,
     checkpointWriteS,
     deadlineS,
-    dependencies: Array.isArray(needed) ? (needed as JobId[]) : [],
-    dependencyRecordCount: typeof needed === 'number' ? needed : 0,
-    descriptionRecordCount: described ?? 0,
+    dependencies: Array.isArray(dependencies) ? (dependencies as JobId[]) : [],
+    dependencyRecordCount: typeof dependencies === 'number' ? dependencies : 0,
+    descriptionRecordCount: descriptionRecordCount ?? 0,
   };
-  return { spec, state, acceptedAt: stored.at as WallTime };
 }
 
-/** A job as it is stored: what has no room in its record stands in further ones, written before it. */
+/**
+ * Decodes a job's record. With a `descriptionRecordCount` above 0 its names are still to be read (`withDescription`).
+ *
+ * @throws {Error} On a value that no version writes.
+ */
+export function decodeJob(id: JobId, value: unknown): JobRecord {
+  const stored = value as StoredJob;
+  const state = STATES[stored.s];
+  if (!state || !Array.isArray(stored.j)) throw new Error(`job record ${id} cannot be read`);
+  return { spec: decodeSpec(id, stored.j), state, acceptedAt: stored.at as WallTime };
+}
+
+/** A job as it is stored: its description as its record holds it, and its overflow records. */
 export interface SplitJob {
   readonly spec: JobSpec;
+  /** To be written before the job's own record. */
   readonly records: readonly WriteOperation[];
 }
 
 /**
- * Keeps every value of an accepted job to the given size. What the further records hold follows from the
- * submission alone: two nodes that take in the same submission at once write the same ones.
+ * Keeps every value of an accepted job to the given size. The content of the overflow records follows from the
+ * submission alone: two nodes that accept the same submission at once write the same ones.
  *
- * @param named All jobs that the submission names, those that are done by now included.
+ * @param submittedDependencies All jobs that the submission names, those that are done by now included.
  */
 export function splitJob(
   spec: JobSpec,
-  named: readonly JobId[],
+  submittedDependencies: readonly JobId[],
   acceptedAt: WallTime,
   valueBytes: number,
 ): SplitJob {
-  const fits = (one: JobSpec): boolean =>
-    encodedLength(encodeJob({ spec: one, state: 'accepted', acceptedAt })) <= valueBytes;
+  const fits = (candidate: JobSpec): boolean =>
+    encodedLength(encodeJob({ spec: candidate, state: 'accepted', acceptedAt })) <= valueBytes;
   if (fits(spec)) return { spec, records: [] };
-  const lists = spec.dependencies.length > 0 ? dependencyRecords(spec.id, named, valueBytes) : [];
-  const listed: JobSpec =
-    lists.length > 0 ? { ...spec, dependencies: [], dependencyRecordCount: lists.length } : spec;
-  if (fits(listed)) return { spec: listed, records: lists };
-  const names = descriptionRecords(spec, valueBytes);
-  return { spec: { ...listed, descriptionRecordCount: names.length }, records: [...lists, ...names] };
+  const dependencyRecords =
+    spec.dependencies.length > 0 ? encodeDependencies(spec.id, submittedDependencies, valueBytes) : [];
+  const withoutDependencies: JobSpec =
+    dependencyRecords.length > 0
+      ? { ...spec, dependencies: [], dependencyRecordCount: dependencyRecords.length }
+      : spec;
+  if (fits(withoutDependencies)) return { spec: withoutDependencies, records: dependencyRecords };
+  const descriptionRecords = encodeDescription(spec, valueBytes);
+  return {
+    spec: { ...withoutDependencies, descriptionRecordCount: descriptionRecords.length },
+    records: [...dependencyRecords, ...descriptionRecords],
+  };
 }
 
-function dependencyRecords(id: JobId, named: readonly JobId[], valueBytes: number): WriteOperation[] {
+function encodeDependencies(id: JobId, dependencies: readonly JobId[], valueBytes: number): WriteOperation[] {
   const records: WriteOperation[] = [];
   let part: JobId[] = [];
-  let bytes = LIST_BYTES;
-  const close = (): void => {
+  let partBytes = LIST_OVERHEAD_BYTES;
+  const flushPart = (): void => {
     if (part.length > 0) records.push({ set: keys.dependencies(id, records.length), value: part });
     part = [];
-    bytes = LIST_BYTES;
+    partBytes = LIST_OVERHEAD_BYTES;
   };
-  for (const one of named) {
-    const more = one.length + ENTRY_BYTES;
-    if (bytes + more > valueBytes) close();
-    part.push(one);
-    bytes += more;
+  for (const dependency of dependencies) {
+    const entryBytes = dependency.length + ENTRY_OVERHEAD_BYTES;
+    if (partBytes + entryBytes > valueBytes) flushPart();
+    part.push(dependency);
+    partBytes += entryBytes;
   }
-  close();
+  flushPart();
   return records;
 }
 
-function descriptionRecords(spec: JobSpec, valueBytes: number): WriteOperation[] {
-  const names: Names = [
+function encodeDescription(spec: JobSpec, valueBytes: number): WriteOperation[] {
+  const names: NameTuple = [
     spec.jobClass,
     spec.team,
     spec.image,
     spec.allowedTypes as string[] | null,
     spec.zone,
   ];
-  // In letters that take one byte each and need no escape, so that it can be cut anywhere.
+  // Base64 takes one byte a letter and needs no escapes, so that it can be cut anywhere.
   const text = Buffer.from(JSON.stringify(names)).toString('base64');
-  const most = valueBytes - LIST_BYTES;
+  const partLength = valueBytes - LIST_OVERHEAD_BYTES;
   const records: WriteOperation[] = [];
-  for (let at = 0; at < text.length; at += most) {
-    records.push({ set: keys.description(spec.id, records.length), value: text.slice(at, at + most) });
+  for (let start = 0; start < text.length; start += partLength) {
+    const value = text.slice(start, start + partLength);
+    records.push({ set: keys.description(spec.id, records.length), value });
   }
   return records;
 }
 
-/** The record with the names that its further records hold. */
+/** Completes a decoded record with the names that its overflow records hold, given in their order. */
 export function withDescription(record: JobRecord, parts: readonly string[]): JobRecord {
   const text = Buffer.from(parts.join(''), 'base64').toString('utf8');
-  const [jobClass, team, image, types, zone] = JSON.parse(text) as Names;
+  const [jobClass, team, image, allowedTypes, zone] = JSON.parse(text) as NameTuple;
   return {
     ...record,
     spec: {
@@ -230,15 +259,17 @@
       jobClass,
       team: team as TeamId,
       image: image as ImageId,
-      allowedTypes: types as MachineTypeId[] | null,
+      allowedTypes: allowedTypes as MachineTypeId[] | null,
       zone: zone as ZoneId | null,
     },
   };
 }
 
-/** The keys of all further records of a job. */
+/** The keys of all overflow records of a job. */
 export function overflowKeys(spec: JobSpec): string[] {
-  const lists = Array.from({ length: spec.dependencyRecordCount }, (_, n) => keys.dependencies(spec.id, n));
-  const names = Array.from({ length: spec.descriptionRecordCount }, (_, n) => keys.description(spec.id, n));
-  return [...lists, ...names];
+  const { id, dependencyRecordCount, descriptionRecordCount } = spec;
+  return [
+    ...Array.from({ length: dependencyRecordCount }, (_, number) => keys.dependencies(id, number)),
+    ...Array.from({ length: descriptionRecordCount }, (_, number) => keys.description(id, number)),
+  ];
 }
--- a/test/unit/job-record.test.ts
+++ b/test/unit/job-record.test.ts
@@ -74,4 +74,9 @@
     expect(stored.j).toHaveLength(18);
     expect(decodeJob(ID, encodeEndedJob(record, 16_384)).spec.jobClass).toBe(LONG);
   });
+
+  it('refers to no records of dependencies: they are removed with it', () => {
+    const spec: JobSpec = { ...submission({}), dependencyRecordCount: 2 };
+    expect(encodeEndedJob({ ...recordOf(spec), state: 'done' }, 16_384).j).toHaveLength(18);
+  });
 });
