--- a/src/controller/user-router.ts
+++ b/src/controller/user-router.ts
@@ -3,7 +3,7 @@
 import { BusyError, unavailable, type UserAnswer, type UserService } from '../api/user-service.js';
 import { parseJson } from '../net/http-client.js';
 import { encodeUser, FrameKind, type UserVerb } from '../peer/frames.js';
-import { StoreRefusedError, StoreOutcomeUnknownError } from '../store/errors.js';
+import { KeyValueStoreError, StoreRefusedError } from '../store/errors.js';
 import type { StoreConnectivityMonitor } from '../controller/store-connectivity.js';
 import type { PeerGroup } from '../controller/peer-group.js';
 
@@ -79,7 +79,7 @@
       const forwarded = mayForward ? await this.forward(verb, body, MOST_ASKED) : null;
       return forwarded ?? unavailable('asked too often', BUSY_RETRY_S);
     }
-    if (!(error instanceof StoreRefusedError || error instanceof StoreOutcomeUnknownError)) throw error;
+    if (!(error instanceof KeyValueStoreError)) throw error;
     this.refusals.state++;
     // Asked too often is meant for all nodes: another one would only ask once more.
     if (error instanceof StoreRefusedError && error.isRateLimited)
--- a/src/fleet/capacity-projection.ts
+++ b/src/fleet/capacity-projection.ts
@@ -57,11 +57,12 @@
     for (const task of worker.tasks) {
       const { spec } = task.job;
       const age = task.runningAt === null ? 0 : since(now, task.runningAt);
-      const ends = lifetimes.endsWithin(spec.jobClass, age, slot, spec.estimatedRunS * 1000);
+      const ends = lifetimes.endProbability(spec.jobClass, age, slot, spec.estimatedRunS * 1000);
       if (spec.allowsSpot) {
         spotFrees += ends * spec.cpus;
         spotCpus += spec.cpus;
-        ownFrees += lifetimes.endsWithin(spec.jobClass, 0, slot / 2, spec.estimatedRunS * 1000) * spec.cpus;
+        ownFrees +=
+          lifetimes.endProbability(spec.jobClass, 0, slot / 2, spec.estimatedRunS * 1000) * spec.cpus;
       } else bump(frees, key, ends / Math.max(1, perMachine(spec, type)));
       if (machine.spot || !spec.allowsSpot) idle -= spec.cpus;
     }
--- a/src/fleet/consolidator.ts
+++ b/src/fleet/consolidator.ts
@@ -4,7 +4,7 @@
 import type { ConfirmedFacts } from '../model/machine-facts.js';
 import { type MonotonicTime, since } from '../model/time.js';
 import type { Task } from '../scheduler/task.js';
-import type { Urgency } from '../scheduler/urgency.js';
+import type { SloTargets } from '../scheduler/slo-targets.js';
 import type { Worker } from '../workers/state/worker.js';
 import { machinesToEmpty, type MovableTask, type PartlyUsed } from './consolidation.js';
 import { allPools, price } from './capacity-plan.js';
@@ -21,7 +21,7 @@
   constructor(
     private readonly ctx: LeaderContext,
     private readonly lifetimes: Lifetimes,
-    private readonly urgency: Urgency,
+    private readonly sloTargets: SloTargets,
   ) {}
 
   /** Whether it is time for another look. */
@@ -72,9 +72,9 @@
 
   private movable(task: Task, now: MonotonicTime): MovableTask {
     const { effectiveSpec: spec, readyAt } = task.job;
-    const runMs = this.lifetimes.expectedRun(spec);
+    const runMs = this.lifetimes.expectedRunMs(spec);
     const ranMs = task.runningAt === null ? 0 : since(now, task.runningAt);
-    const leftMs = this.lifetimes.expectedLeft(spec, ranMs);
+    const leftMs = this.lifetimes.expectedRemainingMs(spec, ranMs);
     const ageMs = Math.max(0, this.ctx.clock.wall() - readyAt);
     const mayStop =
       spec.allowsSpot && spec.kind === 'array' && task.phase === 'placed' && task.pendingStop === null;
@@ -83,7 +83,7 @@
       memoryGb: spec.memoryGb,
       lostMs: spec.checkpointIntervalS > 0 ? Math.min(ranMs, spec.checkpointIntervalS * 1000) : ranMs,
       leftMs,
-      mayMove: mayStop && this.urgency.mayStartAgain(spec, ageMs, leftMs, runMs),
+      mayMove: mayStop && this.sloTargets.canRestartInTime(spec, ageMs, leftMs, runMs),
     };
   }
 }
--- a/src/fleet/demand-forecast.ts
+++ b/src/fleet/demand-forecast.ts
@@ -65,7 +65,7 @@
     const machines = Math.min(spec.taskCount, limit) / perMachine(spec, pool.type);
     const key = seriesKey(pool.type.id, pool.spot);
     this.slotNeed.set(key, (this.slotNeed.get(key) ?? 0) + machines);
-    this.arrivals[pool.spot ? 'spot' : 'ordinary'].arrived(this.ctx.clock.now());
+    this.arrivals[pool.spot ? 'spot' : 'ordinary'].recordArrival(this.ctx.clock.now());
   }
 
   refused(series: string): void {
@@ -148,7 +148,7 @@
     // Before the first slot has ended, its stock of old work tells what a slot may bring.
     if (ensemble.series.length === 0) return (this.slotNeed.get(series) ?? 0) * FIRST_SLOT;
     const arrivals = this.arrivals[readSeriesKey(series).spot ? 'spot' : 'ordinary'];
-    return ensemble.forecast() * arrivals.borneOut(this.ctx.clock.now(), this.slot);
+    return ensemble.forecast() * arrivals.confirmedShare(this.ctx.clock.now(), this.slot);
   }
 
   private ensemble(series: string): Ensemble {
@@ -172,9 +172,9 @@
     return {
       // Ordinary machines are forecast for work that must not wait for a boot.
       beta: spot ? spotBeta : onDemandBeta,
-      hit: hitS,
-      miss: type ? type.bootTime / 1000 : slot / 1000,
-      idle: idleCostS,
+      hitWaitS: hitS,
+      missWaitS: type ? type.bootTime / 1000 : slot / 1000,
+      idleCostS,
     };
   }
 }
--- a/src/fleet/fleet-manager.ts
+++ b/src/fleet/fleet-manager.ts
@@ -8,7 +8,7 @@
 import type { TokenBucket } from '../net/token-bucket.js';
 import type { ActiveJob } from '../scheduler/active-job.js';
 import type { SlackFactors } from '../scheduler/slack-factors.js';
-import type { Urgency } from '../scheduler/urgency.js';
+import type { SloTargets } from '../scheduler/slo-targets.js';
 import type { Worker } from '../workers/state/worker.js';
 import { overdueDemand, BacklogWatch, type QueuedWork } from './backlog.js';
 import { type CapacityProjection, projectCapacity } from './capacity-projection.js';
@@ -38,7 +38,7 @@
 interface FleetParts {
   readonly lifetimes: Lifetimes;
   readonly slackFactors: SlackFactors;
-  readonly urgency: Urgency;
+  readonly sloTargets: SloTargets;
 }
 
 /** Is told of what becomes of machines. */
@@ -86,7 +86,7 @@
       refused: (series) => this.forecast.refused(series),
       settled: () => this.rentUnmet(),
     });
-    this.consolidator = new Consolidator(ctx, parts.lifetimes, parts.urgency);
+    this.consolidator = new Consolidator(ctx, parts.lifetimes, parts.sloTargets);
     this.slotEnds = plus(ctx.startedAt, this.forecast.slot);
   }
 
@@ -227,7 +227,7 @@
         const { spec } = task.job;
         if (!spec.allowsSpot) continue;
         const ran = task.runningAt === null ? 0 : now - task.runningAt;
-        sum += this.parts.lifetimes.expectedLeft(spec, ran) * spec.cpus;
+        sum += this.parts.lifetimes.expectedRemainingMs(spec, ran) * spec.cpus;
       }
     }
     return sum;
--- a/src/forecast/arrivals.ts
+++ b/src/forecast/arrivals.ts
@@ -16,7 +16,7 @@
   private recent: MonotonicTime[] = [];
   private inSlot = 0;
 
-  arrived(now: MonotonicTime): void {
+  recordArrival(now: MonotonicTime): void {
     this.inSlot++;
     this.recent.push(now);
   }
@@ -28,7 +28,7 @@
   }
 
   /** The part of a forecast that the last slot's length of arrivals still bears out. */
-  borneOut(now: MonotonicTime, slot: Millis): number {
+  confirmedShare(now: MonotonicTime, slot: Millis): number {
     this.recent = this.recent.filter((t) => since(now, t) < slot);
     if (this.slots.length === 0) return 1;
     const usual = this.slots.reduce((a, b) => a + b, 0) / this.slots.length;
--- a/src/forecast/ensemble.ts
+++ b/src/forecast/ensemble.ts
@@ -4,17 +4,17 @@
 export interface PredictionCost {
   readonly beta: number;
   /** Wait when a machine is there (T_avail), s. */
-  readonly hit: number;
+  readonly hitWaitS: number;
   /** Wait when one has to be rented (T_delay), s. */
-  readonly miss: number;
+  readonly missWaitS: number;
   /** Cost of one machine that idles for a slot (R_vm), in the same seconds. */
-  readonly idle: number;
+  readonly idleCostS: number;
 }
 
 /** The paper's Cloud Prediction Cost of one slot (equations 2 to 5). */
 export function predictionCost(c: PredictionCost, actual: number, forecast: number): number {
-  const late = Math.min(actual, forecast) * c.hit + Math.max(0, actual - forecast) * c.miss;
-  const waste = Math.max(0, forecast - actual) * c.idle;
+  const late = Math.min(actual, forecast) * c.hitWaitS + Math.max(0, actual - forecast) * c.missWaitS;
+  const waste = Math.max(0, forecast - actual) * c.idleCostS;
   return c.beta * late + (1 - c.beta) * waste;
 }
 
--- a/src/forecast/lifetimes.ts
+++ b/src/forecast/lifetimes.ts
@@ -18,7 +18,7 @@
   /** Run and estimated time per class: owners are mostly too high on some days, too low on others. */
   private readonly sums = new Map<string, { ran: number; estimated: number }>();
 
-  add(jobClass: string, ms: number, estimateMs = 0): void {
+  recordRun(jobClass: string, ms: number, estimateMs = 0): void {
     if (estimateMs > 0) {
       const sum = this.sums.get(jobClass) ?? { ran: 0, estimated: 0 };
       sum.ran += ms;
@@ -41,7 +41,7 @@
   }
 
   /** The same for a task of this job, in ms. */
-  expectedRun({
+  expectedRunMs({
     jobClass,
     estimatedRunS,
   }: {
@@ -52,8 +52,11 @@
   }
 
   /** How long such a task is still expected to run after so many ms; one that has outrun its expectation, a part of it. */
-  expectedLeft(spec: { readonly jobClass: string; readonly estimatedRunS: number }, ranMs: number): number {
-    const runMs = this.expectedRun(spec);
+  expectedRemainingMs(
+    spec: { readonly jobClass: string; readonly estimatedRunS: number },
+    ranMs: number,
+  ): number {
+    const runMs = this.expectedRunMs(spec);
     return Math.max(runMs * LEAST_LEFT, runMs - ranMs);
   }
 
@@ -84,7 +87,7 @@
    * Chance that a task of age `age` ends within `slot`: (F(a+s) − F(a)) / (1 − F(a)). Before
    * anything has been seen, the owner's estimate stands in for the median of an exponential.
    */
-  endsWithin(jobClass: string, age: number, slot: number, estimateMs: number): number {
+  endProbability(jobClass: string, age: number, slot: number, estimateMs: number): number {
     if (this.count(jobClass) < 8) {
       return estimateMs > 0 ? 1 - Math.exp((-Math.LN2 * slot) / estimateMs) : 0;
     }
--- a/src/leader/committer.ts
+++ b/src/leader/committer.ts
@@ -8,7 +8,7 @@
 import type { TxnResult } from '../store/client.js';
 import { StoreRefusedError, StoreRequestTooLargeError } from '../store/errors.js';
 import type { TokenBucket } from '../net/token-bucket.js';
-import type { Chunk } from '../scheduler/chunk.js';
+import type { ProgressChunk } from '../scheduler/progress-chunk.js';
 import type { ActiveJob } from '../scheduler/active-job.js';
 import type { Task } from '../scheduler/task.js';
 import type { Compare, WriteOperation } from '../wire/key-value-store.js';
@@ -32,7 +32,7 @@
 interface Batch {
   readonly conditions: Compare[];
   readonly writes: WriteOperation[];
-  readonly chunks: { chunk: Chunk; version: number; decided: Task[] }[];
+  readonly chunks: { chunk: ProgressChunk; version: number; decided: Task[] }[];
   readonly closing: { readonly job: ActiveJob; readonly leftOver: readonly string[] }[];
   bytes: number;
 }
@@ -109,7 +109,12 @@
     return null;
   }
 
-  private fill(batch: Batch, max: number, starts: readonly Chunk[], progress: readonly Chunk[]): void {
+  private fill(
+    batch: Batch,
+    max: number,
+    starts: readonly ProgressChunk[],
+    progress: readonly ProgressChunk[],
+  ): void {
     const { jobsToClose } = this.ctx.jobs;
     const full = (): boolean => batch.writes.length >= max || batch.bytes > MAX_BYTES;
     // Users wait for `done`, and for a job to be called cancelled with one that it needs; few jobs end at a
@@ -122,11 +127,11 @@
   }
 
   /** Chunks with starts, by rank; those with progress that has waited for long enough; and when the next one has. */
-  private dirtyChunks(): { starts: Chunk[]; progress: Chunk[]; nextDue: number } {
+  private dirtyChunks(): { starts: ProgressChunk[]; progress: ProgressChunk[]; nextDue: number } {
     const now = this.ctx.clock.now();
     const due = this.underPressure() ? LAZIEST_MS : LAZY_MS;
-    const starts: Chunk[] = [];
-    const progress: Chunk[] = [];
+    const starts: ProgressChunk[] = [];
+    const progress: ProgressChunk[] = [];
     let nextDue = Infinity;
     for (const chunk of this.ctx.jobs.dirtyChunks) {
       const { job } = chunk;
@@ -195,7 +200,7 @@
     this.counts.leftOvers += batch.writes.length;
   }
 
-  private addChunk(batch: Batch, chunk: Chunk): void {
+  private addChunk(batch: Batch, chunk: ProgressChunk): void {
     const decided = [...chunk.committing];
     const progress = chunk.progress();
     batch.conditions.push({ key: chunk.key, revision: chunk.revision });
@@ -262,7 +267,8 @@
       const chunk = batch.chunks.find((c) => c.chunk.key === key)?.chunk;
       try {
         // An earlier commit without an answer was carried out after all.
-        if (chunk) chunk.revision = ((await this.ctx.store.get(key))?.revision ?? 0) as Chunk['revision'];
+        if (chunk)
+          chunk.revision = ((await this.ctx.store.get(key))?.revision ?? 0) as ProgressChunk['revision'];
         else await this.refresh(key.slice(keys.jobs.length) as JobId);
       } catch (error) {
         this.ctx.log.debug({ key, error: errorMessage(error) }, 'conflict not resolved yet');
--- a/src/leader/decision-loop.ts
+++ b/src/leader/decision-loop.ts
@@ -13,7 +13,7 @@
 import { guaranteedJobs } from '../scheduler/queue.js';
 import type { JobView, MachineView, PlacementPlan, Preemption, Victim } from '../scheduler/snapshot.js';
 import type { SlackFactors } from '../scheduler/slack-factors.js';
-import { isStarving, type Urgency } from '../scheduler/urgency.js';
+import { isStarving, type SloTargets } from '../scheduler/slo-targets.js';
 import type { Committer } from './committer.js';
 import type { CommandDispatcher } from '../workers/command-dispatcher.js';
 import type { Worker } from '../workers/state/worker.js';
@@ -36,7 +36,7 @@
   readonly committer: Committer;
   readonly dispatcher: CommandDispatcher;
   readonly lifetimes: Lifetimes;
-  readonly urgency: Urgency;
+  readonly sloTargets: SloTargets;
   readonly slackFactors: SlackFactors;
   readonly lock: Mutex;
 }
@@ -209,27 +209,27 @@
   }
 
   private queued(job: JobView, tasks: number): QueuedWork {
-    const runMs = this.parts.lifetimes.expectedRun(job.spec);
+    const runMs = this.parts.lifetimes.expectedRunMs(job.spec);
     return { spec: job.spec, tasks, zones: job.zones, runMs, ...this.waitAfterBoot(job, runMs) };
   }
 
   /** What a machine rented now can still save: the job's next target that its boot leaves reachable. */
   private waitAfterBoot(job: JobView, runMs: number): { slackMs: number | null; slackFactor: number } {
-    const { fleet, urgency, slackFactors } = this.parts;
+    const { fleet, sloTargets, slackFactors } = this.parts;
     const age = Math.max(0, this.ctx.clock.wall() - job.readyAt) + fleet.slowestBoot();
-    const target = urgency.next(job.spec, age, runMs);
+    const target = sloTargets.nextTarget(job.spec, age, runMs);
     return {
-      slackMs: urgency.slack(job.spec, age, runMs),
-      slackFactor: slackFactors.factor(job.spec.jobClass, target?.allowed ?? DEFAULT_ALLOWED),
+      slackMs: sloTargets.slackMs(job.spec, age, runMs),
+      slackFactor: slackFactors.factor(job.spec.jobClass, target?.allowedMissShare ?? DEFAULT_ALLOWED),
     };
   }
 
   private viewOf(job: ActiveJob, now: MonotonicTime): JobView {
     const age = Math.max(0, this.ctx.clock.wall() - job.readyAt);
-    const slackMs = this.parts.urgency.slack(
+    const slackMs = this.parts.sloTargets.slackMs(
       job.effectiveSpec,
       age,
-      this.parts.lifetimes.expectedRun(job.spec),
+      this.parts.lifetimes.expectedRunMs(job.spec),
     );
     return jobView(job, now, age, slackMs, isStarving(job, age, now));
   }
--- a/src/leader/dependency-tracker.ts
+++ b/src/leader/dependency-tracker.ts
@@ -63,7 +63,7 @@
 
   /** Durably done: what waited for nothing else may start. */
   done(id: JobId): void {
-    this.release(this.graph.done(id));
+    this.release(this.graph.complete(id));
   }
 
   private need(job: ActiveJob, id: JobId): void {
--- a/src/leader/heartbeat-handler.ts
+++ b/src/leader/heartbeat-handler.ts
@@ -199,7 +199,7 @@
     }
     for (const { task, ranMs } of told.finished) {
       const { jobClass, estimatedRunS } = task.job.spec;
-      if (ranMs !== null) this.parts.lifetimes.add(jobClass, ranMs, estimatedRunS * 1000);
+      if (ranMs !== null) this.parts.lifetimes.recordRun(jobClass, ranMs, estimatedRunS * 1000);
     }
     for (const { task, cause } of told.failed) {
       if (cause !== 'stopped')
--- a/src/leader/job-canceller.ts
+++ b/src/leader/job-canceller.ts
@@ -76,7 +76,7 @@
       task.pendingStop = { graceS: 0, reason: 'cancelled', since: at };
       if (worker) wake.add(worker);
     }
-    this.ctx.jobs.jobChanged(job);
+    this.ctx.jobs.onJobChanged(job);
     for (const worker of wake) this.parts.dispatcher.dispatch(worker);
     this.parts.committer.schedule();
     this.ctx.requestDecision();
@@ -85,7 +85,7 @@
   /** A service's replicas run until it is cancelled. */
   private learnLifetime({ job, runningAt }: Task, now: MonotonicTime): void {
     if (job.spec.kind !== 'service' || runningAt === null) return;
-    this.parts.lifetimes.add(job.spec.jobClass, now - runningAt);
+    this.parts.lifetimes.recordRun(job.spec.jobClass, now - runningAt);
   }
 }
 
--- a/src/leader/job-outcomes.ts
+++ b/src/leader/job-outcomes.ts
@@ -4,13 +4,13 @@
 import { type MonotonicTime, since } from '../model/time.js';
 import type { ActiveJob } from '../scheduler/active-job.js';
 import type { SlackFactors } from '../scheduler/slack-factors.js';
-import type { Urgency } from '../scheduler/urgency.js';
+import type { SloTargets } from '../scheduler/slo-targets.js';
 import type { LeaderContext } from '../core/context.js';
 
 interface OutcomeParts {
   readonly fleet: FleetManager;
   readonly lifetimes: Lifetimes;
-  readonly urgency: Urgency;
+  readonly sloTargets: SloTargets;
   readonly slackFactors: SlackFactors;
 }
 
@@ -49,10 +49,14 @@
 
   /** Judged by the first target that renting for the job could have met. */
   private judge(job: ActiveJob): void {
-    const { fleet, lifetimes, urgency, slackFactors } = this.parts;
-    const target = urgency.next(job.effectiveSpec, fleet.slowestBoot(), lifetimes.expectedRun(job.spec));
+    const { fleet, lifetimes, sloTargets, slackFactors } = this.parts;
+    const target = sloTargets.nextTarget(
+      job.effectiveSpec,
+      fleet.slowestBoot(),
+      lifetimes.expectedRunMs(job.spec),
+    );
     if (!target) return;
     const age = this.ctx.clock.wall() - job.readyAt;
-    slackFactors.over(job.spec.jobClass, age > target.ms, target.allowed);
+    slackFactors.recordCompletion(job.spec.jobClass, age > target.withinMs, target.allowedMissShare);
   }
 }
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -13,7 +13,7 @@
 import type { ActiveJob } from '../scheduler/active-job.js';
 
 import { SlackFactors } from '../scheduler/slack-factors.js';
-import { Urgency } from '../scheduler/urgency.js';
+import { SloTargets } from '../scheduler/slo-targets.js';
 import { Committer } from './committer.js';
 import { WriteCounts } from './write-counts.js';
 import { CommandIssuer } from '../workers/command-issuer.js';
@@ -93,11 +93,13 @@
     });
     const lifetimes = new Lifetimes();
     const slackFactors = new SlackFactors();
-    const urgency = new Urgency(settings.objectives);
-    const graph = new DependencyGraph(this.jobs, (job) => urgency.takes(lifetimes.expectedRun(job.spec)));
+    const sloTargets = new SloTargets(settings.objectives);
+    const graph = new DependencyGraph(this.jobs, (job) =>
+      sloTargets.estimatedDurationMs(lifetimes.expectedRunMs(job.spec)),
+    );
     const stateBudget = new TokenBucket(clock, 1, 1);
     this.stopRating = this.followRates(stateBudget);
-    this.fleet = new FleetManager(ctx, this.cloudBudget(), { lifetimes, slackFactors, urgency }, this);
+    this.fleet = new FleetManager(ctx, this.cloudBudget(), { lifetimes, slackFactors, sloTargets }, this);
     this.record = new FleetRecordWriter(ctx, this.fleet, stateBudget, this.writes);
     this.committer = new Committer(
       ctx,
@@ -119,7 +121,7 @@
       (worker) => this.onLeaseExpired(worker),
     );
     const { fleet, committer, dispatcher, workerLeasePolicy } = this;
-    const judging = { lifetimes, urgency, slackFactors };
+    const judging = { lifetimes, sloTargets, slackFactors };
     this.decisions = new DecisionLoop(ctx, { fleet, committer, dispatcher, ...judging, lock });
     this.canceller = new JobCanceller(ctx, { graph, lifetimes, dispatcher, committer, fleet });
     this.dependencies = new DependencyTracker(ctx, graph, this.canceller, fleet, lock);
--- a/src/leader/placement-views.ts
+++ b/src/leader/placement-views.ts
@@ -2,7 +2,7 @@
 import type { MonotonicTime } from '../model/time.js';
 import type { ActiveJob } from '../scheduler/active-job.js';
 import type { ConfirmedFacts } from '../model/machine-facts.js';
-import { bindsZones } from '../scheduler/placement-rule.js';
+import { hasZoneConstraint } from '../scheduler/placement-rule.js';
 import type { JobView, MachineView, Victim } from '../scheduler/snapshot.js';
 import type { Worker } from '../workers/state/worker.js';
 
@@ -16,9 +16,9 @@
   slackMs: number | null,
   starving: boolean,
 ): JobView {
-  const binds = bindsZones(job.spec);
+  const binds = hasZoneConstraint(job.spec);
   // A task on a machine that only its record names may be in any zone: the job waits.
-  const unknownZone = binds && job.zoneTally.unknown > 0;
+  const unknownZone = binds && job.zoneTally.unknownZoneCount > 0;
   return {
     spec: job.effectiveSpec,
     readyAt: job.readyAt,
--- a/src/scheduler/active-job.ts
+++ b/src/scheduler/active-job.ts
@@ -4,7 +4,7 @@
 import type { MonotonicTime, WallTime } from '../model/time.js';
 import { DEFAULT_CHUNK_SIZE, keys } from '../store/keys.js';
 import { decodeChunk, type TaskPlacement } from '../store/progress-record.js';
-import { Chunk } from './chunk.js';
+import { ProgressChunk } from './progress-chunk.js';
 import type { JobStore } from './job-store.js';
 import { Task } from './task.js';
 import { ZoneTally } from './zone-tally.js';
@@ -12,7 +12,7 @@
 /** Tasks that were never begun exist as a number only: a hundred thousand of them cost nothing. */
 export class ActiveJob {
   readonly tasks = new Map<TaskIndex, Task>();
-  readonly chunks = new Map<number, Chunk>();
+  readonly chunks = new Map<number, ProgressChunk>();
   private fresh = 0;
   private readonly again: TaskIndex[] = [];
   /** The store that lists this job; it is told of every change. */
@@ -119,11 +119,11 @@
     return task;
   }
 
-  chunkOf(index: TaskIndex): Chunk {
+  chunkOf(index: TaskIndex): ProgressChunk {
     const n = Math.floor(index / this.chunkTasks);
     let chunk = this.chunks.get(n);
     if (!chunk) {
-      chunk = new Chunk(this, n, this.chunkTasks);
+      chunk = new ProgressChunk(this, n, this.chunkTasks);
       this.chunks.set(n, chunk);
     }
     return chunk;
@@ -158,7 +158,7 @@
   }
 
   /** What is known now of the zone of a task's machine; null: nothing. */
-  locate(task: Task, zone: ZoneId | null): void {
+  setTaskZone(task: Task, zone: ZoneId | null): void {
     if (!task.isAssigned || task.zone === zone) return;
     this.zoneTally.remove(task.zone);
     this.zoneTally.add(zone);
@@ -185,7 +185,7 @@
     this.lostAttempts++;
     this.again.push(task.index);
     chunk.markDirty(now);
-    this.store?.jobChanged(this);
+    this.store?.onJobChanged(this);
   }
 
   finishTask(task: Task, now: MonotonicTime): void {
@@ -201,7 +201,7 @@
     task.observedState = null;
     this.doneCount++;
     chunk.markDirty(now);
-    this.store?.jobChanged(this);
+    this.store?.onJobChanged(this);
   }
 
   /** Takes over what an earlier leader wrote. */
@@ -262,7 +262,7 @@
     this.chunks.clear();
     this.chunkTasks = size;
     for (const old of before) {
-      const parts = new Set<Chunk>();
+      const parts = new Set<ProgressChunk>();
       for (const task of old.tasks.values()) {
         const part = this.chunkOf(task.index);
         part.tasks.set(task.index, task);
--- a/src/scheduler/dependency-graph.ts
+++ b/src/scheduler/dependency-graph.ts
@@ -27,7 +27,7 @@
   }
 
   /** Done for good: the jobs that waited for nothing else any more. */
-  done(id: JobId): ActiveJob[] {
+  complete(id: JobId): ActiveJob[] {
     const released: ActiveJob[] = [];
     for (const job of this.dependents.get(id) ?? []) {
       job.unmetDependencies.delete(id);
--- a/src/scheduler/job-store.ts
+++ b/src/scheduler/job-store.ts
@@ -1,7 +1,7 @@
 /** All unfinished jobs, as the leader knows them. */
 import type { JobId, TeamId } from '../model/ids.js';
 import type { FinalState } from '../model/job.js';
-import type { Chunk } from './chunk.js';
+import type { ProgressChunk } from './progress-chunk.js';
 import type { ActiveJob } from './active-job.js';
 
 /** Ends that are remembered: an old event must not open their jobs again. */
@@ -19,7 +19,7 @@
   /** Jobs that ended while we led: an old event must not open them again. */
   private readonly closed = new Map<JobId, FinalState>();
   /** Chunks with changes that are not durable yet. */
-  readonly dirtyChunks = new Set<Chunk>();
+  readonly dirtyChunks = new Set<ProgressChunk>();
   /** Raised whenever a job joins or leaves what is unfinished. */
   version = 0;
   /** Jobs whose records wait to be closed. */
@@ -48,7 +48,7 @@
     job.store = this;
     this.version++;
     for (const chunk of job.chunks.values()) if (chunk.isDirty) this.dirtyChunks.add(chunk);
-    this.jobChanged(job);
+    this.onJobChanged(job);
     return true;
   }
 
@@ -57,7 +57,7 @@
     return this.closed.get(id);
   }
 
-  jobChanged(job: ActiveJob): void {
+  onJobChanged(job: ActiveJob): void {
     if (!job.isOver && !job.isCancelled) return;
     this.version++;
     if (job.isOver) this.jobsToClose.add(job);
--- a/src/scheduler/placement-rule.ts
+++ b/src/scheduler/placement-rule.ts
@@ -68,7 +68,7 @@
 }
 
 /** Whether the zones of a job's other tasks matter for the next one. */
-export function bindsZones(spec: PlacementSpec): boolean {
+export function hasZoneConstraint(spec: PlacementSpec): boolean {
   return spec.zoneAffinity || spec.zoneAntiAffinity;
 }
 
--- a/src/scheduler/chunk.ts
+++ b/src/scheduler/progress-chunk.ts
@@ -7,7 +7,7 @@
 import type { Task } from './task.js';
 
 /** Consecutive tasks of one job, with what of them is not durable yet. */
-export class Chunk {
+export class ProgressChunk {
   revision: Revision = NO_REVISION;
   /** Raised by each change; the change is durable once `durable` has caught up. */
   version = 0;
@@ -18,7 +18,7 @@
   readonly tasks = new Map<TaskIndex, Task>();
 
   /** The chunks of another size that took its place, each with the version that holds all this one held. */
-  private successors: { readonly chunk: Chunk; readonly version: number }[] | null = null;
+  private successors: { readonly chunk: ProgressChunk; readonly version: number }[] | null = null;
 
   constructor(
     readonly job: ActiveJob,
@@ -40,7 +40,7 @@
     return this.successors?.every(({ chunk, version: v }) => chunk.isDurable(v)) ?? false;
   }
 
-  supersededBy(chunks: readonly Chunk[]): void {
+  supersededBy(chunks: readonly ProgressChunk[]): void {
     this.successors = chunks.map((chunk) => ({ chunk, version: chunk.version }));
   }
 
--- a/src/scheduler/slack-factors.ts
+++ b/src/scheduler/slack-factors.ts
@@ -13,7 +13,7 @@
   private readonly missed = new Map<string, number>();
 
   /** One job is over; `allowed` is the share of its class that may miss the target. */
-  over(jobClass: string, missed: boolean, allowed: number): void {
+  recordCompletion(jobClass: string, missed: boolean, allowed: number): void {
     const before = this.missed.get(jobClass) ?? allowed;
     this.missed.set(jobClass, before + NEWEST * ((missed ? 1 : 0) - before));
   }
--- a/src/scheduler/urgency.ts
+++ b/src/scheduler/slo-targets.ts
@@ -10,9 +10,9 @@
 /** A time by which a job should have ended. */
 export interface Target {
   /** From the job's submission. */
-  readonly ms: number;
+  readonly withinMs: number;
   /** The share of its class that may miss it. */
-  readonly allowed: number;
+  readonly allowedMissShare: number;
 }
 
 /** The first target that can still be met. */
@@ -45,7 +45,7 @@
  * How long a job may still wait, by its own deadline and its class's objectives. A target that can
  * no longer be met gives way to the next one: hopeless work must not push aside what can be saved.
  */
-export class Urgency {
+export class SloTargets {
   private readonly finished = new Map<string, Target[]>();
   /** When tasks should have started, by class. */
   private readonly started = new Map<string, Target[]>();
@@ -57,8 +57,9 @@
       const allowed = 1 - (share ?? DEFAULT_SHARE);
       if (kind === 'deadline') this.deadline.set(jobClass, allowed);
       if (target === null) continue;
-      if (kind === 'finished') addTarget(this.finished, jobClass, { ms: target, allowed });
-      if (kind === 'wait') addTarget(this.started, jobClass, { ms: target, allowed });
+      if (kind === 'finished')
+        addTarget(this.finished, jobClass, { withinMs: target, allowedMissShare: allowed });
+      if (kind === 'wait') addTarget(this.started, jobClass, { withinMs: target, allowedMissShare: allowed });
     }
   }
 
@@ -66,26 +67,26 @@
     const targets = [...(this.finished.get(spec.jobClass) ?? [])];
     if (spec.deadlineS !== null) {
       const allowed = this.deadline.get(spec.jobClass) ?? 1 - DEFAULT_SHARE;
-      targets.push({ ms: spec.deadlineS * 1000, allowed });
+      targets.push({ withinMs: spec.deadlineS * 1000, allowedMissShare: allowed });
     }
-    return targets.sort((a, b) => a.ms - b.ms);
+    return targets.sort((a, b) => a.withinMs - b.withinMs);
   }
 
   /** Whether a task that is stopped now and starts again leaves its job the target that it would meet. */
-  mayStartAgain(spec: JobSpec, ageMs: number, leftMs: number, expectedRunMs: number): boolean {
-    const within = this.targets(spec).find((t) => ageMs + leftMs <= t.ms);
-    return !within || ageMs + this.takes(expectedRunMs) <= within.ms;
+  canRestartInTime(spec: JobSpec, ageMs: number, leftMs: number, expectedRunMs: number): boolean {
+    const within = this.targets(spec).find((t) => ageMs + leftMs <= t.withinMs);
+    return !within || ageMs + this.estimatedDurationMs(expectedRunMs) <= within.withinMs;
   }
 
   /** What a job with tasks of this length is reckoned to take from its start. */
-  takes(expectedRunMs: number): number {
+  estimatedDurationMs(expectedRunMs: number): number {
     return expectedRunMs * LONGER + FETCH_MS;
   }
 
   /** The first target for the job's end that still can be met; null: no such target is left. */
-  next(spec: JobSpec, ageMs: number, expectedRunMs: number): NextTarget | null {
+  nextTarget(spec: JobSpec, ageMs: number, expectedRunMs: number): NextTarget | null {
     for (const target of this.targets(spec)) {
-      const slackMs = target.ms - ageMs - this.takes(expectedRunMs);
+      const slackMs = target.withinMs - ageMs - this.estimatedDurationMs(expectedRunMs);
       if (slackMs > 0) return { ...target, slackMs };
     }
     return null;
@@ -96,12 +97,12 @@
    * a job that has lost one target for its end would otherwise wait for the next one's sake past
    * the time at which all tasks of its class should have begun. Null: nothing is asked of it any more.
    */
-  slack(spec: JobSpec, ageMs: number, expectedRunMs: number): number | null {
-    let least = this.next(spec, ageMs, expectedRunMs)?.slackMs ?? null;
+  slackMs(spec: JobSpec, ageMs: number, expectedRunMs: number): number | null {
+    let least = this.nextTarget(spec, ageMs, expectedRunMs)?.slackMs ?? null;
     // Replicas go first in any case, and of them the oldest.
     const starts = spec.kind === 'array' ? this.started.get(spec.jobClass) : undefined;
-    for (const { ms } of starts ?? []) {
-      const slackMs = ms - ageMs - FETCH_MS;
+    for (const { withinMs } of starts ?? []) {
+      const slackMs = withinMs - ageMs - FETCH_MS;
       if (slackMs > 0 && (least === null || slackMs < least)) least = slackMs;
     }
     return least;
--- a/src/scheduler/zone-tally.ts
+++ b/src/scheduler/zone-tally.ts
@@ -8,7 +8,7 @@
   private unknownCount = 0;
 
   /** Tasks on machines whose zone is not known. */
-  get unknown(): number {
+  get unknownZoneCount(): number {
     return this.unknownCount;
   }
 
--- a/src/workers/command-issuer.ts
+++ b/src/workers/command-issuer.ts
@@ -6,7 +6,7 @@
 import type { DecisionLog } from '../log/decision-log.js';
 import type { WorkerCommand } from '../model/heartbeat.js';
 import { type MonotonicTime, since } from '../model/time.js';
-import { bindsZones, placementRefusal, PlacementRefusal } from '../scheduler/placement-rule.js';
+import { hasZoneConstraint, placementRefusal, PlacementRefusal } from '../scheduler/placement-rule.js';
 import type { Task } from '../scheduler/task.js';
 import type { Worker } from './state/worker.js';
 import { markStartsSent, commandsFor } from './worker-commands.js';
@@ -19,9 +19,9 @@
   const { spec, zoneTally } = task.job;
   if (!worker.confirmedFacts) return PlacementRefusal.MachineUnknown;
   const { machine } = worker.confirmedFacts;
-  if (!bindsZones(spec)) return placementRefusal(spec, machine, zoneTally.counts);
+  if (!hasZoneConstraint(spec)) return placementRefusal(spec, machine, zoneTally.counts);
   // The task's own zone is known, as its machine is: it is counted there, and any other may be elsewhere.
-  if (zoneTally.unknown > 0) return PlacementRefusal.ZoneUnknown;
+  if (zoneTally.unknownZoneCount > 0) return PlacementRefusal.ZoneUnknown;
   return placementRefusal(spec, machine, zoneTally.without(task.zone));
 }
 
@@ -110,7 +110,7 @@
       source: confirmedFacts?.source ?? null,
       ageMs: confirmedFacts ? Math.round(since(now, confirmedFacts.learnedAt)) : null,
       zones: Object.fromEntries(task.job.zoneTally.counts),
-      unknownZones: task.job.zoneTally.unknown,
+      unknownZones: task.job.zoneTally.unknownZoneCount,
     };
   }
 }
--- a/src/workers/state/worker.ts
+++ b/src/workers/state/worker.ts
@@ -18,7 +18,7 @@
 import type { ConfirmedFacts, MachineFacts, UnconfirmedFacts } from '../../model/machine-facts.js';
 import type { Attempt, Heartbeat } from '../../model/heartbeat.js';
 import { type MonotonicTime, plus } from '../../model/time.js';
-import type { Chunk } from '../../scheduler/chunk.js';
+import type { ProgressChunk } from '../../scheduler/progress-chunk.js';
 import type { Task } from '../../scheduler/task.js';
 
 const NO_RESOURCES: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
@@ -28,7 +28,7 @@
   readonly task: TaskId;
   readonly attemptNumber: AttemptNumber;
   /** The outcome is durable once this chunk has reached `version`; null: nothing waits to be written. */
-  readonly chunk: Chunk | null;
+  readonly chunk: ProgressChunk | null;
   readonly version: number;
   /** A run order with this token, or a copy of it, may still arrive; null: only with earlier epochs' ones. */
   readonly startSentToken: FencingToken | null;
@@ -117,7 +117,7 @@
   learn(facts: ConfirmedFacts): void {
     this.knownFacts = facts;
     this.freeCapacity = null;
-    for (const task of this.assignedTasks) task.job.locate(task, facts.machine.zone);
+    for (const task of this.assignedTasks) task.job.setTaskZone(task, facts.machine.zone);
   }
 
   /** Tasks that may be on the machine. */
@@ -127,7 +127,7 @@
 
   assign(task: Task): void {
     this.assignedTasks.add(task);
-    task.job.locate(task, this.confirmedFacts?.machine.zone ?? null);
+    task.job.setTaskZone(task, this.confirmedFacts?.machine.zone ?? null);
     this.freeCapacity = null;
   }
 
--- a/test/unit/forecast.test.ts
+++ b/test/unit/forecast.test.ts
@@ -5,7 +5,7 @@
 import { Lifetimes } from '../../src/forecast/lifetimes.js';
 import { autoregression, movingAverage } from '../../src/forecast/predictors.js';
 
-const cost = { beta: 0.5, hit: 10, miss: 1200, idle: 500 };
+const cost = { beta: 0.5, hitWaitS: 10, missWaitS: 1200, idleCostS: 500 };
 
 describe('the Cloud Prediction Cost, with the paper’s own figures', () => {
   it('charges waste when the forecast was too high', () => {
@@ -70,14 +70,14 @@
 describe('expected frees', () => {
   it('are conditional on the age that was reached', () => {
     const f = new Lifetimes();
-    for (const s of [10, 10, 10, 10, 10, 30, 30, 30, 30, 30]) f.add('scan', s * 1000);
-    expect(f.endsWithin('scan', 0, 15_000, 0)).toBeCloseTo(0.5, 1);
-    expect(f.endsWithin('scan', 20_000, 15_000, 0)).toBe(1);
-    expect(f.endsWithin('scan', 12_000, 5_000, 0)).toBeCloseTo(0, 1);
+    for (const s of [10, 10, 10, 10, 10, 30, 30, 30, 30, 30]) f.recordRun('scan', s * 1000);
+    expect(f.endProbability('scan', 0, 15_000, 0)).toBeCloseTo(0.5, 1);
+    expect(f.endProbability('scan', 20_000, 15_000, 0)).toBe(1);
+    expect(f.endProbability('scan', 12_000, 5_000, 0)).toBeCloseTo(0, 1);
   });
 
   it('use the owner’s estimate before anything was seen', () => {
-    expect(new Lifetimes().endsWithin('new', 0, 30_000, 30_000)).toBeCloseTo(0.5);
+    expect(new Lifetimes().endProbability('new', 0, 30_000, 30_000)).toBeCloseTo(0.5);
   });
 });
 
@@ -86,16 +86,16 @@
     const at = (s: number): MonotonicTime => (s * 1000) as MonotonicTime;
     const many = new Arrivals();
     const few = new Arrivals();
-    for (let s = 0; s < 90; s += 3) many.arrived(at(s));
-    for (let s = 0; s < 90; s += 15) few.arrived(at(s));
+    for (let s = 0; s < 90; s += 3) many.recordArrival(at(s));
+    for (let s = 0; s < 90; s += 15) few.recordArrival(at(s));
     for (let slot = 0; slot < 3; slot++) {
       many.endSlot();
       few.endSlot();
     }
-    expect(many.borneOut(at(90), seconds(30))).toBe(1);
+    expect(many.confirmedShare(at(90), seconds(30))).toBe(1);
     // five of ten in the last 30 s are within what chance brings
-    expect(many.borneOut(at(102), seconds(30))).toBe(1);
-    expect(many.borneOut(at(120), seconds(30))).toBeLessThan(0.2);
-    expect(few.borneOut(at(200), seconds(30))).toBe(1);
+    expect(many.confirmedShare(at(102), seconds(30))).toBe(1);
+    expect(many.confirmedShare(at(120), seconds(30))).toBeLessThan(0.2);
+    expect(few.confirmedShare(at(200), seconds(30))).toBe(1);
   });
 });
--- a/test/unit/load.test.ts
+++ b/test/unit/load.test.ts
@@ -106,7 +106,7 @@
     };
     const host = workerOf(machine, clock.now());
     Object.assign(host, { isUp: true, hasReported: true, address: `${machine.id}:1` });
-    const job = { spec: { id: `j-${n}` as JobId, kind: 'service' }, locate: ignore };
+    const job = { spec: { id: `j-${n}` as JobId, kind: 'service' }, setTaskZone: ignore };
     host.assign({ id: `j-${n}/0` as TaskId, job } as unknown as Task);
     host.lastHeartbeatAt = (clock.now() - 2000 - n) as Worker['lastHeartbeatAt'];
     workers.add(host);
--- a/test/unit/placement.test.ts
+++ b/test/unit/placement.test.ts
@@ -26,7 +26,7 @@
 } from '../../src/scheduler/snapshot.js';
 import type { TeamUsage } from '../../src/scheduler/job-store.js';
 import { plainPlace, structuredCloneOf } from './reference-placement.js';
-import { isStarving, Urgency } from '../../src/scheduler/urgency.js';
+import { isStarving, SloTargets } from '../../src/scheduler/slo-targets.js';
 import { TYPES } from '../simulation/site-setup.js';
 
 const spec = (over: Partial<JobSpec>): JobSpec => ({
@@ -286,7 +286,7 @@
 });
 
 describe('targets', () => {
-  const urgency = new Urgency([
+  const urgency = new SloTargets([
     { kind: 'finished', jobClass: 'batch', target: 60_000 as never, share: 0.9 },
     { kind: 'finished', jobClass: 'batch', target: 120_000 as never, share: 0.95 },
     { kind: 'wait', jobClass: 'batch', target: 50_000 as never, share: 0.99 },
@@ -294,17 +294,17 @@
 
   it('give way to the next one when they cannot be met any more', () => {
     // 60 s − 30 s · 1.25 − 4 s for the image
-    expect(urgency.next(spec({}), 0, 30_000)?.slackMs).toBe(18_500);
-    expect(urgency.next(spec({}), 20_000, 30_000)?.slackMs).toBe(58_500);
-    expect(urgency.next(spec({}), 100_000, 30_000)).toBeNull();
+    expect(urgency.nextTarget(spec({}), 0, 30_000)?.slackMs).toBe(18_500);
+    expect(urgency.nextTarget(spec({}), 20_000, 30_000)?.slackMs).toBe(58_500);
+    expect(urgency.nextTarget(spec({}), 100_000, 30_000)).toBeNull();
   });
 
   it('for the start count as well, until they too are lost', () => {
-    expect(urgency.slack(spec({}), 0, 30_000)).toBe(18_500);
+    expect(urgency.slackMs(spec({}), 0, 30_000)).toBe(18_500);
     // The end at 120 s alone would let it wait for 58.5 s more, until 78.5 s after its submission.
-    expect(urgency.slack(spec({}), 20_000, 30_000)).toBe(26_000);
-    expect(urgency.slack(spec({}), 47_000, 30_000)).toBe(31_500);
-    expect(urgency.slack(spec({}), 100_000, 30_000)).toBeNull();
+    expect(urgency.slackMs(spec({}), 20_000, 30_000)).toBe(26_000);
+    expect(urgency.slackMs(spec({}), 47_000, 30_000)).toBe(31_500);
+    expect(urgency.slackMs(spec({}), 100_000, 30_000)).toBeNull();
   });
 });
 
