--- a/src/leader/committer.ts
+++ b/src/leader/committer.ts
@@ -168,7 +168,7 @@
         value: encodeEndedJob(
           {
             spec: job.spec,
-            state: job.cancelledByDependency ? 'cancelled' : 'done',
+            state: job.isCancelledByDependency ? 'cancelled' : 'done',
             acceptedAt: job.acceptedAt,
           },
           this.ctx.storeLimits.valueBytes,
@@ -283,7 +283,7 @@
     if (!job || !row) return;
     const state = decodeJob(id, row.value).state;
     if (state === 'cancelled') {
-      job.cancelledByDependency = false;
+      job.isCancelledByDependency = false;
       this.ctx.cancelJob(id);
     } else if (state === 'done') this.end(job);
   }
@@ -291,5 +291,5 @@
 
 /** Whether closing it tells its state: it is done, or cancelled with a job that it needs. */
 function tells(job: ActiveJob): boolean {
-  return !job.isCancelled || job.cancelledByDependency;
+  return !job.isCancelled || job.isCancelledByDependency;
 }
--- a/src/leader/dependency-tracker.ts
+++ b/src/leader/dependency-tracker.ts
@@ -52,7 +52,7 @@
     if (job.tasks.size === 0) {
       for (const needed of dependencies) this.need(job, needed);
       if (dependencyRecordCount > 0) {
-        job.hasUnreadDependencies = true;
+        job.dependencies.hasUnreadRecords = true;
         void this.readRest(id, dependencyRecordCount);
       }
     }
@@ -69,7 +69,7 @@
   private need(job: ActiveJob, id: JobId): void {
     const { jobs } = this.ctx;
     if (jobs.finalStateOf(id) === 'done') return;
-    job.unmetDependencies.add(id);
+    job.dependencies.unmet.add(id);
     if (!jobs.has(id)) this.unknown.add(id);
   }
 
@@ -79,7 +79,7 @@
    */
   private followCancelled(job: ActiveJob): void {
     if (job.isCancelled) return;
-    for (const id of job.unmetDependencies) {
+    for (const id of job.dependencies.unmet) {
       if (!this.isCancelled(id)) continue;
       this.canceller.cancelDependent(job);
       return;
@@ -111,7 +111,7 @@
     const job = this.ctx.jobs.get(id);
     if (!job || job.isCancelled) return;
     for (const needed of rest) this.need(job, needed);
-    job.hasUnreadDependencies = false;
+    job.dependencies.hasUnreadRecords = false;
     this.graph.add(job);
     this.followCancelled(job);
     if (!job.isBlocked && !job.isCancelled) this.release([job]);
--- a/src/leader/heartbeat-handler.ts
+++ b/src/leader/heartbeat-handler.ts
@@ -13,8 +13,8 @@
 import type { Machine } from '../model/machine.js';
 import { FactSource } from '../model/machine-facts.js';
 import type { WorkerCommand, Heartbeat } from '../model/heartbeat.js';
-import { type MonotonicTime, plus } from '../model/time.js';
-import type { ActiveJob } from '../scheduler/active-job.js';
+import type { MonotonicTime } from '../model/time.js';
+import type { TaskJob } from '../scheduler/task.js';
 import type { Committer } from './committer.js';
 import type { CommandDispatcher } from '../workers/command-dispatcher.js';
 import type { WorkerFailureDetector } from '../workers/failure-detector.js';
@@ -33,11 +33,6 @@
 
 /** Orders in one answer: the rest goes with the next report. */
 const MOST_ORDERS = 250;
-/** Machines on which a job's tasks fail before the job itself is held to be at fault. */
-const FAULTY_JOB_MACHINES = 3;
-const FIRST_BACKOFF_MS = 1000;
-const MOST_BACKOFF_MS = 60_000;
-const MOST_DOUBLINGS = 6;
 
 /** A leader's answer to a report. */
 export type HeartbeatOutcome =
@@ -193,10 +188,7 @@
   private learn(worker: Worker, told: ReconciliationResult): void {
     const { log } = this.ctx;
     const now = this.ctx.clock.now();
-    for (const { job } of told.started) {
-      job.firstRunAt ??= now;
-      job.lastRunAt = now;
-    }
+    for (const { job } of told.started) job.history.recordRun(now);
     for (const { task, ranMs } of told.finished) {
       const { jobClass, estimatedRunS } = task.job.spec;
       if (ranMs !== null) this.parts.lifetimes.recordRun(jobClass, ranMs, estimatedRunS * 1000);
@@ -226,15 +218,11 @@
    * Mostly the machine is at fault. A job that fails on a second machine is more likely at fault
    * itself: it counts against no further machine, and after a third it waits.
    */
-  private failed(worker: Worker, job: ActiveJob, now: MonotonicTime): void {
-    job.failures++;
-    job.failedMachines.add(worker.id);
-    if (job.failedMachines.size <= 1 || worker.failedJobs.size > 0) {
+  private failed(worker: Worker, job: TaskJob, now: MonotonicTime): void {
+    job.failures.record(worker.id, now);
+    if (job.failures.machineCount <= 1 || worker.failedJobs.size > 0) {
       worker.failures++;
       worker.failedJobs.add(job.spec.id);
     }
-    if (job.failedMachines.size < FAULTY_JOB_MACHINES) return;
-    const doublings = Math.min(MOST_DOUBLINGS, job.failures - 2);
-    job.backoffUntil = plus(now, Math.min(MOST_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** doublings));
   }
 }
--- a/src/leader/job-canceller.ts
+++ b/src/leader/job-canceller.ts
@@ -41,7 +41,7 @@
 
   /** Cancelled with a job that it needs; its own record is still to say so. */
   cancelDependent(job: ActiveJob): void {
-    job.cancelledByDependency = true;
+    job.isCancelledByDependency = true;
     this.stop(job);
   }
 
--- a/src/leader/job-outcomes.ts
+++ b/src/leader/job-outcomes.ts
@@ -39,9 +39,9 @@
         estimatedRunS,
         ageS: rounded(this.ctx.clock.wall() - job.acceptedAt),
         readyAgoS: rounded(this.ctx.clock.wall() - job.readyAt),
-        firstRunAgoS: ago(job.firstRunAt),
-        lastRunAgoS: ago(job.lastRunAt),
-        lost: job.lostAttempts,
+        firstRunAgoS: ago(job.history.firstRunAt),
+        lastRunAgoS: ago(job.history.lastRunAt),
+        lost: job.history.lostCount,
       },
       'job closed',
     );
--- a/src/leader/placement-views.ts
+++ b/src/leader/placement-views.ts
@@ -1,4 +1,3 @@
-import type { MachineId } from '../model/ids.js';
 import type { MonotonicTime } from '../model/time.js';
 import type { ActiveJob } from '../scheduler/active-job.js';
 import type { ConfirmedFacts } from '../model/machine-facts.js';
@@ -6,8 +5,6 @@
 import type { JobView, MachineView, Victim } from '../scheduler/snapshot.js';
 import type { Worker } from '../workers/state/worker.js';
 
-const NO_MACHINES: ReadonlySet<MachineId> = new Set();
-
 /** A job as placement sees it. */
 export function jobView(
   job: ActiveJob,
@@ -25,10 +22,10 @@
     waitedMs,
     waitingCount: job.waitingCount,
     zones: new Map(binds ? job.zoneTally.counts : []),
-    avoidedMachines: job.failedMachines.size < 3 ? job.failedMachines : NO_MACHINES,
+    avoidedMachines: job.failures.avoidedMachines,
     slackMs,
     isStarving: starving,
-    isHeldBack: unknownZone || (job.backoffUntil !== null && job.backoffUntil > now),
+    isHeldBack: unknownZone || job.failures.isBackingOff(now),
   };
 }
 
--- a/src/scheduler/active-job.ts
+++ b/src/scheduler/active-job.ts
@@ -1,103 +1,103 @@
-/** An unfinished job as its leader knows it: its tasks, its progress, what it waits for. */
-import type { MachineId, JobId, Revision, TaskIndex, AttemptNumber, ZoneId } from '../model/ids.js';
+/** An unfinished job in the leader's memory: its tasks, their progress, and what keeps them from starting. */
+import type { MachineId, Revision, TaskIndex, AttemptNumber, ZoneId } from '../model/ids.js';
 import type { JobSpec, Priority } from '../model/job.js';
 import type { MonotonicTime, WallTime } from '../model/time.js';
-import { DEFAULT_CHUNK_SIZE, keys } from '../store/keys.js';
-import { decodeChunk, type TaskPlacement } from '../store/progress-record.js';
-import { ProgressChunk } from './progress-chunk.js';
-import type { JobStore } from './job-store.js';
+import { DEFAULT_CHUNK_SIZE } from '../store/keys.js';
+import { AttemptHistory } from './attempt-history.js';
+import { JobDependencies } from './job-dependencies.js';
+import { JobFailures } from './job-failures.js';
+import { type InheritedPriority, JobPriority } from './job-priority.js';
+import { JobProgress, type StoredTaskProgress } from './job-progress.js';
+import type { ChunkJob, ProgressChunk } from './progress-chunk.js';
 import { Task } from './task.js';
+import { TaskQueue } from './task-queue.js';
 import { ZoneTally } from './zone-tally.js';
 
-/** Tasks that were never begun exist as a number only: a hundred thousand of them cost nothing. */
-export class ActiveJob {
+/** Is notified of changes to a job that have to be written to the store (`JobStore`). */
+export interface JobListener {
+  /** A task ended, or the job was cancelled. */
+  onJobChanged(job: ActiveJob): void;
+  onChunkDirty(chunk: ProgressChunk): void;
+  /** The chunk is not written any more: others have replaced it. */
+  onChunkSuperseded(chunk: ProgressChunk): void;
+}
+
+/** Owns its tasks: phases, machines and zones of tasks change through it, so that its counts always fit them. */
+export class ActiveJob implements ChunkJob {
+  /** Tasks that were begun at least once; the others exist in the queue's count only. */
   readonly tasks = new Map<TaskIndex, Task>();
-  readonly chunks = new Map<number, ProgressChunk>();
-  private fresh = 0;
-  private readonly again: TaskIndex[] = [];
-  /** The store that lists this job; it is told of every change. */
-  store: JobStore | null = null;
+  private readonly queue: TaskQueue;
+  private readonly progress: JobProgress;
+  private readonly priority: JobPriority;
+  readonly dependencies = new JobDependencies();
+  readonly failures = new JobFailures();
+  readonly history = new AttemptHistory();
+  /** The zones of the tasks that may be on machines. */
+  readonly zoneTally = new ZoneTally();
+  /** The store that lists this job. */
+  listener: JobListener | null = null;
   isCancelled = false;
+  /** Cancelled because a job that it depends on was, and its own record does not say so yet. */
+  isCancelledByDependency = false;
   doneCount = 0;
+  /** Tasks that may be on machines. */
   assignedCount = 0;
-  /** Where the tasks are that may be on machines. */
-  readonly zoneTally = new ZoneTally();
-  /** Tasks that were last shown running. */
+  /** Tasks that were running in their last heartbeat. */
   runningCount = 0;
-  /** When one of its tasks was last given a machine. */
+  /** When one of its tasks was last placed. */
   lastPlacedAt: MonotonicTime | null = null;
-  /** Hosts on which this job's tasks failed, and until when it waits after failing on several. */
-  readonly failedMachines = new Set<MachineId>();
-  /** When its tasks ran, for the log. */
-  firstRunAt: MonotonicTime | null = null;
-  lastRunAt: MonotonicTime | null = null;
-  lostAttempts = 0;
-  failures = 0;
-  backoffUntil: MonotonicTime | null = null;
-
-  /** Jobs that are not known to be done yet and that have to be. */
-  readonly unmetDependencies = new Set<JobId>();
-  /** Its list of dependencies has further records that are not read yet. */
-  hasUnreadDependencies = false;
-  /** From when its times count, deadlines aside: its acceptance, or when the last job that it needs was done. */
-  readyAt: WallTime;
-  /** Cancelled with a job that it needs; its own record is still to say so. */
-  cancelledByDependency = false;
-  /** The best priority of all that need it, and the latest end that leaves them theirs. */
-  inheritedPriority: { readonly priority: Priority; readonly latestEnd: WallTime | null };
-  private rankedSpec: JobSpec | null = null;
-  /** Progress as found, chunks of all sizes; applied by `settle`. */
-  private storedProgress: { chunk: number; size: number; value: unknown; revision: Revision }[] = [];
-  /** Records of progress that others have taken the place of. */
-  readonly supersededKeys: string[] = [];
 
   constructor(
     readonly spec: JobSpec,
+    /** The revision of the job's record. */
     readonly revision: Revision,
     readonly acceptedAt: WallTime,
-    private chunkTasks = DEFAULT_CHUNK_SIZE,
+    chunkSize = DEFAULT_CHUNK_SIZE,
   ) {
-    this.readyAt = acceptedAt;
-    this.inheritedPriority = { priority: spec.priority, latestEnd: this.ownDeadline };
+    this.queue = new TaskQueue(spec.taskCount);
+    this.priority = new JobPriority(spec, acceptedAt);
+    this.progress = new JobProgress(this, chunkSize);
   }
 
-  /** When it should be complete by its own deadline, which counts from its submission. */
-  get ownDeadline(): WallTime | null {
-    const { deadlineS } = this.spec;
-    return deadlineS === null ? null : ((this.acceptedAt + deadlineS * 1000) as WallTime);
-  }
+  // What keeps it from starting, and its rank
 
-  /** Nothing of it may start yet. */
+  /** Whether no task of it may start yet. */
   get isBlocked(): boolean {
-    return this.unmetDependencies.size > 0 || this.hasUnreadDependencies;
+    return this.dependencies.isBlocked;
   }
 
-  inheritPriority(priority: Priority, latestEnd: WallTime | null): void {
-    this.inheritedPriority = { priority, latestEnd };
-    this.rankedSpec = null;
+  /** When it should be complete by its own deadline. */
+  get ownDeadline(): WallTime | null {
+    return this.priority.ownDeadline;
+  }
+
+  /** From when its times count, deadlines aside: its acceptance, or the end of its last dependency. */
+  get readyAt(): WallTime {
+    return this.priority.readyAt;
   }
 
   markReady(now: WallTime): void {
-    this.readyAt = now;
-    this.rankedSpec = null;
+    this.priority.markReady(now);
   }
 
-  /** As placement and renting see it: with the priority and the deadline of all that need it. */
+  get inheritedPriority(): InheritedPriority {
+    return this.priority.inherited;
+  }
+
+  inheritPriority(priority: Priority, latestEnd: WallTime | null): void {
+    this.priority.inherit({ priority, latestEnd });
+  }
+
+  /** The description as placement and scale-out see it: with the inherited priority and deadline. */
   get effectiveSpec(): JobSpec {
-    const { priority, latestEnd } = this.inheritedPriority;
-    this.rankedSpec ??=
-      priority === this.spec.priority && latestEnd === this.ownDeadline && this.readyAt === this.acceptedAt
-        ? this.spec
-        : {
-            ...this.spec,
-            priority,
-            deadlineS: latestEnd === null ? null : (latestEnd - this.readyAt) / 1000,
-          };
-    return this.rankedSpec;
+    return this.priority.effectiveSpec;
   }
 
+  // Its state
+
+  /** Tasks to be placed. */
   get waitingCount(): number {
-    return this.isCancelled ? 0 : this.again.length + (this.spec.taskCount - this.fresh);
+    return this.isCancelled ? 0 : this.queue.size;
   }
 
   /** Nothing of it is left to be done: its records can be closed. */
@@ -109,6 +109,12 @@
     return this.spec.kind === 'array' && this.doneCount === this.spec.taskCount;
   }
 
+  *assignedTasks(): Generator<Task> {
+    for (const task of this.tasks.values()) if (task.isAssigned) yield task;
+  }
+
+  // Its tasks
+
   private task(index: TaskIndex): Task {
     let task = this.tasks.get(index);
     if (!task) {
@@ -119,19 +125,9 @@
     return task;
   }
 
-  chunkOf(index: TaskIndex): ProgressChunk {
-    const n = Math.floor(index / this.chunkTasks);
-    let chunk = this.chunks.get(n);
-    if (!chunk) {
-      chunk = new ProgressChunk(this, n, this.chunkTasks);
-      this.chunks.set(n, chunk);
-    }
-    return chunk;
-  }
-
-  /** Takes the next waiting task for a host; its try is a new one. */
+  /** Places the next waiting task on a machine, in a new attempt. */
   beginAttempt(machine: MachineId, zone: ZoneId, now: MonotonicTime): Task {
-    const index = this.again.length > 0 ? (this.again.shift() as TaskIndex) : (this.fresh++ as TaskIndex);
+    const index = this.queue.take();
     const task = this.task(index);
     task.phase = 'committing';
     task.attemptNumber = (task.attemptNumber + 1) as AttemptNumber;
@@ -157,7 +153,7 @@
     task.pendingStop = null;
   }
 
-  /** What is known now of the zone of a task's machine; null: nothing. */
+  /** Updates the zone of a task's machine; null: it is unknown. */
   setTaskZone(task: Task, zone: ZoneId | null): void {
     if (!task.isAssigned || task.zone === zone) return;
     this.zoneTally.remove(task.zone);
@@ -165,13 +161,13 @@
     task.zone = zone;
   }
 
-  /** The start is durable: run orders may leave. */
+  /** The placement is durable: start commands may leave. */
   confirmPlacement(task: Task): void {
     task.phase = 'placed';
     this.chunkOf(task.index).committing.delete(task);
   }
 
-  /** The attempt is proven gone without success. */
+  /** The attempt is proven gone without success: the task waits again. */
   releaseTask(task: Task, now: MonotonicTime): void {
     if (!task.isAssigned) return;
     const chunk = this.chunkOf(task.index);
@@ -182,12 +178,13 @@
     task.zone = null;
     this.resetAttempt(task);
     this.assignedCount--;
-    this.lostAttempts++;
-    this.again.push(task.index);
+    this.history.recordLost();
+    this.queue.retry(task.index);
     chunk.markDirty(now);
-    this.store?.onJobChanged(this);
+    this.listener?.onJobChanged(this);
   }
 
+  /** The task ended with success. */
   finishTask(task: Task, now: MonotonicTime): void {
     if (task.isAssigned) {
       this.assignedCount--;
@@ -201,82 +198,67 @@
     task.observedState = null;
     this.doneCount++;
     chunk.markDirty(now);
-    this.store?.onJobChanged(this);
+    this.listener?.onJobChanged(this);
   }
 
-  /** Takes over what an earlier leader wrote. */
+  // Its progress in the store
+
+  get chunks(): ReadonlyMap<number, ProgressChunk> {
+    return this.progress.chunks;
+  }
+
+  chunkOf(index: TaskIndex): ProgressChunk {
+    return this.progress.chunkOf(index);
+  }
+
+  onChunkDirty(chunk: ProgressChunk): void {
+    this.listener?.onChunkDirty(chunk);
+  }
+
+  /** Keys of its records that are replaced by others. */
+  get supersededKeys(): readonly string[] {
+    return this.progress.supersededKeys;
+  }
+
+  /** Goes on in chunks of this size if that is smaller (`JobProgress.shrinkChunks`). */
+  resizeChunks(size: number, now: MonotonicTime): void {
+    for (const chunk of this.progress.shrinkChunks(size, now)) this.listener?.onChunkSuperseded(chunk);
+  }
+
+  /** Adds a record of progress that an earlier leader wrote; `applyStoredProgress` follows the last one. */
   addStoredProgress(chunk: number, size: number, value: unknown, revision: Revision): void {
-    this.storedProgress.push({ chunk, size, value, revision });
+    this.progress.addStored({ index: chunk, size, value, revision });
   }
 
-  /**
-   * After all records of progress were given: what they say, and what waits. Smaller chunks were made of
-   * larger ones and list every task that was ever begun: they are read last, and what they say counts.
-   */
+  /** Takes over the stored progress, and queues every task that is neither done nor placed. */
   applyStoredProgress(): void {
-    const told = new Map<
-      TaskIndex,
-      { done: boolean; placed?: TaskPlacement; attemptNumber?: AttemptNumber }
-    >();
-    for (const { chunk, size, value, revision } of this.storedProgress.sort((a, b) => b.size - a.size)) {
-      const first = chunk * size;
-      if (size === this.chunkTasks) this.chunkOf(first as TaskIndex).revision = revision;
-      else this.supersededKeys.push(keys.openChunk(this.spec.id, chunk, size));
-      const stored = decodeChunk(value);
-      for (const index of stored.done) told.set(index, { done: true });
-      for (const [index, placed] of stored.placed) told.set(index, { done: false, placed });
-      for (const [index, attemptNumber] of stored.usedAttempts)
-        told.set(index, { done: false, attemptNumber });
+    for (const [index, stored] of this.progress.takeStored()) this.restoreTask(this.task(index), stored);
+    let firstNeverStarted = 0;
+    for (const index of this.tasks.keys()) firstNeverStarted = Math.max(firstNeverStarted, index + 1);
+    for (let index = 0 as TaskIndex; index < firstNeverStarted; index++) {
+      const task = this.tasks.get(index);
+      if (!task || task.phase === 'waiting') this.queue.retry(index);
     }
-    this.storedProgress = [];
-    for (const [index, { done, placed, attemptNumber }] of told) {
-      const task = this.task(index);
-      if (done) {
+    this.queue.restoreNeverStarted(firstNeverStarted);
+  }
+
+  private restoreTask(task: Task, stored: StoredTaskProgress): void {
+    switch (stored.kind) {
+      case 'done':
         task.phase = 'done';
         this.doneCount++;
-      } else if (placed) {
+        break;
+      case 'placed':
         task.phase = 'placed';
-        task.attemptNumber = placed.attemptNumber;
-        task.machine = placed.machine;
+        task.attemptNumber = stored.placement.attemptNumber;
+        task.machine = stored.placement.machine;
         task.isInherited = true;
         this.assignedCount++;
         this.zoneTally.add(null);
-      } else if (attemptNumber !== undefined) task.attemptNumber = attemptNumber;
-    }
-    let top = 0;
-    for (const index of this.tasks.keys()) top = Math.max(top, index + 1);
-    for (let i = 0; i < top; i++) {
-      const task = this.tasks.get(i as TaskIndex);
-      if (!task || task.phase === 'waiting') this.again.push(i as TaskIndex);
-    }
-    this.fresh = top;
-  }
-
-  /**
-   * Progress goes on in chunks of this size. What is durable stays where it is until its part changes;
-   * what is not is written anew, and takes precedence over whatever of the old size still arrives late.
-   */
-  resizeChunks(size: number, now: MonotonicTime): void {
-    if (size >= this.chunkTasks || this.spec.taskCount <= size) return;
-    const before = [...this.chunks.values()];
-    this.chunks.clear();
-    this.chunkTasks = size;
-    for (const old of before) {
-      const parts = new Set<ProgressChunk>();
-      for (const task of old.tasks.values()) {
-        const part = this.chunkOf(task.index);
-        part.tasks.set(task.index, task);
-        if (old.committing.has(task)) part.committing.add(task);
-        parts.add(part);
-      }
-      if (old.isDirty) for (const part of parts) part.markDirty(now);
-      this.store?.dirtyChunks.delete(old);
-      old.supersededBy([...parts]);
-      if (old.revision > 0) this.supersededKeys.push(old.key);
+        break;
+      case 'waiting':
+        task.attemptNumber = stored.attemptNumber;
+        break;
     }
   }
-
-  *assignedTasks(): Generator<Task> {
-    for (const task of this.tasks.values()) if (task.isAssigned) yield task;
-  }
 }
--- a/src/scheduler/dependency-graph.ts
+++ b/src/scheduler/dependency-graph.ts
@@ -18,7 +18,7 @@
 
   /** A job became known, with or without dependencies; others may have named it before. */
   add(job: ActiveJob): void {
-    for (const id of job.unmetDependencies) {
+    for (const id of job.dependencies.unmet) {
       const dependents = this.dependents.get(id);
       if (dependents) dependents.add(job);
       else this.dependents.set(id, new Set([job]));
@@ -30,7 +30,7 @@
   complete(id: JobId): ActiveJob[] {
     const released: ActiveJob[] = [];
     for (const job of this.dependents.get(id) ?? []) {
-      job.unmetDependencies.delete(id);
+      job.dependencies.unmet.delete(id);
       if (!job.isBlocked) released.push(job);
     }
     this.dependents.delete(id);
@@ -53,14 +53,14 @@
 
   /** It no longer needs anything: it was cancelled. */
   remove(job: ActiveJob): void {
-    for (const id of job.unmetDependencies) {
+    for (const id of job.dependencies.unmet) {
       const dependents = this.dependents.get(id);
       dependents?.delete(job);
       if (dependents?.size === 0) this.dependents.delete(id);
       const needed = this.open.get(id);
       if (needed && this.binds(job, needed)) this.updatePriority(needed, false);
     }
-    job.unmetDependencies.clear();
+    job.dependencies.unmet.clear();
   }
 
   /** Whether the needed job has its priority or its latest end from this one. */
@@ -89,7 +89,7 @@
     const before = job.inheritedPriority;
     if (priority !== before.priority || latestEnd !== before.latestEnd)
       job.inheritPriority(priority, latestEnd);
-    for (const id of job.unmetDependencies) {
+    for (const id of job.dependencies.unmet) {
       const needed = this.open.get(id);
       if (!needed) continue;
       if (!up) this.updatePriority(needed, false);
@@ -102,7 +102,7 @@
       Math.max(needed.inheritedPriority.priority, by.inheritedPriority.priority),
       earlier(needed.inheritedPriority.latestEnd, this.endLeftBy(by)),
     );
-    for (const id of needed.unmetDependencies) {
+    for (const id of needed.dependencies.unmet) {
       const next = this.open.get(id);
       if (next && this.tightens(needed, next)) this.raise(next, needed);
     }
--- a/src/scheduler/job-store.ts
+++ b/src/scheduler/job-store.ts
@@ -1,60 +1,56 @@
-/** All unfinished jobs, as the leader knows them. */
+/** All unfinished jobs in the leader's memory. */
 import type { JobId, TeamId } from '../model/ids.js';
 import type { FinalState } from '../model/job.js';
+import type { ActiveJob, JobListener } from './active-job.js';
 import type { ProgressChunk } from './progress-chunk.js';
-import type { ActiveJob } from './active-job.js';
+import type { TeamUsage } from './team-usage.js';
 
-/** Ends that are remembered: an old event must not open their jobs again. */
-const MOST_ENDED = 20_000;
+/** Ended jobs that are remembered: a late watch event must not open them again. */
+const MAX_ENDED_JOBS = 20_000;
 
-/** What a team's tasks take that may be on machines. */
-export interface TeamUsage {
-  cpus: number;
-  gpus: number;
-}
-
-/** Tells which of them have changes to be written, and which are over. */
-export class JobStore {
-  private readonly open = new Map<JobId, ActiveJob>();
-  /** Jobs that ended while we led: an old event must not open them again. */
-  private readonly closed = new Map<JobId, FinalState>();
+/** Lists the unfinished jobs, those of them that are over, and the chunks of progress that have to be written. */
+export class JobStore implements JobListener {
+  private readonly activeJobs = new Map<JobId, ActiveJob>();
+  /** Jobs that ended in this term, in the order of their ends. */
+  private readonly endedJobs = new Map<JobId, FinalState>();
   /** Chunks with changes that are not durable yet. */
   readonly dirtyChunks = new Set<ProgressChunk>();
-  /** Raised whenever a job joins or leaves what is unfinished. */
-  version = 0;
-  /** Jobs whose records wait to be closed. */
+  /** Jobs that are over and whose records are still to be closed. */
   readonly jobsToClose = new Set<ActiveJob>();
+  /** Raised whenever the set of jobs that are neither cancelled nor complete changes. */
+  version = 0;
 
   get size(): number {
-    return this.open.size;
+    return this.activeJobs.size;
   }
 
   get(id: JobId): ActiveJob | undefined {
-    return this.open.get(id);
+    return this.activeJobs.get(id);
   }
 
   has(id: JobId): boolean {
-    return this.open.has(id);
+    return this.activeJobs.has(id);
   }
 
   values(): Iterable<ActiveJob> {
-    return this.open.values();
+    return this.activeJobs.values();
   }
 
-  /** False: it is known already, or over. */
+  /** Adds an unfinished job; false: it is in the store already, or has ended. */
   add(job: ActiveJob): boolean {
-    if (this.open.has(job.spec.id) || this.closed.has(job.spec.id)) return false;
-    this.open.set(job.spec.id, job);
-    job.store = this;
+    const { id } = job.spec;
+    if (this.activeJobs.has(id) || this.endedJobs.has(id)) return false;
+    this.activeJobs.set(id, job);
+    job.listener = this;
     this.version++;
     for (const chunk of job.chunks.values()) if (chunk.isDirty) this.dirtyChunks.add(chunk);
     this.onJobChanged(job);
     return true;
   }
 
-  /** How a job ended while we led. */
+  /** How a job ended in this term; undefined: it did not, or is not remembered any more. */
   finalStateOf(id: JobId): FinalState | undefined {
-    return this.closed.get(id);
+    return this.endedJobs.get(id);
   }
 
   onJobChanged(job: ActiveJob): void {
@@ -63,31 +59,45 @@
     if (job.isOver) this.jobsToClose.add(job);
   }
 
+  onChunkDirty(chunk: ProgressChunk): void {
+    this.dirtyChunks.add(chunk);
+  }
+
+  onChunkSuperseded(chunk: ProgressChunk): void {
+    this.dirtyChunks.delete(chunk);
+  }
+
+  /** Removes a job whose end is durable, and remembers the end. */
   close(id: JobId): void {
-    const job = this.open.get(id);
+    const job = this.activeJobs.get(id);
     if (job) {
       this.jobsToClose.delete(job);
       for (const chunk of job.chunks.values()) this.dirtyChunks.delete(chunk);
-      job.store = null;
+      job.listener = null;
     }
     this.version++;
-    this.open.delete(id);
-    this.closed.set(id, job?.isCancelled ? 'cancelled' : 'done');
-    if (this.closed.size > MOST_ENDED) {
-      const oldest = this.closed.keys().next().value;
-      if (oldest !== undefined) this.closed.delete(oldest);
-    }
+    this.activeJobs.delete(id);
+    this.rememberEnd(id, job?.isCancelled ? 'cancelled' : 'done');
+  }
+
+  private rememberEnd(id: JobId, state: FinalState): void {
+    this.endedJobs.set(id, state);
+    if (this.endedJobs.size <= MAX_ENDED_JOBS) return;
+    const oldest = this.endedJobs.keys().next().value;
+    if (oldest !== undefined) this.endedJobs.delete(oldest);
   }
 
+  /** What the tasks that may be on machines use, by team. */
   teamUsage(): Map<TeamId, TeamUsage> {
-    const use = new Map<TeamId, TeamUsage>();
-    for (const job of this.open.values()) {
+    const usageByTeam = new Map<TeamId, TeamUsage>();
+    for (const job of this.activeJobs.values()) {
       if (job.assignedCount === 0) continue;
-      const team = use.get(job.spec.team) ?? { cpus: 0, gpus: 0 };
-      team.cpus += job.assignedCount * job.spec.cpus;
-      team.gpus += job.assignedCount * job.spec.gpus;
-      use.set(job.spec.team, team);
+      const { team, cpus, gpus } = job.spec;
+      const usage = usageByTeam.get(team) ?? { cpus: 0, gpus: 0 };
+      usage.cpus += job.assignedCount * cpus;
+      usage.gpus += job.assignedCount * gpus;
+      usageByTeam.set(team, usage);
     }
-    return use;
+    return usageByTeam;
   }
 }
--- a/src/scheduler/placement.ts
+++ b/src/scheduler/placement.ts
@@ -1,7 +1,7 @@
 /** Places waiting tasks: first fit over an ordered list of machines, and room made where that is allowed. */
 import type { TeamId } from '../model/ids.js';
 import { fits, release, Priority, type Resources, allocate } from '../model/job.js';
-import type { TeamUsage } from './job-store.js';
+import type { TeamUsage } from './team-usage.js';
 import { mayStop, type Offer, offerOf } from './preemption.js';
 import { machineRefusal, zoneRefusal } from './placement-rule.js';
 import { queueOrder, remainingQuota } from './queue.js';
--- a/src/scheduler/queue.ts
+++ b/src/scheduler/queue.ts
@@ -3,7 +3,7 @@
 import { type JobSpec, Priority } from '../model/job.js';
 import type { Team } from '../model/team.js';
 import type { WallTime } from '../model/time.js';
-import type { TeamUsage } from './job-store.js';
+import type { TeamUsage } from './team-usage.js';
 import type { JobView } from './snapshot.js';
 
 /** Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs that may start. */
--- a/src/scheduler/snapshot.ts
+++ b/src/scheduler/snapshot.ts
@@ -3,7 +3,7 @@
 import type { JobSpec, Priority, Resources, FreeCapacity } from '../model/job.js';
 import type { Team } from '../model/team.js';
 import type { WallTime } from '../model/time.js';
-import type { TeamUsage } from './job-store.js';
+import type { TeamUsage } from './team-usage.js';
 
 /** A machine that takes work. */
 export interface MachineView {
--- a/src/workers/state/worker.ts
+++ b/src/workers/state/worker.ts
@@ -18,8 +18,7 @@
 import type { ConfirmedFacts, MachineFacts, UnconfirmedFacts } from '../../model/machine-facts.js';
 import type { Attempt, Heartbeat } from '../../model/heartbeat.js';
 import { type MonotonicTime, plus } from '../../model/time.js';
-import type { ProgressChunk } from '../../scheduler/progress-chunk.js';
-import type { Task } from '../../scheduler/task.js';
+import type { DurableProgress, Task } from '../../scheduler/task.js';
 
 const NO_RESOURCES: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
 
@@ -28,7 +27,7 @@
   readonly task: TaskId;
   readonly attemptNumber: AttemptNumber;
   /** The outcome is durable once this chunk has reached `version`; null: nothing waits to be written. */
-  readonly chunk: ProgressChunk | null;
+  readonly chunk: DurableProgress | null;
   readonly version: number;
   /** A run order with this token, or a copy of it, may still arrive; null: only with earlier epochs' ones. */
   readonly startSentToken: FencingToken | null;
--- a/test/unit/placement.test.ts
+++ b/test/unit/placement.test.ts
@@ -24,7 +24,7 @@
   PlacementSnapshot,
   Victim,
 } from '../../src/scheduler/snapshot.js';
-import type { TeamUsage } from '../../src/scheduler/job-store.js';
+import type { TeamUsage } from '../../src/scheduler/team-usage.js';
 import { plainPlace, structuredCloneOf } from './reference-placement.js';
 import { isStarving, SloTargets } from '../../src/scheduler/slo-targets.js';
 import { TYPES } from '../simulation/site-setup.js';
