--- a/src/scheduler/candidate-index.ts
+++ b/src/scheduler/candidate-index.ts
@@ -1,114 +1,126 @@
-/** The order in which first-fit looks at machines. */
+/** The order in which first-fit tries machines. */
 import type { ImageId } from '../model/ids.js';
 import { fits, type Resources } from '../model/job.js';
 import type { MachineView } from './snapshot.js';
 
-interface Place {
-  readonly m: MachineView;
+interface Candidate {
+  readonly machine: MachineView;
   /** Its free CPUs when it was last put in order. */
-  free: number;
+  freeCpus: number;
 }
 
-const byId = (a: MachineView, b: MachineView): number => (a.id < b.id ? -1 : 1);
-const reach = (m: MachineView): number => (m.isReachable ? 0 : 1);
+type Comparator = (a: Candidate, b: Candidate) => number;
 
-type Order = (a: Place, b: Place) => number;
+const compareIds = (a: MachineView, b: MachineView): number => (a.id < b.id ? -1 : 1);
+const reachabilityRank = (machine: MachineView): number => (machine.isReachable ? 0 : 1);
+const spotRank = (machine: MachineView): number => (machine.spot ? 0 : 1);
 
-const spotFirst = (m: MachineView): number => (m.spot ? 0 : 1);
+const SPOT_ORDER: Comparator = (a, b) =>
+  reachabilityRank(a.machine) - reachabilityRank(b.machine) ||
+  spotRank(a.machine) - spotRank(b.machine) ||
+  a.freeCpus - b.freeCpus ||
+  compareIds(a.machine, b.machine);
 
-const ORDER_FOR_SPOT: Order = (a, b) =>
-  reach(a.m) - reach(b.m) || spotFirst(a.m) - spotFirst(b.m) || a.free - b.free || byId(a.m, b.m);
+const ON_DEMAND_ORDER: Comparator = (a, b) =>
+  reachabilityRank(a.machine) - reachabilityRank(b.machine) ||
+  a.machine.cpus - b.machine.cpus ||
+  a.freeCpus - b.freeCpus ||
+  compareIds(a.machine, b.machine);
 
-const ORDER_FOR_FIRM: Order = (a, b) =>
-  reach(a.m) - reach(b.m) || a.m.cpus - b.m.cpus || a.free - b.free || byId(a.m, b.m);
-
-/** From so many moved machines on the whole shelf is sorted again. */
-const MANY_MOVED = 16;
+/** From so many changed machines on, all are sorted again. */
+const FULL_SORT_CHANGES = 16;
 
 /**
- * The order in which first-fit looks at machines (ours): reachable ones first; spot ones for work
- * that may use them; then, for such work, the fuller ones, so that whole machines become idle and
- * can be given back, and of equally full ones those that have the image. Other work looks for its
- * image first, then for small machines: replicas stay long, and must not keep a big one.
+ * The machines that first-fit tries, in order (ours): reachable ones first; spot ones for jobs that allow them; then,
+ * for such jobs, the fuller ones, so that whole machines become idle and can be scaled in, and of equally full ones
+ * those that have the image. Other jobs prefer machines with their image, then small ones: replicas stay long, and
+ * must not keep a big one.
  *
- * One shelf serves all jobs of a decision. It holds machines with room only, and between two jobs moves
- * those that were placed on: most jobs touch one or two.
+ * One index serves all jobs of a placement round. It holds only machines with free capacity for any of them, and moves
+ * those that have changed between two jobs: most jobs change one or two.
  */
 export class CandidateIndex {
-  private places: Place[];
-  private readonly order: Order;
-  private sorted = false;
-  private readonly moved = new Set<MachineView>();
+  private candidates: Candidate[];
+  private readonly compare: Comparator;
+  private isSorted = false;
+  private readonly changed = new Set<MachineView>();
 
+  /**
+   * @param allowsSpot Whether it serves the jobs that may use spot machines, or those that may not.
+   * @param minimumFree Machines with less free capacity are left out.
+   */
   constructor(
     machines: readonly MachineView[],
-    private readonly forSpot: boolean,
-    private readonly least: Resources,
+    private readonly allowsSpot: boolean,
+    private readonly minimumFree: Resources,
   ) {
-    this.order = forSpot ? ORDER_FOR_SPOT : ORDER_FOR_FIRM;
-    this.places = machines
-      .filter((m) => (forSpot || !m.spot) && fits(least, m.free))
-      .map((m) => ({ m, free: m.free.cpus }));
+    this.compare = allowsSpot ? SPOT_ORDER : ON_DEMAND_ORDER;
+    this.candidates = machines
+      .filter((machine) => (allowsSpot || !machine.spot) && fits(minimumFree, machine.free))
+      .map((machine) => ({ machine, freeCpus: machine.free.cpus }));
   }
 
-  /** Something was placed there, or room was made: its place is looked at again before the next job. */
-  touch(m: MachineView): void {
-    if (this.forSpot || !m.spot) this.moved.add(m);
+  /** The machine's free capacity has changed: it is put in order again before the next job. */
+  markChanged(machine: MachineView): void {
+    if (this.allowsSpot || !machine.spot) this.changed.add(machine);
   }
 
-  private settle(): void {
-    if (!this.sorted || this.moved.size > MANY_MOVED) this.sortAll();
-    else for (const m of this.moved) this.move(m);
-    this.moved.clear();
+  private applyChanges(): void {
+    if (!this.isSorted || this.changed.size > FULL_SORT_CHANGES) this.sortAll();
+    else for (const machine of this.changed) this.reposition(machine);
+    this.changed.clear();
   }
 
   private sortAll(): void {
-    const held = new Set(this.places.map(({ m }) => m));
-    for (const m of this.moved) if (!held.has(m)) this.places.push({ m, free: m.free.cpus });
-    this.places = this.places.filter(({ m }) => fits(this.least, m.free));
-    for (const place of this.places) place.free = place.m.free.cpus;
-    this.places.sort(this.order);
-    this.sorted = true;
+    const listed = new Set(this.candidates.map(({ machine }) => machine));
+    for (const machine of this.changed) {
+      if (!listed.has(machine)) this.candidates.push({ machine, freeCpus: machine.free.cpus });
+    }
+    this.candidates = this.candidates.filter(({ machine }) => fits(this.minimumFree, machine.free));
+    for (const candidate of this.candidates) candidate.freeCpus = candidate.machine.free.cpus;
+    this.candidates.sort(this.compare);
+    this.isSorted = true;
   }
 
-  private move(m: MachineView): void {
-    const at = this.places.findIndex((place) => place.m === m);
-    if (at >= 0) this.places.splice(at, 1);
-    if (!fits(this.least, m.free)) return;
-    const place: Place = { m, free: m.free.cpus };
-    this.places.splice(this.placeFor(place), 0, place);
+  private reposition(machine: MachineView): void {
+    const index = this.candidates.findIndex((candidate) => candidate.machine === machine);
+    if (index >= 0) this.candidates.splice(index, 1);
+    if (!fits(this.minimumFree, machine.free)) return;
+    const candidate: Candidate = { machine, freeCpus: machine.free.cpus };
+    this.candidates.splice(this.insertionIndex(candidate), 0, candidate);
   }
 
-  /** By halves: everything before it comes first. */
-  private placeFor(place: Place): number {
+  /** By binary search: all candidates before the index come before this one. */
+  private insertionIndex(candidate: Candidate): number {
     let low = 0;
-    let high = this.places.length;
+    let high = this.candidates.length;
     while (low < high) {
       const middle = (low + high) >>> 1;
-      if (this.order(this.places[middle] as Place, place) < 0) low = middle + 1;
+      if (this.compare(this.candidates[middle] as Candidate, candidate) < 0) low = middle + 1;
       else high = middle;
     }
     return low;
   }
 
-  /** Machines for a job in first-fit order; within a group those with its image come first. */
+  /** Machines for a job in first-fit order; of machines of equal rank those with its image come first. */
   *inOrder(image: ImageId): Generator<MachineView> {
-    this.settle();
-    const { places } = this;
-    const alike = (a: Place, b: Place): boolean =>
-      a.m.isReachable === b.m.isReachable && (!this.forSpot || (a.m.spot === b.m.spot && a.free === b.free));
-    for (let from = 0; from < places.length;) {
-      const first = places[from] as Place;
-      let to = from + 1;
-      while (to < places.length && alike(first, places[to] as Place)) to++;
-      const bare: MachineView[] = [];
-      for (let i = from; i < to; i++) {
-        const { m } = places[i] as Place;
-        if (m.images.has(image)) yield m;
-        else bare.push(m);
+    this.applyChanges();
+    const { candidates } = this;
+    const haveEqualRank = (a: Candidate, b: Candidate): boolean =>
+      a.machine.isReachable === b.machine.isReachable &&
+      (!this.allowsSpot || (a.machine.spot === b.machine.spot && a.freeCpus === b.freeCpus));
+    for (let start = 0; start < candidates.length;) {
+      const first = candidates[start] as Candidate;
+      let end = start + 1;
+      while (end < candidates.length && haveEqualRank(first, candidates[end] as Candidate)) end++;
+      const withoutImage: MachineView[] = [];
+      for (let index = start; index < end; index++) {
+        const { machine } = candidates[index] as Candidate;
+        if (machine.images.has(image)) yield machine;
+        else withoutImage.push(machine);
       }
-      yield* bare;
-      from = to;
+      yield* withoutImage;
+      start = end;
     }
   }
 }
--- a/src/scheduler/placement.ts
+++ b/src/scheduler/placement.ts
@@ -1,137 +1,166 @@
-/** Places waiting tasks: first fit over an ordered list of machines, and room made where that is allowed. */
+/** Places waiting tasks: first fit over an ordered list of machines, and preemption where that is allowed. */
 import type { TeamId } from '../model/ids.js';
 import { fits, release, Priority, type Resources, allocate } from '../model/job.js';
-import type { TeamUsage } from './team-usage.js';
-import { mayStop, type Offer, offerOf } from './preemption.js';
+import { CandidateIndex } from './candidate-index.js';
 import { machineRefusal, zoneRefusal } from './placement-rule.js';
+import { preemptionFilter, type PreemptionOption, preemptionOption } from './preemption.js';
 import { queueOrder, remainingQuota } from './queue.js';
-import { CandidateIndex } from './candidate-index.js';
 import type { JobView, MachineView, PlacementPlan, PlacementSnapshot, Victim } from './snapshot.js';
+import type { TeamUsage } from './team-usage.js';
 
 /** The part of a starving job's tasks that may go ahead of other work. */
 const STARVING_SHARE = 0.25;
 
-/** One decision over one snapshot. */
+type MachineFilter = (machine: MachineView) => boolean;
+
+interface PreemptibleMachine {
+  readonly machine: MachineView;
+  readonly victims: Victim[];
+}
+
+/** One round of placement over one snapshot. Takes the free capacity of the snapshot's machines as it goes. */
 class PlacementRound {
   readonly plan: PlacementPlan = { starts: [], preemptions: [], unmet: [] };
-  private readonly used = new Map<TeamId, TeamUsage>();
-  private readonly shelves: Record<'spot' | 'firm', CandidateIndex>;
-  private stoppable: { m: MachineView; victims: Victim[] }[] | null = null;
+  private readonly usageByTeam = new Map<TeamId, TeamUsage>();
+  private readonly spotIndex: CandidateIndex;
+  private readonly onDemandIndex: CandidateIndex;
+  private preemptibleMachines: PreemptibleMachine[] | null = null;
 
-  constructor(private readonly now: PlacementSnapshot) {
-    for (const [team, u] of now.teamUsage) this.used.set(team, { ...u });
-    const least = smallest(now.jobs);
-    this.shelves = {
-      spot: new CandidateIndex(now.machines, true, least),
-      firm: new CandidateIndex(now.machines, false, least),
-    };
+  constructor(private readonly snapshot: PlacementSnapshot) {
+    for (const [team, usage] of snapshot.teamUsage) this.usageByTeam.set(team, { ...usage });
+    const minimumFree = smallestRequest(snapshot.jobs);
+    this.spotIndex = new CandidateIndex(snapshot.machines, true, minimumFree);
+    this.onDemandIndex = new CandidateIndex(snapshot.machines, false, minimumFree);
   }
 
   place(job: JobView): void {
     const { spec } = job;
-    const team = this.now.teams.get(spec.team);
+    const team = this.snapshot.teams.get(spec.team);
     if (!team || job.waitingCount === 0 || job.isHeldBack) return;
-    const mine = this.used.get(spec.team) ?? { cpus: 0, gpus: 0 };
-    this.used.set(spec.team, mine);
-    let open = Math.min(job.waitingCount, remainingQuota(team, mine, spec));
+    const teamUsage = this.usageByTeam.get(spec.team) ?? { cpus: 0, gpus: 0 };
+    this.usageByTeam.set(spec.team, teamUsage);
+    let remaining = Math.min(job.waitingCount, remainingQuota(team, teamUsage, spec));
     // A starving job goes first with a part of its tasks only: it begins, and the others go on.
-    if (job.isStarving) open = Math.min(open, Math.ceil(spec.taskCount * STARVING_SHARE));
-    // A replica starts at once only where its image is: making room there beats a fetch elsewhere.
+    if (job.isStarving) remaining = Math.min(remaining, Math.ceil(spec.taskCount * STARVING_SHARE));
+    // A replica starts at once only where its image is: preempting there beats a fetch elsewhere.
     if (spec.priority === Priority.Production) {
-      const warm = (m: MachineView): boolean => m.images.has(spec.image);
-      open = this.firstFit(job, mine, open, warm);
-      open = this.makeRoom(job, mine, open, warm);
+      const hasImage: MachineFilter = (machine) => machine.images.has(spec.image);
+      remaining = this.firstFit(job, teamUsage, remaining, hasImage);
+      remaining = this.preempt(job, teamUsage, remaining, hasImage);
+    }
+    remaining = this.firstFit(job, teamUsage, remaining, () => true);
+    remaining = this.preempt(job, teamUsage, remaining, () => true);
+    if (remaining > 0) {
+      const tasks = Math.min(job.waitingCount, remainingQuota(team, teamUsage, spec));
+      this.plan.unmet.push({ job, tasks });
     }
-    open = this.firstFit(job, mine, open, () => true);
-    open = this.makeRoom(job, mine, open, () => true);
-    if (open > 0)
-      this.plan.unmet.push({ job, tasks: Math.min(job.waitingCount, remainingQuota(team, mine, spec)) });
   }
 
-  private start(job: JobView, mine: TeamUsage, m: MachineView): void {
+  private start(job: JobView, teamUsage: TeamUsage, machine: MachineView): void {
     const { spec } = job;
-    this.plan.starts.push({ job: spec.id, machine: m.id });
-    allocate(m.free, spec);
-    mine.cpus += spec.cpus;
-    mine.gpus += spec.gpus;
-    job.zones.set(m.zone, (job.zones.get(m.zone) ?? 0) + 1);
+    this.plan.starts.push({ job: spec.id, machine: machine.id });
+    allocate(machine.free, spec);
+    teamUsage.cpus += spec.cpus;
+    teamUsage.gpus += spec.gpus;
+    job.zones.set(machine.zone, (job.zones.get(machine.zone) ?? 0) + 1);
     job.waitingCount--;
-    this.shelves.spot.touch(m);
-    this.shelves.firm.touch(m);
+    this.spotIndex.markChanged(machine);
+    this.onDemandIndex.markChanged(machine);
   }
 
-  private firstFit(job: JobView, mine: TeamUsage, open: number, which: (m: MachineView) => boolean): number {
-    if (open <= 0) return open;
+  /** Starts tasks on machines with free capacity. Returns how many still remain. */
+  private firstFit(job: JobView, teamUsage: TeamUsage, remaining: number, isEligible: MachineFilter): number {
+    if (remaining <= 0) return remaining;
     const { spec } = job;
-    for (const m of this.shelves[spec.allowsSpot ? 'spot' : 'firm'].inOrder(spec.image)) {
-      if (!which(m) || machineRefusal(spec, m) !== null || job.avoidedMachines.has(m.id)) continue;
-      while (open > 0 && fits(spec, m.free) && zoneRefusal(spec, job.zones, m.zone) === null) {
-        this.start(job, mine, m);
-        open--;
+    const index = spec.allowsSpot ? this.spotIndex : this.onDemandIndex;
+    for (const machine of index.inOrder(spec.image)) {
+      if (!isEligible(machine) || machineRefusal(spec, machine) !== null) continue;
+      if (job.avoidedMachines.has(machine.id)) continue;
+      while (
+        remaining > 0 &&
+        fits(spec, machine.free) &&
+        zoneRefusal(spec, job.zones, machine.zone) === null
+      ) {
+        this.start(job, teamUsage, machine);
+        remaining--;
       }
-      if (open === 0) break;
+      if (remaining === 0) break;
     }
-    return open;
+    return remaining;
   }
 
-  /** Machines with tasks that could be stopped, looked up once. */
-  private candidates(): { m: MachineView; victims: Victim[] }[] {
-    this.stoppable ??= this.now.machines
-      .filter((m) => m.isReachable)
-      .map((m) => ({ m, victims: this.now.victimsOf(m.id) }))
-      .filter((c) => c.victims.length > 0);
-    return this.stoppable;
+  /** Machines with tasks that could be preempted, looked up once. */
+  private preemptible(): PreemptibleMachine[] {
+    this.preemptibleMachines ??= this.snapshot.machines
+      .filter((machine) => machine.isReachable)
+      .map((machine) => ({ machine, victims: this.snapshot.victimsOf(machine.id) }))
+      .filter(({ victims }) => victims.length > 0);
+    return this.preemptibleMachines;
   }
 
-  /** Room is made where it costs least work, one task at a time. */
-  private makeRoom(job: JobView, mine: TeamUsage, open: number, which: (m: MachineView) => boolean): number {
-    const may = open > 0 ? mayStop(job, this.now.guaranteed) : null;
-    if (!may) return open;
-    const offers: Offer[] = [];
-    for (const { m, victims } of this.candidates()) {
-      if (!which(m) || machineRefusal(job.spec, m) !== null || job.avoidedMachines.has(m.id)) continue;
-      const offer = offerOf(job.spec, m, victims, may);
-      if (offer) offers.push(offer);
+  /** Starts tasks where preemption costs least, one at a time. Returns how many still remain. */
+  private preempt(job: JobView, teamUsage: TeamUsage, remaining: number, isEligible: MachineFilter): number {
+    const canPreempt = remaining > 0 ? preemptionFilter(job, this.snapshot.guaranteed) : null;
+    if (!canPreempt) return remaining;
+    const { spec } = job;
+    const options: PreemptionOption[] = [];
+    for (const { machine, victims } of this.preemptible()) {
+      if (!isEligible(machine) || machineRefusal(spec, machine) !== null) continue;
+      if (job.avoidedMachines.has(machine.id)) continue;
+      const option = preemptionOption(spec, machine, victims, canPreempt);
+      if (option) options.push(option);
     }
-    while (open > 0) {
-      let best = -1;
-      offers.forEach((o, i) => {
-        if (zoneRefusal(job.spec, job.zones, o.m.zone) !== null) return;
-        const before = offers[best];
-        if (!before || o.lost < before.lost) best = i;
-      });
-      const offer = offers[best];
-      if (!offer) break;
-      const { m, from } = offer;
-      for (const v of offer.victims) {
-        this.plan.preemptions.push({ machine: m.id, task: v.task, preemptor: job.spec.id });
-        from.splice(from.indexOf(v), 1);
-        release(m.free, v);
-      }
-      this.start(job, mine, m);
-      open--;
-      const again = offerOf(job.spec, m, from, may);
-      if (again) offers[best] = again;
-      else offers.splice(best, 1);
+    while (remaining > 0) {
+      const index = cheapestOption(options, job);
+      const option = options[index];
+      if (!option) break;
+      this.takeOption(job, teamUsage, option);
+      remaining--;
+      const next = preemptionOption(spec, option.machine, option.candidates, canPreempt);
+      if (next) options[index] = next;
+      else options.splice(index, 1);
     }
-    return open;
+    return remaining;
   }
+
+  private takeOption(job: JobView, teamUsage: TeamUsage, option: PreemptionOption): void {
+    const { machine, candidates, victims } = option;
+    for (const victim of victims) {
+      this.plan.preemptions.push({ machine: machine.id, task: victim.task, preemptor: job.spec.id });
+      candidates.splice(candidates.indexOf(victim), 1);
+      release(machine.free, victim);
+    }
+    this.start(job, teamUsage, machine);
+  }
+}
+
+/** The index of the first option of least cost in a zone that the job may use; -1: there is none. */
+function cheapestOption(options: readonly PreemptionOption[], job: JobView): number {
+  let cheapest = -1;
+  let leastCost = Infinity;
+  options.forEach(({ machine, cost }, index) => {
+    if (zoneRefusal(job.spec, job.zones, machine.zone) !== null) return;
+    if (cheapest >= 0 && cost >= leastCost) return;
+    cheapest = index;
+    leastCost = cost;
+  });
+  return cheapest;
 }
 
-/** What a machine must have left to be worth a look for any of the jobs. */
-function smallest(jobs: readonly JobView[]): Resources {
-  const least = { cpus: Infinity, gpus: Infinity, memoryGb: Infinity };
+/** The least of each resource that any task takes: a machine with less has no capacity for any of them. */
+function smallestRequest(jobs: readonly JobView[]): Resources {
+  const smallest = { cpus: Infinity, gpus: Infinity, memoryGb: Infinity };
   for (const { spec } of jobs) {
-    least.cpus = Math.min(least.cpus, spec.cpus);
-    least.gpus = Math.min(least.gpus, spec.gpus);
-    least.memoryGb = Math.min(least.memoryGb, spec.memoryGb);
+    smallest.cpus = Math.min(smallest.cpus, spec.cpus);
+    smallest.gpus = Math.min(smallest.gpus, spec.gpus);
+    smallest.memoryGb = Math.min(smallest.memoryGb, spec.memoryGb);
   }
-  return least;
+  return smallest;
 }
 
-/** Places waiting tasks on the first machines that fit. */
-export function place(now: PlacementSnapshot): PlacementPlan {
-  const placing = new PlacementRound(now);
-  for (const job of queueOrder(now.jobs, now.guaranteed)) placing.place(job);
-  return placing.plan;
+/** Places the waiting tasks of a snapshot, job by job in queue order. */
+export function place(snapshot: PlacementSnapshot): PlacementPlan {
+  const round = new PlacementRound(snapshot);
+  for (const job of queueOrder(snapshot.jobs, snapshot.guaranteed)) round.place(job);
+  return round.plan;
 }
--- a/src/scheduler/preemption.ts
+++ b/src/scheduler/preemption.ts
@@ -1,66 +1,74 @@
-/** Which running tasks may be stopped to make room, and what that loses. */
+/** Which running tasks may be preempted for a job, and what that costs. */
 import type { JobId } from '../model/ids.js';
 import { fits, release, type JobSpec, Priority } from '../model/job.js';
 import type { JobView, MachineView, Victim } from './snapshot.js';
 
-/** What a stopped task loses besides its work: its next start, mostly with its image. */
+/** What a preempted task loses besides its work: its next start, mostly with its image. */
 const RESTART_MS = 3000;
 /**
  * Urgent work is mostly a stage of something that others wait for: one task that starts again delays all of
- * it. Its loss counts so many times.
+ * it. Its cost counts so many times.
  */
-const URGENT_LOSS = 8;
+const URGENT_COST_FACTOR = 8;
 
-function lossOf(victim: Victim): number {
-  const weight = victim.priority >= Priority.High ? URGENT_LOSS : 1;
-  return (victim.lostMs + RESTART_MS) * victim.cpus * weight;
+/** The cost of preempting a task, in lost CPU milliseconds. */
+function preemptionCost(victim: Victim): number {
+  const factor = victim.priority >= Priority.High ? URGENT_COST_FACTOR : 1;
+  return (victim.lostMs + RESTART_MS) * victim.cpus * factor;
 }
 
 /**
- * A job within its team's guarantee first waits this long for room that comes free by itself: on a full fleet
- * that is thousands of tasks a minute, and each one that is stopped loses its work.
+ * A job within its team's guaranteed quota first waits this long for capacity that becomes free by itself: on a full
+ * fleet that is thousands of tasks a minute, and each one that is preempted loses its work.
  */
-const GUARANTEE_AFTER_MS = 1000;
+const GUARANTEE_PREEMPTION_DELAY_MS = 1000;
+
+/** Whether a task may be preempted. */
+export type PreemptionFilter = (victim: Victim) => boolean;
 
 /**
- * Who may be stopped for a job (PROTOCOL, "Preemption"): lower priorities for production work;
- * for a team's guarantee, what other teams run beyond theirs.
+ * Which tasks may be preempted for a job (PROTOCOL, "Preemption"): for production work those of lower priorities; for
+ * a team's guaranteed quota, what other teams run beyond theirs. Null: none at all.
  */
-export function mayStop(job: JobView, guaranteed: ReadonlySet<JobId>): ((v: Victim) => boolean) | null {
+export function preemptionFilter(job: JobView, guaranteed: ReadonlySet<JobId>): PreemptionFilter | null {
   const { spec } = job;
-  const production = spec.priority === Priority.Production;
-  const within = guaranteed.has(spec.id) && job.waitedMs >= GUARANTEE_AFTER_MS;
-  if (!production && !within) return null;
-  return (v) =>
-    (production && v.priority < spec.priority) ||
-    (within && v.team !== spec.team && v.priority < Priority.Production && !guaranteed.has(v.job));
+  const isProduction = spec.priority === Priority.Production;
+  const isGuaranteed = guaranteed.has(spec.id) && job.waitedMs >= GUARANTEE_PREEMPTION_DELAY_MS;
+  if (!isProduction && !isGuaranteed) return null;
+  return (victim) =>
+    (isProduction && victim.priority < spec.priority) ||
+    (isGuaranteed &&
+      victim.team !== spec.team &&
+      victim.priority < Priority.Production &&
+      !guaranteed.has(victim.job));
 }
 
-/** Room that could be made on one machine. */
-export interface Offer {
-  readonly m: MachineView;
-  /** What could be stopped there, and the part of it that would be. */
-  readonly from: Victim[];
+/** A way to make one task fit on a machine by preempting others there. */
+export interface PreemptionOption {
+  readonly machine: MachineView;
+  /** The machine's tasks that could be preempted, for a job that the rules allow it to. */
+  readonly candidates: Victim[];
+  /** Those that would be. */
   readonly victims: readonly Victim[];
-  /** Work that making this room would lose. */
-  readonly lost: number;
+  readonly cost: number;
 }
 
-/** Fewest-loss victims whose stopping lets the task fit; null: not even all of them would do. */
-export function offerOf(
+/** Takes victims in the order given until the task fits; null: not even all of them would do. */
+export function preemptionOption(
   spec: JobSpec,
-  m: MachineView,
-  from: Victim[],
-  may: (v: Victim) => boolean,
-): Offer | null {
-  const free = { ...m.free };
+  machine: MachineView,
+  candidates: Victim[],
+  canPreempt: PreemptionFilter,
+): PreemptionOption | null {
+  const free = { ...machine.free };
   const victims: Victim[] = [];
-  for (const v of from) {
+  for (const victim of candidates) {
     if (fits(spec, free)) break;
-    if (!may(v)) continue;
-    release(free, v);
-    victims.push(v);
+    if (!canPreempt(victim)) continue;
+    release(free, victim);
+    victims.push(victim);
   }
   if (!fits(spec, free)) return null;
-  return { m, from, victims, lost: victims.reduce((sum, victim) => sum + lossOf(victim), 0) };
+  const cost = victims.reduce((sum, victim) => sum + preemptionCost(victim), 0);
+  return { machine, candidates, victims, cost };
 }
--- a/src/scheduler/queue.ts
+++ b/src/scheduler/queue.ts
@@ -1,56 +1,62 @@
-/** Who is served first, and how much: ranks, guarantees and limits. */
+/** The order in which jobs are served, and how much of a team's quota is left. */
 import type { JobId, TeamId } from '../model/ids.js';
 import { type JobSpec, Priority } from '../model/job.js';
 import type { Team } from '../model/team.js';
 import type { WallTime } from '../model/time.js';
-import type { TeamUsage } from './team-usage.js';
 import type { JobView } from './snapshot.js';
+import type { TeamUsage } from './team-usage.js';
+
+/** Tolerance for sums of fractional CPUs. */
+const EPSILON = 1e-9;
 
-/** Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs that may start. */
+/** Ranks of jobs that don't depend on their priority alone. */
+const PRODUCTION_RANK = 10;
+const STARVING_RANK = 9;
+
+/** The jobs that fit into their team's guaranteed quota, together with all of its earlier unfinished jobs. */
 export function guaranteedJobs(
   jobs: Iterable<{ readonly spec: JobSpec; readonly readyAt: WallTime }>,
   teams: ReadonlyMap<TeamId, Team>,
 ): Set<JobId> {
-  const sums = new Map<TeamId, TeamUsage>();
-  const inside = new Set<JobId>();
-  for (const job of [...jobs].sort((a, b) => a.readyAt - b.readyAt)) {
-    const team = teams.get(job.spec.team);
+  const demandByTeam = new Map<TeamId, TeamUsage>();
+  const guaranteed = new Set<JobId>();
+  for (const { spec } of [...jobs].sort((a, b) => a.readyAt - b.readyAt)) {
+    const team = teams.get(spec.team);
     if (!team) continue;
-    const sum = sums.get(job.spec.team) ?? { cpus: 0, gpus: 0 };
-    const tasks = job.spec.taskCount;
-    sum.cpus += tasks * job.spec.cpus;
-    sum.gpus += tasks * job.spec.gpus;
-    sums.set(job.spec.team, sum);
-    if (sum.cpus <= team.cpus + 1e-9 && sum.gpus <= team.gpus + 1e-9) inside.add(job.spec.id);
+    const demand = demandByTeam.get(spec.team) ?? { cpus: 0, gpus: 0 };
+    demand.cpus += spec.taskCount * spec.cpus;
+    demand.gpus += spec.taskCount * spec.gpus;
+    demandByTeam.set(spec.team, demand);
+    if (demand.cpus <= team.cpus + EPSILON && demand.gpus <= team.gpus + EPSILON) guaranteed.add(spec.id);
   }
-  return inside;
+  return guaranteed;
 }
 
-/** Who is served first: rank, guarantee, then what has least time left. */
+/** Sorts jobs in the order in which they are served: by priority, guaranteed quota, slack and age. */
 export function queueOrder(jobs: readonly JobView[], guaranteed: ReadonlySet<JobId>): JobView[] {
-  const rank = (j: JobView): number => {
-    if (j.spec.priority === Priority.Production) return 10;
-    if (j.isStarving) return 9;
-    return j.spec.priority * 2 + (guaranteed.has(j.spec.id) ? 1 : 0);
+  const rankOf = ({ spec, isStarving }: JobView): number => {
+    if (spec.priority === Priority.Production) return PRODUCTION_RANK;
+    if (isStarving) return STARVING_RANK;
+    return spec.priority * 2 + (guaranteed.has(spec.id) ? 1 : 0);
   };
-  const slack = (j: JobView): number => j.slackMs ?? Infinity;
   return jobs
-    .map((j) => ({ j, r: rank(j), s: slack(j) }))
+    .map((job) => ({ job, rank: rankOf(job), slackMs: job.slackMs ?? Infinity }))
     .sort((a, b) => {
-      if (a.r !== b.r) return b.r - a.r;
-      if (a.s !== b.s) return a.s - b.s;
-      return a.j.readyAt - b.j.readyAt;
+      if (a.rank !== b.rank) return b.rank - a.rank;
+      if (a.slackMs !== b.slackMs) return a.slackMs - b.slackMs;
+      return a.job.readyAt - b.job.readyAt;
     })
-    .map((x) => x.j);
+    .map(({ job }) => job);
 }
 
-/** How many more tasks of the job its team's limit allows. */
-export function remainingQuota(team: Team, use: TeamUsage, spec: JobSpec): number {
-  const eps = 1e-9;
-  let room = Infinity;
-  if (team.cpusMax !== null && spec.cpus > 0) room = Math.floor((team.cpusMax - use.cpus + eps) / spec.cpus);
+/** How many more tasks of the job its team's quota limit allows. */
+export function remainingQuota(team: Team, usage: TeamUsage, spec: JobSpec): number {
+  let remaining = Infinity;
+  if (team.cpusMax !== null && spec.cpus > 0) {
+    remaining = Math.floor((team.cpusMax - usage.cpus + EPSILON) / spec.cpus);
+  }
   if (team.gpusMax !== null && spec.gpus > 0) {
-    room = Math.min(room, Math.floor((team.gpusMax - use.gpus + eps) / spec.gpus));
+    remaining = Math.min(remaining, Math.floor((team.gpusMax - usage.gpus + EPSILON) / spec.gpus));
   }
-  return Math.max(0, room);
+  return Math.max(0, remaining);
 }
--- a/src/scheduler/slo-targets.ts
+++ b/src/scheduler/slo-targets.ts
@@ -1,15 +1,16 @@
-import { type JobSpec, Priority } from '../model/job.js';
-import { type MonotonicTime, since } from '../model/time.js';
+/** Service-level objectives (SLOs) as targets for single jobs, and the slack that they leave. */
+import type { JobSpec } from '../model/job.js';
 import type { Objective } from '../wire/settings.js';
 
-/** Room for a task that runs longer than expected, and for its image. */
-const LONGER = 1.25;
+/** Allowance for a task that runs longer than expected, and for the fetch of its image. */
+const RUN_TIME_FACTOR = 1.25;
 const FETCH_MS = 4000;
+/** The share of a class's jobs that should meet a target where the objective does not say. */
 const DEFAULT_SHARE = 0.9;
 
-/** A time by which a job should have ended. */
+/** A time by which a job should be complete, or its tasks should have started. */
 export interface Target {
-  /** From the job's submission. */
+  /** Counted from when the job was ready, ms. */
   readonly withinMs: number;
   /** The share of its class that may miss it. */
   readonly allowedMissShare: number;
@@ -17,28 +18,16 @@
 
 /** The first target that can still be met. */
 export interface NextTarget extends Target {
-  /** Until the job's tasks should have started. */
+  /** How long the job's tasks may still wait for their start. */
   readonly slackMs: number;
 }
 
-/** A job none of whose tasks has been given a machine for this long goes ahead of its rank. */
-const STARVED_MS = 120_000;
+type TargetsByClass = Map<string, Target[]>;
 
-/**
- * Whether a job waits unserved for too long. Work whose targets are lost goes last and low ranks go
- * behind high ones; on a full cluster both could wait for ever.
- */
-export function isStarving(
-  job: {
-    readonly spec: JobSpec;
-    readonly lastPlacedAt: MonotonicTime | null;
-    readonly assignedCount: number;
-  },
-  ageMs: number,
-  now: MonotonicTime,
-): boolean {
-  if (job.spec.priority === Priority.Production || job.assignedCount > 0 || ageMs <= STARVED_MS) return false;
-  return job.lastPlacedAt === null || since(now, job.lastPlacedAt) > STARVED_MS;
+function addTarget(targets: TargetsByClass, jobClass: string, target: Target): void {
+  const ofClass = targets.get(jobClass);
+  if (ofClass) ofClass.push(target);
+  else targets.set(jobClass, [target]);
 }
 
 /**
@@ -46,46 +35,47 @@
  * no longer be met gives way to the next one: hopeless work must not push aside what can be saved.
  */
 export class SloTargets {
-  private readonly finished = new Map<string, Target[]>();
-  /** When tasks should have started, by class. */
-  private readonly started = new Map<string, Target[]>();
-  private readonly deadline = new Map<string, number>();
+  private readonly completionTargets: TargetsByClass = new Map();
+  private readonly startTargets: TargetsByClass = new Map();
+  /** The share of each class that may miss its own deadlines. */
+  private readonly deadlineMissShares = new Map<string, number>();
 
   constructor(objectives: readonly Objective[]) {
     for (const { kind, jobClass, target, share } of objectives) {
       if (jobClass === null) continue;
-      const allowed = 1 - (share ?? DEFAULT_SHARE);
-      if (kind === 'deadline') this.deadline.set(jobClass, allowed);
+      const allowedMissShare = 1 - (share ?? DEFAULT_SHARE);
+      if (kind === 'deadline') this.deadlineMissShares.set(jobClass, allowedMissShare);
       if (target === null) continue;
-      if (kind === 'finished')
-        addTarget(this.finished, jobClass, { withinMs: target, allowedMissShare: allowed });
-      if (kind === 'wait') addTarget(this.started, jobClass, { withinMs: target, allowedMissShare: allowed });
+      const classTarget = { withinMs: target, allowedMissShare };
+      if (kind === 'finished') addTarget(this.completionTargets, jobClass, classTarget);
+      if (kind === 'wait') addTarget(this.startTargets, jobClass, classTarget);
     }
   }
 
-  private targets(spec: JobSpec): Target[] {
-    const targets = [...(this.finished.get(spec.jobClass) ?? [])];
+  /** All targets for the job's completion, the earliest first. */
+  private completionTargetsOf(spec: JobSpec): Target[] {
+    const targets = [...(this.completionTargets.get(spec.jobClass) ?? [])];
     if (spec.deadlineS !== null) {
-      const allowed = this.deadline.get(spec.jobClass) ?? 1 - DEFAULT_SHARE;
-      targets.push({ withinMs: spec.deadlineS * 1000, allowedMissShare: allowed });
+      const allowedMissShare = this.deadlineMissShares.get(spec.jobClass) ?? 1 - DEFAULT_SHARE;
+      targets.push({ withinMs: spec.deadlineS * 1000, allowedMissShare });
     }
     return targets.sort((a, b) => a.withinMs - b.withinMs);
   }
 
-  /** Whether a task that is stopped now and starts again leaves its job the target that it would meet. */
-  canRestartInTime(spec: JobSpec, ageMs: number, leftMs: number, expectedRunMs: number): boolean {
-    const within = this.targets(spec).find((t) => ageMs + leftMs <= t.withinMs);
-    return !within || ageMs + this.estimatedDurationMs(expectedRunMs) <= within.withinMs;
+  /** Whether a task that is stopped now and starts again leaves its job the target that it would meet otherwise. */
+  canRestartInTime(spec: JobSpec, ageMs: number, remainingMs: number, expectedRunMs: number): boolean {
+    const target = this.completionTargetsOf(spec).find(({ withinMs }) => ageMs + remainingMs <= withinMs);
+    return !target || ageMs + this.estimatedDurationMs(expectedRunMs) <= target.withinMs;
   }
 
-  /** What a job with tasks of this length is reckoned to take from its start. */
+  /** How long a job with tasks of this length is estimated to take from its start. */
   estimatedDurationMs(expectedRunMs: number): number {
-    return expectedRunMs * LONGER + FETCH_MS;
+    return expectedRunMs * RUN_TIME_FACTOR + FETCH_MS;
   }
 
-  /** The first target for the job's end that still can be met; null: no such target is left. */
+  /** The first target for the job's completion that can still be met; null: none is left. */
   nextTarget(spec: JobSpec, ageMs: number, expectedRunMs: number): NextTarget | null {
-    for (const target of this.targets(spec)) {
+    for (const target of this.completionTargetsOf(spec)) {
       const slackMs = target.withinMs - ageMs - this.estimatedDurationMs(expectedRunMs);
       if (slackMs > 0) return { ...target, slackMs };
     }
@@ -93,24 +83,18 @@
   }
 
   /**
-   * Until the job's waiting tasks should start, for its end or for their start, whichever comes first:
-   * a job that has lost one target for its end would otherwise wait for the next one's sake past
-   * the time at which all tasks of its class should have begun. Null: nothing is asked of it any more.
+   * How long the job's waiting tasks may still wait, by the targets for its completion and for their start, whichever
+   * comes first: a job that has lost one target for its completion would otherwise wait for the next one's sake past
+   * the time at which all tasks of its class should have started. Null: no target is left.
    */
   slackMs(spec: JobSpec, ageMs: number, expectedRunMs: number): number | null {
     let least = this.nextTarget(spec, ageMs, expectedRunMs)?.slackMs ?? null;
     // Replicas go first in any case, and of them the oldest.
-    const starts = spec.kind === 'array' ? this.started.get(spec.jobClass) : undefined;
-    for (const { withinMs } of starts ?? []) {
+    const startTargets = spec.kind === 'array' ? this.startTargets.get(spec.jobClass) : undefined;
+    for (const { withinMs } of startTargets ?? []) {
       const slackMs = withinMs - ageMs - FETCH_MS;
       if (slackMs > 0 && (least === null || slackMs < least)) least = slackMs;
     }
     return least;
   }
 }
-
-function addTarget(targets: Map<string, Target[]>, jobClass: string, target: Target): void {
-  const known = targets.get(jobClass);
-  if (known) known.push(target);
-  else targets.set(jobClass, [target]);
-}
--- a/test/unit/placement.test.ts
+++ b/test/unit/placement.test.ts
@@ -26,7 +26,8 @@
 } from '../../src/scheduler/snapshot.js';
 import type { TeamUsage } from '../../src/scheduler/team-usage.js';
 import { plainPlace, structuredCloneOf } from './reference-placement.js';
-import { isStarving, SloTargets } from '../../src/scheduler/slo-targets.js';
+import { SloTargets } from '../../src/scheduler/slo-targets.js';
+import { isStarving } from '../../src/scheduler/starvation.js';
 import { TYPES } from '../simulation/site-setup.js';
 
 const spec = (over: Partial<JobSpec>): JobSpec => ({
