--- a/src/forecast/arrivals.ts
+++ b/src/forecast/arrivals.ts
@@ -1,38 +1,39 @@
+/** Notices a falling rate of arrivals sooner than the predictors do. */
 import { type Millis, type MonotonicTime, since } from '../model/time.js';
 
-/** Slots whose arrivals are remembered. */
-const KEEP = 4;
-/** With fewer arrivals a slot than this, their absence tells little. */
-const ENOUGH = 6;
-/** Arrivals may fall this far below what is usual before the forecast follows. */
-const USUAL = 2;
+/** Past slots whose arrivals are remembered. */
+const KEPT_SLOTS = 4;
+/** With fewer arrivals in a usual slot than this, their absence says little. */
+const MIN_USUAL_ARRIVALS = 6;
+/** How many times below their usual number arrivals may fall before the forecast follows. */
+const TOLERATED_FALL = 2;
 
 /**
  * How far arrivals have lately fallen below what they were. The predictors see whole slots, and need
  * several to believe that demand has ended; meanwhile machines would be kept for it.
  */
 export class Arrivals {
-  private readonly slots: number[] = [];
-  private recent: MonotonicTime[] = [];
-  private inSlot = 0;
+  private readonly pastCounts: number[] = [];
+  private recentTimes: MonotonicTime[] = [];
+  private currentCount = 0;
 
   recordArrival(now: MonotonicTime): void {
-    this.inSlot++;
-    this.recent.push(now);
+    this.currentCount++;
+    this.recentTimes.push(now);
   }
 
   endSlot(): void {
-    this.slots.push(this.inSlot);
-    if (this.slots.length > KEEP) this.slots.shift();
-    this.inSlot = 0;
+    this.pastCounts.push(this.currentCount);
+    if (this.pastCounts.length > KEPT_SLOTS) this.pastCounts.shift();
+    this.currentCount = 0;
   }
 
-  /** The part of a forecast that the last slot's length of arrivals still bears out. */
+  /** The share of a forecast, up to 1, that the arrivals within the last slot's length still support. */
   confirmedShare(now: MonotonicTime, slot: Millis): number {
-    this.recent = this.recent.filter((t) => since(now, t) < slot);
-    if (this.slots.length === 0) return 1;
-    const usual = this.slots.reduce((a, b) => a + b, 0) / this.slots.length;
-    if (usual < ENOUGH) return 1;
-    return Math.min(1, (USUAL * this.recent.length + 1) / usual);
+    this.recentTimes = this.recentTimes.filter((time) => since(now, time) < slot);
+    if (this.pastCounts.length === 0) return 1;
+    const usual = this.pastCounts.reduce((sum, count) => sum + count, 0) / this.pastCounts.length;
+    if (usual < MIN_USUAL_ARRIVALS) return 1;
+    return Math.min(1, (TOLERATED_FALL * this.recentTimes.length + 1) / usual);
   }
 }
--- a/src/forecast/lifetimes.ts
+++ b/src/forecast/lifetimes.ts
@@ -1,111 +1,127 @@
+/** Run times by job class: how long tasks take, and how probable it is that one ends soon. */
 import type { Histogram } from 'hdr-histogram-js';
 // The package's index also loads its log writer, number formats and WebAssembly: 40 ms of each start.
 import { constructorFromBucketSize } from 'hdr-histogram-js/dist/JsHistogramFactory.js';
+import type { JobSpec } from '../model/job.js';
 
 const Int32Histogram = constructorFromBucketSize(32);
+/** The resolution of the histograms. */
 const UNIT_MS = 100;
-/** In units: a day. */
-const LONGEST_UNITS = 864_000;
+/** The longest run time that is told from longer ones: a day. */
+const MAX_UNITS = 864_000;
 const SIGNIFICANT_DIGITS = 2;
-const LOOK_AGAIN = 1.05;
-const LEAST_LEFT = 0.2;
+/** Growth of a class after which its cached shares are looked up anew. */
+const CACHE_GROWTH = 1.05;
+/** With fewer runs of a class than this, its owner's estimates are all that is used. */
+const MIN_RUNS = 8;
+/** How far estimates are corrected at most, either way. */
+const MIN_CORRECTION = 0.3;
+const MAX_CORRECTION = 3;
+/** A task that has outrun its expectation is expected to run for this part of it. */
+const MIN_REMAINING_SHARE = 0.2;
+/** Halvings of the interval in which a percentile is searched: 100% / 2^12 is 0.02%. */
+const PERCENTILE_SEARCH_STEPS = 12;
 
-/** Run times seen per class of jobs: the empirical F of the paper's equation 9. */
+type EstimatedJob = Pick<JobSpec, 'jobClass' | 'estimatedRunS'>;
+
+interface CachedShares {
+  /** How many runs the histogram had. */
+  readonly runCount: number;
+  /** By run time in whole seconds. */
+  readonly shares: Map<number, number>;
+}
+
+interface EstimateTotals {
+  runMs: number;
+  estimatedMs: number;
+}
+
+/** Run times observed per job class: the empirical F of the paper's equation 9. */
 export class Lifetimes {
-  private readonly seen = new Map<string, Histogram>();
-  /** Shares already looked up, by whole seconds; made anew once the class has grown by a part. */
-  private readonly looked = new Map<string, { count: number; shares: Map<number, number> }>();
-  /** Run and estimated time per class: owners are mostly too high on some days, too low on others. */
-  private readonly sums = new Map<string, { ran: number; estimated: number }>();
+  private readonly histograms = new Map<string, Histogram>();
+  private readonly cachedShares = new Map<string, CachedShares>();
+  /** Actual and estimated run times by class: owners are mostly too high on some days, too low on others. */
+  private readonly estimateTotals = new Map<string, EstimateTotals>();
 
-  recordRun(jobClass: string, ms: number, estimateMs = 0): void {
-    if (estimateMs > 0) {
-      const sum = this.sums.get(jobClass) ?? { ran: 0, estimated: 0 };
-      sum.ran += ms;
-      sum.estimated += estimateMs;
-      this.sums.set(jobClass, sum);
+  /** Records how long a task ran; without an estimate it doesn't count for the estimates' correction. */
+  recordRun(jobClass: string, runMs: number, estimatedMs = 0): void {
+    if (estimatedMs > 0) {
+      const totals = this.estimateTotals.get(jobClass) ?? { runMs: 0, estimatedMs: 0 };
+      totals.runMs += runMs;
+      totals.estimatedMs += estimatedMs;
+      this.estimateTotals.set(jobClass, totals);
     }
-    let h = this.seen.get(jobClass);
-    if (!h) {
-      h = new Int32Histogram(1, LONGEST_UNITS, SIGNIFICANT_DIGITS);
-      this.seen.set(jobClass, h);
+    let histogram = this.histograms.get(jobClass);
+    if (!histogram) {
+      histogram = new Int32Histogram(1, MAX_UNITS, SIGNIFICANT_DIGITS);
+      this.histograms.set(jobClass, histogram);
     }
-    h.recordValue(Math.min(LONGEST_UNITS, Math.max(1, Math.round(ms / UNIT_MS))));
-  }
-
-  /** The owner's estimate, corrected by how far the class's estimates have been off. */
-  private expected(jobClass: string, estimateMs: number): number {
-    const sum = this.sums.get(jobClass);
-    if (!sum || this.count(jobClass) < 8) return estimateMs;
-    return estimateMs * Math.min(3, Math.max(0.3, sum.ran / sum.estimated));
+    histogram.recordValue(Math.min(MAX_UNITS, Math.max(1, Math.round(runMs / UNIT_MS))));
   }
 
-  /** The same for a task of this job, in ms. */
-  expectedRunMs({
-    jobClass,
-    estimatedRunS,
-  }: {
-    readonly jobClass: string;
-    readonly estimatedRunS: number;
-  }): number {
-    return this.expected(jobClass, estimatedRunS * 1000);
+  /** The expected run time of a task, ms: its owner's estimate, corrected by how far the class's estimates were off. */
+  expectedRunMs({ jobClass, estimatedRunS }: EstimatedJob): number {
+    const estimatedMs = estimatedRunS * 1000;
+    const totals = this.estimateTotals.get(jobClass);
+    if (!totals || this.count(jobClass) < MIN_RUNS) return estimatedMs;
+    const correction = totals.runMs / totals.estimatedMs;
+    return estimatedMs * Math.min(MAX_CORRECTION, Math.max(MIN_CORRECTION, correction));
   }
 
-  /** How long such a task is still expected to run after so many ms; one that has outrun its expectation, a part of it. */
-  expectedRemainingMs(
-    spec: { readonly jobClass: string; readonly estimatedRunS: number },
-    ranMs: number,
-  ): number {
-    const runMs = this.expectedRunMs(spec);
-    return Math.max(runMs * LEAST_LEFT, runMs - ranMs);
+  /** How long a task is still expected to run, ms, after it has run for `ranMs`. */
+  expectedRemainingMs(job: EstimatedJob, ranMs: number): number {
+    const runMs = this.expectedRunMs(job);
+    return Math.max(runMs * MIN_REMAINING_SHARE, runMs - ranMs);
   }
 
-  count(jobClass: string): number {
-    return this.seen.get(jobClass)?.totalCount ?? 0;
+  /** How many runs of the class were recorded. */
+  private count(jobClass: string): number {
+    return this.histograms.get(jobClass)?.totalCount ?? 0;
   }
 
-  /** Share of run times up to `ms`. */
-  within(jobClass: string, ms: number): number {
-    const h = this.seen.get(jobClass);
-    if (!h || h.totalCount === 0) return 0;
-    let looked = this.looked.get(jobClass);
-    if (!looked || h.totalCount > looked.count * LOOK_AGAIN) {
-      looked = { count: h.totalCount, shares: new Map() };
-      this.looked.set(jobClass, looked);
+  /** The share of run times up to `runMs`: F of the paper's equation 9. */
+  private shareUpTo(jobClass: string, runMs: number): number {
+    const histogram = this.histograms.get(jobClass);
+    if (!histogram || histogram.totalCount === 0) return 0;
+    let cached = this.cachedShares.get(jobClass);
+    if (!cached || histogram.totalCount > cached.runCount * CACHE_GROWTH) {
+      cached = { runCount: histogram.totalCount, shares: new Map() };
+      this.cachedShares.set(jobClass, cached);
     }
     // Thousands of running tasks ask for the same few hundred ages.
-    const age = Math.round(ms / 1000);
-    let share = looked.shares.get(age);
+    const seconds = Math.round(runMs / 1000);
+    let share = cached.shares.get(seconds);
     if (share === undefined) {
-      share = shareUpTo(h, (age * 1000) / UNIT_MS);
-      looked.shares.set(age, share);
+      share = histogramShareUpTo(histogram, (seconds * 1000) / UNIT_MS);
+      cached.shares.set(seconds, share);
     }
     return share;
   }
 
   /**
-   * Chance that a task of age `age` ends within `slot`: (F(a+s) − F(a)) / (1 − F(a)). Before
-   * anything has been seen, the owner's estimate stands in for the median of an exponential.
+   * The probability that a task of age `ageMs` ends within the next `slotMs`: (F(a+s) − F(a)) / (1 − F(a)). Until
+   * enough runs were recorded, the owner's estimate stands in for the median of an exponential distribution.
    */
-  endProbability(jobClass: string, age: number, slot: number, estimateMs: number): number {
-    if (this.count(jobClass) < 8) {
-      return estimateMs > 0 ? 1 - Math.exp((-Math.LN2 * slot) / estimateMs) : 0;
+  endProbability(jobClass: string, ageMs: number, slotMs: number, estimatedMs: number): number {
+    if (this.count(jobClass) < MIN_RUNS) {
+      return estimatedMs > 0 ? 1 - Math.exp((-Math.LN2 * slotMs) / estimatedMs) : 0;
     }
-    const before = this.within(jobClass, age);
-    if (before >= 1) return 1;
-    return (this.within(jobClass, age + slot) - before) / (1 - before);
+    const endedBefore = this.shareUpTo(jobClass, ageMs);
+    if (endedBefore >= 1) return 1;
+    return (this.shareUpTo(jobClass, ageMs + slotMs) - endedBefore) / (1 - endedBefore);
   }
 }
 
-function shareUpTo(h: Histogram, value: number): number {
-  if (value >= h.maxValue) return 1;
-  if (value < h.minNonZeroValue) return 0;
+/** The share of a histogram's values up to this one, by binary search over its percentiles. */
+function histogramShareUpTo(histogram: Histogram, value: number): number {
+  if (value >= histogram.maxValue) return 1;
+  if (value < histogram.minNonZeroValue) return 0;
   let low = 0;
   let high = 100;
-  for (let i = 0; i < 12; i++) {
-    const mid = (low + high) / 2;
-    if (h.getValueAtPercentile(mid) <= value) low = mid;
-    else high = mid;
+  for (let step = 0; step < PERCENTILE_SEARCH_STEPS; step++) {
+    const middle = (low + high) / 2;
+    if (histogram.getValueAtPercentile(middle) <= value) low = middle;
+    else high = middle;
   }
   return low / 100;
 }
