--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -2,6 +2,7 @@
 import type { ListedMachine, MachineType } from '../model/machine.js';
 import type { HttpCaller, HttpReply } from '../net/http-client.js';
 import {
+  deleteMachinesBody,
   readMachineList,
   readCreatedMachines,
   readMachineTypes,
@@ -55,7 +56,7 @@
   }
 
   async deleteMachines(machines: readonly MachineId[]): Promise<void> {
-    CloudClient.expect(await this.ask('POST', '/machines/delete', { machines }));
+    CloudClient.expect(await this.ask('POST', '/machines/delete', deleteMachinesBody(machines)));
   }
 
   async listMachines(after: string): Promise<{ machines: ListedMachine[]; more: boolean }> {
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -88,7 +88,12 @@
   readonly count: number;
 }
 
-/** The body of a rental request. */
+/** The body of a request that deletes machines. */
+export function deleteMachinesBody(machines: readonly MachineId[]): object {
+  return { hosts: machines };
+}
+
+/** The body of a request for machines. */
 export function scaleOutBody(r: ScaleOutRequest): object {
   return { hire: r.name, flavour: r.type, hall: r.zone, reclaimable: r.spot, howMany: r.count };
 }
--- a/test/soak/broken-controller.ts
+++ b/test/soak/broken-controller.ts
@@ -16,7 +16,7 @@
   type: [
     {
       file: RULE,
-      from: 'if (spec.types !== null && !spec.types.includes(machine.type)) return PlacementRefusal.Type;',
+      from: 'if (spec.allowedTypes !== null && !spec.allowedTypes.includes(machine.type)) return PlacementRefusal.Type;',
       to: '',
     },
   ],
@@ -28,11 +28,15 @@
     },
   ],
   spot: [
-    { file: RULE, from: 'if (machine.spot && !spec.spot) return PlacementRefusal.Spot;', to: '' },
-    { file: 'scheduler/place.ts', from: "spec.spot ? 'spot' : 'firm'", to: "'spot'" },
+    { file: RULE, from: 'if (machine.spot && !spec.allowsSpot) return PlacementRefusal.Spot;', to: '' },
+    { file: 'scheduler/placement.ts', from: "spec.allowsSpot ? 'spot' : 'firm'", to: "'spot'" },
+  ],
+  zoneAffinity: [
+    { file: RULE, from: 'if (spec.zoneAffinity && isInOtherZone(others, zone)) return 0;', to: '' },
+  ],
+  zoneAntiAffinity: [
+    { file: RULE, from: 'return spec.zoneAntiAffinity ?', to: 'return spec.zoneAntiAffinity && false ?' },
   ],
-  zoneAffinity: [{ file: RULE, from: 'if (spec.oneZone && isInOtherZone(others, zone)) return 0;', to: '' }],
-  spread: [{ file: RULE, from: 'return spec.spread ?', to: 'return spec.spread && false ?' }],
 } satisfies Record<string, readonly Change[]>;
 
 /** A part of the placement rule. */
--- /dev/null
+++ b/test/unit/cloud-wire.test.ts
@@ -0,0 +1,53 @@
+import { describe, expect, it } from 'vitest';
+import { CloudClient } from '../../src/cloud/client.js';
+import type { MachineId, MachineTypeId, ScaleOutRequestId, ZoneId } from '../../src/model/ids.js';
+import type { HttpCaller } from '../../src/net/http-client.js';
+
+interface SentRequest {
+  readonly method: string;
+  readonly path: string;
+  readonly body: unknown;
+}
+
+/** A client of a cloud that answers everything alike, and what it sent. */
+function cloudClient(answer: unknown): { client: CloudClient; sent: SentRequest[] } {
+  const sent: SentRequest[] = [];
+  const http: HttpCaller = {
+    call: (method, path, body) => {
+      sent.push({ method, path, body });
+      return Promise.resolve({ status: 200, body: answer });
+    },
+  };
+  return { client: new CloudClient(http, 1000), sent };
+}
+
+describe('requests to the cloud', () => {
+  it('ask for machines in the protocol’s words', async () => {
+    const { client, sent } = cloudClient({ hosts: ['host-000001'] });
+    await client.createMachines({
+      name: 'p5-1' as ScaleOutRequestId,
+      type: 'small' as MachineTypeId,
+      zone: 'north' as ZoneId,
+      spot: true,
+      count: 2,
+    });
+    const body = { hire: 'p5-1', flavour: 'small', hall: 'north', reclaimable: true, howMany: 2 };
+    expect(sent).toEqual([{ method: 'POST', path: '/machines', body }]);
+  });
+
+  it('delete machines in the protocol’s words', async () => {
+    const { client, sent } = cloudClient({});
+    await client.deleteMachines(['host-000001' as MachineId]);
+    expect(sent).toEqual([{ method: 'POST', path: '/machines/delete', body: { hosts: ['host-000001'] } }]);
+  });
+
+  it('list machines page by page', async () => {
+    const { client, sent } = cloudClient({ hosts: [], more: false });
+    await client.listMachines('');
+    await client.listMachines('host-000001');
+    expect(sent.map(({ path }) => path)).toEqual([
+      '/machines?most=500',
+      '/machines?after=host-000001&most=500',
+    ]);
+  });
+});
