--- a/src/model/machine-facts.ts
+++ b/src/model/machine-facts.ts
@@ -1,23 +1,23 @@
 /**
- * What a leader knows of a machine's type, zone and kind. Placement reads confirmed facts only; what merely may be so
- * has another type, so that it cannot be passed for a fact.
+ * What a leader knows of a machine's type, zone and kind. Placement reads confirmed facts only; unconfirmed ones have
+ * another type, so that they cannot be passed for confirmed.
  */
 import type { Machine, MachineType } from './machine.js';
 import type { MonotonicTime } from './time.js';
 
-/** Who told what a machine is. */
+/** Who confirmed what a machine is. */
 export enum FactSource {
-  /** The cloud's answer to the rental. */
+  /** The cloud's answer to the request that created it. */
   Rental = 'rental',
   /** The cloud's list of machines. */
   List = 'list',
-  /** The machine's own report. */
+  /** The machine's own heartbeat. */
   Heartbeat = 'heartbeat',
-  /** A leader's record of what one of these had told. */
+  /** A leader's record of what one of these had confirmed. */
   Record = 'record',
 }
 
-/** Told by the cloud or the machine, now or to an earlier leader. */
+/** Confirmed by the cloud or by the machine, to this leader or to an earlier one. */
 export interface ConfirmedFacts {
   readonly state: 'confirmed';
   readonly machine: Machine;
@@ -26,14 +26,14 @@
   readonly learnedAt: MonotonicTime;
 }
 
-/** Told by a record of a version that recorded guesses as well: good enough for planning. */
+/** Read from a record of a version that recorded guesses as well: good enough for capacity planning only. */
 export interface UnconfirmedFacts {
   readonly state: 'unconfirmed';
   readonly machine: Machine;
   readonly type: MachineType;
 }
 
-/** Nothing but the machine's name, from the record of a task on it. */
+/** Nothing but the machine's id, from the record of a task on it. */
 export interface UnknownFacts {
   readonly state: 'unknown';
 }
@@ -41,9 +41,10 @@
 /** All that is known of one machine. */
 export type MachineFacts = ConfirmedFacts | UnconfirmedFacts | UnknownFacts;
 
+/** The facts of a machine of which only the id is known. */
 export const UNKNOWN_FACTS: UnknownFacts = { state: 'unknown' };
 
-/** Whether two descriptions of one machine agree. */
+/** Reports whether two descriptions of one machine agree. */
 export function sameMachine(one: Machine, other: Machine): boolean {
   return one.type === other.type && one.zone === other.zone && one.spot === other.spot;
 }
--- a/src/model/team.ts
+++ b/src/model/team.ts
@@ -1,6 +1,7 @@
+/** Teams and their quotas. */
 import type { TeamId } from './ids.js';
 
-/** What a team is guaranteed and limited to. A limit of null: none. */
+/** A team's guaranteed quota (`cpus`, `gpus`) and quota limit (`cpusMax`, `gpusMax`; null: no limit). */
 export interface Team {
   readonly id: TeamId;
   readonly cpus: number;
--- a/src/model/time.ts
+++ b/src/model/time.ts
@@ -1,63 +1,73 @@
+/** Times, durations and the clock that everything is handed that reads time or waits. */
 import type { Branded } from './ids.js';
 
-/** Milliseconds on this node's steady clock. Never compared with another node's. */
-export type MonotonicTime = Branded<number, 'Steady'>;
-/** Milliseconds since 1970 by the time of day, within the settings' bound. */
+/** Milliseconds on this process's monotonic clock. Never compared with another process's. */
+export type MonotonicTime = Branded<number, 'MonotonicTime'>;
+/** Milliseconds since 1970 by the time of day; exact within the settings' `clock_error_ms`. */
 export type WallTime = Branded<number, 'WallTime'>;
 /** A duration in milliseconds. */
 export type Millis = Branded<number, 'Millis'>;
 
-/** Two steady clocks drift apart by at most this share (PROTOCOL). */
-const CLOCK_DRIFT = 0.0005;
+/** The largest relative drift between two monotonic clocks (PROTOCOL). */
+const MAX_CLOCK_DRIFT = 0.0005;
 
-export const ms = (n: number): Millis => n as Millis;
-export const seconds = (n: number): Millis => (n * 1000) as Millis;
-export const plus = (t: MonotonicTime, d: number): MonotonicTime => (t + d) as MonotonicTime;
+/** A duration of so many milliseconds. */
+export const ms = (count: number): Millis => count as Millis;
+/** A duration of so many seconds. */
+export const seconds = (count: number): Millis => (count * 1000) as Millis;
+/** The time that is `durationMs` after `time`. */
+export const plus = (time: MonotonicTime, durationMs: number): MonotonicTime =>
+  (time + durationMs) as MonotonicTime;
+/** The duration from `then` to `now`. */
 export const since = (now: MonotonicTime, then: MonotonicTime): Millis => (now - then) as Millis;
-/** The longest that `d` on another machine's clock can last on ours. */
-export const maxLocalDuration = (d: number): Millis => (d * (1 + 2 * CLOCK_DRIFT)) as Millis;
-/** The shortest that `d` on another machine's clock can last on ours. */
-export const minLocalDuration = (d: number): Millis => (d * (1 - 2 * CLOCK_DRIFT)) as Millis;
+/** The longest that a duration on another process's clock can last on ours. */
+export const maxLocalDuration = (remoteMs: number): Millis =>
+  (remoteMs * (1 + 2 * MAX_CLOCK_DRIFT)) as Millis;
+/** The shortest that a duration on another process's clock can last on ours. */
+export const minLocalDuration = (remoteMs: number): Millis =>
+  (remoteMs * (1 - 2 * MAX_CLOCK_DRIFT)) as Millis;
 
-/** Calls something off. */
+/** Cancels a timer or a subscription. */
 export type Cancel = () => void;
 
-/** Everything that reads time or waits is handed one of these. */
+/** A source of time and timers; tests use a virtual one. */
 export interface Clock {
   now(): MonotonicTime;
   wall(): WallTime;
-  after(d: number, run: () => void): Cancel;
+  /** Calls `run` once after `delayMs`. */
+  after(delayMs: number, run: () => void): Cancel;
 }
 
-/** Resolves after `d` milliseconds of this clock. */
-export function sleep(clock: Clock, d: number): Promise<void> {
+/** Resolves after `delayMs` on this clock. */
+export function sleep(clock: Clock, delayMs: number): Promise<void> {
   return new Promise((resolve) => {
-    clock.after(d, resolve);
+    clock.after(delayMs, resolve);
   });
 }
 
-/** Runs something at this pace, counted from the end of each run, until it is called off. */
-export function runPeriodically(clock: Clock, everyMs: number, run: () => void): Cancel {
-  let stopped = false;
-  let cancel: Cancel = () => {};
-  const next = (): void => {
-    cancel = clock.after(everyMs, () => {
+/** Calls `run` with a fixed delay between the end of one run and the start of the next, until it is cancelled. */
+export function runPeriodically(clock: Clock, delayMs: number, run: () => void): Cancel {
+  let isStopped = false;
+  let cancelTimer: Cancel = () => {};
+  const scheduleNext = (): void => {
+    cancelTimer = clock.after(delayMs, () => {
       run();
-      if (!stopped) next();
+      if (!isStopped) scheduleNext();
     });
   };
-  next();
+  scheduleNext();
   return () => {
-    stopped = true;
-    cancel();
+    isStopped = true;
+    cancelTimer();
   };
 }
 
+/** The clock of the operating system. */
 export const systemClock: Clock = {
   now: () => performance.now() as MonotonicTime,
   wall: () => Date.now() as WallTime,
-  after(d, run) {
-    const timer = setTimeout(run, Math.max(0, d));
+  after(delayMs, run) {
+    const timer = setTimeout(run, Math.max(0, delayMs));
     return () => clearTimeout(timer);
   },
 };
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,10 +1,11 @@
+/** The cloud's HTTP bodies. On the wire a machine type is a `flavour` and a zone a `hall`. */
 import * as z from 'zod/mini';
 import type { MachineId, ScaleOutRequestId, MachineTypeId, ZoneId } from '../model/ids.js';
 import type { ListedMachine, MachineType } from '../model/machine.js';
 import { seconds } from '../model/time.js';
 import { nonNegativeNumber, shortName } from './common.js';
 
-const types = z.object({
+const machineTypesSchema = z.object({
   flavours: z.array(
     z.object({
       name: shortName,
@@ -21,30 +22,30 @@
   ),
 });
 
-/** Machine types as the cloud lists them. Throws on anything else. */
+/** Reads the list of machine types. Throws on anything else. */
 export function readMachineTypes(body: unknown): MachineType[] {
-  return types.parse(body).flavours.map((t) => ({
-    id: t.name as MachineTypeId,
-    cpus: t.cpus,
-    gpus: t.gpus ?? 0,
-    memoryGb: t.memoryGb,
-    cacheGb: t.cacheGb ?? 0,
-    fetchGbPerS: t.fetchGbPerS ?? 1,
-    price: t.price,
-    spotPrice: t.spotPrice ?? t.price,
-    bootTime: seconds(t.startupS),
-    zones: t.halls as ZoneId[],
+  return machineTypesSchema.parse(body).flavours.map((flavour) => ({
+    id: flavour.name as MachineTypeId,
+    cpus: flavour.cpus,
+    gpus: flavour.gpus ?? 0,
+    memoryGb: flavour.memoryGb,
+    cacheGb: flavour.cacheGb ?? 0,
+    fetchGbPerS: flavour.fetchGbPerS ?? 1,
+    price: flavour.price,
+    spotPrice: flavour.spotPrice ?? flavour.price,
+    bootTime: seconds(flavour.startupS),
+    zones: flavour.halls as ZoneId[],
   }));
 }
 
-const hosts = z.object({ hosts: z.array(shortName) });
+const createdSchema = z.object({ hosts: z.array(shortName) });
 
-/** The machines that a rental brought. Throws on anything else. */
+/** Reads the machines that a request created. Throws on anything else. */
 export function readCreatedMachines(body: unknown): MachineId[] {
-  return hosts.parse(body).hosts as MachineId[];
+  return createdSchema.parse(body).hosts as MachineId[];
 }
 
-const list = z.object({
+const listSchema = z.object({
   hosts: z.array(
     z.object({
       ref: shortName,
@@ -59,27 +60,27 @@
   more: z.nullish(z.boolean()),
 });
 
-/** A state that we do not know is taken for one before the first report. */
+/** The states of listed machines; any other counts as starting. */
 const LISTED_STATES: Record<string, ListedMachine['status']> = { failed: 'failed', running: 'running' };
 
-/** One page of the machine list. Throws on anything else. */
+/** Reads one page of the machine list. Throws on anything else. */
 export function readMachineList(body: unknown): { machines: ListedMachine[]; more: boolean } {
-  const page = list.parse(body);
+  const page = listSchema.parse(body);
   return {
     more: page.more ?? false,
-    machines: page.hosts.map((h) => ({
-      id: h.ref as MachineId,
-      address: h.address ?? '',
-      type: h.flavour as MachineTypeId,
-      zone: h.hall as ZoneId,
-      spot: h.reclaimable,
-      status: LISTED_STATES[h.status] ?? 'starting',
-      age: seconds(h.heldS),
+    machines: page.hosts.map((host) => ({
+      id: host.ref as MachineId,
+      address: host.address ?? '',
+      type: host.flavour as MachineTypeId,
+      zone: host.hall as ZoneId,
+      spot: host.reclaimable,
+      status: LISTED_STATES[host.status] ?? 'starting',
+      age: seconds(host.heldS),
     })),
   };
 }
 
-/** A request for machines. */
+/** A request for machines; repeating it under the same name creates no further ones. */
 export interface ScaleOutRequest {
   readonly name: ScaleOutRequestId;
   readonly type: MachineTypeId;
@@ -94,6 +95,6 @@
 }
 
 /** The body of a request for machines. */
-export function scaleOutBody(r: ScaleOutRequest): object {
-  return { hire: r.name, flavour: r.type, hall: r.zone, reclaimable: r.spot, howMany: r.count };
+export function scaleOutBody({ name, type, zone, spot, count }: ScaleOutRequest): object {
+  return { hire: name, flavour: type, hall: zone, reclaimable: spot, howMany: count };
 }
--- a/src/wire/common.ts
+++ b/src/wire/common.ts
@@ -1,7 +1,9 @@
+/** Pieces of schemas, and the one line that names what is wrong with a message. */
 import * as z from 'zod/mini';
 
 export const nonNegativeInteger = z.int().check(z.nonnegative());
 export const nonNegativeNumber = z.number().check(z.nonnegative());
+/** A non-empty name of bounded length. */
 export const shortName = z.string().check(z.minLength(1), z.maxLength(200));
 
 function describeIssue(issue: z.core.$ZodIssue): string {
@@ -21,7 +23,7 @@
   }
 }
 
-/** One clear line naming the first field at fault. */
+/** Formats the first issue as one line that names its field. */
 export function firstIssue(error: z.core.$ZodError): string {
   const issue = error.issues[0];
   if (!issue) return 'invalid';
--- a/src/wire/key-value-store.ts
+++ b/src/wire/key-value-store.ts
@@ -1,18 +1,26 @@
+/**
+ * The key-value store's HTTP bodies. On the wire a lease is a `tether`, a key's revision its `stamp`, and the store's
+ * revision the `ledger`.
+ */
 import * as z from 'zod/mini';
 import type { LeaseId, Revision } from '../model/ids.js';
 import { nonNegativeInteger } from './common.js';
 
-const row = z.object({
+const keyValueSchema = z.object({
   key: z.string(),
   data: z.unknown(),
   stamp: nonNegativeInteger,
   tether: z.nullish(nonNegativeInteger),
 });
-const rows = z.object({ rows: z.array(row), more: z.nullish(z.boolean()), ledger: nonNegativeInteger });
-const committed = z.object({ ledger: nonNegativeInteger });
-const conflict = z.object({ failed: z.array(z.string()), ledger: z.nullish(nonNegativeInteger) });
-const grant = z.object({ tether: nonNegativeInteger });
-const changes = z.object({
+const pageSchema = z.object({
+  rows: z.array(keyValueSchema),
+  more: z.nullish(z.boolean()),
+  ledger: nonNegativeInteger,
+});
+const committedSchema = z.object({ ledger: nonNegativeInteger });
+const conflictSchema = z.object({ failed: z.array(z.string()), ledger: z.nullish(nonNegativeInteger) });
+const leaseSchema = z.object({ tether: nonNegativeInteger });
+const watchSchema = z.object({
   ledger: nonNegativeInteger,
   news: z.nullish(
     z.array(
@@ -31,72 +39,76 @@
   readonly key: string;
   readonly value: unknown;
   readonly revision: Revision;
-  /** The grant that the key is bound to. Told where a single key is read, not in lists. */
+  /** The lease that the key is bound to. Present where a single key is read, not in lists. */
   readonly lease?: LeaseId;
 }
 
-/** Rows in the order of their keys, as of one revision. */
+/** Keys in order, as of one revision of the store. */
 export interface KeyValuePage {
   readonly rows: KeyValue[];
   readonly more: boolean;
   readonly revision: Revision;
 }
 
-/** A key that was set, or dropped when `value` is undefined. */
+/** A key that was set, or deleted where `value` is undefined. */
 export interface WatchEvent {
   readonly key: string;
   readonly value: unknown;
   readonly revision: Revision;
 }
 
-/** The key must have this revision. */
+/** A condition of a transaction: the key must have this revision. */
 export interface Compare {
   readonly key: string;
   readonly revision: Revision;
 }
 
-/** A key to be set or dropped. */
+/** A write of a transaction: a key is set, and bound to a lease where one is given, or dropped. */
 export type WriteOperation =
   { readonly set: string; readonly value: unknown; readonly grant?: LeaseId } | { readonly drop: string };
 
-function toRow({ key, data, stamp, tether }: z.infer<typeof row>): KeyValue {
-  const plain = { key, value: data, revision: stamp as Revision };
-  return tether == null ? plain : { ...plain, lease: tether as LeaseId };
+function toKeyValue({ key, data, stamp, tether }: z.infer<typeof keyValueSchema>): KeyValue {
+  const keyValue = { key, value: data, revision: stamp as Revision };
+  return tether == null ? keyValue : { ...keyValue, lease: tether as LeaseId };
 }
 
-export const readRow = (body: unknown): KeyValue => toRow(row.parse(body));
+/** Reads the answer to a request for one key. Throws on anything else. */
+export const readRow = (body: unknown): KeyValue => toKeyValue(keyValueSchema.parse(body));
 
-/** Throws on anything else. */
+/** Reads one page of a range. Throws on anything else. */
 export function readPage(body: unknown): KeyValuePage {
-  const page = rows.parse(body);
-  return { rows: page.rows.map(toRow), more: page.more ?? false, revision: page.ledger as Revision };
+  const page = pageSchema.parse(body);
+  return { rows: page.rows.map(toKeyValue), more: page.more ?? false, revision: page.ledger as Revision };
 }
 
-export const readRevision = (body: unknown): Revision => committed.parse(body).ledger as Revision;
-export const readFailed = (body: unknown): string[] => conflict.parse(body).failed;
-export const readLease = (body: unknown): LeaseId => grant.parse(body).tether as LeaseId;
+/** Reads the revision of a transaction that was carried out. Throws on anything else. */
+export const readRevision = (body: unknown): Revision => committedSchema.parse(body).ledger as Revision;
+/** Reads the keys whose conditions failed. Throws on anything else. */
+export const readFailed = (body: unknown): string[] => conflictSchema.parse(body).failed;
+/** Reads a lease that was granted. Throws on anything else. */
+export const readLease = (body: unknown): LeaseId => leaseSchema.parse(body).tether as LeaseId;
 
-/** Throws on anything else. */
+/** Reads the answer to a watch. Throws on anything else. */
 export function readWatchEvents(body: unknown): { revision: Revision; changes: WatchEvent[] } {
-  const read = changes.parse(body);
-  const list: WatchEvent[] = [];
-  for (const c of read.news ?? []) {
-    const key = c.set ?? c.drop;
+  const { news, ledger } = watchSchema.parse(body);
+  const changes: WatchEvent[] = [];
+  for (const { set, drop, data, stamp } of news ?? []) {
+    const key = set ?? drop;
     if (key == null) continue;
-    list.push({ key, value: c.set == null ? undefined : c.data, revision: c.stamp as Revision });
+    changes.push({ key, value: set == null ? undefined : data, revision: stamp as Revision });
   }
-  return { revision: read.ledger as Revision, changes: list };
+  return { revision: ledger as Revision, changes };
 }
 
-/** The body of a transaction. */
-export function encodeTxn(conditions: readonly Compare[], writes: readonly WriteOperation[]): object {
+/** Encodes a transaction: compare-and-swap of all conditions and writes at once. */
+export function encodeTxn(compares: readonly Compare[], writes: readonly WriteOperation[]): object {
   return {
-    if: conditions.map((c) => ({ key: c.key, stamp: c.revision })),
-    writes: writes.map(writeBody),
+    if: compares.map(({ key, revision }) => ({ key, stamp: revision })),
+    writes: writes.map(encodeWrite),
   };
 }
 
-function writeBody(write: WriteOperation): object {
+function encodeWrite(write: WriteOperation): object {
   if ('drop' in write) return { drop: write.drop };
   const { set, value, grant: tether } = write;
   return tether === undefined ? { set, data: value } : { set, data: value, tether };
--- a/src/wire/members.ts
+++ b/src/wire/members.ts
@@ -1,4 +1,4 @@
-/** The list of controllers as one of them sees it, in the words that operators' tools read. */
+/** The list of controllers as one of them sees it: the body that `plumyoke members` reads. */
 import * as z from 'zod/mini';
 import { nonNegativeNumber, nonNegativeInteger, shortName } from './common.js';
 
@@ -10,11 +10,11 @@
   load: z.nullable(nonNegativeNumber),
   ready: z.boolean(),
   evidence: z.array(z.string()),
-  /** What the member owns, as far as is known here: `cluster (epoch 7)`. */
+  /** What the member owns, as far as the observer knows: `cluster (epoch 7)`. */
   owns: z.array(z.string()),
 });
 const reportSchema = z.object({
-  /** Who says so. */
+  /** The controller that was asked. */
   observer: shortName,
   version: nonNegativeInteger,
   failureDetection: z.boolean(),
@@ -28,12 +28,12 @@
 /** The list of controllers. */
 export type MembersReport = z.infer<typeof reportSchema>;
 
-/** The report as it is sent. */
+/** Encodes the report. */
 export function encodeMembersReport(report: MembersReport): Buffer {
   return Buffer.from(JSON.stringify(report));
 }
 
-/** Throws on anything else. */
+/** Reads such a report. Throws on anything else. */
 export function readMembersReport(body: unknown): MembersReport {
   return reportSchema.parse(body);
 }
--- a/src/wire/settings.ts
+++ b/src/wire/settings.ts
@@ -1,25 +1,28 @@
+/** The platform's settings: the form of their file, and the same in the program's terms. */
 import * as z from 'zod/mini';
 import type { MemberId, TeamId, ZoneId } from '../model/ids.js';
 import type { Team } from '../model/team.js';
 import { type Millis, ms, seconds } from '../model/time.js';
 import { nonNegativeNumber, nonNegativeInteger, firstIssue, shortName } from './common.js';
 
-const address = z
+const addressSchema = z
   .string()
   .check(z.regex(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/, 'not an address like 10.0.0.1:8080'));
-/** A closing writes `done` and drops the job's head and a chunk; a takeover writes two keys. */
-const LEAST_TXN_OPS = 4;
-/** A job's description with usual names. */
-const LEAST_VALUE_BYTES = 1024;
+/** Closing a job writes its final state and drops its head and a progress record; a takeover writes two keys. */
+const MIN_TXN_OPS = 4;
+/** A job description with names of usual length. */
+const MIN_VALUE_BYTES = 1024;
 const positive = z.number().check(z.positive());
 
-const settings = z.object({
+const settingsFile = z.object({
   member: shortName,
   site: shortName,
-  front: address,
-  cluster_listen: address,
-  siblings: z.nullish(z.array(z.object({ member: shortName, site: z.nullish(shortName), address }))),
-  endpoints: z.object({ cloud: address, state: address }),
+  front: addressSchema,
+  cluster_listen: addressSchema,
+  siblings: z.nullish(
+    z.array(z.object({ member: shortName, site: z.nullish(shortName), address: addressSchema })),
+  ),
+  endpoints: z.object({ cloud: addressSchema, state: addressSchema }),
   facts: z.object({
     clock_error_ms: z.nullish(nonNegativeNumber),
     zones: z.nullish(z.array(shortName)),
@@ -74,43 +77,52 @@
   readonly address: string;
 }
 
-/** An aim that the users state for a class, or for all work. */
+/** A service-level objective that the users state for a class, or for all work. */
 export interface Objective {
   readonly kind: string;
+  /** Null: all work. */
   readonly jobClass: string | null;
+  /** Within which time; null: the objective has none. */
   readonly target: Millis | null;
+  /** The share of jobs that should keep to the target. */
   readonly share: number | null;
 }
 
-/** What the state service takes. */
+/** Limits of the key-value store. */
 export interface StoreLimitSettings {
   readonly rps: number;
   readonly writeRps: number;
   readonly valueBytes: number;
+  /** Writes that one transaction may hold. */
   readonly txnOps: number;
 }
 
-/** The platform's settings in our terms. */
+/** The platform's settings in the program's terms. */
 export interface Settings {
   readonly member: MemberId;
   readonly zone: ZoneId;
+  /** Where users and workers are served. */
   readonly frontAddress: string;
+  /** Where the other controllers are served. */
   readonly peerAddress: string;
   readonly peers: readonly PeerAddress[];
   readonly cloudAddress: string;
   readonly storeAddress: string;
   readonly teams: readonly Team[];
   readonly objectives: readonly Objective[];
+  /** How far the wall clock may be off. */
   readonly clockError: Millis;
   readonly heartbeatInterval: Millis;
   readonly workerLeaseDuration: Millis;
+  /** By when the tasks of a cancelled job must have stopped. */
   readonly cancellationLimit: Millis;
   readonly storeLimits: StoreLimitSettings;
-  /** What it will take from some moment on, without notice; the same where no change is announced. */
+  /** The limits that will hold from some moment on, without notice; the same where no change is announced. */
   readonly announcedStoreLimits: StoreLimitSettings;
   readonly cloudRequestsPerSecond: number;
+  /** How far the cloud's list of machines may lag. */
   readonly listLag: Millis;
-  /** The share of a core that this process gets, as the platform says it; null: it does not say. */
+  /** The share of a core that this process gets; null: the platform does not say. */
   readonly cpuShare: number | null;
   readonly maxSockets: number;
   readonly memoryMb: number | null;
@@ -118,70 +130,71 @@
 
 const NO_LIMITS: StoreLimitSettings = { rps: 0, writeRps: 0, valueBytes: 0, txnOps: 0 };
 
-interface StatedLimits {
+interface LimitsInFile {
   readonly rps?: number | null | undefined;
   readonly write_rps?: number | null | undefined;
   readonly value_kb?: number | null | undefined;
   readonly txn_ops?: number | null | undefined;
 }
 
-/** What a field leaves out stays as it was. */
-function stateLimits(field: string, stated: StatedLimits, before: StoreLimitSettings): StoreLimitSettings {
-  const txnOps = stated.txn_ops ?? before.txnOps;
-  const valueBytes = stated.value_kb == null ? before.valueBytes : stated.value_kb * 1024;
-  if (txnOps < LEAST_TXN_OPS) throw new Error(`${field}.txn_ops: at least ${LEAST_TXN_OPS} is needed`);
-  if (valueBytes < LEAST_VALUE_BYTES) {
-    throw new Error(`${field}.value_kb: at least ${LEAST_VALUE_BYTES / 1024} is needed`);
+/** Reads limits; a field that is left out keeps its value of `before`. */
+function readLimits(field: string, file: LimitsInFile, before: StoreLimitSettings): StoreLimitSettings {
+  const txnOps = file.txn_ops ?? before.txnOps;
+  const valueBytes = file.value_kb == null ? before.valueBytes : file.value_kb * 1024;
+  if (txnOps < MIN_TXN_OPS) throw new Error(`${field}.txn_ops: at least ${MIN_TXN_OPS} is needed`);
+  if (valueBytes < MIN_VALUE_BYTES) {
+    throw new Error(`${field}.value_kb: at least ${MIN_VALUE_BYTES / 1024} is needed`);
   }
-  return { rps: stated.rps ?? before.rps, writeRps: stated.write_rps ?? before.writeRps, valueBytes, txnOps };
+  return { rps: file.rps ?? before.rps, writeRps: file.write_rps ?? before.writeRps, valueBytes, txnOps };
 }
 
-/** The share of a core to reckon with; a whole one where the settings name none that makes sense. */
+/** Returns the share of a core to plan with; a whole core where the settings name no usable share. */
 export function usableShare({ cpuShare }: Pick<Settings, 'cpuShare'>): number {
   return cpuShare !== null && cpuShare > 0 && cpuShare <= 1 ? cpuShare : 1;
 }
 
-/** Throws an error whose message is one line naming the field. */
+/** 0 means none (DEPLOY): no guarantee, or no limit. */
+const limitOrNull = (value: number | null | undefined): number | null => (value ? value : null);
+
+/** Reads the platform's settings. Throws an error whose message is one line naming the field. */
 export function readSettings(raw: unknown): Settings {
-  const read = settings.safeParse(raw);
+  const read = settingsFile.safeParse(raw);
   if (!read.success) throw new Error(firstIssue(read.error));
-  const w = read.data;
-  const f = w.facts;
-  const state = stateLimits('facts.state', f.state, NO_LIMITS);
-  const stateNext = stateLimits('facts.state.next', f.state.next ?? {}, state);
-  // 0 means none (DEPLOY): no guarantee, or no limit.
-  const limit = (n: number | null | undefined): number | null => (n ? n : null);
+  const file = read.data;
+  const { facts } = file;
+  const storeLimits = readLimits('facts.state', facts.state, NO_LIMITS);
+  const announcedStoreLimits = readLimits('facts.state.next', facts.state.next ?? {}, storeLimits);
   return {
-    member: w.member as MemberId,
-    zone: w.site as ZoneId,
-    frontAddress: w.front,
-    peerAddress: w.cluster_listen,
-    peers: (w.siblings ?? []).map((s) => ({ member: s.member as MemberId, address: s.address })),
-    cloudAddress: w.endpoints.cloud,
-    storeAddress: w.endpoints.state,
-    teams: f.teams.map((t) => ({
-      id: t.name as TeamId,
-      cpus: t.cpus ?? 0,
-      gpus: t.gpus ?? 0,
-      cpusMax: limit(t.cpus_max),
-      gpusMax: limit(t.gpus_max),
+    member: file.member as MemberId,
+    zone: file.site as ZoneId,
+    frontAddress: file.front,
+    peerAddress: file.cluster_listen,
+    peers: (file.siblings ?? []).map(({ member, address }) => ({ member: member as MemberId, address })),
+    cloudAddress: file.endpoints.cloud,
+    storeAddress: file.endpoints.state,
+    teams: facts.teams.map((team) => ({
+      id: team.name as TeamId,
+      cpus: team.cpus ?? 0,
+      gpus: team.gpus ?? 0,
+      cpusMax: limitOrNull(team.cpus_max),
+      gpusMax: limitOrNull(team.gpus_max),
     })),
-    objectives: (f.objectives ?? []).map((o) => ({
-      kind: o.kind,
-      jobClass: o.class ?? null,
-      target: o.within_s == null ? null : seconds(o.within_s),
-      share: o.share ?? null,
+    objectives: (facts.objectives ?? []).map((objective) => ({
+      kind: objective.kind,
+      jobClass: objective.class ?? null,
+      target: objective.within_s == null ? null : seconds(objective.within_s),
+      share: objective.share ?? null,
     })),
-    clockError: ms(f.clock_error_ms ?? 0),
-    heartbeatInterval: seconds(f.workers.report_s),
-    workerLeaseDuration: seconds(f.workers.lease_s),
-    cancellationLimit: seconds(f.workers.cancel_s),
-    storeLimits: state,
-    announcedStoreLimits: stateNext,
-    cloudRequestsPerSecond: f.cloud.rps,
-    listLag: seconds(f.cloud.list_lag_s),
-    cpuShare: f.resources?.cpu ?? null,
-    maxSockets: f.resources?.sockets ?? 1000,
-    memoryMb: f.resources?.memory_mb ?? null,
+    clockError: ms(facts.clock_error_ms ?? 0),
+    heartbeatInterval: seconds(facts.workers.report_s),
+    workerLeaseDuration: seconds(facts.workers.lease_s),
+    cancellationLimit: seconds(facts.workers.cancel_s),
+    storeLimits,
+    announcedStoreLimits,
+    cloudRequestsPerSecond: facts.cloud.rps,
+    listLag: seconds(facts.cloud.list_lag_s),
+    cpuShare: facts.resources?.cpu ?? null,
+    maxSockets: facts.resources?.sockets ?? 1000,
+    memoryMb: facts.resources?.memory_mb ?? null,
   };
 }
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -1,8 +1,10 @@
+/** Submissions of users, and the answers to them, in the protocol's form. */
 import * as z from 'zod/mini';
 import type { ImageId, JobId, TeamId, MachineTypeId, ZoneId } from '../model/ids.js';
 import { type JobSpec, type JobState, Priority } from '../model/job.js';
 import { nonNegativeNumber, firstIssue, shortName } from './common.js';
 
+/** The wire's `rank`. */
 const PRIORITIES = {
   production: Priority.Production,
   urgent: Priority.High,
@@ -10,10 +12,10 @@
   idle: Priority.Low,
 } as const;
 
-const jobId = z.string().check(z.regex(/^j-\d{1,20}$/));
+const jobIdSchema = z.string().check(z.regex(/^j-\d{1,20}$/));
 
-const submission = z.object({
-  ref: jobId,
+const submissionSchema = z.object({
+  ref: jobIdSchema,
   jobclass: shortName,
   owner: shortName,
   shape: z.enum(['array', 'service']),
@@ -33,63 +35,63 @@
   savepointS: nonNegativeNumber,
   flushS: nonNegativeNumber,
   dueS: z.nullish(nonNegativeNumber),
-  awaits: z.nullish(z.array(jobId)),
+  awaits: z.nullish(z.array(jobIdSchema)),
 });
 
-/** What was read, or why it could not be. */
+/** A parsed message, or why it could not be parsed: one line naming the field. */
 export type Parsed<T> = { ok: true; value: T } | { ok: false; error: string };
 
 /** Checks every field of a submission. */
 export function parseSubmission(body: unknown): Parsed<JobSpec> {
-  const read = submission.safeParse(body);
+  const read = submissionSchema.safeParse(body);
   if (!read.success) return { ok: false, error: firstIssue(read.error) };
-  const w = read.data;
+  const wire = read.data;
   return {
     ok: true,
     value: {
-      id: w.ref as JobId,
-      jobClass: w.jobclass,
-      team: w.owner as TeamId,
-      kind: w.shape,
-      priority: PRIORITIES[w.rank],
-      taskCount: w.shards,
-      cpus: w.cpus,
-      gpus: w.gpus,
-      memoryGb: w.memoryGb,
-      image: w.bundle as ImageId,
-      imageGb: w.pullGb,
-      allowedTypes: (w.flavours as MachineTypeId[] | null | undefined) ?? null,
-      zone: (w.hall as ZoneId | null | undefined) ?? null,
-      zoneAffinity: w.samePlace,
-      zoneAntiAffinity: w.apart,
-      allowsSpot: w.reclaimable,
-      estimatedRunS: w.expectedS,
-      checkpointIntervalS: w.savepointS,
-      checkpointWriteS: w.flushS,
-      deadlineS: w.dueS ?? null,
-      dependencies: [...new Set(w.awaits ?? [])] as JobId[],
+      id: wire.ref as JobId,
+      jobClass: wire.jobclass,
+      team: wire.owner as TeamId,
+      kind: wire.shape,
+      priority: PRIORITIES[wire.rank],
+      taskCount: wire.shards,
+      cpus: wire.cpus,
+      gpus: wire.gpus,
+      memoryGb: wire.memoryGb,
+      image: wire.bundle as ImageId,
+      imageGb: wire.pullGb,
+      allowedTypes: (wire.flavours as MachineTypeId[] | null | undefined) ?? null,
+      zone: (wire.hall as ZoneId | null | undefined) ?? null,
+      zoneAffinity: wire.samePlace,
+      zoneAntiAffinity: wire.apart,
+      allowsSpot: wire.reclaimable,
+      estimatedRunS: wire.expectedS,
+      checkpointIntervalS: wire.savepointS,
+      checkpointWriteS: wire.flushS,
+      deadlineS: wire.dueS ?? null,
+      dependencies: [...new Set(wire.awaits ?? [])] as JobId[],
       dependencyRecordCount: 0,
       descriptionRecordCount: 0,
     },
   };
 }
 
-/** Task counts for display. */
+/** Task counts of a job, for display. */
 export interface Progress {
   readonly done: number;
   readonly running: number;
 }
 
-/** The body that tells a user that the job is accepted. */
+/** The answer to a submission that was accepted. */
 export function accepted(id: JobId): object {
   return { ref: id, status: 'pending' };
 }
 
-/** The body that tells a user the state of a job. */
-export function jobStatus(id: JobId, state: JobState, tasks: number, progress: Progress): object {
+/** The answer to a user's question for a job; `taskCount` is shown as done once the job is. */
+export function jobStatus(id: JobId, state: JobState, taskCount: number, progress: Progress): object {
   switch (state) {
     case 'done':
-      return { ref: id, status: 'done', done: tasks, running: 0 };
+      return { ref: id, status: 'done', done: taskCount, running: 0 };
     case 'cancelled':
       return { ref: id, status: 'cancelled', done: progress.done, running: 0 };
     case 'accepted':
