--- a/src/cli/members.ts
+++ b/src/cli/members.ts
@@ -1,15 +1,18 @@
-/** `plumyoke members`: the controllers as a running one sees them, and what to do about them. */
+/** `plumyoke members`: the controllers as a running one sees them, and what an operator should do about each. */
 import { loadSettings } from '../config/operators.js';
 import { FrameKind } from '../peer/frames.js';
 import { sendSingleRequest, NoReplyError } from '../peer/single-request.js';
 import { type MemberLine, type MembersReport, readMembersReport } from '../wire/members.js';
 import { renderTable } from './table.js';
 
-const ASK_MS = 5000;
+const REQUEST_TIMEOUT_MS = 5000;
 const OK_STATUS = 200;
 
-/** The list could not be had; the message is one line with what to do next. */
-class MembersUnavailableError extends Error {}
+/** The list is not available; the message is one line that says what to do next. */
+class MembersUnavailableError extends Error {
+  override readonly name = 'MembersUnavailableError';
+  readonly code = 'MEMBERS_UNAVAILABLE';
+}
 
 const ADVICE: Readonly<Record<string, string>> = {
   alive: 'nothing',
@@ -21,7 +24,7 @@
   'no link': 'see whether its process runs, and whether the network lets the two through',
 };
 
-/** What an operator should do about one controller. */
+/** Returns what an operator should do about one controller. */
 export function adviceFor({ state, connection }: MemberLine): string {
   if (state === 'alive' && connection === 'partly-cut')
     return 'it serves; look at the network between the controllers named below';
@@ -33,19 +36,19 @@
 const MINUTE_S = 60;
 const HOUR_S = 3600;
 
-function duration(ms: number): string {
-  const seconds = Math.round(ms / 1000);
+function formatDuration(durationMs: number): string {
+  const seconds = Math.round(durationMs / 1000);
   if (seconds < MINUTE_S) return `${seconds} s`;
   if (seconds < HOUR_S) return `${Math.floor(seconds / MINUTE_S)} min`;
   return `${Math.floor(seconds / HOUR_S)} h`;
 }
 
-/** The report as text: a table, the evidence where something is wrong, and what was dropped. */
+/** Formats the report: a table, the evidence where something is wrong, and the messages that were dropped. */
 export function renderMembers(report: MembersReport): string {
   const rows = report.members.map((line) => [
     line.member,
     line.state,
-    report.failureDetection ? duration(line.forMs) : '-',
+    report.failureDetection ? formatDuration(line.forMs) : '-',
     line.load === null ? '-' : `${Math.round(line.load * 100)}%`,
     line.owns.length === 0 ? '-' : line.owns.join(', '),
     adviceFor(line),
@@ -76,11 +79,11 @@
   return `${lines.join('\n')}\n`;
 }
 
-async function ask(address: string): Promise<MembersReport> {
+async function fetchReport(address: string): Promise<MembersReport> {
   const unavailable = (problem: string, next: string): MembersUnavailableError =>
     new MembersUnavailableError(`the controller at ${address} cannot be asked: ${problem}; ${next}`);
   try {
-    const answer = await sendSingleRequest(address, FrameKind.Members, Buffer.alloc(0), ASK_MS);
+    const answer = await sendSingleRequest(address, FrameKind.Members, Buffer.alloc(0), REQUEST_TIMEOUT_MS);
     if (answer.status !== OK_STATUS)
       throw unavailable(`it answered ${answer.status}`, 'try another controller');
     return readMembersReport(JSON.parse(answer.body.toString('utf8')));
@@ -95,8 +98,8 @@
   }
 }
 
-/** Where to ask: `address`, or the controller whose settings these are. */
-export async function members(config: string | undefined, address: string | undefined): Promise<void> {
+/** Asks the controller at `address`, or the one whose settings these are, and prints its report. */
+export async function printMembers(config: string | undefined, address: string | undefined): Promise<void> {
   const target = address ?? loadSettings(config ?? '').peerAddress;
-  process.stdout.write(renderMembers(await ask(target)));
+  process.stdout.write(renderMembers(await fetchReport(target)));
 }
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -4,44 +4,50 @@
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { Controller } from '../controller/controller.js';
 import { InvalidSettingsError, loadOperators, loadSettings } from '../config/operators.js';
-import { members } from './members.js';
+import { printMembers } from './members.js';
 import { findTooSmallSettings } from '../config/limits.js';
 import { type Features, loadFeatures } from '../config/features.js';
 import { openLogger, errorMessage } from '../log/logger.js';
 import type { Settings } from '../wire/settings.js';
 
-/** What a command is called with. */
+/** The options of all commands. */
 interface Options {
   readonly config: string | undefined;
   readonly operators: string | undefined;
   /** The folder of feature files. */
   readonly features: string | undefined;
-  /** A controller's address for other controllers. */
+  /** Where a running controller serves its peers. */
   readonly address: string | undefined;
 }
 
-/** One command, its line in the help, and what it does. */
+/** A command with its line in the help. */
 interface Command {
   readonly description: string;
   readonly run: (options: Options) => void | Promise<void>;
 }
 
 /** Arguments that name no command or miss an option; the message is one line. */
-class UsageError extends Error {}
+class UsageError extends Error {
+  override readonly name = 'UsageError';
+  readonly code = 'USAGE';
+}
 
 const COMMANDS: Readonly<Record<string, Command>> = {
   serve: { description: 'run one controller until it is killed', run: serve },
-  'check-config': { description: 'check the settings files and say what is wrong with them', run: check },
+  'check-config': {
+    description: 'check the settings files and say what is wrong with them',
+    run: checkConfig,
+  },
   members: {
     description: 'ask a running controller how all controllers are',
     run: ({ config, address }) => {
-      if (address === undefined) required(config);
-      return members(config, address);
+      if (address === undefined) requireConfig(config);
+      return printMembers(config, address);
     },
   },
 };
 
-function required(config: string | undefined): string {
+function requireConfig(config: string | undefined): string {
   if (config === undefined) throw new UsageError("option '--config <path>' is missing");
   return config;
 }
@@ -64,30 +70,32 @@
 `;
 
 /** The exit code for settings or arguments that cannot be used. */
-const EXIT_UNUSABLE = 2;
+const EXIT_USAGE = 2;
+/** The exit code for everything else that ends a command. */
+const EXIT_FAILURE = 1;
 
 async function serve(options: Options): Promise<void> {
-  const settings = loadSettings(required(options.config));
+  const settings = loadSettings(requireConfig(options.config));
   const operators = loadOperators(options.operators);
-  const features = await checkedFeatures(options, settings);
+  const features = await loadCheckedFeatures(options, settings);
   const log = openLogger(settings.member);
-  for (const line of findTooSmallSettings(settings)) log.error({ field: line }, 'settings are too small');
+  for (const line of findTooSmallSettings(settings)) log.error({ field: line }, 'setting too small');
   const generator = xoroshiro128plus(Date.now() ^ (process.pid << 12));
   const random = (): number => uniformFloat64(generator);
-  // One odd answer from outside must never end the process.
+  // One unexpected answer from outside must never end the process.
   process.on('unhandledRejection', (error) =>
     log.error({ error: errorMessage(error) }, 'unhandled rejection'),
   );
   process.on('uncaughtException', (error) => log.error({ error: error.stack }, 'uncaught exception'));
-  const node = new Controller(settings, operators, features, log, random);
+  const controller = new Controller(settings, operators, features, log, random);
   if (features.failover) {
-    process.once('SIGTERM', () => void node.leave().finally(() => process.exit(0)));
+    process.once('SIGTERM', () => void controller.leave().finally(() => process.exit(0)));
   }
-  await node.run();
+  await controller.run();
 }
 
-/** The features that are on, checked against the platform's settings. Their code is loaded only where it is used. */
-async function checkedFeatures({ features: folder }: Options, settings: Settings): Promise<Features> {
+/** Loads the features that are on and checks them against the platform's settings. Their code is only loaded where one is on. */
+async function loadCheckedFeatures({ features: folder }: Options, settings: Settings): Promise<Features> {
   const features = loadFeatures(folder);
   if (features.failover) {
     const { checkFailover } = await import('../leadership/failover/failover-settings.js');
@@ -96,15 +104,15 @@
   return features;
 }
 
-async function check(options: Options): Promise<void> {
-  const settings = loadSettings(required(options.config));
+async function checkConfig(options: Options): Promise<void> {
+  const settings = loadSettings(requireConfig(options.config));
   loadOperators(options.operators);
-  await checkedFeatures(options, settings);
+  await loadCheckedFeatures(options, settings);
   for (const line of findTooSmallSettings(settings)) process.stderr.write(`plumyoke: warning: ${line}\n`);
   process.stdout.write(`${settings.member}: settings are valid\n`);
 }
 
-function parse(args: readonly string[]) {
+function parseArguments(args: readonly string[]) {
   try {
     return parseArgs({
       args: [...args],
@@ -118,12 +126,12 @@
       },
     });
   } catch (error) {
-    throw new UsageError(errorMessage(error));
+    throw new UsageError(errorMessage(error), { cause: error });
   }
 }
 
 async function runCommand(args: readonly string[]): Promise<void> {
-  const { values, positionals } = parse(args);
+  const { values, positionals } = parseArguments(args);
   if (values.help) {
     process.stdout.write(HELP);
     return;
@@ -138,15 +146,16 @@
   await command.run({ config, operators, features, address });
 }
 
-/** Runs the command that the arguments name. Sets the exit code: 2 for unusable arguments or settings. */
+/** Runs the command that the arguments name. Sets the exit code: 2 for arguments or settings that cannot be used. */
 export async function main(args: readonly string[]): Promise<void> {
   try {
     await runCommand(args);
   } catch (error) {
     process.stderr.write(`plumyoke: ${errorMessage(error)}\n`);
     if (error instanceof UsageError) process.stderr.write(`\n${HELP}`);
-    const unusable = error instanceof InvalidSettingsError || error instanceof UsageError;
-    process.exitCode = unusable ? EXIT_UNUSABLE : 1;
-    if (!unusable) process.exit(1);
+    const isUsageError = error instanceof InvalidSettingsError || error instanceof UsageError;
+    process.exitCode = isUsageError ? EXIT_USAGE : EXIT_FAILURE;
+    // A command that failed may have left sockets or timers behind.
+    if (!isUsageError) process.exit(EXIT_FAILURE);
   }
 }
--- a/src/cli/table.ts
+++ b/src/cli/table.ts
@@ -1,15 +1,15 @@
-/** Plain tables for terminals. */
+/** Plain-text tables for terminals. */
 
-const GAP = '  ';
+const COLUMN_GAP = '  ';
 
-/** One line a row, columns padded to their widest cell. */
+/** Formats one line per row; columns are padded to their widest cell. */
 export function renderTable(header: readonly string[], rows: readonly (readonly string[])[]): string[] {
   const all = [header, ...rows];
   const widths = header.map((_, column) => Math.max(...all.map((row) => row[column]?.length ?? 0)));
   return all.map((row) =>
     row
       .map((cell, column) => cell.padEnd(widths[column] ?? 0))
-      .join(GAP)
+      .join(COLUMN_GAP)
       .trimEnd(),
   );
 }
--- a/src/log/logger.ts
+++ b/src/log/logger.ts
@@ -1,13 +1,13 @@
-/** JSON lines on standard error. */
+/** Structured log lines: JSON objects on standard error. */
 
-/** What the library needs of a logger. */
+/** Writes log lines; fields first, then the event. */
 export interface Logger {
-  /** Whether lines of `info` are written at all. */
+  /** Whether lines of level `info` are written at all. */
   readonly isInfoEnabled: boolean;
-  debug(fields: object, text: string): void;
-  info(fields: object, text: string): void;
-  warn(fields: object, text: string): void;
-  error(fields: object, text: string): void;
+  debug(fields: object, message: string): void;
+  info(fields: object, message: string): void;
+  warn(fields: object, message: string): void;
+  error(fields: object, message: string): void;
 }
 
 /** The levels by number, as most tools for JSON lines know them (pino, bunyan). */
@@ -16,14 +16,14 @@
 type Level = keyof typeof LEVELS;
 
 /** The levels that `LOG_LEVEL` may name. */
-const NAMED = new Set<string>(['error', 'info', 'debug']);
+const CONFIGURABLE_LEVELS = new Set<string>(['error', 'info', 'debug']);
 
-function isNamed(level: string): level is Level {
-  return NAMED.has(level);
+function isConfigurable(level: string): level is Level {
+  return CONFIGURABLE_LEVELS.has(level);
 }
 
 /**
- * One JSON object a line, each written at once: a process may be killed without a signal. A logging library took
+ * Opens a logger that writes each line at once: a process may be killed without a signal. A logging library took
  * 30 of the program's 120 ms of start, and production logs next to nothing.
  */
 export function openLogger(
@@ -31,22 +31,23 @@
   level = process.env['LOG_LEVEL'] ?? 'error',
   write: (line: string) => void = (line) => process.stderr.write(line),
 ): Logger {
-  const least = LEVELS[isNamed(level) ? level : 'error'];
-  const at = (name: Level): Logger['info'] => {
-    const number = LEVELS[name];
-    if (number < least) return () => {};
-    return (fields, text) =>
-      write(`${JSON.stringify({ level: number, time: Date.now(), member, ...fields, msg: text })}\n`);
+  const minLevel = LEVELS[isConfigurable(level) ? level : 'error'];
+  const writerOf = (name: Level): Logger['info'] => {
+    const levelNumber = LEVELS[name];
+    if (levelNumber < minLevel) return () => {};
+    return (fields, message) =>
+      write(`${JSON.stringify({ level: levelNumber, time: Date.now(), member, ...fields, msg: message })}\n`);
   };
   return {
-    isInfoEnabled: LEVELS.info >= least,
-    debug: at('debug'),
-    info: at('info'),
-    warn: at('warn'),
-    error: at('error'),
+    isInfoEnabled: LEVELS.info >= minLevel,
+    debug: writerOf('debug'),
+    info: writerOf('info'),
+    warn: writerOf('warn'),
+    error: writerOf('error'),
   };
 }
 
+/** A logger that writes nothing. */
 export const silentLogger: Logger = {
   isInfoEnabled: false,
   debug() {},
@@ -55,7 +56,7 @@
   error() {},
 };
 
-/** An error as the log tells it. */
+/** Formats an error for a log line. */
 export function errorMessage(error: unknown): string {
   return error instanceof Error ? error.message : String(error);
 }
