--- a/src/api/admission.ts
+++ b/src/api/admission.ts
@@ -1,49 +1,56 @@
+/** Load shedding: bounds the users' requests that are worked on at once. */
 import { type Clock, type MonotonicTime, since } from '../model/time.js';
 
-const TURN_MS = 100;
-/** A loop that runs this late is overloaded: reports and decisions go before submissions. */
-const LATE_MS = 1500;
+const SAMPLE_INTERVAL_MS = 100;
+/** The share of the last lateness that stays at each sample. */
+const LATENESS_DECAY = 0.8;
+/** An event loop that runs this late is overloaded: heartbeats and decisions go before submissions. */
+const MAX_LATENESS_MS = 1500;
 
-/** What a request asks for: submissions give way to questions when the node is busy. */
-export type Rank = 'submission' | 'query';
+/** The class of a request: submissions give way to queries when the controller is busy. */
+export type RequestClass = 'submission' | 'query';
 
-/** Bounds what is being worked on. What does not fit is answered at once, never queued. */
+/** Admits requests up to a number per class. What exceeds it is answered at once, never queued. */
 export class Admission {
-  private readonly inside: Record<Rank, number> = { submission: 0, query: 0 };
-  private lateness = 0;
-  private expected: MonotonicTime;
+  private readonly active: Record<RequestClass, number> = { submission: 0, query: 0 };
+  private latenessMs = 0;
+  private expectedAt: MonotonicTime;
 
   constructor(
     private readonly clock: Clock,
-    private readonly most: Readonly<Record<Rank, number>>,
+    private readonly maxActive: Readonly<Record<RequestClass, number>>,
     /** Whether the process has no memory left for new work. */
-    private readonly memoryScarce: () => boolean = () => false,
+    private readonly isMemoryScarce: () => boolean = () => false,
   ) {
-    this.expected = clock.now();
-    this.turn();
+    this.expectedAt = clock.now();
+    this.sampleLateness();
   }
 
-  private turn(): void {
-    this.expected = (this.clock.now() + TURN_MS) as MonotonicTime;
-    this.clock.after(TURN_MS, () => {
-      const late = Math.max(0, since(this.clock.now(), this.expected));
-      this.lateness = Math.max(late, this.lateness * 0.8);
-      this.turn();
+  private sampleLateness(): void {
+    this.expectedAt = (this.clock.now() + SAMPLE_INTERVAL_MS) as MonotonicTime;
+    this.clock.after(SAMPLE_INTERVAL_MS, () => {
+      const latenessMs = Math.max(0, since(this.clock.now(), this.expectedAt));
+      this.latenessMs = Math.max(latenessMs, this.latenessMs * LATENESS_DECAY);
+      this.sampleLateness();
     });
   }
 
-  enter(rank: Rank): boolean {
-    if (this.inside[rank] >= this.most[rank]) return false;
-    if (rank === 'submission' && (this.lateness > LATE_MS || this.memoryScarce())) return false;
-    this.inside[rank]++;
+  /** Admits a request; false: it is to be refused. An admitted one ends with `leave`. */
+  enter(requestClass: RequestClass): boolean {
+    if (this.active[requestClass] >= this.maxActive[requestClass]) return false;
+    if (requestClass === 'submission' && (this.latenessMs > MAX_LATENESS_MS || this.isMemoryScarce()))
+      return false;
+    this.active[requestClass]++;
     return true;
   }
 
-  leave(rank: Rank): void {
-    this.inside[rank]--;
+  /** Ends an admitted request. */
+  leave(requestClass: RequestClass): void {
+    this.active[requestClass]--;
   }
 
+  /** How late the event loop has lately run. */
   get lateMs(): number {
-    return Math.round(this.lateness);
+    return Math.round(this.latenessMs);
   }
 }
--- a/src/api/dependencies.ts
+++ b/src/api/dependencies.ts
@@ -1,97 +1,97 @@
+/** Checks the DAG dependencies of jobs for users' requests. */
 import type { ControllerContext } from '../core/context.js';
 import type { JobId } from '../model/ids.js';
 import type { JobRecord, JobSpec } from '../model/job.js';
 import { keys } from '../store/keys.js';
-import type { RevisionConfirmations, JobCache } from './job-cache.js';
+import type { JobCache } from './job-cache.js';
+import type { JobReader } from './job-reader.js';
+import type { RevisionConfirmations } from './revision-confirmations.js';
 
-/** A job as it is accepted: with the dependencies that are left. */
-export interface Acceptable {
+/** A job in the form in which it is accepted: with the dependencies that remain. */
+export interface AcceptableJob {
   readonly spec: JobSpec;
   readonly state: 'accepted' | 'cancelled';
 }
 
-/** Looks at so many unknown jobs at a time. */
-const AT_ONCE = 8;
+/** Records of unknown jobs that are read at a time. */
+const MAX_CONCURRENT_READS = 8;
 
-/**
- * What users' requests need to know of the jobs that a job names. Done and cancelled are final: once
- * seen they need no further question.
- */
+/** What is known of the jobs that a job depends on. Done and cancelled are final: once seen they are not read again. */
 export class Dependencies {
   constructor(
     private readonly ctx: ControllerContext,
     private readonly cache: JobCache,
     private readonly confirmations: RevisionConfirmations,
-    /** Reads a job's record; what it says is in the cache from then on. */
-    private readonly lookAt: (id: JobId) => Promise<JobRecord | null>,
+    private readonly reader: JobReader,
   ) {}
 
-  /** Why the job can never run; null: every job that it names was accepted and can be done. */
-  async fault(spec: JobSpec): Promise<string | null> {
+  /** Returns why the job can never run; null: each of its dependencies was accepted and can be done. */
+  async findFault(spec: JobSpec): Promise<string | null> {
     if (spec.dependencies.includes(spec.id)) return 'awaits names the job itself';
     const unknown: JobId[] = [];
     for (const id of spec.dependencies) {
-      const known = this.cache.known(id);
-      if (known?.kind === 'service') return `awaits names the service ${id}`;
-      if (!known && this.cache.finalState(id) !== 'done') unknown.push(id);
+      const observed = this.cache.observed(id);
+      if (observed?.kind === 'service') return `awaits names the service ${id}`;
+      if (!observed && this.cache.finalState(id) !== 'done') unknown.push(id);
     }
-    for (let i = 0; i < unknown.length; i += AT_ONCE) {
-      const ids = unknown.slice(i, i + AT_ONCE);
-      const records = await Promise.all(ids.map((id) => this.lookAt(id)));
-      for (const [n, record] of records.entries()) {
-        if (!record) return `awaits names ${ids[n]}, which was never accepted`;
-        if (record.spec.kind === 'service') return `awaits names the service ${ids[n]}`;
+    for (let start = 0; start < unknown.length; start += MAX_CONCURRENT_READS) {
+      const ids = unknown.slice(start, start + MAX_CONCURRENT_READS);
+      const records = await Promise.all(ids.map((id) => this.reader.readAndRemember(id)));
+      for (const [index, record] of records.entries()) {
+        if (!record) return `awaits names ${ids[index]}, which was never accepted`;
+        if (record.spec.kind === 'service') return `awaits names the service ${ids[index]}`;
       }
     }
     return null;
   }
 
-  /** After `fault`: without what is done, and cancelled if one of them is. */
-  left(spec: JobSpec): Acceptable {
+  /** Drops the dependencies that are done; the job is cancelled if one of them is. To be called after `findFault`. */
+  remaining(spec: JobSpec): AcceptableJob {
     const dependencies = spec.dependencies.filter((id) => this.cache.finalState(id) !== 'done');
-    const cancelled = dependencies.some((id) => this.cache.finalState(id) === 'cancelled');
-    if (cancelled) return { spec: { ...spec, dependencies: [] }, state: 'cancelled' };
+    const isCancelled = dependencies.some((id) => this.cache.finalState(id) === 'cancelled');
+    if (isCancelled) return { spec: { ...spec, dependencies: [] }, state: 'cancelled' };
     return { spec: { ...spec, dependencies }, state: 'accepted' };
   }
 
   /**
-   * Whether a job that this one needs, directly or through others, is cancelled. Asked for every answer
-   * that calls a waiting job pending: it must not be called so long after one before it was cancelled,
-   * even when no leader could write that yet.
+   * Reports whether a job that this one depends on, directly or through others, is cancelled. Checked for every answer
+   * that calls a waiting job pending: it must not be called so long after one before it was cancelled, even when no
+   * leader could write that yet.
    */
-  async anyCancelled(id: JobId): Promise<boolean> {
-    const seen = new Set<JobId>([id]);
-    let level = await this.directly(id);
+  async isAnyCancelled(id: JobId): Promise<boolean> {
+    const visited = new Set<JobId>([id]);
+    let level = await this.directDependencies(id);
     while (level.length > 0) {
-      const next: JobId[] = [];
-      const ids = level.filter((one) => !seen.has(one));
-      for (const one of ids) seen.add(one);
-      const ends = await Promise.all(ids.map((one) => this.stateOf(one)));
-      if (ends.includes('cancelled')) return true;
-      for (const [n, one] of ids.entries())
-        if (ends[n] === 'accepted') next.push(...(await this.directly(one)));
-      level = next;
+      const nextLevel: JobId[] = [];
+      const ids = level.filter((dependency) => !visited.has(dependency));
+      for (const dependency of ids) visited.add(dependency);
+      const states = await Promise.all(ids.map((dependency) => this.stateOf(dependency)));
+      if (states.includes('cancelled')) return true;
+      for (const [index, dependency] of ids.entries())
+        if (states[index] === 'accepted') nextLevel.push(...(await this.directDependencies(dependency)));
+      level = nextLevel;
     }
     return false;
   }
 
   private async stateOf(id: JobId): Promise<JobRecord['state']> {
-    const final = this.cache.finalState(id);
-    if (final) return final;
-    const known = this.cache.known(id);
-    if (known && (await this.confirmations.same(keys.job(id), known.revision))) return 'accepted';
-    return (await this.lookAt(id))?.state ?? 'accepted';
+    const finalState = this.cache.finalState(id);
+    if (finalState) return finalState;
+    const observed = this.cache.observed(id);
+    if (observed && (await this.confirmations.hasRevision(keys.job(id), observed.revision)))
+      return 'accepted';
+    return (await this.reader.readAndRemember(id))?.state ?? 'accepted';
   }
 
-  /** The jobs that it names and that are not known to be done. */
-  private async directly(id: JobId): Promise<JobId[]> {
-    const known = this.cache.known(id);
-    if (!known) return [];
-    const ids = [...known.dependencies];
-    for (let n = 0; n < known.dependencyRecords; n++) {
-      const row = await this.ctx.store.get(keys.dependencies(id, n));
+  /** The job's own dependencies that are not known to be done. */
+  private async directDependencies(id: JobId): Promise<JobId[]> {
+    const observed = this.cache.observed(id);
+    if (!observed) return [];
+    const ids = [...observed.dependencies];
+    for (let index = 0; index < observed.dependencyRecordCount; index++) {
+      const row = await this.ctx.store.get(keys.dependencies(id, index));
       if (row) ids.push(...(row.value as JobId[]));
     }
-    return ids.filter((one) => this.cache.finalState(one) !== 'done');
+    return ids.filter((dependency) => this.cache.finalState(dependency) !== 'done');
   }
 }
--- a/src/api/http-router.ts
+++ b/src/api/http-router.ts
@@ -1,26 +1,32 @@
-/** Routes of the front address: users, workers' heartbeats and health checks. */
+/** Routes of the front address: users' requests, workers' heartbeats and health checks. */
 import type { IncomingMessage, RequestListener, ServerResponse } from 'node:http';
 import { LinearRouter } from 'hono/router/linear-router';
 import type { UserVerb } from '../peer/frames.js';
-import type { UserAnswer } from './user-service.js';
+import type { UserAnswer } from './user-answer.js';
 
 /** Largest request body (PROTOCOL). */
-export const MAX_BODY = 64 * 1024;
+export const MAX_BODY_BYTES = 64 * 1024;
 
-/** A request body over `MAX_BODY`. */
-class BodyTooLargeError extends Error {}
+/** A request body over `MAX_BODY_BYTES`. */
+class BodyTooLargeError extends Error {
+  override readonly name = 'BodyTooLargeError';
+  readonly code = 'BODY_TOO_LARGE';
+}
 
 /** The client went away before its request was complete. */
-class RequestAbortedError extends Error {}
+class RequestAbortedError extends Error {
+  override readonly name = 'RequestAbortedError';
+  readonly code = 'REQUEST_ABORTED';
+}
 
-/** What the router hands requests to. */
+/** Handles the requests that the router has recognized. */
 export interface RequestHandler {
   up(): boolean;
   heartbeat(body: Buffer): Promise<{ status: number; body: Buffer | null }>;
   user(verb: UserVerb, body: Buffer): Promise<UserAnswer>;
 }
 
-/** An answer, ready to be written. */
+/** An answer that is ready to be written. */
 interface HttpAnswer {
   readonly status: number;
   readonly body: Buffer | string | null;
@@ -38,7 +44,7 @@
 
 function readBody(request: IncomingMessage): Promise<Buffer> {
   return new Promise((resolve, reject) => {
-    if (Number(request.headers['content-length'] ?? 0) > MAX_BODY) {
+    if (Number(request.headers['content-length'] ?? 0) > MAX_BODY_BYTES) {
       reject(new BodyTooLargeError());
       return;
     }
@@ -46,7 +52,7 @@
     let size = 0;
     request.on('data', (part: Buffer) => {
       size += part.length;
-      if (size > MAX_BODY) reject(new BodyTooLargeError());
+      if (size > MAX_BODY_BYTES) reject(new BodyTooLargeError());
       else parts.push(part);
     });
     request.on('end', () => resolve(parts.length === 1 ? (parts[0] as Buffer) : Buffer.concat(parts)));
@@ -57,7 +63,7 @@
   });
 }
 
-function userAnswer({ status, body, retryAfter }: UserAnswer): HttpAnswer {
+function toHttpAnswer({ status, body, retryAfter }: UserAnswer): HttpAnswer {
   const text = JSON.stringify(body);
   return retryAfter === undefined ? { status, body: text } : { status, body: text, retryAfter };
 }
@@ -67,25 +73,25 @@
   router.add('GET', '/up', () => ({ status: handler.up() ? 200 : 503, body: null }));
   router.add('POST', '/agent/beat', async (request) => handler.heartbeat(await readBody(request)));
   router.add('POST', '/v2/runs', async (request) =>
-    userAnswer(await handler.user('submit', await readBody(request))),
+    toHttpAnswer(await handler.user('submit', await readBody(request))),
   );
   router.add('GET', '/v2/runs/:id', async (_request, id) =>
-    userAnswer(await handler.user('query', Buffer.from(id))),
+    toHttpAnswer(await handler.user('query', Buffer.from(id))),
   );
   router.add('POST', '/v2/runs/:id/cancel', async (request, id) => {
     await readBody(request);
-    return userAnswer(await handler.user('cancel', Buffer.from(id)));
+    return toHttpAnswer(await handler.user('cancel', Buffer.from(id)));
   });
   return router;
 }
 
-/** The path without its query. */
-function pathOf(url: string): string {
+/** Returns the path of a URL without its query. */
+function withoutQuery(url: string): string {
   const query = url.indexOf('?');
   return query < 0 ? url : url.slice(0, query);
 }
 
-function decoded(parameter: string): string {
+function decodeParameter(parameter: string): string {
   try {
     return decodeURIComponent(parameter);
   } catch {
@@ -93,13 +99,13 @@
   }
 }
 
-async function answer(router: LinearRouter<Route>, request: IncomingMessage): Promise<HttpAnswer> {
+async function dispatch(router: LinearRouter<Route>, request: IncomingMessage): Promise<HttpAnswer> {
   const method = request.method === 'HEAD' ? 'GET' : (request.method ?? '');
-  const [found] = router.match(method, pathOf(request.url ?? ''))[0];
+  const [found] = router.match(method, withoutQuery(request.url ?? ''))[0];
   if (!found) return NO_SUCH_PATH;
   const [route, parameters] = found as [Route, Record<string, string>];
   try {
-    return await route(request, decoded(parameters['id'] ?? ''));
+    return await route(request, decodeParameter(parameters['id'] ?? ''));
   } catch (error) {
     return error instanceof BodyTooLargeError ? BODY_TOO_LONG : INTERNAL;
   }
@@ -107,9 +113,10 @@
 
 function write(response: ServerResponse, { status, body, retryAfter, close }: HttpAnswer): void {
   if (response.destroyed) return;
-  const headers: Record<string, string | number> = { 'content-length': body?.length ?? 0 };
+  const headers: Record<string, string | number> = {
+    'content-length': body === null ? 0 : Buffer.byteLength(body),
+  };
   if (body !== null) headers['content-type'] = 'application/json';
-  if (typeof body === 'string') headers['content-length'] = Buffer.byteLength(body);
   if (retryAfter !== undefined) headers['retry-after'] = retryAfter;
   if (close) headers['connection'] = 'close';
   response.writeHead(status, headers);
@@ -117,10 +124,10 @@
 }
 
 /**
- * The front address's listener, on Hono's router. Hono's application and its adapter are left out: they answer
+ * Creates the front address's listener, on Hono's router. Hono's application and its adapter are left out: they answer
  * with the runtime's fetch objects, and only loading these took as long as starting all the rest of the program.
  */
 export function requestListener(handler: RequestHandler): RequestListener {
   const router = routes(handler);
-  return (request, response) => void answer(router, request).then((ready) => write(response, ready));
+  return (request, response) => void dispatch(router, request).then((answer) => write(response, answer));
 }
--- a/src/controller/user-router.ts
+++ b/src/controller/user-router.ts
@@ -1,6 +1,7 @@
 /** Answers users' requests here or, where this node can't, at another one. */
 import type { Admission } from '../api/admission.js';
-import { BusyError, unavailable, type UserAnswer, type UserService } from '../api/user-service.js';
+import { BusyError, unavailable, type UserAnswer } from '../api/user-answer.js';
+import type { UserService } from '../api/user-service.js';
 import { parseJson } from '../net/http-client.js';
 import { encodeUser, FrameKind, type UserVerb } from '../peer/frames.js';
 import { StoreRefusedError, StoreOutcomeUnknownError } from '../store/client.js';
--- a/test/unit/share.test.ts
+++ b/test/unit/share.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { RevisionConfirmations } from '../../src/api/job-cache.js';
+import { RevisionConfirmations } from '../../src/api/revision-confirmations.js';
 import { StoreConnectivityMonitor } from '../../src/controller/store-connectivity.js';
 import { machinesToEmpty, type PartlyUsed } from '../../src/fleet/consolidation.js';
 import type { MachineId, Revision } from '../../src/model/ids.js';
@@ -25,7 +25,7 @@
     const confirmations = new RevisionConfirmations(clock, store, 64, 25);
     const same: boolean[] = [];
     for (let i = 0; i < 60; i++) {
-      void confirmations.same(`job/j-${i}`, revisions[i] as Revision).then((s) => {
+      void confirmations.hasRevision(`job/j-${i}`, revisions[i] as Revision).then((s) => {
         same[i] = s;
       });
     }
@@ -41,7 +41,8 @@
     const confirmations = new RevisionConfirmations(clock, state.for('node-0', clock), 64, 25);
     state.outage = true;
     let failed = 0;
-    for (let i = 0; i < 3; i++) void confirmations.same(`job/j-${i}`, 1 as Revision).catch(() => failed++);
+    for (let i = 0; i < 3; i++)
+      void confirmations.hasRevision(`job/j-${i}`, 1 as Revision).catch(() => failed++);
     await clock.advance(500);
     expect(failed).toBe(3);
   });
--- a/test/unit/sockets.test.ts
+++ b/test/unit/sockets.test.ts
@@ -1,6 +1,6 @@
 import { createServer, connect, type AddressInfo } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
-import { type RequestHandler, requestListener, MAX_BODY } from '../../src/api/http-router.js';
+import { type RequestHandler, requestListener, MAX_BODY_BYTES } from '../../src/api/http-router.js';
 import { ConfirmedCancellations } from '../../src/core/confirmed-cancellations.js';
 import { PeerGroup } from '../../src/controller/peer-group.js';
 import { silentLogger } from '../../src/log/logger.js';
@@ -76,7 +76,7 @@
 
   it('refuses a body over the limit and goes on', async () => {
     const address = await front({});
-    const long = await target(address).call('POST', '/v2/runs', 'x'.repeat(MAX_BODY), 5000);
+    const long = await target(address).call('POST', '/v2/runs', 'x'.repeat(MAX_BODY_BYTES), 5000);
     expect(long.status).toBe(413);
     expect((await target(address).call('GET', '/up', undefined, 5000)).status).toBe(200);
   });
