--- a/src/fleet/consolidator.ts
+++ b/src/fleet/consolidator.ts
@@ -48,7 +48,7 @@
       !worker.hasReported ||
       worker.cordon ||
       worker.interruptionAt !== null ||
-      worker.failedCalls > 0
+      worker.contact.hasFailedCall
     )
       return false;
     return since(now, worker.rentedAt) >= PAID_MS;
--- a/src/leader/heartbeat-handler.ts
+++ b/src/leader/heartbeat-handler.ts
@@ -172,7 +172,7 @@
     worker.learnIncarnation(heartbeat, now);
     if (!worker.hasReported) this.parts.dispatcher.dispatch(worker);
     // Even a late copy's answer may reach a worker that waits for one: its lease counts from here.
-    worker.lastAnsweredAt = now;
+    worker.lease.recordAnswer(now);
     return false;
   }
 
@@ -229,9 +229,8 @@
   private failed(worker: Worker, job: ActiveJob, now: MonotonicTime): void {
     job.failures++;
     job.failedMachines.add(worker.id);
-    if (job.failedMachines.size <= 1 || worker.failedJobs.size > 0) {
+    if (job.failedMachines.size <= 1 || worker.failures > 0) {
       worker.failures++;
-      worker.failedJobs.add(job.spec.id);
     }
     if (job.failedMachines.size < FAULTY_JOB_MACHINES) return;
     const doublings = Math.min(MOST_DOUBLINGS, job.failures - 2);
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -110,14 +110,17 @@
       void this.heartbeats.takeDirect(worker, heartbeat);
     this.decisionLog = new DecisionLog(ctx.log, clock);
     this.issuer = new CommandIssuer(ctx, this.decisionLog);
-    this.dispatcher = new CommandDispatcher(ctx, this.issuer, onReport, node.maxConcurrentWorkerCalls);
-    this.failureDetector = new WorkerFailureDetector(
-      ctx,
-      won.previousLeaseRemaining + maxRenewalWithoutQuorum(node),
-      onReport,
-      (worker, why) => this.fleet.remove(worker, why),
-      (worker) => this.onLeaseExpired(worker),
-    );
+    this.dispatcher = new CommandDispatcher(ctx, {
+      issuer: this.issuer,
+      onHeartbeat: onReport,
+      maxConcurrentCalls: node.maxConcurrentWorkerCalls,
+    });
+    this.failureDetector = new WorkerFailureDetector(ctx, {
+      predecessorRenewalMs: won.previousLeaseRemaining + maxRenewalWithoutQuorum(node),
+      onHeartbeat: onReport,
+      fence: (worker, reason) => this.fleet.remove(worker, reason),
+      onLeaseExpired: (worker) => this.onLeaseExpired(worker),
+    });
     const { fleet, committer, dispatcher, workerLeasePolicy } = this;
     const judging = { lifetimes, urgency, slackFactors };
     this.decisions = new DecisionLoop(ctx, { fleet, committer, dispatcher, ...judging, lock });
--- a/src/leader/placement-views.ts
+++ b/src/leader/placement-views.ts
@@ -56,6 +56,6 @@
     cpus: type.cpus,
     free: { ...worker.free },
     images: worker.images,
-    isReachable: worker.failedCalls === 0,
+    isReachable: !worker.contact.hasFailedCall,
   };
 }
--- a/src/workers/command-dispatcher.ts
+++ b/src/workers/command-dispatcher.ts
@@ -1,3 +1,4 @@
+/** Sends commands straight to the workers, beside the answers to their heartbeats. */
 import type { LeaderContext } from '../core/context.js';
 import { errorMessage } from '../log/logger.js';
 import { NoSocketError } from '../net/http-client.js';
@@ -6,79 +7,98 @@
 import type { Worker } from './state/worker.js';
 import type { CommandIssuer } from './command-issuer.js';
 
-const COMMAND_MS = 1500;
-/** After calls that brought no answer, orders wait for the host's reports this long. */
-const REST_MS = 3000;
-const MOST_ORDERS = 200;
+const COMMAND_TIMEOUT_MS = 1500;
+/** After a call that brought no answer, commands wait for the worker's heartbeats this long. */
+const BACKOFF_MS = 3000;
+const MAX_COMMANDS_PER_CALL = 200;
 /**
- * The part of the calls that may be first contacts. A new leader has every worker to meet; their reports
- * come by themselves, and orders to those that it knows must not queue behind the rest.
+ * The part of the calls that may be first contacts. A new leader has to contact every worker; their heartbeats
+ * come by themselves, and commands to those that it knows must not queue behind the rest.
  */
-const CONTACTS_SHARE = 0.25;
+const FIRST_CONTACT_SHARE = 0.25;
 
-/** Sends orders straight to the workers, one call at a time to each, so many at once. */
+/** What a `CommandDispatcher` is made with. */
+export interface CommandDispatcherOptions {
+  readonly issuer: CommandIssuer;
+  /** Called with the heartbeat that a worker sent in its answer to a call. */
+  readonly onHeartbeat: (worker: Worker, heartbeat: Heartbeat) => void;
+  /** Calls that may be under way at once, to all workers together. */
+  readonly maxConcurrentCalls: number;
+}
+
+/** Sends commands in direct calls: one call at a time to each worker, a bounded number to all of them. */
 export class CommandDispatcher {
-  private readonly restUntil = new Map<string, MonotonicTime>();
+  /** When workers whose calls went unanswered may be called again. */
+  private readonly backoffUntil = new Map<string, MonotonicTime>();
+  /** Workers whose commands wait for a free call. */
   private readonly waiting = new Set<Worker>();
-  private readonly strangers = new Set<Worker>();
-  private inFlight = 0;
-  private contacts = 0;
+  /** Workers that have not reported under our epoch yet, and wait for a first contact. */
+  private readonly unregistered = new Set<Worker>();
+  private callsInFlight = 0;
+  private firstContactsInFlight = 0;
 
   constructor(
     private readonly ctx: LeaderContext,
-    private readonly issuer: CommandIssuer,
-    private readonly onReport: (worker: Worker, heartbeat: Heartbeat) => void,
-    private readonly most: number,
+    private readonly options: CommandDispatcherOptions,
   ) {}
 
+  /** Sends the worker what it has to be sent now, or as soon as a call is free. */
   dispatch(worker: Worker): void {
-    if (worker.commandInFlight) {
-      worker.commandWanted = true;
+    if (worker.pendingCommands.isInFlight) {
+      worker.pendingCommands.requestAnother();
       return;
     }
     if (!this.mayCall(worker)) return;
-    if (worker.hasReported) this.command(worker);
+    if (worker.hasReported) this.sendPending(worker);
     else {
-      this.strangers.add(worker);
-      this.meet();
+      this.unregistered.add(worker);
+      this.contactUnregistered();
     }
   }
 
+  private get hasFreeCall(): boolean {
+    return this.callsInFlight < this.options.maxConcurrentCalls;
+  }
+
   private mayCall(worker: Worker): boolean {
     if (worker.address === '' || this.ctx.isEnded()) return false;
-    const rest = this.restUntil.get(worker.id);
-    return rest === undefined || rest <= this.ctx.clock.now();
+    const backoffUntil = this.backoffUntil.get(worker.id);
+    return backoffUntil === undefined || backoffUntil <= this.ctx.clock.now();
   }
 
-  private command(worker: Worker): void {
-    if (this.inFlight >= this.most) {
+  private sendPending(worker: Worker): void {
+    if (!this.hasFreeCall) {
       this.waiting.add(worker);
       return;
     }
-    const commands = this.issuer.issue(worker, this.ctx.isLeaseValid(), [], MOST_ORDERS);
+    const isLeaseValid = this.ctx.isLeaseValid();
+    const commands = this.options.issuer.issue(worker, isLeaseValid, [], MAX_COMMANDS_PER_CALL);
     if (commands.length > 0) void this.send(worker, commands);
   }
 
-  /** An empty command tells a worker our epoch and brings its report. */
-  private meet(): void {
-    for (const worker of this.strangers) {
-      // The busier this process is, the more of them are left to report by themselves.
-      const mostContacts = Math.max(1, this.most * CONTACTS_SHARE * (1 - this.ctx.load()));
-      if (this.contacts >= mostContacts || this.inFlight >= this.most) return;
-      this.strangers.delete(worker);
+  /** Contacts workers that have not reported: an empty call tells them our epoch and brings a heartbeat. */
+  private contactUnregistered(): void {
+    for (const worker of this.unregistered) {
+      if (this.firstContactsInFlight >= this.maxFirstContacts() || !this.hasFreeCall) return;
+      this.unregistered.delete(worker);
       // It may have reported by itself meanwhile.
-      if (worker.hasReported || worker.commandInFlight || !this.mayCall(worker)) continue;
-      this.contacts++;
+      if (worker.hasReported || worker.pendingCommands.isInFlight || !this.mayCall(worker)) continue;
+      this.firstContactsInFlight++;
       void this.send(worker, []).finally(() => {
-        this.contacts--;
-        this.meet();
+        this.firstContactsInFlight--;
+        this.contactUnregistered();
       });
     }
   }
 
-  private next(): void {
+  /** The busier this process is, the more workers are left to report by themselves. */
+  private maxFirstContacts(): number {
+    return Math.max(1, this.options.maxConcurrentCalls * FIRST_CONTACT_SHARE * (1 - this.ctx.load()));
+  }
+
+  private dispatchWaiting(): void {
     for (const worker of this.waiting) {
-      if (this.inFlight >= this.most) return;
+      if (!this.hasFreeCall) return;
       this.waiting.delete(worker);
       this.dispatch(worker);
     }
@@ -86,9 +106,8 @@
 
   private async send(worker: Worker, commands: WorkerCommand[]): Promise<void> {
     const token = worker.fencingToken(this.ctx.epoch);
-    worker.commandInFlight = true;
-    worker.commandWanted = false;
-    this.inFlight++;
+    worker.pendingCommands.begin();
+    this.callsInFlight++;
     const sentAt = this.ctx.clock.now();
     try {
       const answer = await this.ctx.workerClient.sendCommands(
@@ -96,31 +115,34 @@
         token,
         worker.incarnation,
         commands,
-        COMMAND_MS,
+        COMMAND_TIMEOUT_MS,
       );
-      worker.failedCalls = 0;
-      worker.lastContactAt = this.ctx.clock.now();
-      this.restUntil.delete(worker.id);
-      if (answer.heartbeat) this.onReport(worker, answer.heartbeat);
+      worker.contact.recordCallAnswered(this.ctx.clock.now());
+      this.backoffUntil.delete(worker.id);
+      if (answer.heartbeat) this.options.onHeartbeat(worker, answer.heartbeat);
     } catch (error) {
       if (error instanceof NoSocketError) {
-        // Nothing has left; the host's next report brings the orders if no socket is free before.
-        worker.commandWanted = false;
+        // Nothing has left; the next heartbeat's answer brings the commands if no socket is free before.
+        worker.pendingCommands.cancelRequest();
         return;
       }
-      // The orders may still arrive, minutes late: until the host's token is raised.
-      worker.failedCalls++;
-      worker.lastCallFailedAt = this.ctx.clock.now();
-      this.restUntil.set(worker.id, (this.ctx.clock.now() + REST_MS) as MonotonicTime);
-      this.ctx.log.debug(
-        { worker: worker.id, error: errorMessage(error), ms: since(this.ctx.clock.now(), sentAt) },
-        'command not answered',
-      );
+      this.recordUnanswered(worker, sentAt, error);
     } finally {
-      worker.commandInFlight = false;
-      this.inFlight--;
-      if (worker.commandWanted) this.dispatch(worker);
-      this.next();
+      const isAnotherRequested = worker.pendingCommands.finish();
+      this.callsInFlight--;
+      if (isAnotherRequested) this.dispatch(worker);
+      this.dispatchWaiting();
     }
   }
+
+  /** The commands may still arrive, minutes late: until the worker's fencing token is raised. */
+  private recordUnanswered(worker: Worker, sentAt: MonotonicTime, error: unknown): void {
+    const now = this.ctx.clock.now();
+    worker.contact.recordCallFailed(now);
+    this.backoffUntil.set(worker.id, (now + BACKOFF_MS) as MonotonicTime);
+    this.ctx.log.debug(
+      { machine: worker.id, error: errorMessage(error), durationMs: since(now, sentAt) },
+      'command call unanswered',
+    );
+  }
 }
--- a/src/workers/command-issuer.ts
+++ b/src/workers/command-issuer.ts
@@ -1,6 +1,6 @@
 /**
- * The one place where orders to workers leave. A run order that the placement rule forbids, by what is known at that
- * moment, is withheld: nothing is forgotten or killed, the task is proven gone like any that never started, and its job goes on.
+ * The one place where commands to workers are issued. A start command that the placement rule forbids, by what is known at
+ * that moment, is withheld: nothing is forgotten or stopped, the task is proven gone like any that never started, and its job goes on.
  */
 import type { LeaderContext } from '../core/context.js';
 import type { DecisionLog } from '../log/decision-log.js';
@@ -9,12 +9,12 @@
 import { bindsZones, placementRefusal, PlacementRefusal } from '../scheduler/placement-rule.js';
 import type { Task } from '../scheduler/task.js';
 import type { Worker } from './state/worker.js';
-import { markStartsSent, commandsFor } from './worker-commands.js';
+import { commandsFor, markStartsSent } from './worker-commands.js';
 
-/** What the log says of an order that was withheld. */
-export const START_WITHHELD = 'run order withheld: the placement rule forbids it';
+/** The log line of a start command that was withheld. */
+export const START_WITHHELD = 'start command withheld: placement rule violated';
 
-/** The part of the rule that forbids the task on this host now; null: it may start. */
+/** Returns the part of the rule that forbids the task on this machine now; null: it may start. */
 function refusalOf(task: Task, worker: Worker): PlacementRefusal | null {
   const { spec, zoneTally } = task.job;
   if (!worker.confirmedFacts) return PlacementRefusal.MachineUnknown;
@@ -25,9 +25,9 @@
   return placementRefusal(spec, machine, zoneTally.without(task.zone));
 }
 
-/** Chooses the orders that a host gets now, and remembers what has left. */
+/** Chooses the commands that a worker gets now, and records which starts were sent. */
 export class CommandIssuer {
-  /** Run orders withheld under this leadership. */
+  /** Start commands withheld in this leadership term. */
   withheld = 0;
 
   constructor(
@@ -35,10 +35,15 @@
     private readonly decisions: DecisionLog,
   ) {}
 
-  /** At most so many orders; `clears` come last. */
-  issue(worker: Worker, sure: boolean, clears: readonly WorkerCommand[], most: number): WorkerCommand[] {
+  /** Returns at most `maxCommands` commands; `forgetCommands` come last. */
+  issue(
+    worker: Worker,
+    isLeaseValid: boolean,
+    forgetCommands: readonly WorkerCommand[],
+    maxCommands: number,
+  ): WorkerCommand[] {
     const now = this.ctx.clock.now();
-    const wanted = [...commandsFor(worker, now, sure), ...clears].slice(0, most);
+    const wanted = [...commandsFor(worker, now, isLeaseValid), ...forgetCommands].slice(0, maxCommands);
     const commands = this.permitted(worker, wanted, now);
     markStartsSent(worker, commands, worker.fencingToken(this.ctx.epoch));
     return commands;
@@ -51,64 +56,57 @@
     return commands.filter((command) => {
       if (command.kind === 'forget') return true;
       const task = tasks.get(command.task);
-      if (command.kind === 'stop') this.tellOfStop(command, worker, task);
-      // The run order of a task that is stopped with it was checked when it was first sent.
-      else if (task && task.pendingStop === null) return this.mayRun(task, worker, now);
+      if (command.kind === 'stop') this.logStop(command, worker, task);
+      // The start command of a task that is stopped with it was checked when it was first sent.
+      else if (task && task.pendingStop === null) return this.mayStart(task, worker, now);
       return true;
     });
   }
 
-  private mayRun(task: Task, worker: Worker, now: MonotonicTime): boolean {
+  private mayStart(task: Task, worker: Worker, now: MonotonicTime): boolean {
     const refusal = refusalOf(task, worker);
     if (refusal !== null) {
       this.withhold(task, worker, refusal, now);
       return false;
     }
     if (task.startSentIncarnation === null)
-      this.decisions.logDecision('start', () => this.basisOf(task, worker, now));
+      this.decisions.logDecision('start', () => this.decisionBasis(task, worker, now));
     return true;
   }
 
   private withhold(task: Task, worker: Worker, refusal: PlacementRefusal, now: MonotonicTime): void {
     this.withheld++;
-    this.ctx.log.error({ refusal, ...this.basisOf(task, worker, now) }, START_WITHHELD);
-    // A task of which no order has left is gone once a report lacks it; of one that was sent, once its orders are refused.
+    this.ctx.log.error({ refusal, ...this.decisionBasis(task, worker, now) }, START_WITHHELD);
+    // A task that was never sent is gone once a heartbeat lacks it; one that was, once its start commands are refused.
     if (task.startSentIncarnation === null) task.pendingStop = { graceS: 0, reason: 'misplaced', since: now };
-    else worker.needsHigherToken = true;
+    else worker.fence.needsHigherToken = true;
   }
 
-  private tellOfStop(command: WorkerCommand, worker: Worker, task: Task | undefined): void {
-    const why =
+  private logStop(command: WorkerCommand, worker: Worker, task: Task | undefined): void {
+    const reason =
       task?.attemptNumber === command.attemptNumber
         ? (task.pendingStop?.reason ?? 'unknown')
-        : 'not wanted here';
-    this.decisions.logDecision(`stop, ${why}`, () => ({
+        : 'not assigned here';
+    this.decisions.logDecision(`stop, ${reason}`, () => ({
       task: command.task,
       attemptNumber: command.attemptNumber,
-      worker: worker.id,
+      machine: worker.id,
     }));
   }
 
-  /** All that the decision to start the task rested on. */
-  private basisOf(task: Task, worker: Worker, now: MonotonicTime): object {
+  /** All that the decision to start the task rested on, for the log. */
+  private decisionBasis(task: Task, worker: Worker, now: MonotonicTime): object {
     const { allowedTypes, zone, allowsSpot, zoneAffinity, zoneAntiAffinity, taskCount } = task.job.spec;
     const { confirmedFacts, facts } = worker;
     return {
       epoch: this.ctx.epoch,
       task: task.id,
       attemptNumber: task.attemptNumber,
-      worker: worker.id,
-      rule: {
-        types: allowedTypes,
-        zone,
-        spot: allowsSpot,
-        zoneAffinity,
-        spread: zoneAntiAffinity,
-        tasks: taskCount,
-      },
-      machine: confirmedFacts?.machine ?? facts.state,
-      source: confirmedFacts?.source ?? null,
-      ageMs: confirmedFacts ? Math.round(since(now, confirmedFacts.learnedAt)) : null,
+      machine: worker.id,
+      rule: { allowedTypes, zone, allowsSpot, zoneAffinity, zoneAntiAffinity, taskCount },
+      facts: confirmedFacts?.machine ?? facts.state,
+      factSource: confirmedFacts?.source ?? null,
+      factAgeMs: confirmedFacts ? Math.round(since(now, confirmedFacts.learnedAt)) : null,
       zones: Object.fromEntries(task.job.zoneTally.counts),
       unknownZones: task.job.zoneTally.unknown,
     };
--- a/src/workers/state/worker-registry.ts
+++ b/src/workers/state/worker-registry.ts
@@ -1,10 +1,13 @@
 import type { MachineId } from '../../model/ids.js';
 import type { Worker } from './worker.js';
 
-/** All machines that may exist, as the leader knows them. */
+/** So many removed machines are remembered; the oldest are forgotten first. */
+const MAX_REMEMBERED_GONE = 5000;
+
+/** All machines that may exist, by id, and those that were lately proven gone. */
 export class WorkerRegistry {
   private readonly workers = new Map<MachineId, Worker>();
-  /** Machines proven gone: a late report or list must not bring them back. */
+  /** Machines proven gone: a late heartbeat or list must not bring them back. */
   private readonly gone = new Set<MachineId>();
 
   get size(): number {
@@ -28,16 +31,17 @@
     return this.gone.has(id);
   }
 
+  /** Adds the worker, unless its machine was proven gone. */
   add(worker: Worker): void {
     if (!this.gone.has(worker.id)) this.workers.set(worker.id, worker);
   }
 
+  /** Removes a machine that is proven gone; it cannot be added again. */
   remove(id: MachineId): void {
     this.workers.delete(id);
     this.gone.add(id);
-    if (this.gone.size > 5000) {
-      const oldest = this.gone.values().next().value;
-      if (oldest !== undefined) this.gone.delete(oldest);
-    }
+    if (this.gone.size <= MAX_REMEMBERED_GONE) return;
+    const oldest = this.gone.values().next().value;
+    if (oldest !== undefined) this.gone.delete(oldest);
   }
 }
--- a/src/workers/state/worker.ts
+++ b/src/workers/state/worker.ts
@@ -1,99 +1,81 @@
-import {
-  type HeartbeatSequence,
-  type Epoch,
-  type MachineId,
-  type ImageId,
-  type JobId,
-  MAX_FENCE_GENERATION,
-  type MemberId,
-  type FenceGeneration,
-  type TaskId,
-  type AgentIncarnation,
-  type FencingToken,
-  fencingTokenOf,
-  type AttemptNumber,
+import type {
+  AgentIncarnation,
+  AttemptNumber,
+  Epoch,
+  FencingToken,
+  ImageId,
+  MachineId,
+  MemberId,
+  TaskId,
 } from '../../model/ids.js';
-import { type Resources, type FreeCapacity, allocate } from '../../model/job.js';
+import type { FreeCapacity, Resources } from '../../model/job.js';
 import type { MachineType } from '../../model/machine.js';
 import type { ConfirmedFacts, MachineFacts, UnconfirmedFacts } from '../../model/machine-facts.js';
 import type { Attempt, Heartbeat } from '../../model/heartbeat.js';
-import { type MonotonicTime, plus } from '../../model/time.js';
+import type { MonotonicTime } from '../../model/time.js';
 import type { Chunk } from '../../scheduler/chunk.js';
 import type { Task } from '../../scheduler/task.js';
+import { HeartbeatCursor } from './heartbeat-cursor.js';
+import { ImageCache } from './image-cache.js';
+import { PendingCommands } from './pending-commands.js';
+import { ProbeState } from './probe-state.js';
+import { WorkerCapacity } from './worker-capacity.js';
+import { WorkerContact } from './worker-contact.js';
+import { WorkerFence } from './worker-fence.js';
+import { WorkerLease } from './worker-lease.js';
 
 const NO_RESOURCES: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
 
-/** An attempt that has ended and that the host still shows. */
+/** An attempt that has ended and that the worker still lists in its heartbeats. */
 export interface EndedAttempt {
   readonly task: TaskId;
   readonly attemptNumber: AttemptNumber;
-  /** The outcome is durable once this chunk has reached `version`; null: nothing waits to be written. */
+  /** The outcome is durable once this chunk has reached `version`; null: nothing is left to be written. */
   readonly chunk: Chunk | null;
   readonly version: number;
-  /** A run order with this token, or a copy of it, may still arrive; null: only with earlier epochs' ones. */
+  /** A start command with this token, or a copy of it, may still arrive; null: only with earlier epochs' ones. */
   readonly startSentToken: FencingToken | null;
 }
 
 /** Why nothing more is placed on a machine. */
 export type CordonReason = 'failing' | 'draining' | 'scaling in' | 'unresponsive';
 
-/** A machine that may exist, with the tasks that may be on it. */
+/** A machine that may exist, the agent on it, and the tasks that may be there. */
 export class Worker {
+  /** Where the agent takes direct commands; empty: not known yet. */
   address = '';
-  /** Heard under our epoch. */
+  /** Whether it was heard from under our epoch. */
   hasReported = false;
   isUp = false;
-  /** Most machines are in their first session: the first direct call then hits. */
-  incarnation = 1 as AgentIncarnation;
-  sequence = 0 as HeartbeatSequence;
-  lastHeartbeatAt: MonotonicTime | null = null;
-  /** When we first heard it under our epoch. */
-  firstHeartbeatAt: MonotonicTime | null = null;
-  /** When the host last showed that something of ours had reached it. */
-  lastContactAt: MonotonicTime | null = null;
-  /** The last report that we answered, and the controller that it came through. */
-  private answeredReport: { readonly via: MemberId; readonly counter: HeartbeatSequence } | null = null;
-  /** When we last answered a report of this host: its lease may run from then. */
-  lastAnsweredAt: MonotonicTime | null = null;
-  /** When we first heard of its present session, which began before: its lease may run from then, too. */
-  private incarnationSeenAt: MonotonicTime | null = null;
-  /** When the cloud takes the machine, by its notice. */
+  readonly contact = new WorkerContact();
+  readonly lease = new WorkerLease();
+  readonly heartbeats = new HeartbeatCursor();
+  readonly fence = new WorkerFence();
+  readonly images = new ImageCache();
+  readonly pendingCommands = new PendingCommands();
+  readonly probes = new ProbeState();
+  /** When the cloud reclaims the machine, by its interruption notice. */
   interruptionAt: MonotonicTime | null = null;
-  /** Nothing more is placed here. */
+  /** Nothing more is placed here while this is set. */
   cordon: CordonReason | null = null;
-  private readonly assignedTasks = new Set<Task>();
-  /** What is left of the machine; null: to be reckoned again. */
-  private freeCapacity: FreeCapacity | null = null;
   readonly endedAttempts = new Map<string, EndedAttempt>();
-  /** Attempts shown that nobody wants: killed at every chance. */
+  /** Attempts in the last heartbeat that belong to no assigned task: each set of commands stops them. */
   unwantedAttempts: Attempt[] = [];
-  /** Cached images, oldest use first. */
-  readonly images = new Map<ImageId, number>();
   idleSince: MonotonicTime | null = null;
-  /** Jobs whose tasks failed here since the last success. */
-  readonly failedJobs = new Set<JobId>();
+  /** Tasks that failed here since the last success. */
   failures = 0;
-  failedProbes = 0;
-  isProbing = false;
   isRemoving = false;
-  /** The cloud's list shows it as running. */
+  /** Whether the cloud's list shows the machine as running. */
   isListedRunning = false;
-  /** Raised when run orders have to lose their force; see `clearsFor`. */
-  private fenceGeneration = 0 as FenceGeneration;
-  /** Something that we count as being here can only be proven gone under a higher token. */
-  needsHigherToken = false;
-  commandInFlight = false;
-  commandWanted = false;
-  /** Direct calls that brought no answer in a row: orders then wait for reports. */
-  failedCalls = 0;
-  /** The last of them. */
-  lastCallFailedAt: MonotonicTime | null = null;
+  private readonly capacity: WorkerCapacity;
 
   constructor(
     readonly id: MachineId,
     private knownFacts: MachineFacts,
     readonly rentedAt: MonotonicTime,
-  ) {}
+  ) {
+    this.capacity = new WorkerCapacity(this.type ?? NO_RESOURCES);
+  }
 
   get facts(): MachineFacts {
     return this.knownFacts;
@@ -113,54 +95,65 @@
     return this.presumedFacts?.type ?? null;
   }
 
-  /** Somebody who knows has told what the machine is. */
+  /** Takes over what the cloud, the worker or a leader's record has confirmed of the machine. */
   learn(facts: ConfirmedFacts): void {
     this.knownFacts = facts;
-    this.freeCapacity = null;
-    for (const task of this.assignedTasks) task.job.locate(task, facts.machine.zone);
+    this.capacity.setTotal(facts.type);
+    for (const task of this.tasks) task.job.locate(task, facts.machine.zone);
   }
 
   /** Tasks that may be on the machine. */
   get tasks(): ReadonlySet<Task> {
-    return this.assignedTasks;
+    return this.capacity.tasks;
   }
 
   assign(task: Task): void {
-    this.assignedTasks.add(task);
+    this.capacity.add(task);
     task.job.locate(task, this.confirmedFacts?.machine.zone ?? null);
-    this.freeCapacity = null;
   }
 
   unassign(task: Task): void {
-    this.assignedTasks.delete(task);
-    this.freeCapacity = null;
+    this.capacity.remove(task);
   }
 
   get free(): Readonly<FreeCapacity> {
-    if (this.freeCapacity) return this.freeCapacity;
-    const { cpus, gpus, memoryGb } = this.type ?? NO_RESOURCES;
-    const free = { cpus, gpus, memoryGb };
-    for (const task of this.assignedTasks) allocate(free, task.job.spec);
-    this.freeCapacity = free;
-    return free;
+    return this.capacity.free;
   }
 
-  /** What orders to this host carry. */
+  /** Whether the machine holds no task that has not been proven gone. */
+  get isEmpty(): boolean {
+    return this.tasks.size === 0;
+  }
+
+  get hasReplicas(): boolean {
+    for (const task of this.tasks) if (task.job.spec.kind === 'service') return true;
+    return false;
+  }
+
+  /** The token that commands to this worker carry. */
   fencingToken(epoch: Epoch): FencingToken {
-    return fencingTokenOf(epoch, this.fenceGeneration);
+    return this.fence.token(epoch);
   }
 
-  /** From the next answer on the worker refuses every order that left before. */
+  /** Makes the worker refuse every command that left before. False: the token is at its maximum. */
   raiseFence(): boolean {
-    if (this.fenceGeneration >= MAX_FENCE_GENERATION) return false;
-    this.fenceGeneration = (this.fenceGeneration + 1) as FenceGeneration;
-    this.needsHigherToken = false;
-    return true;
+    return this.fence.raise();
+  }
+
+  /** The incarnation that commands are addressed to. */
+  get incarnation(): AgentIncarnation {
+    return this.heartbeats.incarnation;
+  }
+
+  /** An incarnation of the agent is heard of for the first time. */
+  beginIncarnation(incarnation: AgentIncarnation, now: MonotonicTime): void {
+    this.heartbeats.beginIncarnation(incarnation);
+    this.lease.recordIncarnation(now);
   }
 
   /**
-   * A report that proves nothing yet, being of an earlier epoch, still tells the session to address.
-   * True: it is another one than we thought.
+   * Learns the incarnation to address from a heartbeat of an earlier epoch, which proves nothing else yet.
+   * Returns whether it is another one than was assumed.
    */
   learnIncarnation(heartbeat: Heartbeat, now: MonotonicTime): boolean {
     if (this.hasReported || heartbeat.incarnation <= this.incarnation) return false;
@@ -168,74 +161,29 @@
     return true;
   }
 
-  /**
-   * A worker that got our answer stays with its controller, one that did not tries another. So a
-   * report that follows the last one through the same controller, with no message between them,
-   * shows that its answer arrived. Reports alone show nothing: a machine may be heard and not reached.
-   */
-  recordHeartbeat(heartbeat: Heartbeat, via: MemberId, now: MonotonicTime): void {
-    const before = this.answeredReport;
-    if (before && before.via === via && heartbeat.sequence === before.counter + 1) this.lastContactAt = now;
-  }
-
-  recordAnswer(heartbeat: Heartbeat, via: MemberId, now: MonotonicTime): void {
-    this.lastAnsweredAt = now;
-    this.answeredReport = { via, counter: heartbeat.sequence };
-  }
-
-  /** Direct calls fail, and no report has shown since that our answers arrive. */
-  get isUnreachable(): boolean {
-    return (
-      this.failedCalls > 0 &&
-      (this.lastContactAt === null || this.lastContactAt < (this.lastCallFailedAt ?? 0))
-    );
-  }
-
+  /** Whether the heartbeat was sent after all that were taken in. */
   isNewer(heartbeat: Heartbeat): boolean {
-    return (
-      heartbeat.incarnation > this.incarnation ||
-      (heartbeat.incarnation === this.incarnation && heartbeat.sequence > this.sequence)
-    );
-  }
-
-  cacheImage(image: ImageId, gb: number): void {
-    this.images.delete(image);
-    this.images.set(image, gb);
-    let total = 0;
-    for (const size of this.images.values()) total += size;
-    for (const [old, size] of this.images) {
-      if (total <= (this.type?.cacheGb ?? 0) || old === image) break;
-      this.images.delete(old);
-      total -= size;
-    }
+    return this.heartbeats.isBefore(heartbeat);
   }
 
-  /** Whether the machine may hold a task that has not been proven gone. */
-  get isEmpty(): boolean {
-    return this.assignedTasks.size === 0;
+  /** Takes in which controller a new heartbeat came through: it may show that our last answer has arrived. */
+  recordHeartbeat(heartbeat: Heartbeat, via: MemberId, now: MonotonicTime): void {
+    this.contact.recognizeDeliveredAnswer(heartbeat, via, now);
   }
 
-  get hasReplicas(): boolean {
-    for (const task of this.assignedTasks) if (task.job.spec.kind === 'service') return true;
-    return false;
+  /** A heartbeat is answered through `via`: the worker's lease may run from now. */
+  recordAnswer(heartbeat: Heartbeat, via: MemberId, now: MonotonicTime): void {
+    this.lease.recordAnswer(now);
+    this.contact.recordAnswer(heartbeat, via);
   }
 
-  /** A session that we hear of for the first time. */
-  beginIncarnation(session: AgentIncarnation, now: MonotonicTime): void {
-    this.incarnation = session;
-    this.incarnationSeenAt = now;
+  /** Whether direct calls fail, and no heartbeat has shown since that our answers arrive. */
+  get isUnreachable(): boolean {
+    return this.contact.isUnreachable;
   }
 
-  /**
-   * Until then the worker may keep what it runs. A machine that reaches no controller goes through its sessions
-   * unanswered, and runs what direct orders bring it in each.
-   */
-  leaseExpiry(start: MonotonicTime, lease: number): MonotonicTime {
-    const from = Math.max(
-      start,
-      this.lastAnsweredAt ?? start,
-      this.incarnationSeenAt ?? start,
-    ) as MonotonicTime;
-    return plus(from, lease);
+  /** The machine has used the image: it is cached there now. */
+  cacheImage(image: ImageId, sizeGb: number): void {
+    this.images.use(image, sizeGb, this.type?.cacheGb ?? 0);
   }
 }
--- a/test/unit/failure-detector.test.ts
+++ b/test/unit/failure-detector.test.ts
@@ -10,8 +10,8 @@
 import { VirtualClock } from '../simulation/clock.js';
 import { workerOf } from '../simulation/worker-state.js';
 
-/** Three machines, one of them silent; whether it is fenced when a probe fails after `failsMs`. */
-async function fenced(failsMs: number): Promise<boolean> {
+/** Three workers, one of them silent: returns whether its machine is fenced when probes fail after `failsMs`. */
+async function isSilentWorkerFenced(failsMs: number): Promise<boolean> {
   const clock = new VirtualClock();
   const workers = new WorkerRegistry();
   for (const name of ['a', 'b', 'c']) {
@@ -21,13 +21,13 @@
       zone: 'north' as ZoneId,
       spot: false,
     };
-    const host = workerOf(machine, clock.now());
-    host.isUp = true;
-    host.hasReported = true;
-    host.address = `${name}:1`;
-    workers.add(host);
+    const worker = workerOf(machine, clock.now());
+    worker.isUp = true;
+    worker.hasReported = true;
+    worker.address = `${name}:1`;
+    workers.add(worker);
   }
-  let fence = false;
+  let isFenced = false;
   const ctx = {
     clock,
     workers,
@@ -42,33 +42,32 @@
         new Promise((_, reject) => clock.after(failsMs, () => reject(new NoAnswerError('deadline passed')))),
     },
   } as unknown as LeaderContext;
-  const health = new WorkerFailureDetector(
-    ctx,
-    0,
-    () => {},
-    () => {
-      fence = true;
+  const detector = new WorkerFailureDetector(ctx, {
+    predecessorRenewalMs: 0,
+    onHeartbeat: () => {},
+    fence: () => {
+      isFenced = true;
     },
-    () => {},
-  );
+    onLeaseExpired: () => {},
+  });
   for (let tick = 0; tick < 24; tick++) {
     await clock.advance(500);
     for (const id of ['b', 'c']) {
-      const host = workers.get(id as MachineId) as Worker;
-      host.lastContactAt = clock.now();
-      health.recordHeartbeat(host, clock.now());
+      const worker = workers.get(id as MachineId) as Worker;
+      worker.contact.recordContact(clock.now());
+      detector.recordHeartbeat(worker, clock.now());
     }
-    health.tick(clock.now());
+    detector.tick(clock.now());
   }
-  return fence;
+  return isFenced;
 }
 
-describe('a silent machine', () => {
-  it('is fenced when it does not answer in time', async () => {
-    expect(await fenced(800)).toBe(true);
+describe('WorkerFailureDetector, with a silent worker', () => {
+  it('fences its machine when probes time out', async () => {
+    expect(await isSilentWorkerFenced(800)).toBe(true);
   });
 
-  it('is not accused when the deadline was noticed late: its answer may lie unread', async () => {
-    expect(await fenced(2000)).toBe(false);
+  it('does not count probes whose timeout was noticed late: the answer may lie unread', async () => {
+    expect(await isSilentWorkerFenced(2000)).toBe(false);
   });
 });
--- a/test/unit/load.test.ts
+++ b/test/unit/load.test.ts
@@ -16,14 +16,13 @@
   MachineTypeId,
   ZoneId,
 } from '../../src/model/ids.js';
-import { seconds } from '../../src/model/time.js';
+import { type MonotonicTime, seconds } from '../../src/model/time.js';
 import { NoAnswerError, NoSocketError } from '../../src/net/http-client.js';
 import { YieldingWorkQueue } from '../../src/net/work-queue.js';
 import type { PeerLink } from '../../src/peer/link.js';
 import { NO_SOCKET_STATUS, RoutedCaller } from '../../src/peer/routed-caller.js';
 import type { Task } from '../../src/scheduler/task.js';
 import { WorkerFailureDetector } from '../../src/workers/failure-detector.js';
-import type { Worker } from '../../src/workers/state/worker.js';
 import { WorkerRegistry } from '../../src/workers/state/worker-registry.js';
 import { VirtualClock } from '../simulation/clock.js';
 import { workerOf } from '../simulation/worker-state.js';
@@ -73,11 +72,11 @@
   });
 });
 
-/** Questions to 300 machines with replicas that have not reported for so long, in one tick. */
-async function questions(cpuShare: number | null, load: number): Promise<MachineId[]> {
+/** The workers probed in two ticks, of 300 with replicas whose last heartbeats are some seconds old. */
+async function earlyProbes(cpuShare: number | null, load: number): Promise<MachineId[]> {
   const clock = new VirtualClock();
   const workers = new WorkerRegistry();
-  const asked: MachineId[] = [];
+  const probed: MachineId[] = [];
   const ctx = {
     clock,
     workers,
@@ -89,13 +88,18 @@
     load: () => load,
     workerClient: {
       fetchHeartbeat: (address: string) => {
-        asked.push(address.split(':')[0] as MachineId);
+        probed.push(address.split(':')[0] as MachineId);
         return new Promise(() => {});
       },
     },
   } as unknown as LeaderContext;
   const ignore = (): void => {};
-  const health = new WorkerFailureDetector(ctx, 0, ignore, ignore, ignore);
+  const detector = new WorkerFailureDetector(ctx, {
+    predecessorRenewalMs: 0,
+    onHeartbeat: ignore,
+    fence: ignore,
+    onLeaseExpired: ignore,
+  });
   await clock.advance(4000);
   for (let n = 0; n < 300; n++) {
     const machine = {
@@ -108,30 +112,30 @@
     Object.assign(host, { isUp: true, hasReported: true, address: `${machine.id}:1` });
     const job = { spec: { id: `j-${n}` as JobId, kind: 'service' }, locate: ignore };
     host.assign({ id: `j-${n}/0` as TaskId, job } as unknown as Task);
-    host.lastHeartbeatAt = (clock.now() - 2000 - n) as Worker['lastHeartbeatAt'];
+    host.contact.recordHeartbeat((clock.now() - 2000 - n) as MonotonicTime);
     workers.add(host);
   }
   await clock.advance(100);
-  health.tick(clock.now());
+  detector.tick(clock.now());
   await clock.advance(100);
-  health.tick(clock.now());
-  return asked;
+  detector.tick(clock.now());
+  return probed;
 }
 
-describe('early questions to machines with replicas', () => {
-  // With all of them asked, they took a third of a leader's processor time on a tenth of a core.
+describe('early probes of workers with replicas', () => {
+  // With all of them probed, they took a third of a leader's processor time on a tenth of a core.
   it('take a bounded part of the processor time, the longest silent first', async () => {
-    const small = await questions(0.1, 0);
+    const small = await earlyProbes(0.1, 0);
     expect(small.length).toBeGreaterThan(0);
     expect(small.length).toBeLessThanOrEqual(26);
     expect(small[0]).toBe('host-299');
-    const whole = await questions(1, 0);
+    const whole = await earlyProbes(1, 0);
     expect(whole.length).toBeGreaterThan(100);
-    expect((await questions(null, 0)).length).toBe(whole.length);
+    expect((await earlyProbes(null, 0)).length).toBe(whole.length);
   });
 
-  it('are not asked by a leader that is behind with its work', async () => {
-    expect(await questions(0.1, 0.9)).toEqual([]);
+  it('are not made by a leader that is behind with its work', async () => {
+    expect(await earlyProbes(0.1, 0.9)).toEqual([]);
   });
 });
 
