--- a/src/fleet/capacity-projection.ts
+++ b/src/fleet/capacity-projection.ts
@@ -4,22 +4,22 @@
 import { type Millis, type MonotonicTime, since } from '../model/time.js';
 import type { Worker } from '../workers/state/worker.js';
 import type { QueuedWork } from './backlog.js';
-import { allPools, cheapestPool, perMachine, type Pool, seriesKey } from './capacity-plan.js';
+import { allPools, cheapestPool, type Pool, seriesKey, tasksPerMachine } from './capacity-plan.js';
 
-/** What the fleet looks like from here: its expected frees of a slot and its idle room. */
+/** The capacity that is idle now, and that is expected to be released within one slot. */
 export interface CapacityProjection {
-  /** Expected frees of work that needs ordinary machines, in machines, by series. */
-  readonly frees: ReadonlyMap<string, number>;
-  /** Idle room, up or coming, in machines, by series. */
+  /** Expected releases of work that needs on-demand machines, in machines, by series. */
+  readonly releases: ReadonlyMap<string, number>;
+  /** Idle capacity, up or pending, in machines, by series. */
   readonly reserves: ReadonlyMap<string, number>;
   /** Types of machines that hold replicas. */
-  readonly replicasOn: ReadonlySet<MachineTypeId>;
-  /** CPUs that work for spot machines is expected to free, wherever it runs. */
-  readonly spotFrees: number;
+  readonly typesWithReplicas: ReadonlySet<MachineTypeId>;
+  /** CPUs that spot work is expected to release, wherever it runs. */
+  readonly spotReleasedCpus: number;
   /** The part of a slot's new spot work that ends within the slot itself, arriving evenly over it. */
-  readonly spotOwnFrees: number;
+  readonly spotOwnReleaseShare: number;
   /** CPUs that are idle, on any machine, less what is queued for them. */
-  readonly spotIdle: number;
+  readonly spotIdleCpus: number;
 }
 
 /** What the projection is made from. */
@@ -30,64 +30,94 @@
   readonly types: Iterable<MachineType>;
 }
 
-const bump = (map: Map<string, number>, key: string, n: number): void => {
-  map.set(key, (map.get(key) ?? 0) + n);
-};
+/** Adds up the projection. "Spot work" is work that may run on spot machines, wherever it runs. */
+class ProjectionBuilder {
+  private readonly releases = new Map<string, number>();
+  private readonly reserves = new Map<string, number>();
+  private readonly typesWithReplicas = new Set<MachineTypeId>();
+  private spotReleasedCpus = 0;
+  private spotIdleCpus = 0;
+  private spotCpus = 0;
+  private spotOwnReleasedCpus = 0;
 
-/** Expected frees within one slot, and idle room, over all machines that are up or coming. */
-export function projectCapacity(
-  fleet: Fleet,
-  lifetimes: Lifetimes,
-  slot: Millis,
-  now: MonotonicTime,
-): CapacityProjection {
-  const frees = new Map<string, number>();
-  const reserves = new Map<string, number>();
-  const replicasOn = new Set<MachineTypeId>();
-  let spotFrees = 0;
-  let spotIdle = 0;
-  let spotCpus = 0;
-  let ownFrees = 0;
-  for (const worker of fleet.workers) {
-    if (!worker.presumedFacts) continue;
+  constructor(
+    private readonly lifetimes: Lifetimes,
+    private readonly slot: Millis,
+    private readonly now: MonotonicTime,
+  ) {}
+
+  addWorker(worker: Worker): void {
+    if (!worker.presumedFacts) return;
     const { machine, type } = worker.presumedFacts;
-    const key = seriesKey(machine.type, machine.spot);
-    // Work for spot machines makes room on an ordinary one when it is needed: the machine counts as idle.
-    let idle = type.cpus;
+    const series = seriesKey(machine.type, machine.spot);
+    // Spot work on an on-demand machine is preempted when the capacity is needed: the machine counts as idle.
+    let idleCpus = type.cpus;
     for (const task of worker.tasks) {
       const { spec } = task.job;
-      const age = task.runningAt === null ? 0 : since(now, task.runningAt);
-      const ends = lifetimes.endsWithin(spec.jobClass, age, slot, spec.estimatedRunS * 1000);
+      const age = task.runningAt === null ? 0 : since(this.now, task.runningAt);
+      const endingShare = this.endingShare(spec, age, this.slot);
       if (spec.allowsSpot) {
-        spotFrees += ends * spec.cpus;
-        spotCpus += spec.cpus;
-        ownFrees += lifetimes.endsWithin(spec.jobClass, 0, slot / 2, spec.estimatedRunS * 1000) * spec.cpus;
-      } else bump(frees, key, ends / Math.max(1, perMachine(spec, type)));
-      if (machine.spot || !spec.allowsSpot) idle -= spec.cpus;
+        this.spotReleasedCpus += endingShare * spec.cpus;
+        this.spotCpus += spec.cpus;
+        this.spotOwnReleasedCpus += this.endingShare(spec, 0, this.slot / 2) * spec.cpus;
+      } else addTo(this.releases, series, endingShare / Math.max(1, tasksPerMachine(spec, type)));
+      if (machine.spot || !spec.allowsSpot) idleCpus -= spec.cpus;
     }
-    if (worker.hasReplicas) replicasOn.add(machine.type);
-    if (worker.cordon) continue;
-    spotIdle += Math.max(0, worker.free.cpus);
-    bump(reserves, key, Math.max(0, idle) / type.cpus);
+    if (worker.hasReplicas) this.typesWithReplicas.add(machine.type);
+    if (worker.cordon) return;
+    this.spotIdleCpus += Math.max(0, worker.free.cpus);
+    addTo(this.reserves, series, Math.max(0, idleCpus) / type.cpus);
   }
-  for (const { pool, count } of fleet.pending) {
-    spotIdle += count * pool.type.cpus;
-    bump(reserves, seriesKey(pool.type.id, pool.spot), count);
+
+  addPending(pool: Pool, count: number): void {
+    this.spotIdleCpus += count * pool.type.cpus;
+    addTo(this.reserves, seriesKey(pool.type.id, pool.spot), count);
   }
-  const pools = allPools(fleet.types);
-  // What is queued already has its place on the machines that are coming.
-  for (const work of fleet.queue) {
+
+  /** What is queued will take its place on the machines that are pending. */
+  subtractQueued(work: QueuedWork, pools: readonly Pool[]): void {
     const { spec, tasks } = work;
-    spotIdle -= tasks * spec.cpus;
+    this.spotIdleCpus -= tasks * spec.cpus;
     const pool = spec.allowsSpot ? null : cheapestPool(work, pools);
-    if (pool) bump(reserves, seriesKey(pool.type.id, false), -tasks / perMachine(spec, pool.type));
+    if (pool) addTo(this.reserves, seriesKey(pool.type.id, false), -tasks / tasksPerMachine(spec, pool.type));
   }
-  return {
-    frees,
-    reserves,
-    replicasOn,
-    spotFrees,
-    spotOwnFrees: spotCpus > 0 ? ownFrees / spotCpus : 0,
-    spotIdle: Math.max(0, spotIdle),
-  };
+
+  build(): CapacityProjection {
+    return {
+      releases: this.releases,
+      reserves: this.reserves,
+      typesWithReplicas: this.typesWithReplicas,
+      spotReleasedCpus: this.spotReleasedCpus,
+      spotOwnReleaseShare: this.spotCpus > 0 ? this.spotOwnReleasedCpus / this.spotCpus : 0,
+      spotIdleCpus: Math.max(0, this.spotIdleCpus),
+    };
+  }
+
+  /** The probability that a task that has run for `age` ends within `duration`. */
+  private endingShare(
+    spec: { readonly jobClass: string; readonly estimatedRunS: number },
+    age: number,
+    duration: number,
+  ): number {
+    return this.lifetimes.endsWithin(spec.jobClass, age, duration, spec.estimatedRunS * 1000);
+  }
+}
+
+/** Projects the expected releases within one slot, and idle capacity, over all machines that are up or pending. */
+export function projectCapacity(
+  fleet: Fleet,
+  lifetimes: Lifetimes,
+  slot: Millis,
+  now: MonotonicTime,
+): CapacityProjection {
+  const builder = new ProjectionBuilder(lifetimes, slot, now);
+  for (const worker of fleet.workers) builder.addWorker(worker);
+  for (const { pool, count } of fleet.pending) builder.addPending(pool, count);
+  const pools = allPools(fleet.types);
+  for (const work of fleet.queue) builder.subtractQueued(work, pools);
+  return builder.build();
+}
+
+function addTo(map: Map<string, number>, key: string, amount: number): void {
+  map.set(key, (map.get(key) ?? 0) + amount);
 }
--- a/src/fleet/cloud-call-queue.ts
+++ b/src/fleet/cloud-call-queue.ts
@@ -1,23 +1,23 @@
-/** Spaces calls to the cloud so that they keep to its rate. */
+/** Spaces calls to the cloud so that they keep to its rate limit. */
 import { type Clock, sleep } from '../model/time.js';
 import type { TokenBucket } from '../net/token-bucket.js';
 
-/** Each caller waits for its turn; none is refused. */
+/** A rate-limited queue of calls: each caller waits for its turn; none is refused. */
 export class CloudCallQueue {
   constructor(
     private readonly clock: Clock,
-    private readonly budget: TokenBucket,
+    private readonly rateLimit: TokenBucket,
   ) {}
 
   /** Milliseconds until a call could be made at once. */
   get waitMs(): number {
-    return this.budget.waitMs();
+    return this.rateLimit.waitMs();
   }
 
   /** Resolves when one call may be made. */
   async next(): Promise<void> {
-    const wait = this.budget.waitMs();
-    this.budget.forceTake();
-    if (wait > 0) await sleep(this.clock, wait);
+    const waitMs = this.rateLimit.waitMs();
+    this.rateLimit.forceTake();
+    if (waitMs > 0) await sleep(this.clock, waitMs);
   }
 }
--- a/src/fleet/consolidation.ts
+++ b/src/fleet/consolidation.ts
@@ -1,6 +1,7 @@
+/** Which mostly idle machines to drain, as one pure decision. */
 import type { MachineId } from '../model/ids.js';
 
-/** A task on a machine that might be emptied. */
+/** A task on a machine that might be drained. */
 export interface MovableTask {
   readonly cpus: number;
   readonly memoryGb: number;
@@ -12,8 +13,8 @@
   readonly mayMove: boolean;
 }
 
-/** A machine that might be emptied. */
-export interface PartlyUsed {
+/** A machine that might be drained. */
+export interface DrainCandidate {
   readonly id: MachineId;
   readonly cpus: number;
   readonly freeCpus: number;
@@ -23,55 +24,61 @@
   readonly tasks: readonly MovableTask[];
 }
 
-/** Emptying pays only if it saves this many times what the lost work costs. */
-const WORTH = 3;
-/** Free room is in pieces: this part of it can be counted on. */
-const PACKED = 0.7;
+/** Draining pays only if it saves this many times what the lost work costs. */
+const MIN_BENEFIT_FACTOR = 3;
+/** Free capacity is fragmented: this part of it can be counted on. */
+const PACKING_EFFICIENCY = 0.7;
 /** A fuller machine is left alone: too much work would be done twice. */
-const MOST_USED = 0.6;
+const MAX_USED_SHARE = 0.6;
 /** Starting again takes a moment, and mostly an image. */
-const AGAIN_MS = 3000;
+const RESTART_MS = 3000;
 
 /**
- * Machines to be emptied so that they can go back: the last tasks of a machine keep all of it for
- * as long as the slowest runs. Their work starts again in the room that others have free.
+ * Returns the machines to be drained so that they can be deleted: the last tasks of a machine keep all of it for
+ * as long as the slowest runs. Their work starts again in the capacity that others have free.
  *
- * `surplus`: idle CPUs beyond the reserve that the forecast wants. `cpuPrice`: what an hour of one
+ * `surplusCpus`: idle CPUs beyond the reserve that the forecast wants. `cpuPrice`: what an hour of one
  * CPU costs where the work is done again.
  */
-export function machinesToEmpty(
-  machines: readonly PartlyUsed[],
-  surplus: number,
+export function machinesToDrain(
+  machines: readonly DrainCandidate[],
+  surplusCpus: number,
   cpuPrice: number,
 ): MachineId[] {
   const chosen: MachineId[] = [];
-  let left = surplus;
-  let freeCpus = machines.reduce((sum, m) => sum + m.freeCpus, 0);
-  let freeMemory = machines.reduce((sum, m) => sum + m.freeMemoryGb, 0);
-  const wasted = (m: PartlyUsed): number => (m.price * m.freeCpus) / m.cpus;
-  const candidates = machines
-    .filter((m) => m.tasks.length > 0 && m.cpus - m.freeCpus <= m.cpus * MOST_USED)
-    .sort((a, b) => wasted(b) - wasted(a) || (a.id < b.id ? -1 : 1));
-  for (const m of candidates) {
-    if (m.cpus > left || !worthEmptying(m, cpuPrice)) continue;
-    const cpus = m.cpus - m.freeCpus;
-    const memory = m.tasks.reduce((sum, t) => sum + t.memoryGb, 0);
-    if (cpus > (freeCpus - m.freeCpus) * PACKED || memory > (freeMemory - m.freeMemoryGb) * PACKED) continue;
-    chosen.push(m.id);
-    left -= m.cpus;
-    freeCpus -= m.cpus;
-    freeMemory -= m.freeMemoryGb + memory;
+  let surplusLeft = surplusCpus;
+  let freeCpus = machines.reduce((sum, machine) => sum + machine.freeCpus, 0);
+  let freeMemoryGb = machines.reduce((sum, machine) => sum + machine.freeMemoryGb, 0);
+  for (const machine of byWaste(machines)) {
+    if (machine.cpus > surplusLeft || !isWorthDraining(machine, cpuPrice)) continue;
+    const usedCpus = machine.cpus - machine.freeCpus;
+    const usedMemoryGb = machine.tasks.reduce((sum, task) => sum + task.memoryGb, 0);
+    const hasCpus = usedCpus <= (freeCpus - machine.freeCpus) * PACKING_EFFICIENCY;
+    const hasMemory = usedMemoryGb <= (freeMemoryGb - machine.freeMemoryGb) * PACKING_EFFICIENCY;
+    if (!hasCpus || !hasMemory) continue;
+    chosen.push(machine.id);
+    surplusLeft -= machine.cpus;
+    freeCpus -= machine.cpus;
+    freeMemoryGb -= machine.freeMemoryGb + usedMemoryGb;
   }
   return chosen;
 }
 
-function worthEmptying(m: PartlyUsed, cpuPrice: number): boolean {
-  let lost = 0;
+/** Machines that are used, but not by much: those that cost most for what is idle of them come first. */
+function byWaste(machines: readonly DrainCandidate[]): DrainCandidate[] {
+  const wastedPrice = (machine: DrainCandidate): number => (machine.price * machine.freeCpus) / machine.cpus;
+  return machines
+    .filter(({ tasks, cpus, freeCpus }) => tasks.length > 0 && cpus - freeCpus <= cpus * MAX_USED_SHARE)
+    .sort((one, other) => wastedPrice(other) - wastedPrice(one) || (one.id < other.id ? -1 : 1));
+}
+
+function isWorthDraining({ tasks, price }: DrainCandidate, cpuPrice: number): boolean {
+  let lostCost = 0;
   let leftMs = 0;
-  for (const t of m.tasks) {
-    if (!t.mayMove) return false;
-    lost += (t.lostMs + AGAIN_MS) * t.cpus * cpuPrice;
-    leftMs = Math.max(leftMs, t.leftMs);
+  for (const task of tasks) {
+    if (!task.mayMove) return false;
+    lostCost += (task.lostMs + RESTART_MS) * task.cpus * cpuPrice;
+    leftMs = Math.max(leftMs, task.leftMs);
   }
-  return leftMs * m.price > lost * WORTH;
+  return leftMs * price > lostCost * MIN_BENEFIT_FACTOR;
 }
--- a/src/fleet/consolidator.ts
+++ b/src/fleet/consolidator.ts
@@ -1,4 +1,4 @@
-/** Empties machines that are mostly idle, where their work fits elsewhere. */
+/** Drains machines that are mostly idle, where their work fits elsewhere. */
 import type { LeaderContext } from '../core/context.js';
 import type { Lifetimes } from '../forecast/lifetimes.js';
 import type { ConfirmedFacts } from '../model/machine-facts.js';
@@ -6,17 +6,17 @@
 import type { Task } from '../scheduler/task.js';
 import type { Urgency } from '../scheduler/urgency.js';
 import type { Worker } from '../workers/state/worker.js';
-import { machinesToEmpty, type MovableTask, type PartlyUsed } from './consolidation.js';
-import { allPools, price } from './capacity-plan.js';
+import { allPools, hourlyPrice } from './capacity-plan.js';
+import { type DrainCandidate, machinesToDrain, type MovableTask } from './consolidation.js';
 
-/** Between two looks for machines to be emptied; the last one's work has found its place by then. */
-const EVERY_MS = 2000;
-/** A machine costs this much of its time however soon it goes back (PROTOCOL). */
-export const PAID_MS = 60_000;
+/** Between two consolidations; the work of the last one's machines has been placed by then. */
+const INTERVAL_MS = 2000;
+/** A machine costs this much of its time however soon it is deleted (PROTOCOL). */
+export const MIN_BILLED_MS = 60_000;
 
-/** Looks every few seconds, while nothing waits. */
+/** Chooses machines to drain, every few seconds while nothing waits. */
 export class Consolidator {
-  private lastAt: MonotonicTime | null = null;
+  private lastRunAt: MonotonicTime | null = null;
 
   constructor(
     private readonly ctx: LeaderContext,
@@ -24,53 +24,41 @@
     private readonly urgency: Urgency,
   ) {}
 
-  /** Whether it is time for another look. */
-  due(now: MonotonicTime): boolean {
-    return this.lastAt === null || since(now, this.lastAt) >= EVERY_MS;
+  /** Whether it is time for another consolidation. */
+  isDue(now: MonotonicTime): boolean {
+    return this.lastRunAt === null || since(now, this.lastRunAt) >= INTERVAL_MS;
   }
 
-  /** `surplus`: idle CPUs beyond the reserve that the forecast wants. */
-  run(surplus: number, now: MonotonicTime): void {
-    this.lastAt = now;
-    const machines: PartlyUsed[] = [];
+  /** `surplusCpus`: idle CPUs beyond the reserve that the forecast wants. */
+  run(surplusCpus: number, now: MonotonicTime): void {
+    this.lastRunAt = now;
+    const candidates: DrainCandidate[] = [];
     for (const worker of this.ctx.workers.values()) {
-      if (worker.confirmedFacts && this.mayEmpty(worker, now))
-        machines.push(this.viewOf(worker, worker.confirmedFacts, now));
+      if (worker.confirmedFacts && mayDrain(worker, now))
+        candidates.push(this.candidateOf(worker, worker.confirmedFacts, now));
     }
-    const chosen = machinesToEmpty(machines, surplus, this.cheapestCpu());
-    if (chosen.length > 0) this.ctx.log.info({ machines: chosen.length, surplus }, 'emptying machines');
+    const chosen = machinesToDrain(candidates, surplusCpus, this.lowestCpuPrice());
+    if (chosen.length > 0) this.ctx.log.info({ count: chosen.length, surplusCpus }, 'draining machines');
     for (const id of chosen) this.ctx.drainWorker(id);
   }
 
-  private mayEmpty(worker: Worker, now: MonotonicTime): boolean {
-    if (
-      !worker.isUp ||
-      !worker.hasReported ||
-      worker.cordon ||
-      worker.interruptionAt !== null ||
-      worker.contact.hasFailedCall
-    )
-      return false;
-    return since(now, worker.rentedAt) >= PAID_MS;
-  }
-
-  private viewOf(worker: Worker, { machine, type }: ConfirmedFacts, now: MonotonicTime): PartlyUsed {
+  private candidateOf(worker: Worker, { machine, type }: ConfirmedFacts, now: MonotonicTime): DrainCandidate {
     return {
       id: worker.id,
       cpus: type.cpus,
       freeCpus: Math.max(0, worker.free.cpus),
       freeMemoryGb: Math.max(0, worker.free.memoryGb),
-      price: price({ type, spot: machine.spot }),
-      tasks: [...worker.tasks].map((task) => this.movable(task, now)),
+      price: hourlyPrice({ type, spot: machine.spot }),
+      tasks: [...worker.tasks].map((task) => this.movableTaskOf(task, now)),
     };
   }
 
-  private cheapestCpu(): number {
+  private lowestCpuPrice(): number {
     const pools = allPools(this.ctx.machineTypes.values());
-    return Math.min(...pools.map((pool) => price(pool) / pool.type.cpus));
+    return Math.min(...pools.map((pool) => hourlyPrice(pool) / pool.type.cpus));
   }
 
-  private movable(task: Task, now: MonotonicTime): MovableTask {
+  private movableTaskOf(task: Task, now: MonotonicTime): MovableTask {
     const { effectiveSpec: spec, readyAt } = task.job;
     const runMs = this.lifetimes.expectedRun(spec);
     const ranMs = task.runningAt === null ? 0 : since(now, task.runningAt);
@@ -87,3 +75,9 @@
     };
   }
 }
+
+function mayDrain(worker: Worker, now: MonotonicTime): boolean {
+  if (!worker.isUp || !worker.hasReported || worker.contact.hasFailedCall) return false;
+  if (worker.cordon || worker.interruptionAt !== null) return false;
+  return since(now, worker.rentedAt) >= MIN_BILLED_MS;
+}
--- a/src/fleet/fleet-manager.ts
+++ b/src/fleet/fleet-manager.ts
@@ -1,38 +1,29 @@
-/** Rents, keeps and returns machines: the paper's forecast, reserves and on-the-fly misses. */
+/** Scales the fleet out and in: by the paper's forecast, its reserves, and the queue's unmet demand. */
 import type { LeaderContext } from '../core/context.js';
 import type { Lifetimes } from '../forecast/lifetimes.js';
 import type { MachineId } from '../model/ids.js';
 import type { Machine } from '../model/machine.js';
 import type { FactSource } from '../model/machine-facts.js';
-import { type MonotonicTime, plus, since } from '../model/time.js';
+import { type MonotonicTime, plus } from '../model/time.js';
 import type { TokenBucket } from '../net/token-bucket.js';
 import type { ActiveJob } from '../scheduler/active-job.js';
 import type { SlackFactors } from '../scheduler/slack-factors.js';
 import type { Urgency } from '../scheduler/urgency.js';
 import type { Worker } from '../workers/state/worker.js';
-import { overdueDemand, BacklogWatch, type QueuedWork } from './backlog.js';
+import type { QueuedWork } from './backlog.js';
+import { BacklogScaler } from './backlog-scaler.js';
+import { readSeriesKey } from './capacity-plan.js';
 import { type CapacityProjection, projectCapacity } from './capacity-projection.js';
 import { CloudCallQueue } from './cloud-call-queue.js';
-import { Consolidator, PAID_MS } from './consolidator.js';
-import { DemandForecast, ROUND_DOWN } from './demand-forecast.js';
+import { Consolidator } from './consolidator.js';
+import { DemandForecast } from './demand-forecast.js';
+import { IdleMachineRemover } from './idle-machines.js';
 import { MachineInventory, slowestBoot } from './inventory.js';
-import {
-  type PendingMachine,
-  readSeriesKey,
-  planScaleOut,
-  seriesKey,
-  type CapacityRequest,
-} from './capacity-plan.js';
 import { ScaleIn } from './scale-in.js';
 import { ScaleOut } from './scale-out.js';
 
-/** The record, beside the series', of what classes have missed; its stored name stays. */
+/** The stored key, beside the series' keys, of the slack factors: the text stays. */
 const SLACK_FACTORS_RECORD = '~patience';
-/** Unmet demand is turned into this many rentals at a time, so that each knows the last one's refusal. */
-const MOST_PENDING = 2;
-/** The pause after looking what to rent: at least this, or so many times what it took. */
-const RENT_PAUSE_MS = 150;
-const RENT_PAUSE = 10;
 
 /** What the fleet decides by. */
 interface FleetParts {
@@ -41,89 +32,89 @@
   readonly urgency: Urgency;
 }
 
-/** Is told of what becomes of machines. */
+/** Receives what becomes of machines. */
 export interface FleetListener {
-  /** The host and everything on it are proven gone. */
+  /** The machine and everything on it are proven gone. */
   machineGone(worker: Worker): void;
   /** The list of machines is worth writing. */
   fleetChanged(): void;
 }
 
-/** One leadership's fleet. */
+/** The fleet of one leadership term. */
 export class FleetManager {
   private readonly forecast: DemandForecast;
-  private readonly turns: CloudCallQueue;
-  private readonly remover: ScaleIn;
+  private readonly scaleIn: ScaleIn;
   private readonly inventory: MachineInventory;
-  private readonly renter: ScaleOut;
+  private readonly scaleOut: ScaleOut;
+  private readonly backlog: BacklogScaler;
+  private readonly idleMachines: IdleMachineRemover;
   private readonly consolidator: Consolidator;
-  private readonly lateWatch = new BacklogWatch();
-  private slotEnds: MonotonicTime;
-  private queue: readonly QueuedWork[] = [];
-  private dirty = false;
-  private rentLater = false;
-  private nextScaleOutAt: MonotonicTime | null = null;
-  /** Reckoned at most once a tick. */
-  private projected: CapacityProjection | null = null;
+  private slotEndsAt: MonotonicTime;
+  private isDirty = false;
+  /** Computed at most once a tick. */
+  private cachedProjection: CapacityProjection | null = null;
 
   constructor(
     private readonly ctx: LeaderContext,
-    budget: TokenBucket,
+    cloudRateLimit: TokenBucket,
     private readonly parts: FleetParts,
     listener: FleetListener,
   ) {
+    const { lifetimes, urgency } = parts;
+    const cloudCalls = new CloudCallQueue(ctx.clock, cloudRateLimit);
     this.forecast = new DemandForecast(ctx);
-    this.turns = new CloudCallQueue(ctx.clock, budget);
-    this.remover = new ScaleIn(
-      ctx,
-      this.turns,
-      (worker) => listener.machineGone(worker),
-      () => listener.fleetChanged(),
-    );
-    this.inventory = new MachineInventory(ctx, this.turns, this.remover);
-    this.renter = new ScaleOut(ctx, this.turns, this.inventory, {
-      rented: () => listener.fleetChanged(),
-      refused: (series) => this.forecast.refused(series),
-      settled: () => this.rentUnmet(),
+    this.scaleIn = new ScaleIn(ctx, cloudCalls, {
+      machineGone: (worker) => listener.machineGone(worker),
+      machinesDeleted: () => listener.fleetChanged(),
+    });
+    this.inventory = new MachineInventory(ctx, cloudCalls, this.scaleIn);
+    this.scaleOut = new ScaleOut(ctx, {
+      cloudCalls,
+      inventory: this.inventory,
+      listener: {
+        machinesCreated: () => listener.fleetChanged(),
+        soldOut: (series) => this.forecast.recordSoldOut(series),
+        requestFinished: () => this.backlog.requestUnmet(),
+      },
     });
-    this.consolidator = new Consolidator(ctx, parts.lifetimes, parts.urgency);
-    this.slotEnds = plus(ctx.startedAt, this.forecast.slot);
+    this.backlog = new BacklogScaler(ctx, { scaleOut: this.scaleOut, cloudCalls, lifetimes });
+    this.idleMachines = new IdleMachineRemover(ctx, this.forecast, this.scaleIn);
+    this.consolidator = new Consolidator(ctx, lifetimes, urgency);
+    this.slotEndsAt = plus(ctx.startedAt, this.forecast.slot);
   }
 
-  /** A stored forecast, or what classes have missed, as an earlier leader left it. */
+  /** Restores a stored forecast, or the slack factors, as an earlier leader left them. */
   restoreForecast(key: string, stored: unknown): void {
     if (key === SLACK_FACTORS_RECORD) this.parts.slackFactors.restore(stored);
     else this.forecast.restore(key, stored);
   }
 
-  /** What a successor needs of the forecasts. */
+  /** Returns what a successor needs of the forecasts, by stored key. */
   forecastRecords(): Map<string, unknown> {
     return this.forecast.records().set(SLACK_FACTORS_RECORD, this.parts.slackFactors.record());
   }
 
-  /** New demand: a job that may start from now on. */
+  /** Records new demand: a job that may start from now on. */
   recordDemand(job: ActiveJob): void {
-    this.forecast.demanded(job);
+    this.forecast.recordDemand(job);
   }
 
-  /** The queue's unmet demand, as the last decision round left it. */
+  /** Takes over the queue's unmet demand, as the last decision left it. */
   setBacklog(queue: readonly QueuedWork[]): void {
-    this.queue = queue;
-    if (queue.length === 0) this.lateWatch.left(false, this.ctx.clock.now());
-    this.rentUnmet();
+    this.backlog.setQueue(queue);
   }
 
-  /** Somebody told what a machine is. */
+  /** See `MachineInventory.registerMachine`. */
   registerMachine(machine: Machine, source: FactSource, since: MonotonicTime, address = ''): Worker | null {
     return this.inventory.registerMachine(machine, source, since, address);
   }
 
-  /** A record that may hold a guess tells of a machine. */
+  /** See `MachineInventory.registerUnconfirmed`. */
   registerUnconfirmed(machine: Machine, since: MonotonicTime, address: string): Worker | null {
     return this.inventory.registerUnconfirmed(machine, since, address);
   }
 
-  /** Only the name of a machine is known, from a task that a predecessor placed on it. */
+  /** See `MachineInventory.registerUnknown`. */
   registerUnknown(id: MachineId, since: MonotonicTime): Worker | null {
     return this.inventory.registerUnknown(id, since);
   }
@@ -133,16 +124,16 @@
     return this.inventory.contradictions;
   }
 
-  /** Deletes the machine; `unsureToo`: even while it is not sure that we lead. */
-  remove(worker: Worker, why: string, unsureToo = false): void {
-    this.remover.remove(worker, why, unsureToo);
+  /** Deletes the machine; `mayLackLease`: also while our lease is not valid. */
+  remove(worker: Worker, reason: string, mayLackLease = false): void {
+    this.scaleIn.remove(worker, reason, mayLackLease);
   }
 
-  /** Whether a slot has ended since the last call: weights and machines are then written. */
+  /** Returns whether a slot has ended since the last call: weights and machines are then written. */
   takeDirty(): boolean {
-    const was = this.dirty;
-    this.dirty = false;
-    return was;
+    const wasDirty = this.isDirty;
+    this.isDirty = false;
+    return wasDirty;
   }
 
   /** The longest usual boot of any type, in ms. */
@@ -150,175 +141,68 @@
     return slowestBoot(this.ctx.machineTypes.values());
   }
 
+  /** Scales out and in, as far as it is time to. Only called while our lease is valid. */
   tick(): void {
     const now = this.ctx.clock.now();
-    this.projected = null;
+    this.cachedProjection = null;
     this.inventory.tick(now);
-    this.rentUnmet();
-    if (now >= this.slotEnds) this.endSlot(now);
-    else this.topUp(now);
-    this.giveBack(now);
+    this.backlog.requestUnmet();
+    if (now >= this.slotEndsAt) this.endSlot(now);
+    else this.topUpOnDemand(now);
+    this.idleMachines.removeSurplus(now, (at) => this.projection(at));
     this.consolidate(now);
   }
 
-  private rentUnmet(): void {
-    const { pending } = this.renter;
-    if (this.queue.length === 0 || pending.size >= MOST_PENDING) return;
-    const began = this.ctx.clock.now();
-    const wait = Math.max(this.turns.waitMs, (this.nextScaleOutAt ?? began) - began);
-    if (wait > 0) {
-      this.rentAfter(wait);
-      return;
-    }
-    const most = this.ctx.operators.fleet.maxMachines - this.ctx.workers.size - pending.size;
-    const wishes = this.wishes(most);
-    for (const wish of wishes.slice(0, MOST_PENDING - pending.size)) this.renter.rent(wish, 'queue');
-    const now = this.ctx.clock.now();
-    this.nextScaleOutAt = plus(now, Math.max(RENT_PAUSE_MS, since(now, began) * RENT_PAUSE));
-  }
-
-  private rentAfter(wait: number): void {
-    if (this.rentLater) return;
-    this.rentLater = true;
-    this.ctx.clock.after(wait + 1, () => {
-      this.rentLater = false;
-      if (!this.ctx.isEnded()) this.rentUnmet();
-    });
-  }
-
-  /**
-   * Spot machines for all that waits; ordinary ones, which cost several times as much, for what
-   * must run on them and for what the fleet would start too late.
-   */
-  private wishes(most: number): CapacityRequest[] {
-    const coming = this.renter.coming();
-    const open = this.renter.openPools();
-    const spotWork = this.queue.filter((job) => job.spec.allowsSpot);
-    const firm = this.queue.filter((job) => !job.spec.allowsSpot);
-    const spotPools = open.filter((pool) => pool.spot);
-    const cheap = planScaleOut(spotWork, coming, spotPools, most);
-    const must = planScaleOut(firm, coming, open, most);
-    if (cheap.length > 0) return [...must, ...cheap];
-    const cpus = this.workingCpus(coming);
-    const busy = this.busyCpuMs();
-    const tooLong = overdueDemand(spotWork, cpus, busy, 0).length > 0;
-    const late = overdueDemand(spotWork, cpus, busy, this.lateWatch.left(tooLong, this.ctx.clock.now()));
-    const ordinary = open.filter((pool) => !pool.spot);
-    return [...must, ...planScaleOut(late, [], ordinary, most)];
-  }
-
-  /** What works off the queue of spot work: machines up and coming, less what others hold there. */
-  private workingCpus(coming: readonly PendingMachine[]): number {
-    let cpus = coming.reduce((sum, machine) => sum + machine.free.cpus, 0);
-    for (const worker of this.ctx.workers.values()) {
-      if (!worker.isUp || worker.cordon) continue;
-      cpus += worker.type?.cpus ?? 0;
-      for (const task of worker.tasks) if (!task.job.spec.allowsSpot) cpus -= task.job.spec.cpus;
-    }
-    return cpus;
-  }
-
-  /** Expected time still to run of the spot work on the machines. */
-  private busyCpuMs(): number {
-    const now = this.ctx.clock.now();
-    let sum = 0;
-    for (const worker of this.ctx.workers.values()) {
-      for (const task of worker.tasks) {
-        const { spec } = task.job;
-        if (!spec.allowsSpot) continue;
-        const ran = task.runningAt === null ? 0 : now - task.runningAt;
-        sum += this.parts.lifetimes.expectedLeft(spec, ran) * spec.cpus;
-      }
-    }
-    return sum;
-  }
-
-  /** Expected frees and idle room, reckoned at most once a tick. */
+  /** The expected releases and idle capacity, computed at most once a tick. */
   private projection(now: MonotonicTime): CapacityProjection {
-    const { workers, machineTypes } = this.ctx;
-    this.projected ??= projectCapacity(
+    this.cachedProjection ??= projectCapacity(
       {
-        workers: workers.values(),
-        pending: this.renter.pending.values(),
-        queue: this.queue,
-        types: machineTypes.values(),
+        workers: this.ctx.workers.values(),
+        pending: this.scaleOut.pending.values(),
+        queue: this.backlog.queue,
+        types: this.ctx.machineTypes.values(),
       },
       this.parts.lifetimes,
       this.forecast.slot,
       now,
     );
-    return this.projected;
+    return this.cachedProjection;
   }
 
-  private rentMissing(series: string, projection: CapacityProjection): void {
-    const count = this.forecast.missing(series, projection);
-    if (count > 0) this.renter.rentAhead(series, count);
+  private requestMissing(series: string, projection: CapacityProjection): void {
+    const count = this.forecast.missingMachines(series, projection);
+    if (count > 0) this.scaleOut.requestAhead(series, count);
   }
 
   /**
-   * Ordinary machines are topped up within the slot too: a replica that took from the reserve must
+   * On-demand machines are topped up within the slot too: a replica that took from the reserve must
    * not leave the next one to wait for the slot's end and a boot.
    */
-  private topUp(now: MonotonicTime): void {
-    if (this.renter.pending.size > 0) return;
+  private topUpOnDemand(now: MonotonicTime): void {
+    if (this.scaleOut.pending.size > 0) return;
     const projection = this.projection(now);
     for (const series of this.forecast.series) {
-      if (!readSeriesKey(series).spot) this.rentMissing(series, projection);
+      if (!readSeriesKey(series).spot) this.requestMissing(series, projection);
     }
   }
 
   private endSlot(now: MonotonicTime): void {
-    this.slotEnds = plus(now, this.forecast.slot);
+    this.slotEndsAt = plus(now, this.forecast.slot);
     const projection = this.projection(now);
-    const told = this.forecast.endSlot(projection);
-    for (const series of this.forecast.series) this.rentMissing(series, projection);
-    const { spotFrees, spotIdle } = projection;
-    this.ctx.log.info(
-      { needForecastFreesReserve: told, spotFrees: Math.round(spotFrees), spotIdle: Math.round(spotIdle) },
-      'slot',
-    );
+    const series = this.forecast.endSlot(projection);
+    for (const key of this.forecast.series) this.requestMissing(key, projection);
+    const spotReleasedCpus = Math.round(projection.spotReleasedCpus);
+    const spotIdleCpus = Math.round(projection.spotIdleCpus);
+    this.ctx.log.info({ series, spotReleasedCpus, spotIdleCpus }, 'forecast slot ended');
     this.forecast.beginSlot();
-    this.dirty = true;
+    this.isDirty = true;
   }
 
-  /** While nothing waits: machines that are mostly idle are emptied, if their work fits elsewhere. */
+  /** While nothing waits: machines that are mostly idle are drained, if their work fits elsewhere. */
   private consolidate(now: MonotonicTime): void {
-    if (this.queue.length > 0 || this.renter.pending.size > 0 || !this.consolidator.due(now)) return;
+    const isScalingOut = this.backlog.queue.length > 0 || this.scaleOut.pending.size > 0;
+    if (isScalingOut || !this.consolidator.isDue(now)) return;
     const projection = this.projection(now);
-    this.consolidator.run(projection.spotIdle - this.forecast.spotNet(projection).net, now);
-  }
-
-  /** Idle machines beyond what the forecast still wants go back after the wait. */
-  private giveBack(now: MonotonicTime): void {
-    const idle = this.idleMachines(now);
-    if (idle.size === 0) return;
-    const projection = this.projection(now);
-    for (const [series, workers] of idle) {
-      const need = Math.max(0, this.forecast.wanted(series, projection));
-      const surplus = Math.floor((projection.reserves.get(series) ?? 0) - need + ROUND_DOWN);
-      for (const worker of workers.slice(0, Math.max(0, surplus))) this.remove(worker, 'surplus');
-    }
-  }
-
-  /** Machines that have idled for long enough to go back, by series; those that are closed go at once. */
-  private idleMachines(now: MonotonicTime): Map<string, Worker[]> {
-    const { idleTimeout, spotIdleTimeout } = this.ctx.operators.fleet;
-    const idle = new Map<string, Worker[]>();
-    for (const worker of this.ctx.workers.values()) {
-      if (!worker.isUp || worker.isRemoving || !worker.isEmpty || worker.idleSince === null) continue;
-      if (worker.cordon === 'failing' || worker.cordon === 'draining') {
-        this.remove(worker, worker.cordon);
-        continue;
-      }
-      if (!worker.presumedFacts) continue;
-      const { type, spot } = worker.presumedFacts.machine;
-      const timeout = spot ? spotIdleTimeout : idleTimeout;
-      if (since(now, worker.idleSince) < timeout || since(now, worker.rentedAt) < PAID_MS) continue;
-      const series = seriesKey(type, spot);
-      const alike = idle.get(series);
-      if (alike) alike.push(worker);
-      else idle.set(series, [worker]);
-    }
-    return idle;
+    this.consolidator.run(projection.spotIdleCpus - this.forecast.spotDemand(projection).netCpus, now);
   }
 }
--- a/test/simulation/fake-cloud.ts
+++ b/test/simulation/fake-cloud.ts
@@ -2,7 +2,11 @@
 import type { MachineId, MachineTypeId, ZoneId } from '../../src/model/ids.js';
 import type { ListedMachine, Machine, MachineType } from '../../src/model/machine.js';
 import { type Clock, ms } from '../../src/model/time.js';
-import { poolKey } from '../../src/fleet/capacity-plan.js';
+
+/** A pool's name in the kept traces and in `room`: the bytes of the traces stay. */
+function poolName({ type, zone, spot }: Pick<Machine, 'type' | 'zone' | 'spot'>): string {
+  return `${type}|${zone}|${spot ? 'spot' : 'ordinary'}`;
+}
 
 const LATENCY_MS = 80;
 /** Machines in one answer. */
@@ -83,7 +87,7 @@
         twice((): ScaleOutResult => {
           const known = this.answers.get(r.name);
           if (known) return { machines: known };
-          const key = poolKey(r);
+          const key = poolName(r);
           const room = this.room.get(key) ?? Infinity;
           const count = Math.min(r.count, room);
           if (count === 0) return 'no capacity';
--- a/test/unit/placement.test.ts
+++ b/test/unit/placement.test.ts
@@ -308,14 +308,14 @@
   });
 });
 
-describe('renting', () => {
+describe('scaling out', () => {
   const pools = [
     { type: TYPES[0] as (typeof TYPES)[0], zone: 'north' as ZoneId, spot: true },
     { type: TYPES[0] as (typeof TYPES)[0], zone: 'north' as ZoneId, spot: false },
   ];
 
-  it('takes the cheapest pool and counts what is coming', () => {
-    const coming = [
+  it('takes the cheapest pool and counts pending machines', () => {
+    const pending = [
       {
         type: 'small' as MachineTypeId,
         zone: 'north' as ZoneId,
@@ -323,12 +323,12 @@
         free: { cpus: 4, gpus: 0, memoryGb: 9 },
       },
     ];
-    const wishes = planScaleOut([{ spec: spec({}), tasks: 7, zones: new Map() }], coming, pools, 100);
-    // two of seven fit what is coming; five more need two machines of four
-    expect(wishes.map((w) => [w.pool.spot, w.count])).toEqual([[true, 2]]);
+    const requests = planScaleOut([{ spec: spec({}), tasks: 7, zones: new Map() }], pending, pools, 100);
+    // two of seven fit the pending machine; five more need two machines of four
+    expect(requests.map(({ pool, count }) => [pool.spot, count])).toEqual([[true, 2]]);
   });
 
-  it('calls late only what the fleet would not work off in time', () => {
+  it('counts as overdue only what the fleet would not work off in time', () => {
     const queue = (slackMs: number) => [
       { spec: spec({}), tasks: 10, zones: new Map(), runMs: 30_000, slackMs, slackFactor: 1 },
     ];
--- a/test/unit/share.test.ts
+++ b/test/unit/share.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import { RevisionConfirmations } from '../../src/api/job-cache.js';
 import { StoreConnectivityMonitor } from '../../src/controller/store-connectivity.js';
-import { machinesToEmpty, type PartlyUsed } from '../../src/fleet/consolidation.js';
+import { machinesToDrain, type DrainCandidate } from '../../src/fleet/consolidation.js';
 import type { MachineId, Revision } from '../../src/model/ids.js';
 import { shareSockets } from '../../src/net/sockets.js';
 import { VirtualClock } from '../simulation/clock.js';
@@ -78,7 +78,7 @@
   });
 });
 
-describe('emptying machines', () => {
+describe('machinesToDrain', () => {
   const task = (over = {}) => ({
     cpus: 4,
     memoryGb: 4,
@@ -87,17 +87,22 @@
     mayMove: true,
     ...over,
   });
-  const machine = (id: string, free: number, tasks: ReturnType<typeof task>[], price = 3): PartlyUsed => ({
+  const machine = (
+    id: string,
+    freeCpus: number,
+    tasks: ReturnType<typeof task>[],
+    price = 3,
+  ): DrainCandidate => ({
     id: id as MachineId,
     cpus: 64,
-    freeCpus: free,
-    freeMemoryGb: free * 4,
+    freeCpus,
+    freeMemoryGb: freeCpus * 4,
     price,
     tasks,
   });
 
-  it('takes the one that wastes most, while what stays has room for its work', () => {
-    const chosen = machinesToEmpty(
+  it('takes the ones that waste most, while the others have capacity for their work', () => {
+    const chosen = machinesToDrain(
       [machine('a', 60, [task()]), machine('b', 60, [task()], 1), machine('c', 40, [])],
       200,
       0.02,
@@ -107,12 +112,12 @@
 
   it('leaves alone what the forecast wants, what a target needs and what costs more to do again', () => {
     const other = machine('c', 60, []);
-    expect(machinesToEmpty([machine('a', 60, [task()]), other], 50, 0.02)).toEqual([]);
-    expect(machinesToEmpty([machine('a', 60, [task({ mayMove: false })]), other], 200, 0.02)).toEqual([]);
+    expect(machinesToDrain([machine('a', 60, [task()]), other], 50, 0.02)).toEqual([]);
+    expect(machinesToDrain([machine('a', 60, [task({ mayMove: false })]), other], 200, 0.02)).toEqual([]);
     expect(
-      machinesToEmpty([machine('a', 60, [task({ lostMs: 90_000, leftMs: 500 })]), other], 200, 0.02),
+      machinesToDrain([machine('a', 60, [task({ lostMs: 90_000, leftMs: 500 })]), other], 200, 0.02),
     ).toEqual([]);
-    // no room elsewhere
-    expect(machinesToEmpty([machine('a', 60, [task()])], 200, 0.02)).toEqual([]);
+    // no capacity elsewhere
+    expect(machinesToDrain([machine('a', 60, [task()])], 200, 0.02)).toEqual([]);
   });
 });
