--- a/packages/membership/src/codec.ts
+++ b/packages/membership/src/codec.ts
@@ -1,57 +1,61 @@
-/** Messages as JSON text, with every field checked on the way in. */
+/**
+ * Encodes messages as JSON and checks every field when decoding. The names in the schemas are the wire format: members
+ * of different versions exchange them, so they must not change.
+ */
 import * as z from 'zod/mini';
 import { type Message, MessageKind } from './messages.js';
 
-/** A message over this size is neither sent nor read. */
+/** A larger message is neither sent nor decoded. */
 export const MAX_MESSAGE_BYTES = 64 * 1024;
-const MAX_NAME = 200;
+const MAX_NAME_LENGTH = 200;
 const MAX_ROWS = 64;
 
-/** Why bytes are no message. */
-export enum DecodeProblem {
+/** Why bytes could not be decoded. */
+export enum DecodeErrorCode {
   Oversized = 'oversized',
   Malformed = 'malformed',
   UnknownKind = 'unknown kind',
 }
 
-/** Bytes that are no message. */
+/** Thrown for bytes that are not a valid message. */
 export class DecodeError extends Error {
   constructor(
-    readonly problem: DecodeProblem,
+    readonly code: DecodeErrorCode,
     detail: string,
+    options?: ErrorOptions,
   ) {
-    super(`${problem}: ${detail}`);
+    super(`${code}: ${detail}`, options);
     this.name = 'DecodeError';
   }
 }
 
-const name = z.string().check(z.minLength(1), z.maxLength(MAX_NAME));
+const name = z.string().check(z.minLength(1), z.maxLength(MAX_NAME_LENGTH));
 const count = z.int().check(z.nonnegative());
 const age = z.number().check(z.nonnegative());
-const identity = z.object({ member: name, process: name, incarnation: count });
-const observation = z.object({
-  identity,
+const identitySchema = z.object({ member: name, process: name, incarnation: count });
+const observationSchema = z.object({
+  identity: identitySchema,
   heardAgoMs: z.nullable(age),
   reachedAgoMs: z.nullable(age),
   vouchedAgoMs: z.nullable(age),
   suspectedForMs: z.nullable(age),
 });
-const row = z.object({
-  observer: identity,
+const rowSchema = z.object({
+  observer: identitySchema,
   version: count,
   ageMs: age,
   leaving: z.boolean(),
   load: z.number().check(z.gte(0), z.lte(1)),
   ready: z.boolean(),
   localHealth: count,
-  peers: z.array(observation).check(z.maxLength(MAX_ROWS)),
+  peers: z.array(observationSchema).check(z.maxLength(MAX_ROWS)),
 });
 const envelope = {
-  from: identity,
+  from: identitySchema,
   sequence: count,
-  aboutReceiver: z.nullable(z.object({ identity, suspected: z.boolean() })),
+  aboutReceiver: z.nullable(z.object({ identity: identitySchema, suspected: z.boolean() })),
 };
-const message = z.discriminatedUnion('kind', [
+const messageSchema = z.discriminatedUnion('kind', [
   z.object({
     kind: z.literal(MessageKind.Probe),
     ...envelope,
@@ -60,29 +64,29 @@
   z.object({
     kind: z.literal(MessageKind.Answer),
     ...envelope,
-    rows: z.array(row).check(z.maxLength(MAX_ROWS)),
+    rows: z.array(rowSchema).check(z.maxLength(MAX_ROWS)),
   }),
   z.object({ kind: z.literal(MessageKind.IndirectProbe), ...envelope, target: name }),
   z.object({
     kind: z.literal(MessageKind.IndirectAnswer),
     ...envelope,
     target: name,
-    answeredBy: z.nullable(identity),
+    answeredBy: z.nullable(identitySchema),
   }),
 ]);
 
 const KINDS = new Set<unknown>(Object.values(MessageKind));
 
-/** The message as it is sent. */
-export function encodeMessage(content: Message): Uint8Array {
-  return Buffer.from(JSON.stringify(content), 'utf8');
+/** Encodes a message for sending. */
+export function encodeMessage(message: Message): Uint8Array {
+  return Buffer.from(JSON.stringify(message), 'utf8');
 }
 
 function parseJson(payload: Uint8Array): unknown {
   try {
     return JSON.parse(Buffer.from(payload.buffer, payload.byteOffset, payload.byteLength).toString('utf8'));
-  } catch {
-    throw new DecodeError(DecodeProblem.Malformed, 'not JSON');
+  } catch (cause) {
+    throw new DecodeError(DecodeErrorCode.Malformed, 'not JSON', { cause });
   }
 }
 
@@ -90,21 +94,21 @@
   return typeof body === 'object' && body !== null ? (body as { kind?: unknown }).kind : undefined;
 }
 
-/** Throws `DecodeError`, and nothing else. */
+/** Decodes and checks a message. Throws only `DecodeError`. */
 export function decodeMessage(payload: Uint8Array): Message {
   if (payload.byteLength > MAX_MESSAGE_BYTES) {
-    throw new DecodeError(DecodeProblem.Oversized, `${payload.byteLength} bytes`);
+    throw new DecodeError(DecodeErrorCode.Oversized, `${payload.byteLength} bytes`);
   }
   const body = parseJson(payload);
   const kind = kindOf(body);
   if (typeof kind === 'string' && !KINDS.has(kind)) {
-    throw new DecodeError(DecodeProblem.UnknownKind, JSON.stringify(kind.slice(0, MAX_NAME)));
+    throw new DecodeError(DecodeErrorCode.UnknownKind, JSON.stringify(kind.slice(0, MAX_NAME_LENGTH)));
   }
-  const read = message.safeParse(body);
-  if (!read.success) {
-    const issue = read.error.issues[0];
-    throw new DecodeError(DecodeProblem.Malformed, issue ? `field ${issue.path.join('.')}` : 'invalid');
+  const parsed = messageSchema.safeParse(body);
+  if (!parsed.success) {
+    const issue = parsed.error.issues[0];
+    throw new DecodeError(DecodeErrorCode.Malformed, issue ? `field ${issue.path.join('.')}` : 'invalid');
   }
-  // The schema checks what the small types stand for; they have no form of their own at run time.
-  return read.data as unknown as Message;
+  // Branded types do not exist at run time, so the schema's result lacks the brands that it has checked.
+  return parsed.data as unknown as Message;
 }
--- a/packages/membership/src/events.ts
+++ b/packages/membership/src/events.ts
@@ -1,4 +1,4 @@
-/** What members are told of each other, as typed events. */
+/** Events that a member raises about other members and about itself. */
 import type { Evidence } from './evidence.js';
 import type { Identity, MemberId } from './identity.js';
 import type { MemberState } from './verdict.js';
@@ -13,7 +13,7 @@
   readonly evidence: readonly Evidence[];
 }
 
-/** A suspected or failed member has shown that it lives. */
+/** A suspected or failed member has refuted that: it is alive. */
 interface Refuted {
   readonly kind: 'refuted';
   readonly member: MemberId;
@@ -21,34 +21,34 @@
   readonly from: MemberState.Suspect | MemberState.Failed;
 }
 
-/** A member's process was started again: what its former process was trusted with is void. */
+/** A member's process was restarted: whatever the former process owned is no longer held. */
 interface Restarted {
   readonly kind: 'restarted';
   readonly member: MemberId;
   readonly identity: Identity;
 }
 
-/** This process did not run for a while. */
+/** This process did not run for some time. */
 interface SelfPaused {
   readonly kind: 'self-paused';
   readonly pausedMs: number;
 }
 
-/** Others suspected this process; it has raised its incarnation. */
+/** Others suspected this process; it has raised its incarnation to refute that. */
 interface SelfSuspected {
   readonly kind: 'self-suspected';
   readonly incarnation: number;
 }
 
-/** Whether this process gets answers from enough members to make up a majority with it. */
+/** This process gained or lost contact with a majority of the members, itself counted. */
 interface ContactChanged {
   readonly kind: 'contact-changed';
-  readonly withMajority: boolean;
+  readonly hasMajority: boolean;
 }
 
-/** Anything that listeners are told. */
+/** Any event of a member. */
 export type MembershipEvent =
   StateChanged | Refuted | Restarted | SelfPaused | SelfSuspected | ContactChanged;
 
-/** Takes events, one at a time, in order. */
+/** Receives events, one at a time, in order. */
 export type MembershipListener = (event: MembershipEvent) => void;
--- a/packages/membership/src/evidence.ts
+++ b/packages/membership/src/evidence.ts
@@ -1,44 +1,44 @@
-/** What speaks for or against a member: who saw what, how long ago, over which link and in which direction. */
+/** Evidence for or against a member: who observed what, how long ago, over which link and in which direction. */
 import type { MemberId } from './identity.js';
 import type { ObservationRow, PeerObservation } from './messages.js';
 
-/** What an observer found out about its link with a member. */
+/** The condition of an observer's link with a member. */
 export enum LinkCondition {
   /** Probes are answered. */
   Reached = 'reached',
-  /** Probes are answered through another member only: the link between the two is cut. */
-  ReachedThroughOthers = 'reached-through-others',
-  /** The member's messages arrive, but it answers none of ours: the way to it is cut. */
+  /** Probes are answered only through another member: the link between the two is cut. */
+  ReachedIndirectly = 'reached-through-others',
+  /** The member's messages arrive, but it answers no probe: the path to it is cut. */
   HeardOnly = 'heard-only',
-  /** Nothing arrives, and nothing is answered. */
+  /** No message arrives, and no probe is answered. */
   Silent = 'silent',
 }
 
-/** One observer's finding. */
+/** One observer's finding about one member. */
 export interface Evidence {
   readonly observer: MemberId;
   readonly subject: MemberId;
   readonly condition: LinkCondition;
-  /** For how long it has been so. */
-  readonly forMs: number;
-  /** The observer suspects the member, and for how long; null: it does not. */
+  /** How long the link has been in this condition. */
+  readonly durationMs: number;
+  /** How long the observer has suspected the member; null: it does not. */
   readonly suspectedForMs: number | null;
-  /** Since the member last answered the observer, straight or through another; Infinity: never. */
+  /** Time since the member last answered the observer, directly or indirectly; Infinity: never. */
   readonly answeredAgoMs: number;
-  /** Age of the finding at most. */
+  /** Upper bound of the finding's age. */
   readonly ageMs: number;
-  /** The observer's local health score: above 0 it is slow itself, and its findings need longer to count. */
-  readonly observerScore: number;
+  /** The observer's local health score: above 0 it is slow itself, and its findings take longer to count. */
+  readonly observerHealthScore: number;
 }
 
 const orInfinity = (ms: number | null): number => ms ?? Infinity;
 
-/** `windowMs`: a contact that is no older counts as present. */
+/** Classifies a link. `windowMs`: the age up to which a contact counts as current. */
 function conditionOf(observation: PeerObservation, windowMs: number): LinkCondition {
   const { reachedAgoMs, vouchedAgoMs, heardAgoMs } = observation;
   if (orInfinity(reachedAgoMs) <= windowMs) return LinkCondition.Reached;
   if (orInfinity(heardAgoMs) <= windowMs) return LinkCondition.HeardOnly;
-  if (orInfinity(vouchedAgoMs) <= windowMs) return LinkCondition.ReachedThroughOthers;
+  if (orInfinity(vouchedAgoMs) <= windowMs) return LinkCondition.ReachedIndirectly;
   return LinkCondition.Silent;
 }
 
@@ -47,7 +47,7 @@
   switch (condition) {
     case LinkCondition.Reached:
       return 0;
-    case LinkCondition.ReachedThroughOthers:
+    case LinkCondition.ReachedIndirectly:
     case LinkCondition.HeardOnly:
       return orInfinity(reachedAgoMs);
     case LinkCondition.Silent:
@@ -55,7 +55,7 @@
   }
 }
 
-/** What the observer of a row has seen of the member that the observation is about. */
+/** Returns the evidence that one observation of a row gives about its member. */
 export function evidenceOf(
   { observer, localHealth }: ObservationRow,
   observation: PeerObservation,
@@ -67,31 +67,31 @@
     observer: observer.member,
     subject: observation.identity.member,
     condition,
-    forMs: durationOf(observation, condition),
+    durationMs: durationOf(observation, condition),
     suspectedForMs: observation.suspectedForMs,
     answeredAgoMs:
       ageMs + Math.min(orInfinity(observation.reachedAgoMs), orInfinity(observation.vouchedAgoMs)),
     ageMs,
-    observerScore: localHealth,
+    observerHealthScore: localHealth,
   };
 }
 
-const ago = (ms: number): string => `${(ms / 1000).toFixed(1)} s ago`;
-const since = (ms: number): string =>
+const formatAgo = (ms: number): string => `${(ms / 1000).toFixed(1)} s ago`;
+const formatDuration = (ms: number): string =>
   Number.isFinite(ms) ? `for ${(ms / 1000).toFixed(1)} s` : 'since its start';
 
-/** One finding as a sentence. */
+/** Formats a finding as a sentence for logs and operators. */
 export function describeEvidence(evidence: Evidence): string {
-  const { observer, subject, condition, forMs, ageMs, answeredAgoMs } = evidence;
-  const seen = `seen ${ago(ageMs)}`;
+  const { observer, subject, condition, durationMs, ageMs, answeredAgoMs } = evidence;
+  const observedAgo = `seen ${formatAgo(ageMs)}`;
   switch (condition) {
     case LinkCondition.Reached:
-      return `${observer} had an answer from ${subject} ${ago(answeredAgoMs)}`;
-    case LinkCondition.ReachedThroughOthers:
-      return `${observer} -> ${subject} is cut ${since(forMs)}: answers come through other controllers only (${seen})`;
+      return `${observer} had an answer from ${subject} ${formatAgo(answeredAgoMs)}`;
+    case LinkCondition.ReachedIndirectly:
+      return `${observer} -> ${subject} is cut ${formatDuration(durationMs)}: answers come through other controllers only (${observedAgo})`;
     case LinkCondition.HeardOnly:
-      return `${observer} -> ${subject} is cut: ${subject} is heard, and has not answered ${since(forMs)} (${seen})`;
+      return `${observer} -> ${subject} is cut: ${subject} is heard, and has not answered ${formatDuration(durationMs)} (${observedAgo})`;
     case LinkCondition.Silent:
-      return `${observer} has neither heard ${subject} nor had an answer ${since(forMs)} (${seen})`;
+      return `${observer} has neither heard ${subject} nor had an answer ${formatDuration(durationMs)} (${observedAgo})`;
   }
 }
--- a/packages/membership/src/identity.ts
+++ b/packages/membership/src/identity.ts
@@ -1,26 +1,26 @@
-/** Names of controllers and of the processes that stand for them. */
+/** Identities of controllers and of the processes that run them. */
 
 declare const brand: unique symbol;
-/** A value of type `T` that no other brand of it can be passed for. */
+/** A `T` that is not assignable to other brands of `T`. */
 type Branded<T, B extends string> = T & { readonly [brand]: B };
 
-/** A configured controller, whichever process runs it. */
+/** Names a configured controller, whichever process runs it. */
 export type MemberId = Branded<string, 'MemberId'>;
-/** One start of a controller's process: a random text that no other start has. */
+/** Names one start of a controller's process: a random string, unique to that start. */
 export type ProcessId = Branded<string, 'ProcessId'>;
-/** Orders what a controller says of itself. A process raises its own to refute a suspicion. */
+/** Orders a controller's statements about itself (as in SWIM). A process raises its own to refute a suspicion. */
 export type Incarnation = Branded<number, 'Incarnation'>;
 
-/** Who says something: the controller, its process, and how often that process had to refute a suspicion. */
+/** A controller, its process, and the incarnation of that process. */
 export interface Identity {
   readonly member: MemberId;
   readonly process: ProcessId;
   readonly incarnation: Incarnation;
 }
 
-/** How an identity relates to the one that is known for the same member. */
+/** How a received identity relates to the one that is known for the same member. */
 export enum IdentityOrder {
-  /** The process that is known, or one about which nothing was known. */
+  /** The known process, or the first one that is seen of the member. */
   Current = 'current',
   /** A later start of the member's process. */
   Restarted = 'restarted',
@@ -28,21 +28,21 @@
   Stale = 'stale',
 }
 
-/** Compares an identity that has arrived with the one that is known. */
-export function compareIdentity(known: Identity | null, arrived: Identity): IdentityOrder {
-  if (known === null) return IdentityOrder.Current;
-  if (known.process === arrived.process) {
-    return arrived.incarnation >= known.incarnation ? IdentityOrder.Current : IdentityOrder.Stale;
+/** Compares a received identity with the one that is known; `current` is null if none is. */
+export function compareIdentity(current: Identity | null, received: Identity): IdentityOrder {
+  if (current === null) return IdentityOrder.Current;
+  if (current.process === received.process) {
+    return received.incarnation >= current.incarnation ? IdentityOrder.Current : IdentityOrder.Stale;
   }
-  return arrived.incarnation > known.incarnation ? IdentityOrder.Restarted : IdentityOrder.Stale;
+  return received.incarnation > current.incarnation ? IdentityOrder.Restarted : IdentityOrder.Stale;
 }
 
-/** Whether two identities are of one process in one incarnation: what is said of the one holds for the other. */
-export function sameIdentity(a: Identity, b: Identity): boolean {
-  return a.process === b.process && a.incarnation === b.incarnation;
+/** Whether two identities are the same process in the same incarnation, so that evidence about one holds for the other. */
+export function isSameIdentity(first: Identity, second: Identity): boolean {
+  return first.process === second.process && first.incarnation === second.incarnation;
 }
 
-/** The least incarnation that is above both. */
+/** Returns the lowest incarnation that is above both. */
 export function incarnationAbove(own: Incarnation, other: Incarnation): Incarnation {
   return (Math.max(own, other) + 1) as Incarnation;
 }
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -14,7 +14,7 @@
 export type { Identity, Incarnation, MemberId, ProcessId } from './identity.js';
 export { Membership, type MemberView } from './membership.js';
 export { Connection } from './reachability.js';
-export { RejectReason } from './rejects.js';
+export { RejectReason } from './rejected-messages.js';
 export {
   checkSettings,
   DEFAULT_TUNING,
--- a/packages/membership/src/local-health.ts
+++ b/packages/membership/src/local-health.ts
@@ -1,42 +1,45 @@
 /**
- * How far this process can trust its own timing (Lifeguard's local health multiplier): one that is slow itself
+ * Lifeguard's local health multiplier: how far this process can trust its own timing. A process that is slow itself
  * waits longer before it suspects others.
  */
 
-/** What raises or lowers the score. */
-export enum HealthSign {
+/** Events that raise or lower the score. */
+export enum HealthEvent {
   /** A probe was answered in time. */
   ProbeAnswered,
-  /** A probe was not answered, and a helper that was asked to probe did not answer either. */
-  HelperSilent,
+  /** A probe was not answered, and no member that was asked for an indirect probe answered either. */
+  HelpersUnresponsive,
   /** A timer of ours fired late. */
   LateTimer,
   /** Others suspected this process, and it had to refute that. */
   Refuted,
 }
 
-const CHANGE: Readonly<Record<HealthSign, number>> = {
-  [HealthSign.ProbeAnswered]: -1,
-  [HealthSign.HelperSilent]: 1,
-  [HealthSign.LateTimer]: 1,
-  [HealthSign.Refuted]: 1,
+const SCORE_CHANGE: Readonly<Record<HealthEvent, number>> = {
+  [HealthEvent.ProbeAnswered]: -1,
+  [HealthEvent.HelpersUnresponsive]: 1,
+  [HealthEvent.LateTimer]: 1,
+  [HealthEvent.Refuted]: 1,
 };
 
-/** A score between 0 (healthy) and a most; periods are stretched by one more than it. */
+/** A score between 0 (healthy) and a maximum. Timeouts are multiplied by the score plus one. */
 export class LocalHealth {
-  private current = 0;
+  private currentScore = 0;
 
-  constructor(private readonly most: number) {}
+  constructor(private readonly maxScore: number) {}
 
-  note(sign: HealthSign): void {
-    this.current = Math.min(this.most, Math.max(0, this.current + CHANGE[sign]));
+  /** Adjusts the score. */
+  record(sign: HealthEvent): void {
+    this.currentScore = Math.min(this.maxScore, Math.max(0, this.currentScore + SCORE_CHANGE[sign]));
   }
 
+  /** 0: healthy. */
   get score(): number {
-    return this.current;
+    return this.currentScore;
   }
 
+  /** The factor by which timeouts are extended. */
   get multiplier(): number {
-    return this.current + 1;
+    return this.currentScore + 1;
   }
 }
--- a/packages/membership/src/local-member.ts
+++ b/packages/membership/src/local-member.ts
@@ -1,4 +1,4 @@
-/** This process as a member: who it is, and what it tells of itself and its peers. */
+/** This process as a member: its identity, and the observation row that it publishes. */
 import type { Clock, Random, SelfReport } from './environment.js';
 import {
   type Identity,
@@ -7,35 +7,36 @@
   type MemberId,
   type ProcessId,
 } from './identity.js';
-import type { ObservationRow, PeerObservation, WordOnReceiver } from './messages.js';
+import type { ObservationRow, PeerObservation, ReceiverStatus } from './messages.js';
 import type { PeerTracker } from './peer-tracker.js';
 
 const PROCESS_ID_CHARACTERS = 12;
 const RADIX = 36;
 
-/** A text that no other start of a process has. */
+/** Returns a random string that no other start of a process has. */
 function newProcessId(random: Random): ProcessId {
-  let text = '';
-  for (let i = 0; i < PROCESS_ID_CHARACTERS; i++) text += Math.floor(random() * RADIX).toString(RADIX);
-  return text as ProcessId;
+  let processId = '';
+  for (let index = 0; index < PROCESS_ID_CHARACTERS; index++)
+    processId += Math.floor(random() * RADIX).toString(RADIX);
+  return processId as ProcessId;
 }
 
-/** What a word of a peer on this process came to. */
-export enum WordOutcome {
-  Nothing,
-  /** An earlier process of this member had a higher incarnation; ours is above it now. */
-  Outran,
-  /** The peer suspected this process; its incarnation is higher now. */
+/** What a peer's statement about this process led to. */
+export enum ReceiverStatusOutcome {
+  NoChange,
+  /** An earlier process of this member had the same or a higher incarnation; ours is above it now. */
+  SupersededEarlierProcess,
+  /** The peer suspected this process, which raised its incarnation to refute that. */
   Refuted,
 }
 
-/** This member's own part of the protocol. */
+/** The identity of this process, and the counters that order its messages and rows. */
 export class LocalMember {
   private readonly process: ProcessId;
   private incarnation: Incarnation;
   private sequence = 0;
   private version = 0;
-  private leavingNow = false;
+  private leaveRequested = false;
 
   constructor(
     readonly member: MemberId,
@@ -44,7 +45,8 @@
     private readonly selfReport: () => SelfReport,
   ) {
     this.process = newProcessId(random);
-    // Starts of one member mostly come in the order of the time of day; where they don't, peers tell.
+    // Successive starts of a member mostly have increasing times of day. Where they do not, peers report the incarnation
+    // that has to be exceeded.
     this.incarnation = Math.max(1, Math.floor(clock.wall())) as Incarnation;
   }
 
@@ -52,36 +54,38 @@
     return { member: this.member, process: this.process, incarnation: this.incarnation };
   }
 
-  get leaving(): boolean {
-    return this.leavingNow;
+  /** Whether this member has begun to leave. */
+  get isLeaving(): boolean {
+    return this.leaveRequested;
   }
 
+  /** Marks this member as leaving in everything that it publishes from now on. */
   leave(): void {
-    this.leavingNow = true;
+    this.leaveRequested = true;
   }
 
-  /** The number of the next message. */
+  /** Returns the sequence number of the next message. */
   nextSequence(): number {
     this.sequence++;
     return this.sequence;
   }
 
-  /** A peer tells what it knows of this member. */
-  hear(word: WordOnReceiver | null): WordOutcome {
-    if (word === null || word.identity.member !== this.member) return WordOutcome.Nothing;
-    const { identity, suspected } = word;
-    if (identity.incarnation < this.incarnation) return WordOutcome.Nothing;
+  /** Handles a peer's statement about this member: raises the incarnation where a suspicion or an earlier process requires it. */
+  handleReceiverStatus(status: ReceiverStatus | null): ReceiverStatusOutcome {
+    if (status === null || status.identity.member !== this.member) return ReceiverStatusOutcome.NoChange;
+    const { identity, suspected } = status;
+    if (identity.incarnation < this.incarnation) return ReceiverStatusOutcome.NoChange;
     if (identity.process !== this.process) {
       this.incarnation = incarnationAbove(this.incarnation, identity.incarnation);
-      return WordOutcome.Outran;
+      return ReceiverStatusOutcome.SupersededEarlierProcess;
     }
-    if (!suspected) return WordOutcome.Nothing;
+    if (!suspected) return ReceiverStatusOutcome.NoChange;
     this.incarnation = incarnationAbove(this.incarnation, identity.incarnation);
-    return WordOutcome.Refuted;
+    return ReceiverStatusOutcome.Refuted;
   }
 
-  /** What this process observes now, as it is told to the others. */
-  row(trackers: Iterable<PeerTracker>, localHealth: number): ObservationRow {
+  /** Returns what this process observes now, in the form that peers receive. Every call has a new version. */
+  observationRow(trackers: Iterable<PeerTracker>, localHealth: number): ObservationRow {
     const now = this.clock.now();
     const peers: PeerObservation[] = [];
     for (const tracker of trackers) {
@@ -94,9 +98,9 @@
       observer: this.identity,
       version: this.version,
       ageMs: 0,
-      leaving: this.leavingNow,
+      leaving: this.leaveRequested,
       load: Math.min(1, Math.max(0, load)),
-      ready: ready && !this.leavingNow,
+      ready: ready && !this.leaveRequested,
       localHealth,
       peers,
     };
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -1,154 +1,165 @@
-/** One member of a fixed set of controllers that watch each other. */
+/** One member of a fixed set of controllers that monitor each other: the package's entry point. */
 import type { MembershipEnvironment } from './environment.js';
 import type { Evidence } from './evidence.js';
 import type { MembershipListener } from './events.js';
 import type { Identity, MemberId } from './identity.js';
-import { HealthSign, LocalHealth } from './local-health.js';
-import { LocalMember, WordOutcome } from './local-member.js';
+import { HealthEvent, LocalHealth } from './local-health.js';
+import { LocalMember, ReceiverStatusOutcome } from './local-member.js';
 import { MemberContext } from './member-context.js';
 import { PauseDetector } from './pause-detector.js';
 import { Prober } from './prober.js';
 import { type Connection, ReachabilityGraph } from './reachability.js';
-import { Rejects, type RejectReason } from './rejects.js';
+import { RejectedMessages, type RejectReason } from './rejected-messages.js';
 import { Responder } from './responder.js';
 import { Roster } from './roster.js';
 import { checkSettings, type MembershipSettings } from './settings.js';
 import { MemberState } from './verdict.js';
 
-/** A member as an operator or a successor's choice wants to see it. */
+/** A snapshot of a member, for operators and for the choice of a successor. */
 export interface MemberView {
   readonly member: MemberId;
   readonly state: MemberState;
-  /** How long it has been in this state. */
+  /** How long the member has been in this state. */
   readonly forMs: number;
   readonly identity: Identity | null;
   readonly evidence: readonly Evidence[];
   readonly connection: Connection;
-  /** What it last told of itself; null: nothing fresh. */
+  /** Its last reported load; null: no recent report. */
   readonly load: number | null;
   readonly ready: boolean;
   readonly localHealth: number | null;
-  /** Members that get answers from it. */
+  /** The number of members that receive its messages. */
   readonly reachedBy: number;
 }
 
-/** States of members that have no links any more. */
-const GONE: ReadonlySet<MemberState> = new Set([MemberState.Failed, MemberState.Left, MemberState.Unknown]);
-/** How long a leaving member waits for its peers to notice, in probe intervals. */
+/** States in which a member has no links. */
+const DEPARTED_STATES: ReadonlySet<MemberState> = new Set([
+  MemberState.Failed,
+  MemberState.Left,
+  MemberState.Unknown,
+]);
+/** How long a leaving member waits until its peers have been notified, in probe intervals. */
 const LEAVE_INTERVALS = 3;
 
-/** Probes its peers, answers theirs, and tells of every change. */
+/** Probes its peers, answers their probes, and raises an event for every change. */
 export class Membership {
   private readonly context: MemberContext;
   private readonly roster: Roster;
   private readonly prober: Prober;
   private readonly responder: Responder;
-  private readonly pauses: PauseDetector;
-  private readonly toldOfLeaving = new Set<MemberId>();
-  private withMajority: boolean;
-  private onToldOfLeaving: () => void = () => {};
+  private readonly pauseDetector: PauseDetector;
+  private readonly peersNotifiedOfLeave = new Set<MemberId>();
+  private hasMajorityContact: boolean;
+  private onPeerNotifiedOfLeave: () => void = () => {};
 
-  /** Throws `MembershipSettingsError`. */
+  /** Throws `MembershipSettingsError` for invalid settings. */
   constructor(settings: MembershipSettings, environment: MembershipEnvironment) {
     checkSettings(settings);
     const { clock, random, log, selfReport } = environment;
-    // A single controller is its own majority.
-    this.withMajority = settings.majority <= 1;
+    // A single controller is a majority by itself.
+    this.hasMajorityContact = settings.majority <= 1;
     this.context = new MemberContext(
       settings,
       environment,
       new LocalMember(settings.self, clock, random, selfReport),
       new LocalHealth(settings.maxLocalHealth),
-      new Rejects(clock, log),
+      new RejectedMessages(clock, log),
     );
     this.roster = new Roster(this.context);
-    const wordHeard = (outcome: WordOutcome): void => this.wordHeard(outcome);
-    const observed = (): void => this.evaluate();
-    this.prober = new Prober(this.context, { wordHeard, observed });
+    const onReceiverStatusOutcome = (outcome: ReceiverStatusOutcome): void =>
+      this.onReceiverStatusOutcome(outcome);
+    const onObservation = (): void => this.evaluate();
+    this.prober = new Prober(this.context, { onReceiverStatusOutcome, onObservation });
     this.responder = new Responder(this.context, this.prober, {
-      wordHeard,
-      observed,
-      answered: ({ member }) => this.answered(member),
+      onReceiverStatusOutcome,
+      onObservation,
+      onAnswerSent: ({ member }) => this.onAnswerSent(member),
     });
-    this.pauses = new PauseDetector(clock, settings.pauseThresholdMs, (ms) => this.paused(ms));
+    this.pauseDetector = new PauseDetector(clock, settings.pauseThresholdMs, (pausedMs) =>
+      this.handlePause(pausedMs),
+    );
   }
 
+  /** Starts probing. Requests of peers are answered before that, too. */
   start(): void {
-    this.pauses.start();
+    this.pauseDetector.start();
     this.prober.start();
   }
 
+  /** Stops probing. */
   stop(): void {
-    this.pauses.stop();
+    this.pauseDetector.stop();
     this.prober.stop();
   }
 
-  /** Calls the listener for every event from now on; the result ends that. */
+  /** Registers a listener for all events; the result unregisters it. */
   listen(listener: MembershipListener): () => void {
     return this.roster.listen(listener);
   }
 
-  /** Takes a peer's request. Null: it was dropped, and there is no answer. Never rejects. */
+  /** Answers a peer's request. Resolves to null if the request was dropped. Never rejects. */
   handle(payload: Uint8Array): Promise<Uint8Array | null> {
-    this.pauses.check();
+    this.pauseDetector.check();
     return this.responder.handle(payload);
   }
 
-  /** Says goodbye. Resolves once every peer that is there has noticed, or after a few probe intervals. */
+  /** Announces that this member leaves. Resolves once all live peers have been notified, or after a few probe intervals. */
   leave(): Promise<void> {
     const { local, environment, settings } = this.context;
     local.leave();
     return new Promise((resolve) => {
-      const deadline = environment.clock.after(LEAVE_INTERVALS * settings.probeIntervalMs, resolve);
-      this.onToldOfLeaving = () => {
-        if (!this.peersAlive().every((member) => this.toldOfLeaving.has(member))) return;
-        this.onToldOfLeaving = () => {};
-        deadline();
-        // The last answer has yet to reach its peer.
+      const cancelDeadline = environment.clock.after(LEAVE_INTERVALS * settings.probeIntervalMs, resolve);
+      this.onPeerNotifiedOfLeave = () => {
+        if (!this.alivePeers().every((member) => this.peersNotifiedOfLeave.has(member))) return;
+        this.onPeerNotifiedOfLeave = () => {};
+        cancelDeadline();
+        // Gives the last answer time to reach its peer.
         environment.clock.after(settings.probeTimeoutMs, resolve);
       };
-      this.onToldOfLeaving();
+      this.onPeerNotifiedOfLeave();
     });
   }
 
-  /** Looks at the clock now: whether this process stood still. */
+  /** Checks now whether this process was paused. */
   checkPause(): void {
-    this.pauses.check();
+    this.pauseDetector.check();
   }
 
-  /** Calls back for every pause of this process that is noticed. */
+  /** Calls back for every detected pause of this process. */
   onPause(paused: (pausedMs: number) => void): void {
     this.listen((event) => {
       if (event.kind === 'self-paused') paused(event.pausedMs);
     });
   }
 
+  /** The identity of this process. */
   get identity(): Identity {
     return this.context.local.identity;
   }
 
-  /** Whether this process gets answers from so many members that they are a majority together. */
+  /** Whether this process and the members that answer it are a majority. */
   get hasMajority(): boolean {
-    return this.withMajority;
+    return this.hasMajorityContact;
   }
 
+  /** Returns a member's state as this process sees it. */
   state(member: MemberId): MemberState {
     if (member !== this.context.settings.self) return this.roster.state(member);
-    return this.context.local.leaving ? MemberState.Left : MemberState.Alive;
+    return this.context.local.isLeaving ? MemberState.Left : MemberState.Alive;
   }
 
-  /** What was dropped, by reason. */
+  /** The numbers of rejected messages by reason. */
   get rejected(): ReadonlyMap<RejectReason, number> {
-    return this.context.rejects.all();
+    return this.context.rejectedMessages.all();
   }
 
-  /** All configured members, in the order of the settings. */
+  /** Returns a snapshot of all configured members, in the order of the settings. */
   members(): MemberView[] {
     const rows = this.context.freshRows();
     const { members, self } = this.context.settings;
-    const graph = new ReachabilityGraph(members, rows, this.context.rules.contactWindowMs);
-    // No link to a member that is gone is a cut.
-    const present = members.filter((member) => !GONE.has(this.state(member)));
+    const graph = new ReachabilityGraph(members, rows, this.context.verdictRules.contactWindowMs);
+    // A missing link to a departed member is not a partition.
+    const present = members.filter((member) => !DEPARTED_STATES.has(this.state(member)));
     return members.map((member) => {
       const entry = this.roster.entry(member);
       const row = rows.find(({ row: { observer } }) => observer.member === member)?.row;
@@ -162,55 +173,55 @@
         load: row?.load ?? null,
         ready: row?.ready ?? false,
         localHealth: row?.localHealth ?? null,
-        reachedBy: graph.hearersOf(member).length,
+        reachedBy: graph.receiversOf(member).length,
       };
     });
   }
 
-  private peersAlive(): MemberId[] {
+  private alivePeers(): MemberId[] {
     return [...this.context.trackers.keys()].filter(
       (member) => this.roster.state(member) === MemberState.Alive,
     );
   }
 
-  private answered(member: MemberId): void {
-    if (!this.context.local.leaving) return;
-    this.toldOfLeaving.add(member);
-    this.onToldOfLeaving();
+  private onAnswerSent(member: MemberId): void {
+    if (!this.context.local.isLeaving) return;
+    this.peersNotifiedOfLeave.add(member);
+    this.onPeerNotifiedOfLeave();
   }
 
-  private wordHeard(outcome: WordOutcome): void {
-    if (outcome !== WordOutcome.Refuted) return;
-    this.context.health.note(HealthSign.Refuted);
+  private onReceiverStatusOutcome(outcome: ReceiverStatusOutcome): void {
+    if (outcome !== ReceiverStatusOutcome.Refuted) return;
+    this.context.health.record(HealthEvent.Refuted);
     this.roster.emit({ kind: 'self-suspected', incarnation: this.identity.incarnation });
   }
 
-  /** Nobody is judged by the time in which this process did not run. */
-  private paused(pausedMs: number): void {
+  /** Excludes the time in which this process did not run from the evidence about its peers. */
+  private handlePause(pausedMs: number): void {
     const { context } = this;
-    context.pauses++;
-    context.health.note(HealthSign.LateTimer);
-    for (const tracker of context.trackers.values()) tracker.discount(pausedMs, context.now);
-    context.table.discount(pausedMs);
+    context.pauseCount++;
+    context.health.record(HealthEvent.LateTimer);
+    for (const tracker of context.trackers.values()) tracker.excludePause(pausedMs, context.now);
+    context.observations.excludePause(pausedMs);
     this.roster.emit({ kind: 'self-paused', pausedMs });
   }
 
   private evaluate(): void {
-    this.pauses.check();
+    this.pauseDetector.check();
     this.roster.evaluate();
-    const withMajority = this.reachesMajority();
-    if (withMajority === this.withMajority) return;
-    this.withMajority = withMajority;
-    this.roster.emit({ kind: 'contact-changed', withMajority });
+    const withMajority = this.computeMajorityContact();
+    if (withMajority === this.hasMajorityContact) return;
+    this.hasMajorityContact = withMajority;
+    this.roster.emit({ kind: 'contact-changed', hasMajority: withMajority });
   }
 
-  private reachesMajority(): boolean {
-    const { settings, rules } = this.context;
+  private computeMajorityContact(): boolean {
+    const { settings, verdictRules } = this.context;
     const now = this.context.now;
     let reached = 1;
     for (const tracker of this.context.trackers.values()) {
       const agoMs = tracker.observation(now)?.reachedAgoMs ?? null;
-      if (agoMs !== null && agoMs <= rules.contactWindowMs) reached++;
+      if (agoMs !== null && agoMs <= verdictRules.contactWindowMs) reached++;
     }
     return reached >= settings.majority;
   }
--- a/packages/membership/src/messages.ts
+++ b/packages/membership/src/messages.ts
@@ -1,41 +1,44 @@
-/** The messages between members. A request is answered over the connection that it came by. */
+/**
+ * The messages between members. A request is answered over the connection that it came by. Field names are those of the
+ * wire (see `codec.ts`).
+ */
 import type { Identity, MemberId } from './identity.js';
 
-/** What one member has observed of one peer, with ages instead of times: clocks are not comparable. */
+/** What one member has observed of one peer, as ages rather than times, since clocks are not comparable. */
 export interface PeerObservation {
   /** The peer's last known identity. */
   readonly identity: Identity;
-  /** Since a message of the peer arrived; null: none ever did. */
+  /** Time since a message of the peer arrived; null: none ever did. */
   readonly heardAgoMs: number | null;
-  /** Since the last probe that the peer answered was sent; null: none ever was. */
+  /** Time since the last directly answered probe was sent; null: none was answered. */
   readonly reachedAgoMs: number | null;
-  /** Since the last probe that the peer answered through another member was sent. */
+  /** Time since the last indirectly answered probe was begun; null: none was answered. */
   readonly vouchedAgoMs: number | null;
   /** How long this identity has been under suspicion; null: it is not. */
   readonly suspectedForMs: number | null;
 }
 
-/** All that one member observes, with its own state. Rows of one process are ordered by their version. */
+/** All observations of one member, with its own state. Rows of one process are ordered by their version. */
 export interface ObservationRow {
   readonly observer: Identity;
   readonly version: number;
-  /** How old the row is at most, counted from when its first reader asked for it. */
+  /** Upper bound of the row's age, counted from when its first reader requested it. */
   readonly ageMs: number;
   readonly leaving: boolean;
   readonly load: number;
   readonly ready: boolean;
-  /** The stretch of the observer's periods: above 0 it is slow itself. */
+  /** The observer's local health score: above 0 it is slow itself. */
   readonly localHealth: number;
   readonly peers: readonly PeerObservation[];
 }
 
-/** What the sender knows of the receiver, so that it can refute a suspicion or outrun an older process. */
-export interface WordOnReceiver {
+/** What the sender knows of the receiver, so that it can refute a suspicion or exceed an earlier process's incarnation. */
+export interface ReceiverStatus {
   readonly identity: Identity;
   readonly suspected: boolean;
 }
 
-/** The kinds of messages. */
+/** The kinds of messages. The values are those of the wire. */
 export enum MessageKind {
   Probe = 'probe',
   Answer = 'answer',
@@ -45,31 +48,31 @@
 
 interface Envelope {
   readonly from: Identity;
-  /** Rises with every message of the process: what arrives again is no sign of life. */
+  /** Increases with every message of the process, so that a repeated message is not taken for a sign of life. */
   readonly sequence: number;
-  readonly aboutReceiver: WordOnReceiver | null;
+  readonly aboutReceiver: ReceiverStatus | null;
 }
 
-/** Are you there? */
+/** Asks a member whether it is alive. */
 export interface Probe extends Envelope {
   readonly kind: MessageKind.Probe;
-  /** Members whose rows the sender has not had lately: the answer tells them, too. */
+  /** Members whose rows the sender lacks: the answer includes them. */
   readonly missing: readonly MemberId[];
 }
 
-/** I am; this is what I observe, and what members observe that the asker does not hear from. */
+/** Answers a probe with the observations of its sender and the rows that the probe's sender lacks. */
 export interface Answer extends Envelope {
   readonly kind: MessageKind.Answer;
   readonly rows: readonly ObservationRow[];
 }
 
-/** Please probe `target` for me. */
+/** Asks the receiver to probe `target` on the sender's behalf. */
 export interface IndirectProbe extends Envelope {
   readonly kind: MessageKind.IndirectProbe;
   readonly target: MemberId;
 }
 
-/** `answeredBy`: the target's identity; null: it did not answer me either. */
+/** Answers an indirect probe. `answeredBy`: the target's identity; null: it did not answer this probe either. */
 export interface IndirectAnswer extends Envelope {
   readonly kind: MessageKind.IndirectAnswer;
   readonly target: MemberId;
--- a/packages/membership/src/pause-detector.ts
+++ b/packages/membership/src/pause-detector.ts
@@ -1,44 +1,46 @@
-/** Notices that this process did not run: it was stopped, starved of processor time, or its event loop was blocked. */
+/** Detects that this process did not run: it was stopped, starved of processor time, or its event loop was blocked. */
 import type { Cancel, Clock } from './environment.js';
 
-/** Checks so many times in the threshold, so that a pause just over it is not overlooked. */
+/** Checks per threshold period, so that a pause just over the threshold is not missed. */
 const CHECKS_PER_THRESHOLD = 2;
 
-/** Tells of every pause when it is over, before anything else that this package does judges a peer. */
+/** Reports every pause when it is over, before any other part of this package evaluates a peer. */
 export class PauseDetector {
-  private lastRanAt: number;
-  private timer: Cancel | null = null;
-  private readonly everyMs: number;
+  private lastCheckedAt: number;
+  private cancelTimer: Cancel | null = null;
+  private readonly checkIntervalMs: number;
 
   constructor(
     private readonly clock: Clock,
     private readonly thresholdMs: number,
     private readonly onPause: (pausedMs: number) => void,
   ) {
-    this.everyMs = thresholdMs / CHECKS_PER_THRESHOLD;
-    this.lastRanAt = clock.now();
+    this.checkIntervalMs = thresholdMs / CHECKS_PER_THRESHOLD;
+    this.lastCheckedAt = clock.now();
   }
 
+  /** Starts checking periodically. */
   start(): void {
-    this.lastRanAt = this.clock.now();
+    this.lastCheckedAt = this.clock.now();
     this.schedule();
   }
 
+  /** Cancels the periodic check. */
   stop(): void {
-    this.timer?.();
-    this.timer = null;
+    this.cancelTimer?.();
+    this.cancelTimer = null;
   }
 
-  /** Looks at the clock. Whoever is about to judge by time elapsed calls this first. */
+  /** Checks the clock now. Must be called before any evaluation of elapsed time. */
   check(): void {
     const now = this.clock.now();
-    const lateMs = now - this.lastRanAt - this.everyMs;
-    this.lastRanAt = now;
+    const lateMs = now - this.lastCheckedAt - this.checkIntervalMs;
+    this.lastCheckedAt = now;
     if (lateMs > this.thresholdMs) this.onPause(lateMs);
   }
 
   private schedule(): void {
-    this.timer = this.clock.after(this.everyMs, () => {
+    this.cancelTimer = this.clock.after(this.checkIntervalMs, () => {
       this.check();
       this.schedule();
     });
--- a/packages/membership/src/peer-tracker.ts
+++ b/packages/membership/src/peer-tracker.ts
@@ -1,68 +1,64 @@
-/** What this process has observed of one peer, directly or through others. */
-import { compareIdentity, type Identity, IdentityOrder, type MemberId, sameIdentity } from './identity.js';
+/** What this process has observed of one peer, directly or through other members. */
+import { compareIdentity, type Identity, IdentityOrder, type MemberId, isSameIdentity } from './identity.js';
 import type { PeerObservation } from './messages.js';
 
-/** The newest sequence number seen of one process. */
+/** The highest sequence number received from one process. */
 interface LastSequence {
   readonly process: string;
   readonly sequence: number;
 }
 
-const agoOrNull = (now: number, at: number | null): number | null =>
+const ageOrNull = (now: number, at: number | null): number | null =>
   at === null ? null : Math.max(0, Math.round(now - at));
 
-const laterOf = (a: number | null, b: number): number => (a === null ? b : Math.max(a, b));
+const laterTime = (a: number | null, b: number): number => (a === null ? b : Math.max(a, b));
 
-/** One peer as seen from here. All times are of this process's steady clock. */
+/** The contact times and the suspicion of one peer. All times are of this process's monotonic clock. */
 export class PeerTracker {
-  private known: Identity | null = null;
+  private currentIdentity: Identity | null = null;
   private lastSequence: LastSequence | null = null;
   private heardAt: number | null = null;
   private reachedAt: number | null = null;
-  private vouchedAt: number | null = null;
+  private reachedIndirectlyAt: number | null = null;
   private suspectedAt: number | null = null;
 
   constructor(readonly member: MemberId) {}
 
-  /** The last known identity; null: the peer has never been heard of. */
+  /** The last known identity; null: nothing is known of the peer. */
   get identity(): Identity | null {
-    return this.known;
+    return this.currentIdentity;
   }
 
-  get suspected(): boolean {
+  /** Whether this process suspects the peer. */
+  get isSuspected(): boolean {
     return this.suspectedAt !== null;
   }
 
-  /** The last sign that the peer was there, whichever way it came. */
-  get contactAt(): number | null {
-    const times = [this.heardAt, this.reachedAt, this.vouchedAt].filter((at) => at !== null);
-    return times.length === 0 ? null : Math.max(...times);
-  }
-
   /**
-   * Takes over an identity that was told of, by the peer or by another member. A later incarnation of the same
-   * process was alive after whatever the former one is suspected of, so the suspicion ends.
+   * Adopts an identity that the peer or another member has stated. A later incarnation of the same process was alive
+   * after the suspicion of the former one began, so the suspicion ends.
    */
-  learn(identity: Identity): IdentityOrder {
-    const order = compareIdentity(this.known, identity);
+  updateIdentity(identity: Identity): IdentityOrder {
+    const order = compareIdentity(this.currentIdentity, identity);
     if (order === IdentityOrder.Stale) return order;
-    if (this.known !== null && !sameIdentity(this.known, identity)) this.suspectedAt = null;
-    if (order === IdentityOrder.Restarted) this.forgetProcess();
-    this.known = identity;
+    if (this.currentIdentity !== null && !isSameIdentity(this.currentIdentity, identity))
+      this.suspectedAt = null;
+    if (order === IdentityOrder.Restarted) this.resetProcess();
+    this.currentIdentity = identity;
     return order;
   }
 
-  /** Nothing that was observed of the former process tells of the new one. */
-  private forgetProcess(): void {
+  /** Clears what was observed of the former process: it says nothing about the new one. */
+  private resetProcess(): void {
     this.heardAt = null;
     this.reachedAt = null;
-    this.vouchedAt = null;
+    this.reachedIndirectlyAt = null;
     this.lastSequence = null;
   }
 
-  /** A message of the peer arrived. A repeated one is no sign of life. */
-  heard(identity: Identity, sequence: number, now: number): IdentityOrder {
-    const order = this.learn(identity);
+  /** Records a message of the peer. A repeated one is not a sign of life. */
+  recordMessage(identity: Identity, sequence: number, now: number): IdentityOrder {
+    const order = this.updateIdentity(identity);
     if (order === IdentityOrder.Stale) return order;
     const last = this.lastSequence;
     if (last?.process === identity.process && sequence <= last.sequence) return order;
@@ -71,59 +67,59 @@
     return order;
   }
 
-  /** The peer answered a probe that was sent then. */
-  reached(identity: Identity, sentAt: number): void {
-    if (this.learn(identity) === IdentityOrder.Stale) return;
-    this.reachedAt = laterOf(this.reachedAt, sentAt);
+  /** Records that the peer answered a probe that was sent at `sentAt`. */
+  recordAnswer(identity: Identity, sentAt: number): void {
+    if (this.updateIdentity(identity) === IdentityOrder.Stale) return;
+    this.reachedAt = laterTime(this.reachedAt, sentAt);
     this.endSuspicion();
   }
 
-  /** The peer answered another member, which was asked at that time to probe it. */
-  vouched(identity: Identity, sentAt: number): void {
-    if (this.learn(identity) === IdentityOrder.Stale) return;
-    this.vouchedAt = laterOf(this.vouchedAt, sentAt);
+  /** Records that the peer answered the probe of another member in a round that began at `sentAt`. */
+  recordIndirectAnswer(identity: Identity, sentAt: number): void {
+    if (this.updateIdentity(identity) === IdentityOrder.Stale) return;
+    this.reachedIndirectlyAt = laterTime(this.reachedIndirectlyAt, sentAt);
     this.endSuspicion();
   }
 
-  /** Neither the peer nor any helper answered a round of probes that began then. True: it is now a suspect. */
-  roundFailed(beganAt: number, now: number): boolean {
-    if (this.known === null || this.suspectedAt !== null) return false;
-    const contact = Math.max(this.reachedAt ?? -Infinity, this.vouchedAt ?? -Infinity);
-    if (contact >= beganAt) return false;
+  /** Records that neither a direct nor an indirect probe of a round was answered. Returns whether the peer is now suspected. */
+  recordFailedRound(startedAt: number, now: number): boolean {
+    if (this.currentIdentity === null || this.suspectedAt !== null) return false;
+    const lastAnswerAt = Math.max(this.reachedAt ?? -Infinity, this.reachedIndirectlyAt ?? -Infinity);
+    if (lastAnswerAt >= startedAt) return false;
     this.suspectedAt = now;
     return true;
   }
 
-  /** An answer ends the suspicion even if it was asked for before: it arrived, so the peer was there. */
+  /** Ends the suspicion, even for an answer to a probe that was sent before it began: the peer was alive to answer. */
   private endSuspicion(): void {
     this.suspectedAt = null;
   }
 
-  /** This process did not run for so long: the peer had no chance to be heard, so that time does not count. */
-  discount(pausedMs: number, now: number): void {
+  /** Excludes a pause of this process from all ages: no message of the peer could be handled meanwhile. */
+  excludePause(pausedMs: number, now: number): void {
     const shift = (at: number | null): number | null => (at === null ? null : Math.min(now, at + pausedMs));
     this.heardAt = shift(this.heardAt);
     this.reachedAt = shift(this.reachedAt);
-    this.vouchedAt = shift(this.vouchedAt);
+    this.reachedIndirectlyAt = shift(this.reachedIndirectlyAt);
     this.suspectedAt = shift(this.suspectedAt);
   }
 
-  /** The peer runs a program that takes no membership messages: its silence tells nothing. */
-  forget(): void {
-    this.known = null;
+  /** Clears everything: the peer's program does not support membership messages, so its silence is no evidence. */
+  reset(): void {
+    this.currentIdentity = null;
     this.suspectedAt = null;
-    this.forgetProcess();
+    this.resetProcess();
   }
 
-  /** Null: nothing is known of the peer. */
+  /** Returns the observation for this process's row; null if nothing is known of the peer. */
   observation(now: number): PeerObservation | null {
-    if (this.known === null) return null;
+    if (this.currentIdentity === null) return null;
     return {
-      identity: this.known,
-      heardAgoMs: agoOrNull(now, this.heardAt),
-      reachedAgoMs: agoOrNull(now, this.reachedAt),
-      vouchedAgoMs: agoOrNull(now, this.vouchedAt),
-      suspectedForMs: agoOrNull(now, this.suspectedAt),
+      identity: this.currentIdentity,
+      heardAgoMs: ageOrNull(now, this.heardAt),
+      reachedAgoMs: ageOrNull(now, this.reachedAt),
+      vouchedAgoMs: ageOrNull(now, this.reachedIndirectlyAt),
+      suspectedForMs: ageOrNull(now, this.suspectedAt),
     };
   }
 }
--- a/packages/membership/src/prober.ts
+++ b/packages/membership/src/prober.ts
@@ -1,241 +1,257 @@
-/** Probes every peer in turn: directly, and through helpers where it does not answer. */
-import { decodeMessage, DecodeError, DecodeProblem, encodeMessage } from './codec.js';
+/** Probes every peer in rounds: directly, and through other members (SWIM's indirect probe) where it does not answer. */
+import { encodeMessage } from './codec.js';
 import { PeerSupport } from './environment.js';
 import type { MemberId } from './identity.js';
-import { HealthSign } from './local-health.js';
-import { type WordOutcome } from './local-member.js';
+import { HealthEvent } from './local-health.js';
+import { type ReceiverStatusOutcome } from './local-member.js';
 import type { MemberContext } from './member-context.js';
-import { type Answer, type IndirectAnswer, type Message, MessageKind } from './messages.js';
+import { readMessage } from './message-reader.js';
+import {
+  type Answer,
+  type IndirectAnswer,
+  type IndirectProbe,
+  type Message,
+  MessageKind,
+  type ObservationRow,
+  type Probe,
+} from './messages.js';
 import type { PeerTracker } from './peer-tracker.js';
-import { RejectReason } from './rejects.js';
+import { RejectReason } from './rejected-messages.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** An answer that took so many times its deadline tells of our own process, not of the peer. */
-const HELD_UP = 1.5;
-/** Rounds begin this share of the interval early or late, so that members don't probe in step. */
-const JITTER = 0.1;
+/** A request that ended after this many times its deadline shows a delay of this process, not of the peer. */
+const LATE_ANSWER_FACTOR = 1.5;
+/** Rounds begin up to this share of the interval early or late, so that members do not probe in step. */
+const ROUND_JITTER = 0.1;
 
-/** Is told what rounds came to. */
+/** Callbacks for the results of probes. */
 export interface ProberListener {
-  /** A peer's word on this process. */
-  wordHeard(outcome: WordOutcome): void;
+  /** A peer stated what it knows of this process. */
+  onReceiverStatusOutcome(outcome: ReceiverStatusOutcome): void;
   /** Something that verdicts depend on may have changed. */
-  observed(): void;
+  onObservation(): void;
 }
 
-/** What a request came to. */
-enum AskOutcome {
-  /** Nothing was sent, or nothing can be concluded. */
-  Inconclusive,
-  Silent,
-}
+/** The result of a request to a peer. */
+type RequestResult<Response> =
+  | { readonly kind: 'answered'; readonly message: Response }
+  | { readonly kind: 'no-answer' }
+  /** Nothing was sent, or the result says nothing about the peer. */
+  | { readonly kind: 'inconclusive' };
 
-const REJECT_OF: Readonly<Record<DecodeProblem, RejectReason>> = {
-  [DecodeProblem.Malformed]: RejectReason.Malformed,
-  [DecodeProblem.Oversized]: RejectReason.Oversized,
-  [DecodeProblem.UnknownKind]: RejectReason.UnknownKind,
-};
-
-/** Reads a message; one that cannot be read is counted and null. */
-export function readMessage(context: MemberContext, payload: Uint8Array): Message | null {
-  try {
-    return decodeMessage(payload);
-  } catch (error) {
-    if (!(error instanceof DecodeError)) throw error;
-    context.rejects.add(REJECT_OF[error.problem], error.message);
-    return null;
-  }
-}
+const NO_ANSWER = { kind: 'no-answer' } as const;
+const INCONCLUSIVE = { kind: 'inconclusive' } as const;
 
-/** Sends probes and takes in what the answers tell. */
+/** Sends probes and applies what the answers say to the trackers and the observation table. */
 export class Prober {
-  private readonly budget: TokenBucket;
-  /** Peers for which helpers are being asked. */
-  private readonly askingHelpers = new Set<MemberId>();
-  private stopped = false;
+  private readonly rateLimiter: TokenBucket;
+  /** Peers that other members are probing on our behalf. */
+  private readonly indirectProbesInFlight = new Set<MemberId>();
+  private isStopped = false;
 
   constructor(
     private readonly context: MemberContext,
     private readonly listener: ProberListener,
   ) {
-    this.budget = new TokenBucket(context.environment.clock, context.settings.maxMessagesPerSecond);
+    this.rateLimiter = new TokenBucket(context.environment.clock, context.settings.maxMessagesPerSecond);
   }
 
+  /** Starts the rounds of probes. */
   start(): void {
-    this.scheduleRounds(0);
+    this.scheduleRound(0);
   }
 
+  /** Ends the rounds; a probe under way still completes. */
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
   }
 
-  private scheduleRounds(delayMs: number): void {
+  private scheduleRound(delayMs: number): void {
     this.context.environment.clock.after(delayMs, () => {
-      if (this.stopped) return;
-      for (const tracker of this.context.trackers.values()) void this.round(tracker);
-      this.scheduleRounds(this.nextDelay());
+      if (this.isStopped) return;
+      for (const tracker of this.context.trackers.values()) void this.probeRound(tracker);
+      this.scheduleRound(this.nextRoundDelayMs());
     });
   }
 
   /**
-   * A slow process waits longer for answers, but goes on asking as often: its probes are the sign by which a peer that
-   * cannot reach it knows that it is there.
+   * A slow process waits longer for answers, but probes as often as before: for a peer whose own probes do not reach
+   * it, its probes are the only sign that it is alive.
    */
-  private nextDelay(): number {
+  private nextRoundDelayMs(): number {
     const { settings, environment } = this.context;
-    return settings.probeIntervalMs * (1 + JITTER * (2 * environment.random() - 1));
+    return settings.probeIntervalMs * (1 + ROUND_JITTER * (2 * environment.random() - 1));
   }
 
   private get timeoutMs(): number {
     return this.context.settings.probeTimeoutMs * this.context.health.multiplier;
   }
 
-  /** One round for one peer: a probe, and where it is not answered, probes through helpers. Rounds may overlap. */
-  private async round(tracker: PeerTracker): Promise<void> {
-    if (!this.worthProbing(tracker)) return;
-    const beganAt = this.context.now;
-    const { pauses } = this.context;
+  /** One round for one peer: a direct probe, then indirect ones if it is not answered. Rounds may overlap. */
+  private async probeRound(tracker: PeerTracker): Promise<void> {
+    if (!this.shouldProbe(tracker)) return;
+    const startedAt = this.context.now;
+    const { pauseCount } = this.context;
     const direct = await this.probe(tracker);
-    if (direct === AskOutcome.Silent) await this.probeThroughHelpers(tracker, beganAt, pauses);
-    this.listener.observed();
+    if (direct.kind === 'no-answer') await this.probeIndirectly(tracker, startedAt, pauseCount);
+    this.listener.onObservation();
   }
 
-  private worthProbing(tracker: PeerTracker): boolean {
+  private shouldProbe(tracker: PeerTracker): boolean {
     switch (this.context.environment.transport.support(tracker.member)) {
       case PeerSupport.Supported:
         return true;
       case PeerSupport.Unsupported:
         if (tracker.identity !== null) {
-          tracker.forget();
-          this.context.table.drop(tracker.member);
-          this.listener.observed();
+          tracker.reset();
+          this.context.observations.delete(tracker.member);
+          this.listener.onObservation();
         }
         return false;
       case PeerSupport.Unknown:
-        // Without a connection only the silence of a peer that once took part tells anything.
+        // Without a connection, only the silence of a peer that has taken part before is evidence.
         return tracker.identity !== null;
     }
   }
 
-  /** Also used to probe on behalf of another member. */
-  async probe(tracker: PeerTracker): Promise<AskOutcome | Answer> {
+  /** Probes a peer directly; also used on behalf of another member. */
+  async probe(tracker: PeerTracker): Promise<RequestResult<Answer>> {
     const sentAt = this.context.now;
-    const message = await this.ask(tracker.member, {
+    const result = await this.sendRequest(tracker.member, {
       kind: MessageKind.Probe,
       from: this.context.local.identity,
       sequence: this.context.local.nextSequence(),
-      aboutReceiver: this.context.wordOn(tracker.member),
+      aboutReceiver: this.context.receiverStatusFor(tracker.member),
       missing: this.context.missingRows(tracker.member),
     });
-    if (typeof message === 'number') return message;
-    if (message.kind !== MessageKind.Answer) return AskOutcome.Inconclusive;
-    this.takeAnswer(tracker, message, sentAt);
-    return message;
+    if (result.kind !== 'answered') return result;
+    const { message } = result;
+    if (message.kind !== MessageKind.Answer) return INCONCLUSIVE;
+    this.handleAnswer(tracker, message, sentAt);
+    return { kind: 'answered', message };
   }
 
-  private takeAnswer(tracker: PeerTracker, answer: Answer, sentAt: number): void {
-    tracker.heard(answer.from, answer.sequence, this.context.now);
-    tracker.reached(answer.from, sentAt);
-    this.context.health.note(HealthSign.ProbeAnswered);
-    this.listener.wordHeard(this.context.local.hear(answer.aboutReceiver));
+  private handleAnswer(tracker: PeerTracker, answer: Answer, sentAt: number): void {
+    tracker.recordMessage(answer.from, answer.sequence, this.context.now);
+    tracker.recordAnswer(answer.from, sentAt);
+    this.context.health.record(HealthEvent.ProbeAnswered);
+    this.listener.onReceiverStatusOutcome(this.context.local.handleReceiverStatus(answer.aboutReceiver));
     for (const row of answer.rows) {
       const { member } = row.observer;
       if (member === this.context.settings.self || !this.context.trackers.has(member)) continue;
-      if (!this.context.table.accept(row, sentAt)) continue;
-      this.learnFromRow(member, row.observer, row.peers);
+      if (!this.context.observations.accept(row, sentAt)) continue;
+      this.applyRow(row);
     }
   }
 
-  /** What others know of identities ends suspicions of earlier ones here, too, and their suspicions reach us. */
-  private learnFromRow(
-    observer: MemberId,
-    identity: Answer['from'],
-    peers: Answer['rows'][number]['peers'],
-  ): void {
-    this.context.trackers.get(observer)?.learn(identity);
+  /** An identity that another member has seen ends suspicions of earlier ones here too; suspicions of us arrive the same way. */
+  private applyRow({ observer, peers }: ObservationRow): void {
+    this.context.trackers.get(observer.member)?.updateIdentity(observer);
     for (const peer of peers) {
       const { member } = peer.identity;
       if (member === this.context.settings.self) {
         const suspected = peer.suspectedForMs !== null;
-        this.listener.wordHeard(this.context.local.hear({ identity: peer.identity, suspected }));
-      } else this.context.trackers.get(member)?.learn(peer.identity);
+        this.listener.onReceiverStatusOutcome(
+          this.context.local.handleReceiverStatus({ identity: peer.identity, suspected }),
+        );
+      } else {
+        this.context.trackers.get(member)?.updateIdentity(peer.identity);
+      }
     }
   }
 
-  private async probeThroughHelpers(tracker: PeerTracker, beganAt: number, pauses: number): Promise<void> {
-    if (this.stopped || this.askingHelpers.has(tracker.member)) return;
-    this.askingHelpers.add(tracker.member);
+  private async probeIndirectly(tracker: PeerTracker, startedAt: number, pauseCount: number): Promise<void> {
+    if (this.isStopped || this.indirectProbesInFlight.has(tracker.member)) return;
+    this.indirectProbesInFlight.add(tracker.member);
     try {
-      await this.findThroughHelpers(tracker, beganAt, pauses);
+      await this.runIndirectProbes(tracker, startedAt, pauseCount);
     } finally {
-      this.askingHelpers.delete(tracker.member);
+      this.indirectProbesInFlight.delete(tracker.member);
     }
   }
 
-  private async findThroughHelpers(tracker: PeerTracker, beganAt: number, pauses: number): Promise<void> {
+  private async runIndirectProbes(
+    tracker: PeerTracker,
+    startedAt: number,
+    pauseCount: number,
+  ): Promise<void> {
     const helpers = this.chooseHelpers(tracker.member);
-    const answers = await Promise.all(helpers.map((helper) => this.askHelper(helper, tracker, beganAt)));
+    const answers = await Promise.all(
+      helpers.map((helper) => this.requestIndirectProbe(helper, tracker, startedAt)),
+    );
     const { health } = this.context;
-    if (answers.some((answer) => answer?.answeredBy != null)) return;
-    if (helpers.length > 0 && answers.every((answer) => answer === null))
-      health.note(HealthSign.HelperSilent);
-    // A pause in between: the answers may lie unread.
-    if (pauses !== this.context.pauses || this.stopped) return;
-    tracker.roundFailed(beganAt, this.context.now);
+    const isReachable = answers.some((answer) => answer !== null && answer.answeredBy !== null);
+    if (isReachable) return;
+    const hasNoHelperAnswered = helpers.length > 0 && answers.every((answer) => answer === null);
+    if (hasNoHelperAnswered) health.record(HealthEvent.HelpersUnresponsive);
+    // After a pause of this process, answers may have arrived that were not read yet.
+    if (pauseCount !== this.context.pauseCount || this.isStopped) return;
+    tracker.recordFailedRound(startedAt, this.context.now);
   }
 
   private chooseHelpers(target: MemberId): MemberId[] {
     const { environment, settings, trackers } = this.context;
-    const able = [...trackers.values()]
-      .filter(({ member, suspected }) => member !== target && !suspected)
+    const candidates = [...trackers.values()]
+      .filter(({ member, isSuspected }) => member !== target && !isSuspected)
       .map(({ member }) => member)
       .filter((member) => environment.transport.support(member) === PeerSupport.Supported);
     const chosen: MemberId[] = [];
-    while (chosen.length < settings.indirectProbes && able.length > 0) {
-      const [member] = able.splice(Math.floor(environment.random() * able.length), 1);
+    while (chosen.length < settings.indirectProbes && candidates.length > 0) {
+      const [member] = candidates.splice(Math.floor(environment.random() * candidates.length), 1);
       if (member !== undefined) chosen.push(member);
     }
     return chosen;
   }
 
-  private async askHelper(
+  private async requestIndirectProbe(
     helper: MemberId,
     { member: target }: PeerTracker,
-    beganAt: number,
+    startedAt: number,
   ): Promise<IndirectAnswer | null> {
     const { local, trackers } = this.context;
-    const message = await this.ask(helper, {
+    const result = await this.sendRequest(helper, {
       kind: MessageKind.IndirectProbe,
       from: local.identity,
       sequence: local.nextSequence(),
-      aboutReceiver: this.context.wordOn(helper),
+      aboutReceiver: this.context.receiverStatusFor(helper),
       target,
     });
-    if (typeof message === 'number' || message.kind !== MessageKind.IndirectAnswer) return null;
-    trackers.get(helper)?.heard(message.from, message.sequence, this.context.now);
-    if (message.answeredBy?.member === target) trackers.get(target)?.vouched(message.answeredBy, beganAt);
+    if (result.kind !== 'answered') return null;
+    const { message } = result;
+    if (message.kind !== MessageKind.IndirectAnswer) return null;
+    trackers.get(helper)?.recordMessage(message.from, message.sequence, this.context.now);
+    if (message.answeredBy?.member === target) {
+      trackers.get(target)?.recordIndirectAnswer(message.answeredBy, startedAt);
+    }
     return message;
   }
 
-  private async ask(to: MemberId, request: Message): Promise<Message | AskOutcome> {
-    if (!this.budget.take()) {
-      this.context.rejects.add(RejectReason.Throttled, `a ${request.kind} to ${to} was not sent`);
-      return AskOutcome.Inconclusive;
+  private async sendRequest(to: MemberId, request: Probe | IndirectProbe): Promise<RequestResult<Message>> {
+    if (!this.rateLimiter.tryTake()) {
+      this.context.rejectedMessages.record(
+        RejectReason.RateLimited,
+        `a ${request.kind} to ${to} was not sent`,
+      );
+      return INCONCLUSIVE;
     }
     const sentAt = this.context.now;
-    // A helper needs time for its own probe.
+    // The member that probes on our behalf needs time for its own probe.
     const deadlineMs = request.kind === MessageKind.IndirectProbe ? 2 * this.timeoutMs : this.timeoutMs;
     const { transport } = this.context.environment;
     const payload = await transport.request(to, encodeMessage(request), deadlineMs);
     if (payload === null) {
-      const heldUp = this.context.now - sentAt > deadlineMs * HELD_UP;
-      if (heldUp) this.context.health.note(HealthSign.LateTimer);
-      return heldUp ? AskOutcome.Inconclusive : AskOutcome.Silent;
+      const isLate = this.context.now - sentAt > deadlineMs * LATE_ANSWER_FACTOR;
+      if (!isLate) return NO_ANSWER;
+      this.context.health.record(HealthEvent.LateTimer);
+      return INCONCLUSIVE;
     }
-    const message = readMessage(this.context, payload);
-    if (message === null) return AskOutcome.Inconclusive;
-    if (message.from.member === to) return message;
-    this.context.rejects.add(RejectReason.Stranger, `${message.from.member} answered for ${to}`);
-    return AskOutcome.Inconclusive;
+    const message = readMessage(this.context.rejectedMessages, payload);
+    if (message === null) return INCONCLUSIVE;
+    if (message.from.member === to) return { kind: 'answered', message };
+    this.context.rejectedMessages.record(
+      RejectReason.UnknownMember,
+      `${message.from.member} answered for ${to}`,
+    );
+    return INCONCLUSIVE;
   }
 }
--- a/packages/membership/src/reachability.ts
+++ b/packages/membership/src/reachability.ts
@@ -1,36 +1,37 @@
 /**
- * Reachability as a directed graph: whose messages arrive where. Cuts in one direction are told from those in both,
- * and a member that is cut off from one peer from one that is cut off from all.
+ * Reachability as a directed graph: whose messages arrive where. It distinguishes one-way from two-way partitions, and
+ * a member that is cut off from one peer from one that is cut off from all.
  */
 import type { MemberId } from './identity.js';
 import type { AgedRow } from './observation-table.js';
 
-/** Whether messages pass in one direction. */
+/** Whether messages pass along one direction of a link. */
 export enum EdgeState {
-  Works = 'works',
-  Broken = 'broken',
-  /** Nobody who would know has told. */
+  Up = 'works',
+  Down = 'broken',
+  /** No row says anything about this direction. */
   Unknown = 'unknown',
 }
 
-/** How a member is connected with the others. */
+/** How a member is connected with the others. The values appear in the API for operators. */
 export enum Connection {
-  /** It hears all and is heard by all, as far as is known. */
+  /** Messages pass in both directions on all links, as far as is known. */
   Connected = 'connected',
-  /** Some links are cut, and others go around them: it stays what it is. */
-  PartlyCut = 'partly-cut',
-  /** It hears others and is heard by none: to them it is silent, and they will replace it. */
-  Mute = 'mute',
-  /** It is heard, and hears none: it stays a suspect and is not failed, since it is there. */
-  Deaf = 'deaf',
-  /** Nothing passes in either direction. */
+  /** Some links are cut, but the member is reachable through others: its state does not change. */
+  PartialPartition = 'partly-cut',
+  /** It receives messages, but none of its own arrive: the others find it silent and will replace it. */
+  OutboundPartition = 'mute',
+  /** Its messages arrive, but it receives none: it stays suspected and is not declared failed, since it is alive. */
+  InboundPartition = 'deaf',
+  /** No message passes in either direction. */
   Isolated = 'isolated',
   Unknown = 'unknown',
 }
 
-const withinWindow = (agoMs: number | null, windowMs: number): boolean => agoMs !== null && agoMs <= windowMs;
+const isWithinWindow = (agoMs: number | null, windowMs: number): boolean =>
+  agoMs !== null && agoMs <= windowMs;
 
-/** Who reaches whom, from the rows of all members. */
+/** Answers who reaches whom, from the rows of all members. */
 export class ReachabilityGraph {
   private readonly edges = new Map<string, EdgeState>();
 
@@ -43,23 +44,23 @@
       const observer = row.observer.member;
       for (const peer of row.peers) {
         const { member } = peer.identity;
-        const heard = withinWindow(peer.heardAgoMs, windowMs);
-        const reached = withinWindow(peer.reachedAgoMs, windowMs);
-        // An answer proves both directions; a message that was heard proves its own.
-        this.note(member, observer, heard || reached);
-        if (reached) this.note(observer, member, true);
+        const isHeard = isWithinWindow(peer.heardAgoMs, windowMs);
+        const isReached = isWithinWindow(peer.reachedAgoMs, windowMs);
+        // An answer proves both directions; a received message proves only its own.
+        this.recordEdge(member, observer, isHeard || isReached);
+        if (isReached) this.recordEdge(observer, member, true);
       }
     }
   }
 
-  private note(from: MemberId, to: MemberId, works: boolean): void {
+  private recordEdge(from: MemberId, to: MemberId, isUp: boolean): void {
     const key = `${from} ${to}`;
-    if (works) this.edges.set(key, EdgeState.Works);
-    else if (!this.edges.has(key)) this.edges.set(key, EdgeState.Broken);
+    if (isUp) this.edges.set(key, EdgeState.Up);
+    else if (!this.edges.has(key)) this.edges.set(key, EdgeState.Down);
   }
 
-  /** Whether messages of `from` arrive at `to`. */
-  edge(from: MemberId, to: MemberId): EdgeState {
+  /** Returns whether messages of `from` arrive at `to`. */
+  edgeState(from: MemberId, to: MemberId): EdgeState {
     return this.edges.get(`${from} ${to}`) ?? EdgeState.Unknown;
   }
 
@@ -67,34 +68,37 @@
     return this.members.filter((other) => other !== member);
   }
 
-  /** Members that hear this one. */
-  hearersOf(member: MemberId): MemberId[] {
-    return this.peersOf(member).filter((other) => this.edge(member, other) === EdgeState.Works);
+  /** Returns the members that receive messages of this one. */
+  receiversOf(member: MemberId): MemberId[] {
+    return this.peersOf(member).filter((other) => this.edgeState(member, other) === EdgeState.Up);
   }
 
-  /** Members that this one hears. */
-  private heardBy(member: MemberId): MemberId[] {
-    return this.peersOf(member).filter((other) => this.edge(other, member) === EdgeState.Works);
+  /** Returns the members whose messages this one receives. */
+  private sendersTo(member: MemberId): MemberId[] {
+    return this.peersOf(member).filter((other) => this.edgeState(other, member) === EdgeState.Up);
   }
 
-  /** Members out of `among` with which no message passes in at least one direction. */
-  private cutFrom(member: MemberId, among: readonly MemberId[]): MemberId[] {
+  /** Returns the members of `among` whose link with this one is down in at least one direction. */
+  private partitionedFrom(member: MemberId, among: readonly MemberId[]): MemberId[] {
     return among.filter(
       (other) =>
         other !== member &&
-        (this.edge(member, other) === EdgeState.Broken || this.edge(other, member) === EdgeState.Broken),
+        (this.edgeState(member, other) === EdgeState.Down ||
+          this.edgeState(other, member) === EdgeState.Down),
     );
   }
 
-  /** `present`: the members with which there should be links. */
+  /** Classifies a member's connection. `present`: the members with which links should exist. */
   connectionOf(member: MemberId, present: readonly MemberId[]): Connection {
-    const hearers = this.hearersOf(member).length;
-    const heard = this.heardBy(member).length;
-    if (hearers === 0 && heard === 0) {
-      return this.cutFrom(member, this.members).length > 0 ? Connection.Isolated : Connection.Unknown;
+    const receivers = this.receiversOf(member).length;
+    const senders = this.sendersTo(member).length;
+    if (receivers === 0 && senders === 0) {
+      return this.partitionedFrom(member, this.members).length > 0 ? Connection.Isolated : Connection.Unknown;
     }
-    if (hearers === 0) return Connection.Mute;
-    if (heard === 0) return Connection.Deaf;
-    return this.cutFrom(member, present).length > 0 ? Connection.PartlyCut : Connection.Connected;
+    if (receivers === 0) return Connection.OutboundPartition;
+    if (senders === 0) return Connection.InboundPartition;
+    return this.partitionedFrom(member, present).length > 0
+      ? Connection.PartialPartition
+      : Connection.Connected;
   }
 }
--- a/packages/membership/src/responder.ts
+++ b/packages/membership/src/responder.ts
@@ -1,8 +1,9 @@
-/** Answers the peers' requests. */
+/** Answers the requests of peers. */
 import { encodeMessage, MAX_MESSAGE_BYTES } from './codec.js';
 import { type Identity, IdentityOrder } from './identity.js';
-import type { WordOutcome } from './local-member.js';
+import type { ReceiverStatusOutcome } from './local-member.js';
 import type { MemberContext } from './member-context.js';
+import { readMessage } from './message-reader.js';
 import {
   type Answer,
   type IndirectAnswer,
@@ -12,110 +13,118 @@
   type ObservationRow,
   type Probe,
 } from './messages.js';
-import { type Prober, readMessage } from './prober.js';
-import { RejectReason } from './rejects.js';
+import type { Prober } from './prober.js';
+import { RejectReason } from './rejected-messages.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** Is told what requests bring. */
+/** Callbacks for what requests say and for answers sent. */
 export interface ResponderListener {
-  wordHeard(outcome: WordOutcome): void;
-  observed(): void;
-  /** This peer has been told what we observe. */
-  answered(identity: Identity): void;
+  /** A peer stated what it knows of this process. */
+  onReceiverStatusOutcome(outcome: ReceiverStatusOutcome): void;
+  /** Something that verdicts depend on may have changed. */
+  onObservation(): void;
+  /** An answer with this process's observations was made for the peer. */
+  onAnswerSent(identity: Identity): void;
 }
 
-/** Takes requests from anybody; only those of configured members that can be read are answered. */
+/** Handles requests from any sender; answers only those of configured members that can be decoded. */
 export class Responder {
-  private readonly budget: TokenBucket;
+  private readonly rateLimiter: TokenBucket;
 
   constructor(
     private readonly context: MemberContext,
     private readonly prober: Prober,
     private readonly listener: ResponderListener,
   ) {
-    this.budget = new TokenBucket(context.environment.clock, context.settings.maxMessagesPerSecond);
+    this.rateLimiter = new TokenBucket(context.environment.clock, context.settings.maxMessagesPerSecond);
   }
 
-  /** Null: dropped, and counted. */
+  /** Answers one request. Resolves to null for one that is dropped; the drop is counted. */
   async handle(payload: Uint8Array): Promise<Uint8Array | null> {
-    const request = readMessage(this.context, payload);
+    const request = readMessage(this.context.rejectedMessages, payload);
     if (request === null) return null;
-    if (!this.fromPeer(request)) return null;
-    if (!this.budget.take()) {
-      this.context.rejects.add(
-        RejectReason.Throttled,
+    if (!this.isFromPeer(request)) return null;
+    if (!this.rateLimiter.tryTake()) {
+      this.context.rejectedMessages.record(
+        RejectReason.RateLimited,
         `a request of ${request.from.member} was not answered`,
       );
       return null;
     }
-    this.notice(request);
+    this.recordRequest(request);
     switch (request.kind) {
       case MessageKind.Probe:
-        return this.answer(request);
+        return this.answerProbe(request);
       case MessageKind.IndirectProbe:
-        return this.answerIndirect(request);
+        return this.answerIndirectProbe(request);
       default:
-        this.context.rejects.add(RejectReason.Malformed, `a ${request.kind} that nobody asked for`);
+        this.context.rejectedMessages.record(
+          RejectReason.Malformed,
+          `a ${request.kind} that nobody asked for`,
+        );
         return null;
     }
   }
 
-  private fromPeer({ from }: Message): boolean {
+  private isFromPeer({ from }: Message): boolean {
     if (this.context.trackers.has(from.member)) return true;
-    this.context.rejects.add(RejectReason.Stranger, from.member);
+    this.context.rejectedMessages.record(RejectReason.UnknownMember, from.member);
     return false;
   }
 
-  private notice({ from, sequence, aboutReceiver }: Message): void {
+  private recordRequest({ from, sequence, aboutReceiver }: Message): void {
     const tracker = this.context.trackers.get(from.member);
-    const order = tracker?.heard(from, sequence, this.context.now);
+    const order = tracker?.recordMessage(from, sequence, this.context.now);
     if (order === IdentityOrder.Stale) {
-      // Answered all the same: a new process whose clock is behind learns from the answer what to outrun.
-      this.context.rejects.add(RejectReason.Stale, from.member);
-    } else this.listener.wordHeard(this.context.local.hear(aboutReceiver));
-    if (order === IdentityOrder.Restarted) this.listener.observed();
+      // It is answered all the same: a restarted process whose clock is behind learns from the answer which incarnation
+      // it has to exceed.
+      this.context.rejectedMessages.record(RejectReason.Stale, from.member);
+    } else {
+      this.listener.onReceiverStatusOutcome(this.context.local.handleReceiverStatus(aboutReceiver));
+    }
+    if (order === IdentityOrder.Restarted) this.listener.onObservation();
   }
 
-  private answer(request: Probe): Uint8Array {
+  private answerProbe(request: Probe): Uint8Array {
     const { local } = this.context;
-    const answer = (rows: readonly ObservationRow[]): Uint8Array => {
-      const content: Answer = {
+    const encodeAnswer = (answerRows: readonly ObservationRow[]): Uint8Array => {
+      const message: Answer = {
         kind: MessageKind.Answer,
         from: local.identity,
         sequence: local.nextSequence(),
-        aboutReceiver: this.context.wordOn(request.from.member),
-        rows,
+        aboutReceiver: this.context.receiverStatusFor(request.from.member),
+        rows: answerRows,
       };
-      return encodeMessage(content);
+      return encodeMessage(message);
     };
     const [own, ...others] = this.context
       .freshRows()
       .map(({ row, ageMs }) => ({ ...row, ageMs: Math.round(ageMs) }));
-    // Our own row is the first, and the one that nobody else can tell.
+    // Our own row comes first: no other member can supply it.
     const rows = own
       ? [own, ...others.filter(({ observer }) => request.missing.includes(observer.member))]
       : [];
-    const whole = answer(rows);
-    this.listener.answered(request.from);
-    return whole.byteLength <= MAX_MESSAGE_BYTES ? whole : answer(rows.slice(0, 1));
+    const complete = encodeAnswer(rows);
+    this.listener.onAnswerSent(request.from);
+    return complete.byteLength <= MAX_MESSAGE_BYTES ? complete : encodeAnswer(rows.slice(0, 1));
   }
 
-  private async answerIndirect(request: IndirectProbe): Promise<Uint8Array | null> {
+  private async answerIndirectProbe(request: IndirectProbe): Promise<Uint8Array | null> {
     const tracker = this.context.trackers.get(request.target);
     if (!tracker) {
-      this.context.rejects.add(RejectReason.Misdirected, request.target);
+      this.context.rejectedMessages.record(RejectReason.Misdirected, request.target);
       return null;
     }
     const result = await this.prober.probe(tracker);
     const { local } = this.context;
-    const content: IndirectAnswer = {
+    const message: IndirectAnswer = {
       kind: MessageKind.IndirectAnswer,
       from: local.identity,
       sequence: local.nextSequence(),
-      aboutReceiver: this.context.wordOn(request.from.member),
+      aboutReceiver: this.context.receiverStatusFor(request.from.member),
       target: request.target,
-      answeredBy: typeof result === 'number' ? null : result.from,
+      answeredBy: result.kind === 'answered' ? result.message.from : null,
     };
-    return encodeMessage(content);
+    return encodeMessage(message);
   }
 }
--- a/packages/membership/src/settings.ts
+++ b/packages/membership/src/settings.ts
@@ -1,32 +1,33 @@
-/** Settings of failure detection, and the checks that they must pass. */
+/** Settings of the failure detector, and their validation. */
 import type { MemberId } from './identity.js';
 
-/** How the members watch each other. Periods are in milliseconds. */
+/** Settings of one member. Periods are in milliseconds. */
 export interface MembershipSettings {
   readonly self: MemberId;
   /** All configured controllers, this one included. */
   readonly members: readonly MemberId[];
-  /** So many observers, out of all configured controllers, must find a member silent before it is failed. */
+  /** The number of observers, out of all configured controllers, that must find a member silent before it is failed. */
   readonly majority: number;
-  /** From the beginning of one round of probes to the next. */
+  /** Time between the beginnings of two rounds of probes. */
   readonly probeIntervalMs: number;
   /** How long a probe waits for its answer. */
   readonly probeTimeoutMs: number;
   /** How long a suspicion must have stood unrefuted before it counts towards a verdict. */
   readonly suspicionMs: number;
-  /** Peers that are asked to probe a member that did not answer. */
+  /** The number of peers that are asked to probe a member that did not answer. */
   readonly indirectProbes: number;
-  /** The most by which a slow observer stretches its own periods, above 1. */
+  /** The maximum of the local health score: a slow observer multiplies its timeouts by up to one more than this. */
   readonly maxLocalHealth: number;
-  /** A timer that fires later than this tells of a pause of our own process. */
+  /** A timer that fires later than this indicates a pause of this process. */
   readonly pauseThresholdMs: number;
-  /** Probes that leave in a second at most; as many answers leave besides. */
+  /** The maximum of probes sent per second; the same limit applies separately to answers. */
   readonly maxMessagesPerSecond: number;
 }
 
-/** The periods and bounds, without the names. */
+/** The periods and limits, without the names of the members. */
 export type MembershipTuning = Omit<MembershipSettings, 'self' | 'members' | 'majority'>;
 
+/** The default periods and limits. */
 export const DEFAULT_TUNING: MembershipTuning = {
   probeIntervalMs: 500,
   probeTimeoutMs: 300,
@@ -37,8 +38,10 @@
   maxMessagesPerSecond: 100,
 };
 
-/** A setting that cannot be used. The message names the field. */
+/** Thrown for an invalid setting. The message names the field. */
 export class MembershipSettingsError extends Error {
+  readonly code = 'INVALID_SETTING';
+
   constructor(
     readonly field: string,
     problem: string,
@@ -55,37 +58,38 @@
 const MAX_LOCAL_HEALTH = 16;
 const MAX_RATE = 10_000;
 
-/** More than half of the configured controllers. */
+/** Returns the smallest number that is more than half of the configured controllers. */
 export function majorityOf(members: number): number {
   return Math.floor(members / 2) + 1;
 }
 
-function requireWithin(field: string, value: number, least: number, most: number): void {
+function requireWithin(field: string, value: number, min: number, max: number): void {
   if (!Number.isFinite(value)) throw new MembershipSettingsError(field, 'not a number');
-  if (value < least) throw new MembershipSettingsError(field, `below ${least}`);
-  if (value > most) throw new MembershipSettingsError(field, `above ${most}`);
+  if (value < min) throw new MembershipSettingsError(field, `below ${min}`);
+  if (value > max) throw new MembershipSettingsError(field, `above ${max}`);
 }
 
 function checkMembers({ self, members }: MembershipSettings): void {
   if (members.length > MAX_MEMBERS) {
     throw new MembershipSettingsError('members', `more than ${MAX_MEMBERS} controllers`);
   }
-  const seen = new Set<MemberId>();
+  const names = new Set<MemberId>();
   for (const member of members) {
     if (member === '') throw new MembershipSettingsError('members', 'an empty name');
-    if (seen.has(member)) throw new MembershipSettingsError('members', `${member} is named twice`);
-    seen.add(member);
+    if (names.has(member)) throw new MembershipSettingsError('members', `${member} is named twice`);
+    names.add(member);
   }
-  if (!seen.has(self)) throw new MembershipSettingsError('members', `${self} (this controller) is not named`);
+  if (!names.has(self))
+    throw new MembershipSettingsError('members', `${self} (this controller) is not named`);
 }
 
 function checkMajority({ members, majority }: MembershipSettings): void {
-  const least = majorityOf(members.length);
+  const minMajority = majorityOf(members.length);
   if (!Number.isInteger(majority)) throw new MembershipSettingsError('majority', 'not a whole number');
-  if (majority < least) {
+  if (majority < minMajority) {
     throw new MembershipSettingsError(
       'majority',
-      `${majority} of ${members.length} controllers is no majority; at least ${least} are needed`,
+      `${majority} of ${members.length} controllers is no majority; at least ${minMajority} are needed`,
     );
   }
   if (majority > members.length) {
@@ -93,7 +97,7 @@
   }
 }
 
-/** Throws `MembershipSettingsError` for the first field that cannot be used. */
+/** Validates settings. Throws `MembershipSettingsError` for the first invalid field. */
 export function checkSettings(settings: MembershipSettings): void {
   checkMembers(settings);
   checkMajority(settings);
@@ -104,6 +108,6 @@
   requireWithin('maxLocalHealth', settings.maxLocalHealth, 0, MAX_LOCAL_HEALTH);
   requireWithin('pauseThresholdMs', settings.pauseThresholdMs, MIN_PERIOD_MS, MAX_PERIOD_MS);
   const peers = settings.members.length - 1;
-  const leastRate = Math.max(1, Math.ceil((peers * 1000) / settings.probeIntervalMs));
-  requireWithin('maxMessagesPerSecond', settings.maxMessagesPerSecond, leastRate, MAX_RATE);
+  const minRate = Math.max(1, Math.ceil((peers * 1000) / settings.probeIntervalMs));
+  requireWithin('maxMessagesPerSecond', settings.maxMessagesPerSecond, minRate, MAX_RATE);
 }
--- a/packages/membership/src/token-bucket.ts
+++ b/packages/membership/src/token-bucket.ts
@@ -1,25 +1,25 @@
-/** Bounds how often something happens. */
+/** A token bucket. */
 import type { Clock } from './environment.js';
 
-/** Lets `perSecond` pass in a second, and saves up at most a second's worth. */
+/** Allows `perSecond` operations per second on average, and a burst of at most one second's worth. */
 export class TokenBucket {
   private tokens: number;
-  private filledAt: number;
+  private refilledAt: number;
 
   constructor(
     private readonly clock: Clock,
     private readonly perSecond: number,
   ) {
     this.tokens = perSecond;
-    this.filledAt = clock.now();
+    this.refilledAt = clock.now();
   }
 
-  /** False: not now. */
-  take(): boolean {
+  /** Takes one token; false if there is none. */
+  tryTake(): boolean {
     const now = this.clock.now();
-    const earned = ((now - this.filledAt) / 1000) * this.perSecond;
+    const earned = ((now - this.refilledAt) / 1000) * this.perSecond;
     this.tokens = Math.min(this.perSecond, this.tokens + earned);
-    this.filledAt = now;
+    this.refilledAt = now;
     if (this.tokens < 1) return false;
     this.tokens--;
     return true;
--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -1,41 +1,39 @@
 /**
- * What the observations of all members come to, for one member. A pure function of the rows: members that hold the
- * same rows come to the same verdict.
+ * The verdict on one member from the observations of all members. A pure function of the rows: members that hold the
+ * same rows reach the same verdict.
  */
 import { type Evidence, evidenceOf, LinkCondition } from './evidence.js';
-import { compareIdentity, type Identity, IdentityOrder, type MemberId, sameIdentity } from './identity.js';
+import { compareIdentity, type Identity, IdentityOrder, type MemberId, isSameIdentity } from './identity.js';
 import type { ObservationRow } from './messages.js';
 import { type AgedRow, identityIn } from './observation-table.js';
 
-/** The states that a member can be in, as seen from here. */
+/** The states of a member. The values appear in the log and in the API for operators. */
 export enum MemberState {
-  /** Nothing tells of it yet, or its program knows no membership messages. */
+  /** Nothing is known of it yet, or its program does not support membership messages. */
   Unknown = 'unknown',
   Alive = 'alive',
-  /** It did not answer, and may still show that it lives. */
+  /** It did not answer, and may still refute the suspicion. */
   Suspect = 'suspect',
   /** A majority of the configured controllers has found it silent. */
   Failed = 'failed',
-  /** It said that it leaves. */
+  /** It announced that it leaves. */
   Left = 'left',
 }
 
-/** What is needed to judge. */
+/** The thresholds for a verdict. */
 export interface VerdictRules {
   readonly majority: number;
   readonly suspicionMs: number;
-  /** A contact that is no older counts as present. */
+  /** The age up to which a contact counts as current. */
   readonly contactWindowMs: number;
 }
 
-/** The state that the rows amount to, and why. */
+/** The state of a member, and the evidence for it. */
 export interface Verdict {
   readonly state: MemberState;
   /** The latest identity that any row names. */
   readonly identity: Identity | null;
   readonly evidence: readonly Evidence[];
-  /** Observers whose finding counts towards a failure. */
-  readonly accusers: readonly MemberId[];
 }
 
 function latestIdentity(subject: MemberId, rows: readonly AgedRow[]): Identity | null {
@@ -47,27 +45,27 @@
   return latest;
 }
 
-/** Findings about exactly this identity: what was seen of an earlier one tells nothing. */
+/** Returns the findings about exactly this identity: those about an earlier one are no evidence. */
 function evidenceAbout(identity: Identity, rows: readonly AgedRow[], rules: VerdictRules): Evidence[] {
-  const found: Evidence[] = [];
+  const findings: Evidence[] = [];
   for (const { row, ageMs } of rows) {
     const observation = row.peers.find((peer) => peer.identity.member === identity.member);
-    if (!observation || !sameIdentity(observation.identity, identity)) continue;
-    found.push(evidenceOf(row, observation, rules.contactWindowMs, ageMs));
+    if (!observation || !isSameIdentity(observation.identity, identity)) continue;
+    findings.push(evidenceOf(row, observation, rules.contactWindowMs, ageMs));
   }
-  return found;
+  return findings;
 }
 
-/** Silent in both directions, and suspected for long enough. A member that is still heard is not failed. */
-function accuses(evidence: Evidence, rules: VerdictRules): boolean {
-  const { condition, suspectedForMs, forMs, observerScore } = evidence;
-  const neededMs = rules.suspicionMs * (1 + observerScore);
+/** Whether a finding counts towards a failure: silent in both directions, and suspected for long enough. */
+function supportsFailure(evidence: Evidence, rules: VerdictRules): boolean {
+  const { condition, suspectedForMs, durationMs, observerHealthScore } = evidence;
+  const neededMs = rules.suspicionMs * (1 + observerHealthScore);
   if (condition !== LinkCondition.Silent || suspectedForMs === null) return false;
-  return suspectedForMs >= neededMs && forMs >= neededMs;
+  return suspectedForMs >= neededMs && durationMs >= neededMs;
 }
 
-/** An observer suspects the member, and nobody has had an answer from it since that began. */
-function suspectedSinceLastAnswer(evidence: readonly Evidence[]): boolean {
+/** Whether an observer suspects the member and no observer has had an answer from it since that began. */
+function isSuspectedSinceLastAnswer(evidence: readonly Evidence[]): boolean {
   const answeredAgoMs = Math.min(...evidence.map((finding) => finding.answeredAgoMs));
   return evidence.some(
     ({ suspectedForMs, ageMs }) => suspectedForMs !== null && suspectedForMs + ageMs <= answeredAgoMs,
@@ -78,27 +76,25 @@
   return rows.find(({ row }) => row.observer.member === subject)?.row ?? null;
 }
 
+/** Derives the state. `own`: the member's own row; null if there is none. */
 function stateFrom(
-  subject: MemberId,
   identity: Identity,
-  rows: readonly AgedRow[],
+  own: ObservationRow | null,
   evidence: readonly Evidence[],
-  accusers: readonly MemberId[],
-  rules: VerdictRules,
+  hasFailureMajority: boolean,
 ): MemberState {
-  const own = ownRow(subject, rows);
   if (own?.leaving && own.observer.process === identity.process) return MemberState.Left;
-  if (accusers.length >= rules.majority) return MemberState.Failed;
+  if (hasFailureMajority) return MemberState.Failed;
   if (evidence.length === 0) return own ? MemberState.Alive : MemberState.Unknown;
-  return suspectedSinceLastAnswer(evidence) ? MemberState.Suspect : MemberState.Alive;
+  return isSuspectedSinceLastAnswer(evidence) ? MemberState.Suspect : MemberState.Alive;
 }
 
-/** `rows`: those that are fresh enough to count, the judging member's own among them. */
-export function judge(subject: MemberId, rows: readonly AgedRow[], rules: VerdictRules): Verdict {
+/** Evaluates a member. `rows`: those that are recent enough to count, the evaluating member's own among them. */
+export function evaluateMember(subject: MemberId, rows: readonly AgedRow[], rules: VerdictRules): Verdict {
   const identity = latestIdentity(subject, rows);
-  if (identity === null) return { state: MemberState.Unknown, identity, evidence: [], accusers: [] };
+  if (identity === null) return { state: MemberState.Unknown, identity, evidence: [] };
   const evidence = evidenceAbout(identity, rows, rules);
-  const accusers = evidence.filter((finding) => accuses(finding, rules)).map(({ observer }) => observer);
-  const state = stateFrom(subject, identity, rows, evidence, accusers, rules);
-  return { state, identity, evidence, accusers };
+  const failureVotes = evidence.filter((finding) => supportsFailure(finding, rules)).length;
+  const state = stateFrom(identity, ownRow(subject, rows), evidence, failureVotes >= rules.majority);
+  return { state, identity, evidence };
 }
--- a/packages/membership/test/members.test.ts
+++ b/packages/membership/test/failure-detection.test.ts
@@ -19,17 +19,17 @@
   return started;
 }
 
-function cutBothWays({ network }: SimulatedCluster, a: MemberId, b: MemberId): void {
-  network.cut(a, b);
-  network.cut(b, a);
+function cutBothWays({ network }: SimulatedCluster, first: MemberId, second: MemberId): void {
+  network.cut(first, second);
+  network.cut(second, first);
 }
 
-function kinds({ events }: SimulatedCluster, observer: MemberId): MembershipEvent['kind'][] {
-  return events.filter((seen) => seen.observer === observer).map(({ event }) => event.kind);
+function eventKinds({ events }: SimulatedCluster, observer: MemberId): MembershipEvent['kind'][] {
+  return events.filter((entry) => entry.observer === observer).map(({ event }) => event.kind);
 }
 
 describe('a healthy cluster', () => {
-  it('knows all of its members, and suspects nobody for an hour of messages that are lost, slow and repeated', async () => {
+  it('declares no member failed while messages are lost, delayed and repeated', async () => {
     const healthy = await cluster();
     Object.assign(healthy.network.faults, {
       lossShare: 0.02,
@@ -51,7 +51,7 @@
 });
 
 describe('a member that dies', () => {
-  it('is suspected, then failed by all others, with evidence that tells who saw what', async () => {
+  it('is suspected, then declared failed by all others, with evidence from each observer', async () => {
     const members = await cluster();
     members.kill(C);
     await members.run(1200);
@@ -65,7 +65,7 @@
       .find(({ member }) => member === C);
     expect(view?.evidence.map(({ observer }) => observer).sort()).toEqual([A, B]);
     expect(view?.evidence.every(({ condition }) => condition === LinkCondition.Silent)).toBe(true);
-    // A dead controller is no cut network: operators would look for a fault that is none.
+    // A dead controller must not be reported as a partition: operators would look for a network fault.
     const survivors = members
       .membership(A)
       .members()
@@ -76,7 +76,7 @@
     ]);
   });
 
-  it('is not failed by a single survivor of three: one is no majority', async () => {
+  it('is not declared failed by a single survivor of three, which is no majority', async () => {
     const members = await cluster();
     members.kill(B);
     members.kill(C);
@@ -86,21 +86,21 @@
     expect(members.membership(A).hasMajority).toBe(false);
   });
 
-  // The platform starts a process again within a fraction of a second; its clock may lie behind its predecessor's.
+  // The platform restarts a process within a fraction of a second; its clock may be behind its predecessor's.
   it.each([1, 2, 3, 4, 5, 6])(
-    'back within 200 ms it is a new process, alive everywhere (seed %i)',
+    'is a new process, alive everywhere, when it restarts within 200 ms (seed %i)',
     async (seed) => {
       const members = await cluster(3, seed);
-      const former = members.membership(C).identity;
+      const formerIdentity = members.membership(C).identity;
       members.kill(C);
       await members.run(200);
       members.start(C);
       await members.run(3000);
       const { identity } = members.membership(C);
-      expect(identity.process).not.toBe(former.process);
+      expect(identity.process).not.toBe(formerIdentity.process);
       for (const observer of [A, B]) {
         expect(members.state(observer, C)).toBe(MemberState.Alive);
-        expect(kinds(members, observer)).toContain('restarted');
+        expect(eventKinds(members, observer)).toContain('restarted');
         const view = members
           .membership(observer)
           .members()
@@ -111,8 +111,8 @@
   );
 });
 
-describe('a member that stands still', () => {
-  it('is failed, and alive again once it wakes and refutes that', async () => {
+describe('a paused member', () => {
+  it('is declared failed, and alive again once it resumes and refutes that', async () => {
     const members = await cluster();
     members.pause(C);
     await members.run(4000);
@@ -120,26 +120,26 @@
     members.resume(C);
     await members.run(2000);
     expect(members.state(A, C)).toBe(MemberState.Alive);
-    expect(kinds(members, A)).toContain('refuted');
-    expect(kinds(members, C)).toContain('self-paused');
+    expect(eventKinds(members, A)).toContain('refuted');
+    expect(eventKinds(members, C)).toContain('self-paused');
   });
 
-  // Without the discount it would wake, find everybody silent for 20 s, and accuse them all.
-  it('blames nobody for the time in which it did not run', async () => {
+  // If the pause counted, it would find everybody silent for 20 s and suspect them all.
+  it('suspects nobody for the time in which it did not run', async () => {
     const members = await cluster();
     members.pause(C);
     await members.run(20_000);
     members.events.length = 0;
     members.resume(C);
     await members.run(5000);
-    const accusations = members.events.filter(
+    const suspicions = members.events.filter(
       ({ observer, event }) =>
         observer === C && event.kind === 'state-changed' && event.to !== MemberState.Alive,
     );
-    expect(accusations).toEqual([]);
+    expect(suspicions).toEqual([]);
   });
 
-  it('all but one stand still: the one declares nobody failed', async () => {
+  it('is only suspected when all members but one are paused', async () => {
     const members = await cluster(5);
     for (const member of members.members.slice(1)) members.pause(member);
     await members.run(10_000);
@@ -149,8 +149,8 @@
   });
 });
 
-describe('links that are cut', () => {
-  it('from a single peer: the member stays alive, and the link is told', async () => {
+describe('partitions', () => {
+  it('from a single peer: the member stays alive, and the link is reported', async () => {
     const members = await cluster();
     cutBothWays(members, A, C);
     await members.run(15_000);
@@ -160,13 +160,13 @@
       .membership(A)
       .members()
       .find(({ member }) => member === C);
-    expect(view?.connection).toBe(Connection.PartlyCut);
+    expect(view?.connection).toBe(Connection.PartialPartition);
     expect(view?.evidence.find(({ observer }) => observer === A)?.condition).toBe(
-      LinkCondition.ReachedThroughOthers,
+      LinkCondition.ReachedIndirectly,
     );
   });
 
-  it('heard by none: the member is silent to the others, which declare it failed; itself it finds mute', async () => {
+  it('outbound: the others declare the member failed, and it detects its own partition', async () => {
     const members = await cluster();
     members.network.cut(C, A);
     members.network.cut(C, B);
@@ -177,14 +177,14 @@
       .membership(C)
       .members()
       .find(({ member }) => member === C);
-    expect(own?.connection).toBe(Connection.Mute);
+    expect(own?.connection).toBe(Connection.OutboundPartition);
     expect(members.membership(C).hasMajority).toBe(false);
     members.network.healAll();
     await members.run(4000);
     expect(members.state(A, C)).toBe(MemberState.Alive);
   });
 
-  it('hears none but is heard: it stays a suspect, since it is there', async () => {
+  it('inbound: the member stays suspected, since its messages still arrive', async () => {
     const members = await cluster();
     members.network.cut(A, C);
     members.network.cut(B, C);
@@ -194,26 +194,28 @@
       .membership(A)
       .members()
       .find(({ member }) => member === C);
-    expect(view?.connection).toBe(Connection.Deaf);
+    expect(view?.connection).toBe(Connection.InboundPartition);
     expect(view?.evidence.map(({ condition }) => condition)).toContain(LinkCondition.HeardOnly);
   });
 
-  it('in two halves: the smaller one declares nobody failed, the larger one the smaller', async () => {
+  it('in two parts: the larger one declares the smaller one failed, and not the reverse', async () => {
     const members = await cluster(5);
     const [a, b, c, d, e] = members.members as [MemberId, MemberId, MemberId, MemberId, MemberId];
-    for (const few of [a, b]) for (const many of [c, d, e]) cutBothWays(members, few, many);
+    for (const minority of [a, b]) {
+      for (const majority of [c, d, e]) cutBothWays(members, minority, majority);
+    }
     await members.run(8000);
     expect(members.state(c, a)).toBe(MemberState.Failed);
     expect(members.state(e, b)).toBe(MemberState.Failed);
-    for (const many of [c, d, e]) expect(members.state(a, many)).toBe(MemberState.Suspect);
+    for (const majority of [c, d, e]) expect(members.state(a, majority)).toBe(MemberState.Suspect);
     members.network.healAll();
     await members.run(5000);
-    for (const few of [a, b]) expect(members.state(d, few)).toBe(MemberState.Alive);
+    for (const minority of [a, b]) expect(members.state(d, minority)).toBe(MemberState.Alive);
   });
 });
 
 describe('a member that leaves', () => {
-  it('is left at once, without suspicion, and alive again when it is started', async () => {
+  it('has left at once, without suspicion, and is alive again when it is restarted', async () => {
     const members = await cluster();
     members.events.length = 0;
     const leaving = members.leave(C);
--- a/packages/membership/test/input.test.ts
+++ b/packages/membership/test/membership.test.ts
@@ -23,15 +23,16 @@
   majority: majorityOf(3),
 };
 
-interface Lone {
+/** One member without live peers, and what it did. */
+interface IsolatedMember {
   readonly clock: VirtualClock;
   readonly membership: Membership;
   readonly lines: string[];
   readonly requests: string[];
 }
 
-/** One member; what it asks is recorded, and answered by nobody. */
-function lone(support = PeerSupport.Supported, settings = SETTINGS): Lone {
+/** Starts one member whose requests are recorded and never answered. */
+function isolatedMember(support = PeerSupport.Supported, settings = SETTINGS): IsolatedMember {
   const clock = new VirtualClock();
   const lines: string[] = [];
   const requests: string[] = [];
@@ -62,7 +63,7 @@
     }),
   );
 
-describe('settings', () => {
+describe('checkSettings', () => {
   it.each<[string, Partial<MembershipSettings>]>([
     ['members: b is named twice', { members: ['a', 'b', 'b'] as MemberId[] }],
     ['members: a (this controller) is not named', { members: ['b', 'c'] as MemberId[] }],
@@ -82,9 +83,9 @@
   });
 });
 
-describe('messages from outside', () => {
-  it('answers a peer, and counts what it drops by reason, logging each at a bounded rate', async () => {
-    const { membership, clock, lines } = lone();
+describe('Membership.handle', () => {
+  it('answers a peer, and counts rejected messages by reason, logging each reason at a bounded rate', async () => {
+    const { membership, clock, lines } = isolatedMember();
     expect(await membership.handle(probe('b'))).not.toBeNull();
     for (let i = 0; i < 50; i++) {
       expect(await membership.handle(probe('stranger'))).toBeNull();
@@ -93,26 +94,26 @@
       expect(await membership.handle(Buffer.alloc(70_000, 0x20))).toBeNull();
       await clock.advance(20);
     }
-    expect(membership.rejected.get(RejectReason.Stranger)).toBe(50);
+    expect(membership.rejected.get(RejectReason.UnknownMember)).toBe(50);
     expect(membership.rejected.get(RejectReason.Malformed)).toBe(50);
     expect(membership.rejected.get(RejectReason.UnknownKind)).toBe(50);
     expect(membership.rejected.get(RejectReason.Oversized)).toBe(50);
     expect(lines).toHaveLength(4);
   });
 
-  it('answers no more than the settings allow, however many ask', async () => {
-    const { membership } = lone();
+  it('answers no more requests per second than the settings allow', async () => {
+    const { membership } = isolatedMember();
     let answered = 0;
     for (let i = 0; i < 1000; i++) if (await membership.handle(probe('b', i + 1))) answered++;
     expect(answered).toBe(SETTINGS.maxMessagesPerSecond);
-    expect(membership.rejected.get(RejectReason.Throttled)).toBe(1000 - answered);
+    expect(membership.rejected.get(RejectReason.RateLimited)).toBe(1000 - answered);
   });
 
-  it('never throws, whatever arrives', async () => {
-    const { membership, clock } = lone();
+  it('never rejects, whatever bytes arrive', async () => {
+    const { membership, clock } = isolatedMember();
     const bytes = fc.uint8Array({ maxLength: 200 });
     const text = fc.json().map((json) => Buffer.from(json));
-    const nearly = fc
+    const nearlyValid = fc
       .record({
         kind: fc.constantFrom('probe', 'answer', 'indirect-probe', 'indirect-answer'),
         from: fc.record({
@@ -128,7 +129,7 @@
       })
       .map((message) => Buffer.from(JSON.stringify(message)));
     await fc.assert(
-      fc.asyncProperty(fc.oneof(bytes, text, nearly), async (payload) => {
+      fc.asyncProperty(fc.oneof(bytes, text, nearlyValid), async (payload) => {
         const answer = membership.handle(payload);
         await clock.advance(1000);
         await answer;
@@ -138,10 +139,10 @@
   });
 
   // A copy that arrives minutes later must not keep a dead member alive.
-  it('takes a repeated message for no sign of life, and one of an earlier process for none either', async () => {
-    const { membership, clock } = lone();
+  it('takes neither a repeated message nor one of an earlier process for a sign of life', async () => {
+    const { membership, clock } = isolatedMember();
     membership.start();
-    const heardAgo = async (): Promise<number | null | undefined> => {
+    const heardAgoMs = async (): Promise<number | null | undefined> => {
       const answer = await membership.handle(probe('c'));
       const { rows } = JSON.parse(Buffer.from(answer ?? []).toString()) as {
         rows: { peers: { identity: { member: string }; heardAgoMs: number | null }[] }[];
@@ -153,14 +154,14 @@
     await membership.handle(probe('b', 7));
     await membership.handle(probe('b', 3));
     await membership.handle(probe('b', 99, 'p0', 4));
-    expect(await heardAgo()).toBe(9000);
+    expect(await heardAgoMs()).toBe(9000);
     await membership.handle(probe('b', 8));
-    expect(await heardAgo()).toBe(0);
+    expect(await heardAgoMs()).toBe(0);
     expect(membership.rejected.get(RejectReason.Stale)).toBe(1);
   });
 
-  it('tells a process whose clock lies behind what it has to outrun', async () => {
-    const { membership } = lone();
+  it('tells a process whose clock is behind which incarnation it has to exceed', async () => {
+    const { membership } = isolatedMember();
     await membership.handle(probe('b', 1, 'p1', 1000));
     const answer = await membership.handle(probe('b', 1, 'p2', 900));
     const { aboutReceiver } = JSON.parse(Buffer.from(answer ?? []).toString()) as {
@@ -173,16 +174,16 @@
 });
 
 describe('a peer of an earlier version', () => {
-  it('is asked nothing, and unknown, not suspected', async () => {
-    const { membership, clock, requests } = lone(PeerSupport.Unsupported);
+  it('is not probed, and is unknown rather than suspected', async () => {
+    const { membership, clock, requests } = isolatedMember(PeerSupport.Unsupported);
     membership.start();
     await clock.advance(20_000);
     expect(requests).toEqual([]);
     expect(membership.state('b' as MemberId)).toBe(MemberState.Unknown);
   });
 
-  it('is no suspect while nothing was ever heard of it', async () => {
-    const { membership, clock } = lone(PeerSupport.Unknown);
+  it('is not suspected before anything was received from it', async () => {
+    const { membership, clock } = isolatedMember(PeerSupport.Unknown);
     membership.start();
     await clock.advance(20_000);
     expect(membership.state('b' as MemberId)).toBe(MemberState.Unknown);
@@ -190,26 +191,26 @@
 });
 
 describe('a member that leaves', () => {
-  // It ended as soon as its last answer was made: the process was gone before the answer had left, and was suspected.
-  it('waits until its last answer can have arrived', async () => {
-    const { membership, clock } = lone();
+  // Regression: the process ended before its last answer had been sent, and was suspected.
+  it('waits until its last answer has had time to arrive', async () => {
+    const { membership, clock } = isolatedMember();
     membership.start();
     await membership.handle(probe('b'));
-    let left = false;
+    let hasLeft = false;
     void membership.leave().then(() => {
-      left = true;
+      hasLeft = true;
     });
     await clock.advance(SETTINGS.probeTimeoutMs - 10);
-    expect(left).toBe(false);
+    expect(hasLeft).toBe(false);
     await clock.advance(3 * SETTINGS.probeIntervalMs);
-    expect(left).toBe(true);
+    expect(hasLeft).toBe(true);
   });
 });
 
-describe('the traffic', () => {
-  it('stays within the settings, with peers that answer nothing and helpers that are asked for each', async () => {
+describe('message rate', () => {
+  it('stays within the settings when no peer answers and each needs indirect probes', async () => {
     const settings = { ...SETTINGS, maxMessagesPerSecond: 6 };
-    const { membership, clock, requests } = lone(PeerSupport.Supported, settings);
+    const { membership, clock, requests } = isolatedMember(PeerSupport.Supported, settings);
     await membership.handle(probe('b'));
     await membership.handle(probe('c'));
     membership.start();
--- a/src/leadership/failover/failover.ts
+++ b/src/leadership/failover/failover.ts
@@ -163,7 +163,7 @@
         break;
       }
       case 'contact-changed':
-        log.info({ withMajority: event.withMajority }, 'contact with the other controllers changed');
+        log.info({ withMajority: event.hasMajority }, 'contact with the other controllers changed');
         break;
       case 'self-suspected':
         log.info(
