--- a/packages/simulation/src/history.ts
+++ b/packages/simulation/src/history.ts
@@ -1,5 +1,6 @@
 /** What owners did, as the resources that they act upon saw it, and the checker of it. */
-import { EpochFence, type FencingEpoch, type Owner, type UnitId } from '@plumyoke/takeover';
+import { type FencingEpoch, type Owner, type UnitId } from '@plumyoke/takeover';
+import { EpochFence } from '@plumyoke/takeover/reference';
 
 /** An owner acts upon a unit's resources. */
 interface Effect {
--- a/packages/simulation/src/loopback/controller-main.ts
+++ b/packages/simulation/src/loopback/controller-main.ts
@@ -9,16 +9,18 @@
   type ProcessId,
 } from '@plumyoke/membership';
 import {
-  type ConditionalStore,
-  DEFAULT_TAKEOVER,
+  DEFAULT_TAKEOVER_SETTINGS,
   type Owner,
   type Ownership,
-  OwnershipRegistry,
-  StoreUncertain,
-  StoreUnavailable,
   TakeoverCoordinator,
   type UnitId,
 } from '@plumyoke/takeover';
+import {
+  type ConditionalStore,
+  OwnershipRegistry,
+  StoreOutcomeUnknownError,
+  StoreUnavailableError,
+} from '@plumyoke/takeover/reference';
 import { Channel } from './channel.js';
 import {
   type ControllerOptions,
@@ -80,8 +82,8 @@
 function remoteStore(lab: Channel): ConditionalStore {
   const ask = async <T>(request: LabRequest, body: unknown): Promise<T> => {
     const answer = await lab.request(request, body, STORE_MS);
-    if (answer === null) throw new StoreUncertain('no answer');
-    if (answer === 'refused') throw new StoreUnavailable('refused');
+    if (answer === null) throw new StoreOutcomeUnknownError('no answer');
+    if (answer === 'refused') throw new StoreUnavailableError('refused');
     return (answer as { value: T }).value;
   };
   return {
@@ -92,7 +94,7 @@
 
 /** What both ways of failover offer: whether this process may act on a unit. */
 interface Failover {
-  permit(unit: UnitId): Ownership | null;
+  currentOwnership(unit: UnitId): Ownership | null;
 }
 
 async function startMembership(options: ControllerOptions, lab: Channel): Promise<Failover> {
@@ -136,7 +138,7 @@
       },
       membership,
       claims: new OwnershipRegistry(remoteStore(lab)),
-      settings: DEFAULT_TAKEOVER,
+      settings: DEFAULT_TAKEOVER_SETTINGS,
     },
     {
       prepare: () => Promise.resolve(null),
@@ -166,7 +168,7 @@
     this.renewAll();
   }
 
-  permit(unit: UnitId): Ownership | null {
+  currentOwnership(unit: UnitId): Ownership | null {
     const held = this.owned.get(unit);
     return held !== undefined && clock.now() < held.sureUntil ? held.ownership : null;
   }
@@ -210,7 +212,7 @@
   let jobs = 0;
   const step = (): void => {
     for (const unit of options.units as UnitId[]) {
-      const ownership = failover.permit(unit);
+      const ownership = failover.currentOwnership(unit);
       if (!ownership) continue;
       const { owner, epoch } = ownership;
       jobs++;
--- a/packages/simulation/src/loopback/protocol.ts
+++ b/packages/simulation/src/loopback/protocol.ts
@@ -1,6 +1,6 @@
 /** What stand-in controllers and the laboratory that runs them tell each other. */
 import type { MembershipTuning } from '@plumyoke/membership';
-import type { StoreCondition, StoreWrite } from '@plumyoke/takeover';
+import type { StoreCondition, StoreWrite } from '@plumyoke/takeover/reference';
 
 /** How owners are replaced. */
 export enum FailoverMode {
--- a/packages/simulation/src/shared-store.ts
+++ b/packages/simulation/src/shared-store.ts
@@ -1,14 +1,14 @@
 /** A store with conditional writes, as simulated processes see it: slow, refusing, or answering nothing. */
+import { type StoreRevision } from '@plumyoke/takeover';
 import {
   type CommitResult,
   type ConditionalStore,
   type StoreCondition,
   type StoredValue,
-  type StoreRevision,
-  StoreUnavailable,
-  StoreUncertain,
+  StoreUnavailableError,
+  StoreOutcomeUnknownError,
   type StoreWrite,
-} from '@plumyoke/takeover';
+} from '@plumyoke/takeover/reference';
 import type { SimulatedClock } from './virtual-clock.js';
 
 const LATENCY_MS = 5;
@@ -63,7 +63,7 @@
       new Promise((resolve, reject) => {
         this.requests++;
         clock.after(LATENCY_MS, () => {
-          if (this.outage || this.refused.has(name)) reject(new StoreUnavailable('refused'));
+          if (this.outage || this.refused.has(name)) reject(new StoreUnavailableError('refused'));
           else resolve(act());
         });
       });
@@ -75,7 +75,7 @@
           if (!this.outage) this.commit(conditions, writes);
         });
         return new Promise((_, reject) => {
-          clock.after(DEADLINE_MS, () => reject(new StoreUncertain('no answer')));
+          clock.after(DEADLINE_MS, () => reject(new StoreOutcomeUnknownError('no answer')));
         });
       },
     };
--- a/packages/simulation/src/simulated-cluster.ts
+++ b/packages/simulation/src/simulated-cluster.ts
@@ -10,12 +10,12 @@
   PeerSupport,
 } from '@plumyoke/membership';
 import {
-  DEFAULT_TAKEOVER,
+  DEFAULT_TAKEOVER_SETTINGS,
   type Ownership,
-  OwnershipRegistry,
   TakeoverCoordinator,
   type UnitId,
 } from '@plumyoke/takeover';
+import { OwnershipRegistry } from '@plumyoke/takeover/reference';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { EffectHistory } from './history.js';
@@ -130,7 +130,7 @@
     const claims = new OwnershipRegistry(this.store.for(member, clock));
     const coordinator = new TakeoverCoordinator<number>(
       this.units,
-      { clock, log, membership, claims, settings: DEFAULT_TAKEOVER },
+      { clock, log, membership, claims, settings: DEFAULT_TAKEOVER_SETTINGS },
       {
         prepare: () => Promise.resolve(this.clock.now()),
         discard: () => {},
@@ -170,7 +170,7 @@
   private act(member: MemberId, controller: RunningController, claims: OwnershipRegistry): void {
     controller.clock.after(ACT_EVERY_MS, () => {
       for (const unit of this.units) {
-        const ownership = controller.coordinator.permit(unit);
+        const ownership = controller.coordinator.currentOwnership(unit);
         if (ownership) void this.beginJob(ownership, claims);
       }
       this.act(member, controller, claims);
@@ -230,7 +230,7 @@
   }
 
   /** All troubles end: every process runs, every link works, the store answers. */
-  endTroubles(): void {
+  endFaults(): void {
     this.network.healAll();
     this.store.outage = false;
     this.store.refused.clear();
@@ -258,7 +258,7 @@
   /** Running controllers that may act on the unit now, by their own word. One that stands still has no word. */
   ownersOf(unit: UnitId): MemberId[] {
     return [...this.running]
-      .filter(([, { coordinator, paused }]) => !paused && coordinator.permit(unit) !== null)
+      .filter(([, { coordinator, paused }]) => !paused && coordinator.currentOwnership(unit) !== null)
       .map(([member]) => member);
   }
 
--- a/packages/takeover/src/effect-gate.ts
+++ b/packages/takeover/src/effect-gate.ts
@@ -1,47 +1,48 @@
 /**
- * What an owner asks before every effect: whether it has run without a pause since its ownership was last confirmed.
- * A process that stood still may have been replaced meanwhile and finds out here, before it acts.
+ * The gate that an owner checks before every effect: whether it has run without a pause since its ownership was last
+ * confirmed. A process that was paused may have been replaced meanwhile, and detects that here before it acts.
  */
 
-/** Notices pauses of this process. */
+/** Detects pauses of this process. */
 export interface PauseSource {
-  /** Looks at the clock now: after a pause the first effect may come before any timer. */
+  /** Checks for a pause now: after one, the first effect may come before any timer has run. */
   checkPause(): void;
-  /** Calls back for every pause that is noticed. */
-  onPause(paused: (pausedMs: number) => void): void;
+  /** Calls back for every detected pause. */
+  onPause(listener: (pausedMs: number) => void): void;
 }
 
-/** Closed from a pause of the process until the ownership is confirmed again. */
+/** Is closed from a pause of the process until the ownership is confirmed again. */
 export class EffectGate {
-  private closed = false;
-  private pauses = 0;
+  private isClosed = false;
+  private pauseCount = 0;
 
   constructor(
     private readonly source: PauseSource,
-    private readonly onClosed: (pausedMs: number) => void,
+    private readonly onClose: (pausedMs: number) => void,
   ) {
     source.onPause((pausedMs) => this.close(pausedMs));
   }
 
+  /** Whether effects are allowed now. Checks for a pause first. */
   get open(): boolean {
     this.source.checkPause();
-    return !this.closed;
+    return !this.isClosed;
   }
 
-  /** A number that changes with every pause: what was asked for before one confirms nothing after it. */
+  /** Changes with every pause: a confirmation that was requested before a pause is void after it. */
   get generation(): number {
-    return this.pauses;
+    return this.pauseCount;
   }
 
-  /** The ownership was confirmed by a request that was sent in this generation. */
+  /** Opens the gate, if the ownership was confirmed by a request that was sent in the current generation. */
   reopen(generation: number): void {
     this.source.checkPause();
-    if (generation === this.pauses) this.closed = false;
+    if (generation === this.pauseCount) this.isClosed = false;
   }
 
   private close(pausedMs: number): void {
-    this.pauses++;
-    this.closed = true;
-    this.onClosed(pausedMs);
+    this.pauseCount++;
+    this.isClosed = true;
+    this.onClose(pausedMs);
   }
 }
--- a/packages/takeover/src/operator-messages.ts
+++ b/packages/takeover/src/operator-messages.ts
@@ -1,7 +1,7 @@
-/** What people are told: what is wrong, and what to do next. */
+/** Messages for operators: what is wrong, and what to do next. */
 import type { Damaged, UnitId } from './ownership.js';
 
-/** A record that nobody can read. */
+/** Describes a damaged record. */
 export function describeDamage(unit: UnitId, { key, problem }: Damaged): string {
   return (
     `Nobody takes over ${unit}: its record ${key} ${problem}. ` +
@@ -10,9 +10,9 @@
   );
 }
 
-/** An owner that stood still and was replaced meanwhile. */
+/** Describes the replacement of this owner. `pausedMs`: how long it was paused; null: it was not. */
 export function describeReplaced(unit: UnitId, pausedMs: number | null): string {
-  const why =
+  const cause =
     pausedMs === null ? '' : ` while this process stood still for ${(pausedMs / 1000).toFixed(1)} s`;
-  return `another controller took over ${unit}${why}; this one stopped before its next action and goes on as a follower`;
+  return `another controller took over ${unit}${cause}; this one stopped before its next action and goes on as a follower`;
 }
--- a/packages/takeover/src/ownership.ts
+++ b/packages/takeover/src/ownership.ts
@@ -1,17 +1,19 @@
-/** Who owns a unit of work, and under which epoch. */
+/** The types of ownership: who owns a unit of work, and under which fencing epoch. */
 import type { MemberId, ProcessId } from '@plumyoke/membership';
 
 declare const brand: unique symbol;
 type Branded<T, B extends string> = T & { readonly [brand]: B };
 
-/** Work that is owned as a whole: by one process at a time, or by none. */
+/** Names a unit of work, which is owned as a whole: by one process at a time, or by none. */
 export type UnitId = Branded<string, 'UnitId'>;
-/** Rises with every change of owner. Every effect of an owner carries it, and a lower one is refused. */
+/** A fencing token: increases with every change of owner. Every effect carries it, and a lower one is refused. */
 export type FencingEpoch = Branded<number, 'FencingEpoch'>;
-/** Revision of a key of the store; 0: the key does not exist. */
+/** The revision of a key in the store; 0: the key does not exist. */
 export type StoreRevision = Branded<number, 'StoreRevision'>;
 
+/** The revision of a key that does not exist. */
 export const NO_REVISION = 0 as StoreRevision;
+/** The epoch of a unit that never had an owner. */
 export const NO_EPOCH = 0 as FencingEpoch;
 
 /** A process that owns a unit. A later start of the same member is another owner. */
@@ -20,7 +22,7 @@
   readonly process: ProcessId;
 }
 
-/** An ownership that was won: what its holder has to show with every effect. */
+/** An ownership that a process has won, and that it presents with every effect. */
 export interface Ownership {
   readonly unit: UnitId;
   readonly owner: Owner;
@@ -29,13 +31,13 @@
   readonly epochRevision: StoreRevision;
 }
 
-/** The store's revisions of the two keys of a unit, as a claim has to find them. */
+/** The revisions of the two keys of a unit, on which a claim is conditioned. */
 export interface UnitRevisions {
   readonly holder: StoreRevision;
   readonly epoch: StoreRevision;
 }
 
-/** Nobody has ever owned the unit, or its last owner's record is gone. */
+/** The unit never had an owner, or its last owner's record was deleted. */
 export interface Unowned {
   readonly kind: 'unowned';
   readonly epoch: FencingEpoch;
@@ -50,55 +52,60 @@
   readonly revisions: UnitRevisions;
 }
 
-/** Its last owner gave it up; `heir` is who should take it first. */
+/** The last owner released the unit; `successor` may claim it without delay. */
 export interface Released {
   readonly kind: 'released';
-  readonly heir: MemberId | null;
+  readonly successor: MemberId | null;
   readonly epoch: FencingEpoch;
   readonly revisions: UnitRevisions;
 }
 
-/** A record that cannot be read: nobody may act on the unit until an operator has looked at it. */
+/** A record cannot be decoded: no member acts on the unit until an operator has repaired it. */
 export interface Damaged {
   readonly kind: 'damaged';
   readonly key: string;
   readonly problem: string;
 }
 
-/** What the records tell of a unit. */
-export type OwnershipReading = Unowned | Owned | Released | Damaged;
+/** The records of a unit on which a claim can be based. */
+export type ClaimableReading = Unowned | Owned | Released;
 
-/** What an attempt to own a unit came to. */
+/** The records of a unit as they were read. */
+export type OwnershipReading = ClaimableReading | Damaged;
+
+/** The result of a claim. */
 export type ClaimResult =
   | { readonly kind: 'won'; readonly ownership: Ownership }
-  /** Somebody else was faster, or the owner has shown that it lives: read again. */
+  /** Another member was faster, or the owner has written a heartbeat: the records must be read again. */
   | { readonly kind: 'superseded' }
-  /** The store surely did not carry it out. */
+  /** The store did not carry it out and will not. */
   | { readonly kind: 'unavailable' }
-  /** No answer: it may have been carried out, or may be later. */
+  /** No answer came: the claim may have been carried out, or may still be. */
   | { readonly kind: 'uncertain' };
 
-/** Whether an ownership still holds. */
+/** The result of confirming an ownership. */
 export enum Confirmation {
   Held = 'held',
   Superseded = 'superseded',
-  /** The store did not tell. */
+  /** The store did not answer. */
   Unknown = 'unknown',
 }
 
-/** Where ownership is recorded. A claim is decided by a conditional write, by nothing else. */
+/** The records of ownership. Only a conditional write decides a claim. */
 export interface OwnershipClaims {
-  /** Null: the store did not tell. Never rejects. */
+  /** Reads the unit's records. Resolves to null if the store did not answer. */
   read(unit: UnitId): Promise<OwnershipReading | null>;
-  /** Succeeds only if the unit's records are still as `found` tells. Never rejects. */
-  claim(unit: UnitId, claimant: Owner, found: Unowned | Owned | Released): Promise<ClaimResult>;
+  /** Claims a unit. Succeeds only if its records have not changed since `reading`. */
+  claim(unit: UnitId, claimant: Owner, reading: ClaimableReading): Promise<ClaimResult>;
+  /** Checks that no later epoch has begun. */
   confirm(ownership: Ownership): Promise<Confirmation>;
-  /** Shows through the store that the owner lives. The epoch stays. */
-  showLife(ownership: Ownership): Promise<void>;
-  release(ownership: Ownership, heir: MemberId | null): Promise<void>;
+  /** Shows through the store that the owner is alive. The epoch does not change. */
+  writeHeartbeat(ownership: Ownership): Promise<void>;
+  /** Gives the unit up. `successor`: who should claim it first. */
+  release(ownership: Ownership, successor: MemberId | null): Promise<void>;
 }
 
-/** Whether both are the same process. */
-export function sameOwner(a: Owner, b: Owner): boolean {
-  return a.member === b.member && a.process === b.process;
+/** Returns whether both are the same process. */
+export function isSameOwner(first: Owner, second: Owner): boolean {
+  return first.member === second.member && first.process === second.process;
 }
--- a/packages/takeover/src/ownership-registry.ts
+++ b/packages/takeover/src/reference/ownership-registry.ts
@@ -1,61 +1,69 @@
-/** Ownership in a store with conditional writes, two keys a unit. */
+/**
+ * The reference implementation of `OwnershipClaims` on a store with conditional writes, two keys a unit. Tests,
+ * simulations and measurements use it; the controllers record leadership in `src/leadership/failover/leader-claims.ts`.
+ */
 import type { MemberId } from '@plumyoke/membership';
 import {
+  type ClaimableReading,
   type ClaimResult,
   Confirmation,
   type FencingEpoch,
   NO_REVISION,
-  type Owned,
   type Owner,
   type Ownership,
   type OwnershipClaims,
   type OwnershipReading,
-  type Released,
   type UnitId,
   type UnitRevisions,
-  type Unowned,
-} from './ownership.js';
-import { DamagedRecord, decodeEpoch, decodeHolder, encodeEpoch, encodeHolder } from './ownership-record.js';
+} from '../ownership.js';
+import {
+  DamagedRecordError,
+  decodeEpoch,
+  decodeHolder,
+  encodeEpoch,
+  encodeHolder,
+} from './ownership-record.js';
 import {
   type CommitResult,
   type ConditionalStore,
   type StoreCondition,
   type StoredValue,
-  storeFailed,
-  StoreUnavailable,
-  StoreUncertain,
+  StoreError,
+  StoreUnavailableError,
+  StoreOutcomeUnknownError,
   type StoreWrite,
-} from './store.js';
+} from './conditional-store.js';
 
 const holderKey = (unit: UnitId): string => `ownership/${unit}/holder`;
 const epochKey = (unit: UnitId): string => `ownership/${unit}/epoch`;
 
-/** Both keys of a unit as they were read. */
-interface UnitRows {
+/** Both records of a unit as they were read. */
+interface UnitRecords {
   readonly holder: StoredValue | null;
   readonly epoch: StoredValue | null;
 }
 
 /**
- * The epoch has a key of its own, so that the holder's record can change (signs of life, a release) without making
- * the owner's writes under way fail.
+ * Keeps ownership in a conditional store. The epoch has a key of its own, so that the holder's record can change
+ * (heartbeats, a release) without failing the owner's writes that are under way.
  */
 export class OwnershipRegistry implements OwnershipClaims {
-  private signs = 0;
+  private heartbeatCount = 0;
 
   constructor(private readonly store: ConditionalStore) {}
 
   async read(unit: UnitId): Promise<OwnershipReading | null> {
     try {
-      return interpret(unit, await this.rows(unit));
+      return interpret(unit, await this.readRecords(unit));
     } catch (error) {
-      if (error instanceof DamagedRecord) return { kind: 'damaged', key: error.key, problem: error.problem };
-      if (storeFailed(error)) return null;
+      if (error instanceof DamagedRecordError)
+        return { kind: 'damaged', key: error.key, problem: error.problem };
+      if (error instanceof StoreError) return null;
       throw error;
     }
   }
 
-  private async rows(unit: UnitId): Promise<UnitRows> {
+  private async readRecords(unit: UnitId): Promise<UnitRecords> {
     const [holder, epoch] = await Promise.all([
       this.store.get(holderKey(unit)),
       this.store.get(epochKey(unit)),
@@ -63,11 +71,11 @@
     return { holder, epoch };
   }
 
-  async claim(unit: UnitId, claimant: Owner, found: Unowned | Owned | Released): Promise<ClaimResult> {
-    const epoch = (found.epoch + 1) as FencingEpoch;
+  async claim(unit: UnitId, claimant: Owner, reading: ClaimableReading): Promise<ClaimResult> {
+    const epoch = (reading.epoch + 1) as FencingEpoch;
     const conditions: StoreCondition[] = [
-      { key: holderKey(unit), revision: found.revisions.holder },
-      { key: epochKey(unit), revision: found.revisions.epoch },
+      { key: holderKey(unit), revision: reading.revisions.holder },
+      { key: epochKey(unit), revision: reading.revisions.epoch },
     ];
     const writes: StoreWrite[] = [
       { key: holderKey(unit), value: encodeHolder({ state: 'held', owner: claimant, epoch }) },
@@ -78,46 +86,46 @@
       if (!result.committed) return { kind: 'superseded' };
       return { kind: 'won', ownership: { unit, owner: claimant, epoch, epochRevision: result.revision } };
     } catch (error) {
-      if (error instanceof StoreUnavailable) return { kind: 'unavailable' };
-      if (error instanceof StoreUncertain) return { kind: 'uncertain' };
+      if (error instanceof StoreUnavailableError) return { kind: 'unavailable' };
+      if (error instanceof StoreOutcomeUnknownError) return { kind: 'uncertain' };
       throw error;
     }
   }
 
-  /** Every claim changes the epoch's key, and nothing else does. */
+  // Every claim changes the epoch's key, and nothing else does: its revision confirms the ownership.
   async confirm({ unit, epochRevision }: Ownership): Promise<Confirmation> {
     try {
       const epoch = await this.store.get(epochKey(unit));
       return epoch?.revision === epochRevision ? Confirmation.Held : Confirmation.Superseded;
     } catch (error) {
-      if (storeFailed(error)) return Confirmation.Unknown;
+      if (error instanceof StoreError) return Confirmation.Unknown;
       throw error;
     }
   }
 
-  async showLife(ownership: Ownership): Promise<void> {
+  async writeHeartbeat(ownership: Ownership): Promise<void> {
     const { unit, owner, epoch } = ownership;
-    this.signs++;
-    const value = encodeHolder({ state: 'held', owner, epoch }, this.signs);
+    this.heartbeatCount++;
+    const value = encodeHolder({ state: 'held', owner, epoch }, this.heartbeatCount);
     await this.write(ownership, [{ key: holderKey(unit), value }]);
   }
 
-  async release(ownership: Ownership, heir: MemberId | null): Promise<void> {
+  async release(ownership: Ownership, successor: MemberId | null): Promise<void> {
     const { unit, epoch } = ownership;
-    const value = encodeHolder({ state: 'released', heir, epoch });
+    const value = encodeHolder({ state: 'released', successor, epoch });
     await this.write(ownership, [{ key: holderKey(unit), value }]);
   }
 
-  /** A write of the owner's own records; what the store does not carry out is asked for again by whoever needs it. */
+  /** Writes the owner's own records. A write that fails is not retried here: the next heartbeat or claim replaces it. */
   private async write(ownership: Ownership, writes: readonly StoreWrite[]): Promise<void> {
     try {
       await this.commitAs(ownership, [], writes);
     } catch (error) {
-      if (!storeFailed(error)) throw error;
+      if (!(error instanceof StoreError)) throw error;
     }
   }
 
-  /** A transaction of the owner: it fails once another epoch has begun, however late it arrives. */
+  /** Carries out a transaction of the owner. It fails once a later epoch has begun, however late it arrives. */
   commitAs(
     { unit, epochRevision }: Ownership,
     conditions: readonly StoreCondition[],
@@ -127,7 +135,7 @@
   }
 }
 
-function interpret(unit: UnitId, { holder, epoch: epochRow }: UnitRows): OwnershipReading {
+function interpret(unit: UnitId, { holder, epoch: epochRow }: UnitRecords): OwnershipReading {
   const epoch = decodeEpoch(epochKey(unit), epochRow?.value);
   const revisions: UnitRevisions = {
     holder: holder?.revision ?? NO_REVISION,
@@ -135,8 +143,8 @@
   };
   if (holder === null) return { kind: 'unowned', epoch, revisions };
   const record = decodeHolder(holderKey(unit), holder.value);
-  // The two keys are read one after the other: between the reads a claim may have set both.
+  // The two keys are not read atomically: a claim may have written both between the reads.
   if (record.epoch > epoch) return { kind: 'unowned', epoch, revisions };
-  if (record.state === 'released') return { kind: 'released', heir: record.heir, epoch, revisions };
+  if (record.state === 'released') return { kind: 'released', successor: record.successor, epoch, revisions };
   return { kind: 'owned', owner: record.owner, epoch, revisions };
 }
--- a/packages/takeover/src/stage.ts
+++ b/packages/takeover/src/stage.ts
@@ -1,20 +1,20 @@
-/** The stages of a takeover as seen by one member, and how they follow each other. Pure. */
+/** The stages of a unit's takeover as one member sees it: a state machine without side effects. */
 import type { Damaged, Owned, Owner, Ownership, StoreRevision } from './ownership.js';
 
-/** Somebody else owns the unit, or nobody does, and there is nothing to do. */
+/** Another process owns the unit, or none does, and this member has nothing to do. */
 export interface Watching {
   readonly kind: 'watching';
 }
 
-/** The owner is suspected or failed. Its record is watched for signs of life; the first successor reads ahead. */
+/** The owner is suspected or failed. Its record is watched for heartbeats; the first successor reads ahead. */
 export interface Suspecting {
   readonly kind: 'suspecting';
   readonly owner: Owner;
   readonly sinceMs: number;
-  /** The holder's record as last seen: the owner changes it to show that it lives. */
+  /** The revision of the holder's record when last read: a heartbeat of the owner changes it. */
   readonly holderRevision: StoreRevision;
-  /** When a change of it was last seen; null: none was. */
-  readonly lastSignMs: number | null;
+  /** When a heartbeat was last observed; null: none was. */
+  readonly lastHeartbeatMs: number | null;
 }
 
 /** A claim is under way. */
@@ -22,28 +22,28 @@
   readonly kind: 'claiming';
 }
 
-/** The unit is ours; its machines and jobs are being adopted. */
+/** This process owns the unit, and is adopting its machines and jobs. */
 export interface Adopting {
   readonly kind: 'adopting';
   readonly ownership: Ownership;
 }
 
-/** The unit is ours and served. */
+/** This process owns and serves the unit. */
 export interface Serving {
   readonly kind: 'serving';
   readonly ownership: Ownership;
 }
 
-/** The unit's record cannot be read: nobody acts. */
+/** The unit's record cannot be decoded: no member acts. */
 interface Blocked {
   readonly kind: 'blocked';
   readonly damage: Damaged;
 }
 
-/** Where a member stands with one unit. */
+/** The stage of one unit. The kinds appear in the log. */
 export type Stage = Watching | Suspecting | Claiming | Adopting | Serving | Blocked;
 
-/** What moves a member from one stage to another. */
+/** The events that change a stage. */
 export type StageEvent =
   | { readonly kind: 'owner-suspected'; readonly reading: Owned }
   | { readonly kind: 'owner-cleared' }
@@ -56,58 +56,65 @@
   | { readonly kind: 'damaged'; readonly damage: Damaged }
   | { readonly kind: 'repaired' };
 
+/** The initial stage. */
 export const WATCHING: Watching = { kind: 'watching' };
 
-/** Whether the member owns the unit, as far as it knows. */
-export function owns(stage: Stage): stage is Adopting | Serving {
+/** Returns whether this process owns the unit, as far as it knows. */
+export function isOwnerStage(stage: Stage): stage is Adopting | Serving {
   return stage.kind === 'adopting' || stage.kind === 'serving';
 }
 
-function beginSuspecting(stage: Stage, { owner, revisions }: Owned, nowMs: number): Stage {
+function startSuspecting(stage: Stage, { owner, revisions }: Owned, nowMs: number): Stage {
   if (stage.kind !== 'watching') return stage;
-  return { kind: 'suspecting', owner, sinceMs: nowMs, holderRevision: revisions.holder, lastSignMs: null };
+  return {
+    kind: 'suspecting',
+    owner,
+    sinceMs: nowMs,
+    holderRevision: revisions.holder,
+    lastHeartbeatMs: null,
+  };
 }
 
-/** The suspect's record was read again. */
-function afterReading(stage: Stage, { owner, revisions }: Owned, nowMs: number): Stage {
+/** Applies a new reading of the suspected owner's record. */
+function recordHolderRead(stage: Stage, { owner, revisions }: Owned, nowMs: number): Stage {
   if (stage.kind !== 'suspecting') return stage;
   if (stage.owner.process !== owner.process) return WATCHING;
   if (stage.holderRevision === revisions.holder) return stage;
-  return { ...stage, holderRevision: revisions.holder, lastSignMs: nowMs };
+  return { ...stage, holderRevision: revisions.holder, lastHeartbeatMs: nowMs };
 }
 
-function beginClaiming(stage: Stage): Stage {
-  if (owns(stage) || stage.kind === 'blocked') return stage;
+function startClaiming(stage: Stage): Stage {
+  if (isOwnerStage(stage) || stage.kind === 'blocked') return stage;
   return { kind: 'claiming' };
 }
 
-/** Events that only end the stage that they belong to. */
-function ended(stage: Stage, of: Stage['kind']): Stage {
-  return stage.kind === of ? WATCHING : stage;
+/** Ends the named stage; any other stage stays. */
+function leaveStage(stage: Stage, kind: Stage['kind']): Stage {
+  return stage.kind === kind ? WATCHING : stage;
 }
 
-/** The stage that follows; an event that does not fit the stage changes nothing. */
+/** Returns the stage that follows an event; an event that does not apply changes nothing. */
 export function nextStage(stage: Stage, event: StageEvent, nowMs: number): Stage {
   switch (event.kind) {
     case 'owner-suspected':
-      return beginSuspecting(stage, event.reading, nowMs);
+      return startSuspecting(stage, event.reading, nowMs);
     case 'holder-read':
-      return afterReading(stage, event.reading, nowMs);
+      return recordHolderRead(stage, event.reading, nowMs);
     case 'owner-cleared':
-      return ended(stage, 'suspecting');
+      return leaveStage(stage, 'suspecting');
     case 'claim-began':
-      return beginClaiming(stage);
+      return startClaiming(stage);
     case 'claim-won':
       return { kind: 'adopting', ownership: event.ownership };
     case 'claim-lost':
-      return ended(stage, 'claiming');
+      return leaveStage(stage, 'claiming');
     case 'adopted':
       return stage.kind === 'adopting' ? { ...stage, kind: 'serving' } : stage;
     case 'superseded':
-      return owns(stage) ? WATCHING : stage;
+      return isOwnerStage(stage) ? WATCHING : stage;
     case 'damaged':
       return { kind: 'blocked', damage: event.damage };
     case 'repaired':
-      return ended(stage, 'blocked');
+      return leaveStage(stage, 'blocked');
   }
 }
--- a/packages/takeover/src/takeover-settings.ts
+++ b/packages/takeover/src/takeover-settings.ts
@@ -1,41 +1,44 @@
-/** The periods of a takeover, and the checks that they must pass. */
+/** Settings of a takeover, and their validation. */
 
-/** All in milliseconds but for the last. */
+/** Settings of one coordinator. Periods are in milliseconds. */
 export interface TakeoverSettings {
-  /** How often a member looks at its units beside the events of the membership, while something is amiss. */
-  readonly lookEveryMs: number;
-  /** The same while every unit is served and no owner is suspected. */
-  readonly calmLookEveryMs: number;
-  /** A record that was read longer ago is read again. */
-  readonly readEveryMs: number;
-  /** The second choice waits so much longer than the first before it claims, the third twice as long. */
-  readonly staggerMs: number;
-  /** An owner without a majority shows through the store that it lives, so often. */
-  readonly signEveryMs: number;
-  /** An owner that has shown life through the store within this time is not replaced, whatever the verdict. */
-  readonly signValidMs: number;
-  /** An owner of which nothing was ever heard is gone after this. */
-  readonly unknownOwnerMs: number;
-  /** Whether a failed verdict leads to a claim. If not, a member only prepares. */
+  /** How often units are polled, apart from events of the membership, while any unit is not served normally. */
+  readonly pollIntervalMs: number;
+  /** How often units are polled while every unit is served and no owner is suspected. */
+  readonly idlePollIntervalMs: number;
+  /** A reading older than this is renewed. */
+  readonly maxReadingAgeMs: number;
+  /** The second-ranked successor waits this long before it claims, the third twice as long. */
+  readonly claimStaggerMs: number;
+  /** How often an owner without contact to a majority writes a heartbeat to the store. */
+  readonly heartbeatIntervalMs: number;
+  /** An owner whose last heartbeat in the store is more recent is not replaced, whatever the verdict. */
+  readonly heartbeatTimeoutMs: number;
+  /** An owner that was never seen is considered gone after this. */
+  readonly unknownOwnerTimeoutMs: number;
+  /** Whether a failed verdict leads to a claim. If not, a successor only prepares. */
   readonly claimOnFailure: boolean;
 }
 
-export const DEFAULT_TAKEOVER: TakeoverSettings = {
-  lookEveryMs: 200,
-  calmLookEveryMs: 1000,
-  readEveryMs: 3000,
-  staggerMs: 300,
-  signEveryMs: 400,
-  signValidMs: 1200,
-  unknownOwnerMs: 5000,
+/** The default settings. */
+export const DEFAULT_TAKEOVER_SETTINGS: TakeoverSettings = {
+  pollIntervalMs: 200,
+  idlePollIntervalMs: 1000,
+  maxReadingAgeMs: 3000,
+  claimStaggerMs: 300,
+  heartbeatIntervalMs: 400,
+  heartbeatTimeoutMs: 1200,
+  unknownOwnerTimeoutMs: 5000,
   claimOnFailure: true,
 };
 
-/** Watched for so many of its periods, an owner has had time to show its life. */
-const OBSERVED_SIGNS = 2;
+/** An owner is watched for this many heartbeat intervals before it is considered silent. */
+const MIN_OBSERVED_HEARTBEATS = 2;
 
-/** A setting that cannot be used. The message names the field. */
+/** Thrown for an invalid setting. The message names the field. */
 export class TakeoverSettingsError extends Error {
+  readonly code = 'INVALID_SETTING';
+
   constructor(
     readonly field: string,
     problem: string,
@@ -45,18 +48,21 @@
   }
 }
 
-/** Throws `TakeoverSettingsError` for the first field that cannot be used. */
-export function checkTakeover(settings: TakeoverSettings): void {
+/** Validates settings. Throws `TakeoverSettingsError` for the first invalid field. */
+export function checkTakeoverSettings(settings: TakeoverSettings): void {
   for (const [field, value] of Object.entries(settings)) {
     if (typeof value === 'boolean') continue;
     if (!Number.isFinite(value) || value <= 0) throw new TakeoverSettingsError(field, 'not above 0');
   }
-  if (settings.signValidMs < OBSERVED_SIGNS * settings.signEveryMs) {
-    throw new TakeoverSettingsError('signValidMs', `below ${OBSERVED_SIGNS} times signEveryMs`);
+  if (settings.heartbeatTimeoutMs < MIN_OBSERVED_HEARTBEATS * settings.heartbeatIntervalMs) {
+    throw new TakeoverSettingsError(
+      'heartbeatTimeoutMs',
+      `below ${MIN_OBSERVED_HEARTBEATS} times heartbeatIntervalMs`,
+    );
   }
 }
 
-/** How long a suspected owner is watched at least before it is replaced. */
-export function observeMs({ signEveryMs }: TakeoverSettings): number {
-  return OBSERVED_SIGNS * signEveryMs;
+/** Returns the minimum time for which a suspected owner is watched before it is replaced. */
+export function minObservationMs({ heartbeatIntervalMs }: TakeoverSettings): number {
+  return MIN_OBSERVED_HEARTBEATS * heartbeatIntervalMs;
 }
--- a/packages/takeover/test/random-schedules.test.ts
+++ b/packages/takeover/test/random-schedules.test.ts
@@ -4,28 +4,28 @@
 import { describe, expect, it } from 'vitest';
 
 /**
- * Random schedules of failures against whole clusters on a virtual clock. The seed is fixed, so that CI sees the same
- * schedules every time; `SCHEDULE_RUNS` and `SCHEDULE_SEED` look for more.
+ * Random schedules of faults against whole clusters on a virtual clock. The seed is fixed, so that CI runs the same
+ * schedules every time; `SCHEDULE_RUNS` and `SCHEDULE_SEED` search for more.
  */
 const RUNS = Number(process.env['SCHEDULE_RUNS'] ?? 60);
 const SEED = Number(process.env['SCHEDULE_SEED'] ?? 20261202);
 
-/** After all troubles: views agree and every unit is owned within this time. */
-const SETTLED_MS = 12_000;
+/** After all faults have ended, views agree and every unit is owned within this time. */
+const SETTLE_MS = 12_000;
 
-/** What the commands need to know of the cluster. */
+/** The model that fast-check's commands work on. */
 interface Model {
   steps: number;
 }
 
 type ClusterCommand = fc.AsyncCommand<Model, SimulatedCluster>;
 
-/** One trouble, and some time in which it shows. */
-class Trouble implements ClusterCommand {
+/** One fault, and some time in which it takes effect. */
+class FaultCommand implements ClusterCommand {
   constructor(
     private readonly name: string,
     private readonly waitMs: number,
-    private readonly act: (cluster: SimulatedCluster) => void,
+    private readonly inject: (cluster: SimulatedCluster) => void,
   ) {}
 
   check(): boolean {
@@ -34,7 +34,7 @@
 
   async run(model: Model, cluster: SimulatedCluster): Promise<void> {
     model.steps++;
-    this.act(cluster);
+    this.inject(cluster);
     await cluster.run(this.waitMs);
   }
 
@@ -43,19 +43,23 @@
   }
 }
 
-function troubles(controllers: number): fc.Arbitrary<ClusterCommand>[] {
-  const member = fc.nat(controllers - 1).map((n) => `c${n}` as MemberId);
+function faultCommands(controllers: number): fc.Arbitrary<ClusterCommand>[] {
+  const member = fc.nat(controllers - 1).map((index) => `c${index}` as MemberId);
   const wait = fc.integer({ min: 0, max: 4000 });
   const onOne = (name: string, act: (cluster: SimulatedCluster, member: MemberId) => void) =>
-    fc.tuple(member, wait).map(([on, ms]) => new Trouble(`${name} ${on}`, ms, (cluster) => act(cluster, on)));
+    fc
+      .tuple(member, wait)
+      .map(([on, ms]) => new FaultCommand(`${name} ${on}`, ms, (cluster) => act(cluster, on)));
   const onPair = (name: string, act: (cluster: SimulatedCluster, a: MemberId, b: MemberId) => void) =>
     fc
       .tuple(member, member, wait)
-      .map(([a, b, ms]) => new Trouble(`${name} ${a} ${b}`, ms, (cluster) => act(cluster, a, b)));
+      .map(([a, b, ms]) => new FaultCommand(`${name} ${a} ${b}`, ms, (cluster) => act(cluster, a, b)));
   const onAll = (name: string, act: (cluster: SimulatedCluster, share: number) => void) =>
     fc
       .tuple(fc.integer({ min: 0, max: 4 }), wait)
-      .map(([tenths, ms]) => new Trouble(`${name} 0.${tenths}`, ms, (cluster) => act(cluster, tenths / 10)));
+      .map(
+        ([tenths, ms]) => new FaultCommand(`${name} 0.${tenths}`, ms, (cluster) => act(cluster, tenths / 10)),
+      );
   return [
     onOne('kill', (cluster, on) => cluster.kill(on)),
     onOne('start', (cluster, on) => cluster.start(on)),
@@ -90,7 +94,7 @@
   ];
 }
 
-/** Everything that must hold whatever happened, and what must have come to rest afterwards. */
+/** Expects the invariants to hold, and the cluster to have recovered. */
 function expectSettled(cluster: SimulatedCluster): void {
   expect(cluster.history.check()).toEqual([]);
   expect(cluster.unfoundedVerdicts).toEqual([]);
@@ -102,23 +106,27 @@
   }
 }
 
-async function play(controllers: number, seed: number, commands: Iterable<ClusterCommand>): Promise<void> {
+async function runSchedule(
+  controllers: number,
+  seed: number,
+  commands: Iterable<ClusterCommand>,
+): Promise<void> {
   const cluster = new SimulatedCluster({ controllers, units: 3, seed });
   cluster.startAll();
   await cluster.run(3000);
   await fc.asyncModelRun(() => ({ model: { steps: 0 }, real: cluster }), commands);
-  cluster.endTroubles();
-  await cluster.run(SETTLED_MS);
+  cluster.endFaults();
+  await cluster.run(SETTLE_MS);
   expectSettled(cluster);
 }
 
-describe('random schedules of failures', () => {
+describe('random schedules of faults', () => {
   it.each([3, 5, 9])(
-    '%i controllers: one owner a unit, no effect of a replaced one, views that agree',
+    'keep one owner a unit, refuse effects of replaced owners, and end in agreeing views (%i controllers)',
     async (controllers) => {
-      const commands = fc.commands(troubles(controllers), { maxCommands: 25 });
+      const commands = fc.commands(faultCommands(controllers), { maxCommands: 25 });
       const property = fc.asyncProperty(fc.nat(1_000_000), commands, (seed, chosen) =>
-        play(controllers, seed, chosen),
+        runSchedule(controllers, seed, chosen),
       );
       await fc.assert(property, { seed: SEED, numRuns: Math.max(3, Math.round(RUNS / controllers)) });
     },
@@ -126,8 +134,8 @@
   );
 });
 
-/** The owner stands still with effects on their way, and wakes after it was replaced. */
-async function ownerPausesAndWakes(defects: Defects): Promise<SimulatedCluster> {
+/** Pauses the owner with effects in flight, and resumes it after it was replaced. */
+async function pauseAndResumeOwner(defects: Defects): Promise<SimulatedCluster> {
   const cluster = new SimulatedCluster({ controllers: 5, units: 2, seed: 3, defects });
   cluster.startAll();
   await cluster.run(5000);
@@ -141,26 +149,28 @@
   return cluster;
 }
 
-// Each check is shown to notice what it is there for: a check that nothing can fail guards nothing.
-describe('deliberately broken variants are noticed', () => {
+// Each check must fail for the defect that it is there for.
+describe('deliberate defects are detected', () => {
   it('passes without a defect', async () => {
-    const cluster = await ownerPausesAndWakes({});
-    cluster.endTroubles();
-    await cluster.run(SETTLED_MS);
+    const cluster = await pauseAndResumeOwner({});
+    cluster.endFaults();
+    await cluster.run(SETTLE_MS);
     expectSettled(cluster);
     expect(cluster.history.refused).toBeGreaterThan(0);
   });
 
   it('no fencing: effects of a replaced owner are accepted', async () => {
-    const cluster = await ownerPausesAndWakes({ noFencing: true });
+    const cluster = await pauseAndResumeOwner({ noFencing: true });
     expect(cluster.history.check().length).toBeGreaterThan(0);
   });
 
   it('no refutation: a healthy member stays failed', async () => {
-    const cluster = await ownerPausesAndWakes({ noRefutation: true });
-    cluster.endTroubles();
-    await cluster.run(SETTLED_MS);
-    const states = cluster.members.flatMap((a) => cluster.members.map((b) => cluster.state(a, b)));
+    const cluster = await pauseAndResumeOwner({ noRefutation: true });
+    cluster.endFaults();
+    await cluster.run(SETTLE_MS);
+    const states = cluster.members.flatMap((observer) =>
+      cluster.members.map((subject) => cluster.state(observer, subject)),
+    );
     expect(states).toContain(MemberState.Failed);
   });
 
--- a/packages/takeover/test/takeover.test.ts
+++ b/packages/takeover/test/takeover.test.ts
@@ -8,18 +8,17 @@
 } from '@plumyoke/membership';
 import { SharedStore, SimulatedCluster, VirtualClock } from '@plumyoke/simulation';
 import {
-  checkTakeover,
+  checkTakeoverSettings,
   Confirmation,
-  DEFAULT_TAKEOVER,
+  DEFAULT_TAKEOVER_SETTINGS,
   EffectGate,
-  EpochFence,
   type FencingEpoch,
   type Owner,
-  OwnershipRegistry,
   type OwnershipReading,
   type TakeoverSettings,
   type UnitId,
 } from '@plumyoke/takeover';
+import { EpochFence, OwnershipRegistry } from '@plumyoke/takeover/reference';
 import { describe, expect, it } from 'vitest';
 
 const UNIT = 'unit-0' as UnitId;
@@ -28,7 +27,8 @@
   process: process as ProcessId,
 });
 
-interface Registry {
+/** Registries of several members on one simulated store. */
+interface RegistryFixture {
   readonly clock: VirtualClock;
   readonly store: SharedStore;
   readonly registry: (name: string) => OwnershipRegistry;
@@ -36,7 +36,7 @@
   readonly get: <T>(promise: Promise<T>) => Promise<T>;
 }
 
-function registries(): Registry {
+function createFixture(): RegistryFixture {
   const clock = new VirtualClock();
   const store = new SharedStore(clock, () => 0.5);
   return {
@@ -55,9 +55,9 @@
   return reading;
 }
 
-describe('ownership in a store', () => {
-  it('goes to one of two that claim at the same moment', async () => {
-    const { registry, get } = registries();
+describe('OwnershipRegistry', () => {
+  it('grants one of two claims that are made at the same time', async () => {
+    const { registry, get } = createFixture();
     const a = registry('a');
     const found = claimable(await get(a.read(UNIT)));
     const claims = [a.claim(UNIT, owner('a'), found), registry('b').claim(UNIT, owner('b'), found)];
@@ -67,13 +67,13 @@
     expect(reading.epoch).toBe(1);
   });
 
-  it('refuses every write of an owner whose successor has claimed, and tells the owner so', async () => {
-    const { registry, get } = registries();
+  it('refuses every write of an owner whose successor has claimed, and reports it to the owner', async () => {
+    const { registry, get } = createFixture();
     const a = registry('a');
     const first = await get(a.claim(UNIT, owner('a'), claimable(await get(a.read(UNIT)))));
     if (first.kind !== 'won') throw new Error('not won');
     expect(await get(a.confirm(first.ownership))).toBe(Confirmation.Held);
-    await get(a.showLife(first.ownership));
+    await get(a.writeHeartbeat(first.ownership));
     expect(await get(a.confirm(first.ownership))).toBe(Confirmation.Held);
     const b = registry('b');
     const second = await get(b.claim(UNIT, owner('b'), claimable(await get(b.read(UNIT)))));
@@ -82,14 +82,14 @@
       committed: false,
     });
     // A sign of life or a release of the former owner must not touch its successor's record.
-    await get(a.showLife(first.ownership));
+    await get(a.writeHeartbeat(first.ownership));
     await get(a.release(first.ownership, null));
     expect(claimable(await get(b.read(UNIT)))).toMatchObject({ kind: 'owned', owner: owner('b'), epoch: 2 });
     expect(await get(a.confirm(first.ownership))).toBe(Confirmation.Superseded);
   });
 
-  it('is uncertain after a claim without an answer, and settled by reading again', async () => {
-    const { registry, get, store, clock } = registries();
+  it('reports an unanswered claim as uncertain, and reading again settles it', async () => {
+    const { registry, get, store, clock } = createFixture();
     const a = registry('a');
     const found = claimable(await get(a.read(UNIT)));
     store.lateShare = 1;
@@ -99,8 +99,8 @@
     expect(claimable(await get(a.read(UNIT)))).toMatchObject({ kind: 'owned', owner: owner('a') });
   });
 
-  it('cannot be read or claimed while the store refuses, and says so without throwing', async () => {
-    const { registry, get, store } = registries();
+  it('reports a store outage without throwing', async () => {
+    const { registry, get, store } = createFixture();
     const a = registry('a');
     const found = claimable(await get(a.read(UNIT)));
     store.outage = true;
@@ -118,7 +118,7 @@
     ],
     ['epoch', { format: 1, epoch: -1 }, 'field epoch cannot be read'],
   ])('names a damaged %s record', async (key, value, problem) => {
-    const { registry, get, store } = registries();
+    const { registry, get, store } = createFixture();
     store.damage(`ownership/${UNIT}/${key}`, value);
     expect(await get(registry('a').read(UNIT))).toEqual({
       kind: 'damaged',
@@ -128,10 +128,10 @@
   });
 });
 
-describe('a fence', () => {
+describe('EpochFence', () => {
   it('admits equal and higher epochs of each unit, and no lower one', () => {
     const fence = new EpochFence();
-    const epoch = (n: number): FencingEpoch => n as FencingEpoch;
+    const epoch = (value: number): FencingEpoch => value as FencingEpoch;
     expect(fence.admit(UNIT, epoch(3))).toBe(true);
     expect(fence.admit(UNIT, epoch(3))).toBe(true);
     expect(fence.admit(UNIT, epoch(2))).toBe(false);
@@ -140,7 +140,7 @@
   });
 });
 
-describe('the gate before effects', () => {
+describe('EffectGate', () => {
   it('is closed by a pause at its first use, before any timer has run', async () => {
     const clock = new VirtualClock();
     let skippedMs = 0;
@@ -163,7 +163,7 @@
     skippedMs = 3000;
     expect(gate.open).toBe(false);
     expect(pauses).toHaveLength(1);
-    // What was asked before the pause confirms nothing after it.
+    // A confirmation that was requested before the pause is void after it.
     gate.reopen(before);
     expect(gate.open).toBe(false);
     gate.reopen(gate.generation);
@@ -171,13 +171,13 @@
   });
 });
 
-describe('takeover settings', () => {
+describe('checkTakeoverSettings', () => {
   it.each<[string, Partial<TakeoverSettings>]>([
-    ['staggerMs: not above 0', { staggerMs: -1 }],
-    ['lookEveryMs: not above 0', { lookEveryMs: Number.NaN }],
-    ['signValidMs: below 2 times signEveryMs', { signValidMs: 500 }],
+    ['claimStaggerMs: not above 0', { claimStaggerMs: -1 }],
+    ['pollIntervalMs: not above 0', { pollIntervalMs: Number.NaN }],
+    ['heartbeatTimeoutMs: below 2 times heartbeatIntervalMs', { heartbeatTimeoutMs: 500 }],
   ])('%s', (message, change) => {
-    expect(() => checkTakeover({ ...DEFAULT_TAKEOVER, ...change })).toThrow(message);
+    expect(() => checkTakeoverSettings({ ...DEFAULT_TAKEOVER_SETTINGS, ...change })).toThrow(message);
   });
 });
 
@@ -202,7 +202,7 @@
 }
 
 describe('a takeover', () => {
-  it('follows the death of the owner, by one survivor, which has read ahead', async () => {
+  it('is carried out by one survivor after the owner has died', async () => {
     const simulated = await cluster(5, 4);
     const former = soleOwner(simulated);
     const epoch = simulated.history.lastEpoch(UNIT);
@@ -215,7 +215,7 @@
     expect(simulated.history.lastEpoch(UNIT)).toBe((epoch ?? 0) + 1);
   });
 
-  it('is not begun by a suspicion that is refuted', async () => {
+  it('is not started by a suspicion that is refuted', async () => {
     const simulated = await cluster();
     const owner = soleOwner(simulated);
     simulated.pause(owner);
@@ -229,7 +229,7 @@
     expect(simulated.history.lastEpoch(UNIT)).toBe(1);
   });
 
-  it('a frozen owner finds out before its first effect, stops, and follows', async () => {
+  it('is detected by a paused owner before its next effect', async () => {
     const simulated = await cluster();
     const former = soleOwner(simulated);
     simulated.pause(former);
@@ -239,18 +239,18 @@
     await simulated.run(3000);
     expect(soleOwner(simulated)).not.toBe(former);
     expect(simulated.stageOf(former, UNIT)).toBe('watching');
-    // Effects that it had sent before it froze may still arrive, and are refused; it has sent no new one.
+    // Effects that it had sent before the pause may still arrive, and are refused; it must not send new ones.
     expect(simulated.history.refused).toBe(refused);
-    const told = simulated.warnings.filter((line) =>
+    const replacedWarnings = simulated.warnings.filter((line) =>
       line.startsWith(`${former}: another controller took over`),
     );
-    expect(told).toHaveLength(1);
-    expect(told[0]).toMatch(
+    expect(replacedWarnings).toHaveLength(1);
+    expect(replacedWarnings[0]).toMatch(
       /while this process stood still for \d\.\d s; this one stopped before its next action/,
     );
   });
 
-  it('leaves the owner alone that is cut off from its peers and reaches the store', async () => {
+  it('spares an owner that is cut off from its peers but reaches the store', async () => {
     const simulated = await cluster();
     const owner = soleOwner(simulated);
     cutFromPeers(simulated, owner);
@@ -258,18 +258,18 @@
     expect(soleOwner(simulated)).toBe(owner);
     const other = simulated.members.find((member) => member !== owner) as MemberId;
     expect(simulated.state(other, owner)).toBe(MemberState.Failed);
-    // Refused by the store as well, it can show no life any more.
+    // Once the store refuses it as well, it cannot write heartbeats any more.
     simulated.store.refused.add(owner);
     await simulated.run(5000);
     expect(simulated.ownersOf(UNIT).filter((member) => member !== owner)).toHaveLength(1);
   });
 
-  it('is finished by another survivor when the first one dies in it', async () => {
-    for (const diesAfterMs of [1200, 1900, 2000, 2050, 2100, 2200, 2400]) {
-      const simulated = await cluster(5, 1, diesAfterMs);
+  it('is completed by another survivor when the first one dies during it', async () => {
+    for (const deathAfterMs of [1200, 1900, 2000, 2050, 2100, 2200, 2400]) {
+      const simulated = await cluster(5, 1, deathAfterMs);
       const former = soleOwner(simulated);
       simulated.kill(former);
-      await simulated.run(diesAfterMs);
+      await simulated.run(deathAfterMs);
       const successor = simulated.members.find((member) =>
         ['suspecting', 'claiming', 'adopting', 'serving'].includes(simulated.stageOf(member, UNIT)),
       );
@@ -280,7 +280,7 @@
     }
   });
 
-  it('waits for the store, and for one that refuses the first survivor alone the next one claims', async () => {
+  it('waits for the store, and passes to the next survivor when the store refuses the first', async () => {
     const simulated = await cluster();
     const former = soleOwner(simulated);
     simulated.store.outage = true;
@@ -312,7 +312,7 @@
     expect(states).not.toContain(MemberState.Suspect);
   });
 
-  it('takes units whose owner nobody has heard of since all were started', async () => {
+  it('takes units whose owner was not seen since all members restarted', async () => {
     const simulated = await cluster();
     const former = soleOwner(simulated);
     for (const member of simulated.members) simulated.kill(member);
@@ -321,7 +321,7 @@
     expect(soleOwner(simulated)).not.toBe(former);
   });
 
-  it('leaves a unit with a damaged record alone, says which key and what to do, and goes on once it is mended', async () => {
+  it('is blocked by a damaged record, names the key and the remedy, and continues once it is repaired', async () => {
     const simulated = await cluster();
     const former = soleOwner(simulated);
     simulated.store.damage(`ownership/${UNIT}/holder`, 'scribble');
