--- a/src/leadership/failover/failover.ts
+++ b/src/leadership/failover/failover.ts
@@ -11,7 +11,12 @@
   type MemberView,
   type Transport,
 } from '@plumyoke/membership';
-import { DEFAULT_TAKEOVER, EffectGate, rankSuccessors, TakeoverCoordinator } from '@plumyoke/takeover';
+import {
+  DEFAULT_TAKEOVER_SETTINGS,
+  EffectGate,
+  rankSuccessors,
+  TakeoverCoordinator,
+} from '@plumyoke/takeover';
 import type { FailoverFeature } from '../../config/features.js';
 import { MEMBERSHIP_VERSION } from '../../model/protocol.js';
 import type { MemberLine } from '../../wire/members.js';
@@ -72,8 +77,8 @@
       mayReplaceEarly: () => feature.earlyTakeover && environment.allHaveSpoken(MEMBERSHIP_VERSION),
     });
     const settings = {
-      ...DEFAULT_TAKEOVER,
-      readEveryMs: READ_EVERY_MS,
+      ...DEFAULT_TAKEOVER_SETTINGS,
+      maxReadingAgeMs: READ_EVERY_MS,
       claimOnFailure: feature.earlyTakeover,
     };
     this.coordinator = new TakeoverCoordinator<void>(
@@ -125,7 +130,7 @@
   }
 
   leadershipEnded(): void {
-    this.coordinator.relinquished(CLUSTER);
+    this.coordinator.markRelinquished(CLUSTER);
   }
 
   /** By its place among the possible successors; one that has prepared does not wait. */
--- a/src/leadership/failover/leader-claims.ts
+++ b/src/leadership/failover/leader-claims.ts
@@ -151,7 +151,7 @@
     }
   }
 
-  async showLife(): Promise<void> {
+  async writeHeartbeat(): Promise<void> {
     try {
       await this.environment.election.refreshLeaderRecord();
     } catch (error) {
