--- a/src/leader/heartbeat-handler.ts
+++ b/src/leader/heartbeat-handler.ts
@@ -167,7 +167,7 @@
     worker.learnIncarnation(heartbeat, now);
     if (!worker.hasReported) this.parts.dispatcher.dispatch(worker);
     // Even a late copy's answer may reach a worker that waits for one: its lease counts from here.
-    worker.lastAnsweredAt = now;
+    worker.lease.recordAnswer(now);
     return false;
   }
 
@@ -220,9 +220,8 @@
    */
   private failed(worker: Worker, job: TaskJob, now: MonotonicTime): void {
     job.failures.record(worker.id, now);
-    if (job.failures.machineCount <= 1 || worker.failedJobs.size > 0) {
+    if (job.failures.machineCount <= 1 || worker.failures > 0) {
       worker.failures++;
-      worker.failedJobs.add(job.spec.id);
     }
   }
 }
