--- a/test/unit/forecast.test.ts
+++ b/test/unit/forecast.test.ts
@@ -5,17 +5,17 @@
 import { Lifetimes } from '../../src/forecast/lifetimes.js';
 import { autoregression, movingAverage } from '../../src/forecast/predictors.js';
 
-const cost = { beta: 0.5, hitWaitS: 10, missWaitS: 1200, idleCostS: 500 };
+const COST = { beta: 0.5, hitWaitS: 10, missWaitS: 1200, idleCostS: 500 };
 
-describe('the Cloud Prediction Cost, with the paper’s own figures', () => {
+describe('predictionCost, with the paper’s own figures', () => {
   it('charges waste when the forecast was too high', () => {
     // P = min(2, 5)·10 = 20, R = 3·500 = 1500, half of each
-    expect(predictionCost(cost, 2, 5)).toBe(760);
+    expect(predictionCost(COST, 2, 5)).toBe(760);
   });
 
   it('charges the wait when the forecast was too low', () => {
     // P = 2·10 + 3·1200 = 3620, R = 0
-    expect(predictionCost(cost, 5, 2)).toBe(1810);
+    expect(predictionCost(COST, 5, 2)).toBe(1810);
   });
 });
 
@@ -26,7 +26,7 @@
   });
 
   it('regress on an alternating series', () => {
-    const series = Array.from({ length: 24 }, (_, i) => (i % 2 === 0 ? 4 : 0));
+    const series = Array.from({ length: 24 }, (_, index) => (index % 2 === 0 ? 4 : 0));
     const next = autoregression(7).predict(series);
     expect(next).toBeGreaterThan(3);
     expect(next).toBeLessThan(4.5);
@@ -37,57 +37,57 @@
   });
 });
 
-describe('the ensemble', () => {
+describe('Ensemble', () => {
   const low = { name: 'low', predict: () => 0 };
   const right = { name: 'right', predict: () => 4 };
 
   it('begins with equal weights and moves them to the cheaper predictor', () => {
-    const e = new Ensemble([low, right], cost);
-    e.observe(4);
-    expect(e.forecast()).toBe(2);
+    const ensemble = new Ensemble([low, right], COST);
+    ensemble.observe(4);
+    expect(ensemble.forecast()).toBe(2);
     // inverse costs: low 1/(0.5·4·1200) = 1/2400, right 1/(0.5·4·10) = 1/20; half the old weight stays
-    e.observe(4);
-    expect(e.weight('right')).toBeCloseTo(0.5 * 0.5 + 0.5 * (2400 / 2420), 3);
+    ensemble.observe(4);
+    expect(ensemble.weight('right')).toBeCloseTo(0.5 * 0.5 + 0.5 * (2400 / 2420), 3);
   });
 
   // Guards against refused rentals teaching the ensemble to over-predict after a stockout.
   it('does not score a slot that a stockout spoiled', () => {
-    const e = new Ensemble([low, right], cost);
-    e.observe(4);
-    e.observe(4, false);
-    expect(e.weight('right')).toBe(0.5);
+    const ensemble = new Ensemble([low, right], COST);
+    ensemble.observe(4);
+    ensemble.observe(4, false);
+    expect(ensemble.weight('right')).toBe(0.5);
   });
 
-  it('comes back from its record', () => {
-    const e = new Ensemble([low, right], cost);
-    for (const v of [4, 4, 3]) e.observe(v);
-    const again = new Ensemble([low, right], cost);
-    again.restore(JSON.parse(JSON.stringify(e.record())));
-    expect(again.forecast()).toBe(e.forecast());
+  it('is restored from its record', () => {
+    const ensemble = new Ensemble([low, right], COST);
+    for (const demand of [4, 4, 3]) ensemble.observe(demand);
+    const restored = new Ensemble([low, right], COST);
+    restored.restore(JSON.parse(JSON.stringify(ensemble.record())));
+    expect(restored.forecast()).toBe(ensemble.forecast());
   });
 });
 
-describe('expected frees', () => {
-  it('are conditional on the age that was reached', () => {
-    const f = new Lifetimes();
-    for (const s of [10, 10, 10, 10, 10, 30, 30, 30, 30, 30]) f.recordRun('scan', s * 1000);
-    expect(f.endProbability('scan', 0, 15_000, 0)).toBeCloseTo(0.5, 1);
-    expect(f.endProbability('scan', 20_000, 15_000, 0)).toBe(1);
-    expect(f.endProbability('scan', 12_000, 5_000, 0)).toBeCloseTo(0, 1);
+describe('Lifetimes.endProbability', () => {
+  it('is conditional on the age that was reached', () => {
+    const lifetimes = new Lifetimes();
+    for (const runS of [10, 10, 10, 10, 10, 30, 30, 30, 30, 30]) lifetimes.recordRun('scan', runS * 1000);
+    expect(lifetimes.endProbability('scan', 0, 15_000, 0)).toBeCloseTo(0.5, 1);
+    expect(lifetimes.endProbability('scan', 20_000, 15_000, 0)).toBe(1);
+    expect(lifetimes.endProbability('scan', 12_000, 5_000, 0)).toBeCloseTo(0, 1);
   });
 
-  it('use the owner’s estimate before anything was seen', () => {
+  it('uses the owner’s estimate before any run was recorded', () => {
     expect(new Lifetimes().endProbability('new', 0, 30_000, 30_000)).toBeCloseTo(0.5);
   });
 });
 
-describe('arrivals', () => {
-  it('that cease are believed within a slot, few of them never', () => {
-    const at = (s: number): MonotonicTime => (s * 1000) as MonotonicTime;
+describe('Arrivals.confirmedShare', () => {
+  it('falls within a slot after arrivals cease, but never for few of them', () => {
+    const at = (timeS: number): MonotonicTime => (timeS * 1000) as MonotonicTime;
     const many = new Arrivals();
     const few = new Arrivals();
-    for (let s = 0; s < 90; s += 3) many.recordArrival(at(s));
-    for (let s = 0; s < 90; s += 15) few.recordArrival(at(s));
+    for (let timeS = 0; timeS < 90; timeS += 3) many.recordArrival(at(timeS));
+    for (let timeS = 0; timeS < 90; timeS += 15) few.recordArrival(at(timeS));
     for (let slot = 0; slot < 3; slot++) {
       many.endSlot();
       few.endSlot();
--- a/test/unit/placement.test.ts
+++ b/test/unit/placement.test.ts
@@ -25,12 +25,11 @@
   Victim,
 } from '../../src/scheduler/snapshot.js';
 import type { TeamUsage } from '../../src/scheduler/team-usage.js';
-import { plainPlace, structuredCloneOf } from './reference-placement.js';
-import { SloTargets } from '../../src/scheduler/slo-targets.js';
+import { copySnapshot, referencePlacement } from './reference-placement.js';
 import { isStarving } from '../../src/scheduler/starvation.js';
 import { TYPES } from '../simulation/site-setup.js';
 
-const spec = (over: Partial<JobSpec>): JobSpec => ({
+const spec = (overrides: Partial<JobSpec>): JobSpec => ({
   id: 'j-000001' as JobId,
   jobClass: 'batch',
   team: 'red' as TeamId,
@@ -54,25 +53,25 @@
   dependencies: [],
   dependencyRecordCount: 0,
   descriptionRecordCount: 0,
-  ...over,
+  ...overrides,
 });
 
-const job = (over: Partial<JobSpec>, more: Partial<JobView> = {}): JobView => ({
-  spec: spec(over),
+const job = (specOverrides: Partial<JobSpec>, overrides: Partial<JobView> = {}): JobView => ({
+  spec: spec(specOverrides),
   readyAt: 0 as WallTime,
   waitedMs: 10_000,
-  waitingCount: over.taskCount ?? 1,
+  waitingCount: specOverrides.taskCount ?? 1,
   zones: new Map(),
   avoidedMachines: new Set(),
   isHeldBack: false,
   slackMs: 10_000,
   isStarving: false,
-  ...more,
+  ...overrides,
 });
 
-type MachineWith = MachineView & { victims: Victim[] };
+type MachineWithVictims = MachineView & { victims: Victim[] };
 
-const machine = (id: string, over: Partial<MachineWith> = {}): MachineWith => ({
+const machine = (id: string, overrides: Partial<MachineWithVictims> = {}): MachineWithVictims => ({
   id: id as MachineId,
   type: 'small' as MachineTypeId,
   zone: 'north' as ZoneId,
@@ -82,10 +81,10 @@
   images: new Set(),
   victims: [],
   isReachable: true,
-  ...over,
+  ...overrides,
 });
 
-const victim = (task: string, over: Partial<Victim> = {}): Victim => ({
+const victim = (task: string, overrides: Partial<Victim> = {}): Victim => ({
   task: task as TaskId,
   job: 'j-000009' as JobId,
   team: 'blue' as TeamId,
@@ -94,7 +93,7 @@
   gpus: 0,
   memoryGb: 4,
   lostMs: 1000,
-  ...over,
+  ...overrides,
 });
 
 const team = (id: string, cpus: number, cpusMax: number | null): [TeamId, Team] => [
@@ -104,38 +103,39 @@
 const TEAMS = new Map([team('red', 4, 8), team('blue', 4, null)]);
 function snapshot(
   jobs: JobView[],
-  machines: MachineWith[],
+  machines: MachineWithVictims[],
   teams: Map<TeamId, Team>,
-  use: Map<TeamId, TeamUsage>,
+  teamUsage: Map<TeamId, TeamUsage>,
 ): PlacementSnapshot {
-  const victims = new Map(machines.map((m) => [m.id, m.victims]));
+  const victimsByMachine = new Map(machines.map(({ id, victims }) => [id, victims]));
   return {
     jobs,
     machines,
     teams,
-    teamUsage: use,
+    teamUsage,
     guaranteed: guaranteedJobs(jobs, teams),
-    victimsOf: (id) => [...(victims.get(id) ?? [])],
+    victimsOf: (id) => [...(victimsByMachine.get(id) ?? [])],
   };
 }
 
 const place = (...args: Parameters<typeof snapshot>): PlacementPlan => placeSnapshot(snapshot(...args));
 
+/** The free capacity of a full machine. */
 const FULL = { cpus: 0, gpus: 0, memoryGb: 0 };
 
-describe('placement', () => {
-  it('never goes over a team’s limit, whatever is free', () => {
+describe('place', () => {
+  it('never exceeds a team’s quota limit, whatever is free', () => {
     const plan = place([job({ taskCount: 9 })], [machine('a'), machine('b')], TEAMS, new Map());
     expect(plan.starts).toHaveLength(4);
   });
 
-  it('keeps other work off spot machines', () => {
+  it('keeps jobs that don’t allow spot off spot machines', () => {
     const plan = place([job({ allowsSpot: false })], [machine('a', { spot: true })], TEAMS, new Map());
     expect(plan.starts).toEqual([]);
     expect(plan.unmet).toHaveLength(1);
   });
 
-  it('stops lower work for a replica where its image is, the least loss first', () => {
+  it('preempts lower priorities for a replica where its image is, the least loss first', () => {
     const warm = machine('warm', {
       free: { ...FULL },
       images: new Set(['img' as ImageId]),
@@ -147,7 +147,7 @@
     expect(plan.preemptions).toEqual([{ machine: 'warm', task: 'j-000009/0', preemptor: 'j-000001' }]);
   });
 
-  it('gives a team its guarantee from what others run beyond theirs, and nobody else’s', () => {
+  it('gives a team its guaranteed quota from what others run beyond theirs, and no more', () => {
     const full = machine('a', { free: { ...FULL }, victims: [victim('j-000009/0')] });
     const within = place([job({ taskCount: 2 })], [full], TEAMS, new Map());
     expect(within.preemptions).toHaveLength(1);
@@ -156,38 +156,39 @@
     expect(beyond.preemptions).toEqual([]);
   });
 
-  it('lets a guaranteed job wait for a moment before it stops anybody', () => {
+  it('lets a guaranteed job wait for a moment before it preempts others', () => {
     const full = machine('a', { free: { ...FULL }, victims: [victim('j-000009/0')] });
     expect(place([job({ taskCount: 2 }, { waitedMs: 900 })], [full], TEAMS, new Map()).preemptions).toEqual(
       [],
     );
   });
 
-  it('stops urgent work last: what waits for it waits as well', () => {
-    const machineWith = (id: string, lostMs: number, priority: Priority): MachineWith =>
+  it('preempts urgent work last: what depends on it waits as well', () => {
+    const machineWith = (id: string, lostMs: number, priority: Priority): MachineWithVictims =>
       machine(id, { free: { ...FULL }, victims: [victim(`j-00000${id}/0`, { lostMs, priority })] });
     const machines = [machineWith('7', 2000, Priority.High), machineWith('8', 20_000, Priority.Normal)];
     const replica = job({ kind: 'service', priority: Priority.Production, allowsSpot: false });
     const plan = place([replica], machines, TEAMS, new Map());
-    expect(plan.preemptions.map((stop) => stop.machine)).toEqual(['8']);
+    expect(plan.preemptions.map((preemption) => preemption.machine)).toEqual(['8']);
   });
 
-  it('starts nothing of a job whose tasks are in unknown places', () => {
+  it('starts nothing of a job that is held back', () => {
     const plan = place([job({ zoneAffinity: true }, { isHeldBack: true })], [machine('a')], TEAMS, new Map());
     expect(plan.starts).toEqual([]);
   });
 });
 
-describe('placement at size', () => {
+describe('place at size', () => {
   const generator = xoroshiro128plus(11);
-  const draw = (n: number): number => uniformInt(generator, 0, n - 1);
+  /** A number from 0 up to but not including the bound. */
+  const draw = (bound: number): number => uniformInt(generator, 0, bound - 1);
 
   /** A drawn cluster: machines part full, jobs of all kinds, teams near their limits. */
-  function drawn(): PlacementSnapshot {
-    const machines = Array.from({ length: 30 }, (_, i) => {
+  function drawSnapshot(): PlacementSnapshot {
+    const machines = Array.from({ length: 30 }, (_machine, index) => {
       const cpus = draw(3) === 0 ? 64 : 8;
-      const victims = Array.from({ length: draw(4) }, (_v, k) =>
-        victim(`j-000009/${i * 10 + k}`, {
+      const victims = Array.from({ length: draw(4) }, (_victim, number) =>
+        victim(`j-000009/${index * 10 + number}`, {
           lostMs: draw(60_000),
           cpus: 2,
           priority: draw(3) as Priority,
@@ -195,7 +196,7 @@
           team: (draw(2) ? 'red' : 'blue') as TeamId,
         }),
       ).sort((a, b) => a.priority - b.priority || a.lostMs - b.lostMs);
-      return machine(`host-${String(draw(900_000)).padStart(6, '0')}-${i}`, {
+      return machine(`host-${String(draw(900_000)).padStart(6, '0')}-${index}`, {
         cpus,
         zone: (draw(2) ? 'north' : 'south') as ZoneId,
         spot: draw(2) === 0,
@@ -205,17 +206,17 @@
         victims,
       });
     });
-    const jobs = Array.from({ length: 12 }, (_, i) => {
-      const production = draw(4) === 0;
-      const tasks = 1 + draw(9);
+    const jobs = Array.from({ length: 12 }, (_job, index) => {
+      const isProduction = draw(4) === 0;
+      const taskCount = 1 + draw(9);
       return job(
         {
-          id: `j-${String(i).padStart(6, '0')}` as JobId,
+          id: `j-${String(index).padStart(6, '0')}` as JobId,
           team: (draw(2) ? 'red' : 'blue') as TeamId,
-          priority: production ? Priority.Production : draw(2),
-          kind: production ? 'service' : 'array',
-          allowsSpot: !production,
-          taskCount: tasks,
+          priority: isProduction ? Priority.Production : draw(2),
+          kind: isProduction ? 'service' : 'array',
+          allowsSpot: !isProduction,
+          taskCount,
           cpus: 1 + draw(4),
           memoryGb: 1 + draw(6),
           image: `img-${draw(3)}` as ImageId,
@@ -225,7 +226,7 @@
         {
           readyAt: draw(1000) as WallTime,
           waitedMs: draw(3000),
-          waitingCount: 1 + draw(tasks),
+          waitingCount: 1 + draw(taskCount),
           slackMs: draw(3) ? draw(90_000) : null,
         },
       );
@@ -234,46 +235,51 @@
     return snapshot(jobs, machines, teams, new Map([['red' as TeamId, { cpus: draw(20), gpus: 0 }]]));
   }
 
-  it('decides what plain first-fit over the whole list decides', () => {
+  it('decides the same as the reference without indices', () => {
     let starts = 0;
-    let stops = 0;
-    for (let i = 0; i < 300; i++) {
-      const now = drawn();
-      const plain = plainPlace(structuredCloneOf(now));
-      const plan = placeSnapshot(now);
-      expect(plan.starts).toEqual(plain.starts);
-      expect(plan.preemptions).toEqual(plain.preemptions);
+    let preemptions = 0;
+    for (let round = 0; round < 300; round++) {
+      const drawn = drawSnapshot();
+      const reference = referencePlacement(copySnapshot(drawn));
+      const plan = placeSnapshot(drawn);
+      expect(plan.starts).toEqual(reference.starts);
+      expect(plan.preemptions).toEqual(reference.preemptions);
       starts += plan.starts.length;
-      stops += plan.preemptions.length;
+      preemptions += plan.preemptions.length;
     }
-    // Otherwise the draws would show nothing.
+    // With fewer the draws would prove nothing.
     expect(starts).toBeGreaterThan(3000);
-    expect(stops).toBeGreaterThan(100);
+    expect(preemptions).toBeGreaterThan(100);
   });
 
-  it('looks at a full machine once, however many jobs wait', () => {
-    let looks = 0;
-    const machines = Array.from({ length: 1500 }, (_, i) => {
-      const m = machine(`host-${i}`, { free: { ...FULL } });
-      return new Proxy(m, {
+  it('reads a full machine’s capacity once per index, however many jobs wait', () => {
+    let reads = 0;
+    const machines = Array.from({ length: 1500 }, (_, index) => {
+      const fullMachine = machine(`host-${index}`, { free: { ...FULL } });
+      return new Proxy(fullMachine, {
         get(target, field) {
-          if (field === 'free') looks++;
+          if (field === 'free') reads++;
           return Reflect.get(target, field) as unknown;
         },
       });
     });
-    const jobs = Array.from({ length: 200 }, (_, i) => job({ id: `j-${i}` as JobId, taskCount: 50 }));
+    const jobs = Array.from({ length: 200 }, (_, index) => job({ id: `j-${index}` as JobId, taskCount: 50 }));
     const plan = place(jobs, machines, new Map([team('red', 0, null)]), new Map());
     expect(plan.unmet).toHaveLength(200);
-    // one look for each of the two orders
-    expect(looks).toBeLessThanOrEqual(2 * machines.length);
+    // One read for each of the two orders.
+    expect(reads).toBeLessThanOrEqual(2 * machines.length);
   });
 
-  it('lets a job begin that has waited unserved, with a part of its tasks', () => {
-    const late = job({ id: 'j-000002' as JobId, taskCount: 8 }, { slackMs: null, isStarving: true });
+  it('lets a starving job go first, with a part of its tasks', () => {
+    const starving = job({ id: 'j-000002' as JobId, taskCount: 8 }, { slackMs: null, isStarving: true });
     const urgent = job({ id: 'j-000001' as JobId, taskCount: 8, priority: Priority.High }, { slackMs: 1 });
-    const plan = place([urgent, late], [machine('a')], new Map([team('red', 0, null)]), new Map());
-    expect(plan.starts.map((s) => s.job)).toEqual(['j-000002', 'j-000002', 'j-000001', 'j-000001']);
+    const plan = place([urgent, starving], [machine('a')], new Map([team('red', 0, null)]), new Map());
+    expect(plan.starts.map((start) => start.job)).toEqual(['j-000002', 'j-000002', 'j-000001', 'j-000001']);
+  });
+});
+
+describe('isStarving', () => {
+  it('holds once a job without placed tasks has waited for two minutes', () => {
     expect(
       isStarving({ spec: spec({}), lastPlacedAt: null, assignedCount: 0 }, 119_000, 0 as MonotonicTime),
     ).toBe(false);
@@ -286,29 +292,6 @@
   });
 });
 
-describe('targets', () => {
-  const urgency = new SloTargets([
-    { kind: 'finished', jobClass: 'batch', target: 60_000 as never, share: 0.9 },
-    { kind: 'finished', jobClass: 'batch', target: 120_000 as never, share: 0.95 },
-    { kind: 'wait', jobClass: 'batch', target: 50_000 as never, share: 0.99 },
-  ]);
-
-  it('give way to the next one when they cannot be met any more', () => {
-    // 60 s − 30 s · 1.25 − 4 s for the image
-    expect(urgency.nextTarget(spec({}), 0, 30_000)?.slackMs).toBe(18_500);
-    expect(urgency.nextTarget(spec({}), 20_000, 30_000)?.slackMs).toBe(58_500);
-    expect(urgency.nextTarget(spec({}), 100_000, 30_000)).toBeNull();
-  });
-
-  it('for the start count as well, until they too are lost', () => {
-    expect(urgency.slackMs(spec({}), 0, 30_000)).toBe(18_500);
-    // The end at 120 s alone would let it wait for 58.5 s more, until 78.5 s after its submission.
-    expect(urgency.slackMs(spec({}), 20_000, 30_000)).toBe(26_000);
-    expect(urgency.slackMs(spec({}), 47_000, 30_000)).toBe(31_500);
-    expect(urgency.slackMs(spec({}), 100_000, 30_000)).toBeNull();
-  });
-});
-
 describe('scaling out', () => {
   const pools = [
     { type: TYPES[0] as (typeof TYPES)[0], zone: 'north' as ZoneId, spot: true },
@@ -336,6 +319,6 @@
     // 600 CPU-seconds on 0.8 · 10 CPUs last 75 s
     expect(overdueDemand(queue(60_000), 10, 0)).toEqual([]);
     // in 20 s + 30 s they take 12 CPUs: 4 are missing, 2 tasks' worth
-    expect(overdueDemand(queue(20_000), 10, 0).map((n) => n.tasks)).toEqual([2]);
+    expect(overdueDemand(queue(20_000), 10, 0).map(({ tasks }) => tasks)).toEqual([2]);
   });
 });
--- a/test/unit/reference-placement.ts
+++ b/test/unit/reference-placement.ts
@@ -1,131 +1,149 @@
+/** Placement in its plainest form, as a reference for the real one: every job tries every machine and every victim. */
 import { fits, release, type JobSpec, Priority, allocate } from '../../src/model/job.js';
 import { machineRefusal, zoneRefusal } from '../../src/scheduler/placement-rule.js';
 import { queueOrder, remainingQuota } from '../../src/scheduler/queue.js';
 import type { MachineView, PlacementPlan, PlacementSnapshot, Victim } from '../../src/scheduler/snapshot.js';
 
-/** A copy that can be decided on without touching the original. */
-export function structuredCloneOf(now: PlacementSnapshot): PlacementSnapshot {
+/** A copy of a snapshot on which a round of placement leaves no trace in the original. */
+export function copySnapshot(snapshot: PlacementSnapshot): PlacementSnapshot {
   return {
-    ...now,
-    jobs: now.jobs.map((j) => ({ ...j, zones: new Map(j.zones) })),
-    machines: now.machines.map((m) => ({ ...m, free: { ...m.free } })),
+    ...snapshot,
+    jobs: snapshot.jobs.map((job) => ({ ...job, zones: new Map(job.zones) })),
+    machines: snapshot.machines.map((machine) => ({ ...machine, free: { ...machine.free } })),
   };
 }
 
+type SortKey = readonly (number | string)[];
+
+function compareKeys(a: SortKey, b: SortKey): number {
+  for (let index = 0; index < a.length; index++) {
+    const [left, right] = [a[index] as number, b[index] as number];
+    if (left !== right) return left < right ? -1 : 1;
+  }
+  return 0;
+}
+
 /** The documented order, sorted in full for every job. */
 function machineOrder(spec: JobSpec, machines: readonly MachineView[]): MachineView[] {
-  const image = (m: MachineView): number => (m.images.has(spec.image) ? 0 : 1);
-  const key = (m: MachineView): (number | string)[] =>
-    spec.allowsSpot
-      ? [m.isReachable ? 0 : 1, m.spot ? 0 : 1, m.free.cpus, image(m), m.id]
-      : [m.isReachable ? 0 : 1, image(m), m.cpus, m.free.cpus, m.id];
+  const keyOf = (machine: MachineView): SortKey => {
+    const reachability = machine.isReachable ? 0 : 1;
+    const image = machine.images.has(spec.image) ? 0 : 1;
+    const freeCpus = machine.free.cpus;
+    return spec.allowsSpot
+      ? [reachability, machine.spot ? 0 : 1, freeCpus, image, machine.id]
+      : [reachability, image, machine.cpus, freeCpus, machine.id];
+  };
   return machines
-    .filter((m) => machineRefusal(spec, m) === null)
-    .map((m) => ({ m, key: key(m) }))
-    .sort((a, b) => {
-      for (let i = 0; i < a.key.length; i++) {
-        const [x, y] = [a.key[i] as number, b.key[i] as number];
-        if (x !== y) return x < y ? -1 : 1;
-      }
-      return 0;
-    })
-    .map((x) => x.m);
+    .filter((machine) => machineRefusal(spec, machine) === null)
+    .map((machine) => ({ machine, key: keyOf(machine) }))
+    .sort((a, b) => compareKeys(a.key, b.key))
+    .map(({ machine }) => machine);
 }
 
-function victimsFor(
+function chooseVictims(
   spec: JobSpec,
-  m: MachineView,
-  from: Victim[],
-  may: (v: Victim) => boolean,
+  machine: MachineView,
+  candidates: readonly Victim[],
+  canPreempt: (victim: Victim) => boolean,
 ): Victim[] | null {
-  const free = { ...m.free };
+  const free = { ...machine.free };
   const chosen: Victim[] = [];
-  for (const v of from) {
+  for (const victim of candidates) {
     if (fits(spec, free)) break;
-    if (!may(v)) continue;
-    release(free, v);
-    chosen.push(v);
+    if (!canPreempt(victim)) continue;
+    release(free, victim);
+    chosen.push(victim);
   }
   return fits(spec, free) ? chosen : null;
 }
 
-/** Placement without any index: every job looks at every machine, every task at every victim. */
-interface Offer {
-  readonly m: MachineView;
-  readonly stop: Victim[];
-  readonly lost: number;
+interface Option {
+  readonly machine: MachineView;
+  readonly victims: readonly Victim[];
+  readonly cost: number;
 }
 
 /** Work lost and a start of 3 s, eight times as much for urgent work. */
-function lossOf(v: Victim): number {
-  return (v.lostMs + 3000) * v.cpus * (v.priority >= Priority.High ? 8 : 1);
+function costOf(victim: Victim): number {
+  return (victim.lostMs + 3000) * victim.cpus * (victim.priority >= Priority.High ? 8 : 1);
 }
 
-export function plainPlace(now: PlacementSnapshot): PlacementPlan {
+export function referencePlacement(snapshot: PlacementSnapshot): PlacementPlan {
   const plan: PlacementPlan = { starts: [], preemptions: [], unmet: [] };
-  const used = new Map([...now.teamUsage].map(([team, u]) => [team, { ...u }]));
-  const victims = new Map(now.machines.map((m) => [m.id, now.victimsOf(m.id)]));
-  for (const job of queueOrder(now.jobs, now.guaranteed)) {
+  const usageByTeam = new Map([...snapshot.teamUsage].map(([team, usage]) => [team, { ...usage }]));
+  const victimsByMachine = new Map(
+    snapshot.machines.map((machine) => [machine.id, snapshot.victimsOf(machine.id)]),
+  );
+  for (const job of queueOrder(snapshot.jobs, snapshot.guaranteed)) {
     const { spec } = job;
-    const team = now.teams.get(spec.team);
+    const team = snapshot.teams.get(spec.team);
     if (!team || job.waitingCount === 0 || job.isHeldBack) continue;
-    const mine = used.get(spec.team) ?? { cpus: 0, gpus: 0 };
-    used.set(spec.team, mine);
-    let left = Math.min(job.waitingCount, remainingQuota(team, mine, spec));
-    const start = (m: MachineView): void => {
-      plan.starts.push({ job: spec.id, machine: m.id });
-      allocate(m.free, spec);
-      mine.cpus += spec.cpus;
-      mine.gpus += spec.gpus;
-      job.zones.set(m.zone, (job.zones.get(m.zone) ?? 0) + 1);
+    const teamUsage = usageByTeam.get(spec.team) ?? { cpus: 0, gpus: 0 };
+    usageByTeam.set(spec.team, teamUsage);
+    let remaining = Math.min(job.waitingCount, remainingQuota(team, teamUsage, spec));
+    const start = (machine: MachineView): void => {
+      plan.starts.push({ job: spec.id, machine: machine.id });
+      allocate(machine.free, spec);
+      teamUsage.cpus += spec.cpus;
+      teamUsage.gpus += spec.gpus;
+      job.zones.set(machine.zone, (job.zones.get(machine.zone) ?? 0) + 1);
       job.waitingCount--;
-      left--;
+      remaining--;
     };
-    const firstFit = (which: (m: MachineView) => boolean): void => {
-      for (const m of machineOrder(spec, now.machines)) {
-        if (!which(m) || job.avoidedMachines.has(m.id)) continue;
-        while (left > 0 && fits(spec, m.free) && zoneRefusal(spec, job.zones, m.zone) === null) start(m);
+    const firstFit = (isEligible: (machine: MachineView) => boolean): void => {
+      for (const machine of machineOrder(spec, snapshot.machines)) {
+        if (!isEligible(machine) || job.avoidedMachines.has(machine.id)) continue;
+        while (
+          remaining > 0 &&
+          fits(spec, machine.free) &&
+          zoneRefusal(spec, job.zones, machine.zone) === null
+        )
+          start(machine);
       }
     };
-    const production = spec.priority === Priority.Production;
-    const within = now.guaranteed.has(spec.id) && job.waitedMs >= 1000;
-    const may = (v: Victim): boolean =>
-      (production && v.priority < spec.priority) ||
-      (within && v.team !== spec.team && v.priority < Priority.Production && !now.guaranteed.has(v.job));
-    const mayUse = (m: MachineView): boolean =>
-      m.isReachable &&
-      machineRefusal(spec, m) === null &&
-      !job.avoidedMachines.has(m.id) &&
-      zoneRefusal(spec, job.zones, m.zone) === null;
-    const cheapest = (which: (m: MachineView) => boolean): Offer | null => {
-      let best: Offer | null = null;
-      for (const m of now.machines) {
-        if (!which(m) || !mayUse(m)) continue;
-        const stop = victimsFor(spec, m, victims.get(m.id) ?? [], may);
-        const lost = stop?.reduce((sum, v) => sum + lossOf(v), 0) ?? Infinity;
-        if (stop && (!best || lost < best.lost)) best = { m, stop, lost };
+    const isProduction = spec.priority === Priority.Production;
+    const isGuaranteed = snapshot.guaranteed.has(spec.id) && job.waitedMs >= 1000;
+    const canPreempt = (victim: Victim): boolean =>
+      (isProduction && victim.priority < spec.priority) ||
+      (isGuaranteed &&
+        victim.team !== spec.team &&
+        victim.priority < Priority.Production &&
+        !snapshot.guaranteed.has(victim.job));
+    const mayUse = (machine: MachineView): boolean =>
+      machine.isReachable &&
+      machineRefusal(spec, machine) === null &&
+      !job.avoidedMachines.has(machine.id) &&
+      zoneRefusal(spec, job.zones, machine.zone) === null;
+    const cheapestOption = (isEligible: (machine: MachineView) => boolean): Option | null => {
+      let cheapest: Option | null = null;
+      for (const machine of snapshot.machines) {
+        if (!isEligible(machine) || !mayUse(machine)) continue;
+        const victims = chooseVictims(spec, machine, victimsByMachine.get(machine.id) ?? [], canPreempt);
+        const cost = victims?.reduce((sum, victim) => sum + costOf(victim), 0) ?? Infinity;
+        if (victims && (!cheapest || cost < cheapest.cost)) cheapest = { machine, victims, cost };
       }
-      return best;
+      return cheapest;
     };
-    const makeRoom = (which: (m: MachineView) => boolean): void => {
-      while (left > 0) {
-        const best = cheapest(which);
-        if (!best) return;
-        for (const v of best.stop) {
-          plan.preemptions.push({ machine: best.m.id, task: v.task, preemptor: spec.id });
-          const from = victims.get(best.m.id) ?? [];
-          from.splice(from.indexOf(v), 1);
-          release(best.m.free, v);
+    const preempt = (isEligible: (machine: MachineView) => boolean): void => {
+      while (remaining > 0) {
+        const option = cheapestOption(isEligible);
+        if (!option) return;
+        const { machine } = option;
+        for (const victim of option.victims) {
+          plan.preemptions.push({ machine: machine.id, task: victim.task, preemptor: spec.id });
+          const candidates = victimsByMachine.get(machine.id) ?? [];
+          candidates.splice(candidates.indexOf(victim), 1);
+          release(machine.free, victim);
         }
-        start(best.m);
+        start(machine);
       }
     };
-    const warm = (m: MachineView): boolean => production && m.images.has(spec.image);
-    firstFit(warm);
-    makeRoom(warm);
+    const hasImage = (machine: MachineView): boolean => isProduction && machine.images.has(spec.image);
+    firstFit(hasImage);
+    preempt(hasImage);
     firstFit(() => true);
-    makeRoom(() => true);
-    if (left > 0) plan.unmet.push({ job, tasks: left });
+    preempt(() => true);
+    if (remaining > 0) plan.unmet.push({ job, tasks: remaining });
   }
   return plan;
 }
