--- a/src/forecast/lifetimes.ts
+++ b/src/forecast/lifetimes.ts
@@ -7,14 +7,14 @@
 const Int32Histogram = constructorFromBucketSize(32);
 /** The resolution of the histograms. */
 const UNIT_MS = 100;
-/** The longest run time that is told from longer ones: a day. */
+/** The longest run time that is distinguished from longer ones: a day. */
 const MAX_UNITS = 864_000;
 const SIGNIFICANT_DIGITS = 2;
 /** Growth of a class after which its cached shares are looked up anew. */
 const CACHE_GROWTH = 1.05;
 /** With fewer runs of a class than this, its owner's estimates are all that is used. */
 const MIN_RUNS = 8;
-/** How far estimates are corrected at most, either way. */
+/** How far estimates may be corrected either way. */
 const MIN_CORRECTION = 0.3;
 const MAX_CORRECTION = 3;
 /** A task that has outrun its expectation is expected to run for this part of it. */
--- a/src/scheduler/active-job.ts
+++ b/src/scheduler/active-job.ts
@@ -39,13 +39,11 @@
   isCancelled = false;
   /** Cancelled because a job that it depends on was, and its own record does not say so yet. */
   isCancelledByDependency = false;
-  doneCount = 0;
-  /** Tasks that may be on machines. */
-  assignedCount = 0;
+  private doneTasks = 0;
+  private placedTasks = 0;
+  private lastPlacement: MonotonicTime | null = null;
   /** Tasks that were running in their last heartbeat. */
   runningCount = 0;
-  /** When one of its tasks was last placed. */
-  lastPlacedAt: MonotonicTime | null = null;
 
   constructor(
     readonly spec: JobSpec,
@@ -100,6 +98,20 @@
     return this.isCancelled ? 0 : this.queue.size;
   }
 
+  get doneCount(): number {
+    return this.doneTasks;
+  }
+
+  /** Tasks that may be on machines. */
+  get assignedCount(): number {
+    return this.placedTasks;
+  }
+
+  /** When one of its tasks was last placed; null: none was in this term. */
+  get lastPlacedAt(): MonotonicTime | null {
+    return this.lastPlacement;
+  }
+
   /** Nothing of it is left to be done: its records can be closed. */
   get isOver(): boolean {
     return this.isCancelled ? this.assignedCount === 0 : this.isComplete;
@@ -136,8 +148,8 @@
     this.zoneTally.add(zone);
     task.placedAt = now;
     this.resetAttempt(task);
-    this.assignedCount++;
-    this.lastPlacedAt = now;
+    this.placedTasks++;
+    this.lastPlacement = now;
     const chunk = this.chunkOf(index);
     chunk.committing.add(task);
     chunk.markDirty(now);
@@ -177,7 +189,7 @@
     this.zoneTally.remove(task.zone);
     task.zone = null;
     this.resetAttempt(task);
-    this.assignedCount--;
+    this.placedTasks--;
     this.history.recordLost();
     this.queue.retry(task.index);
     chunk.markDirty(now);
@@ -187,7 +199,7 @@
   /** The task ended with success. */
   finishTask(task: Task, now: MonotonicTime): void {
     if (task.isAssigned) {
-      this.assignedCount--;
+      this.placedTasks--;
       this.zoneTally.remove(task.zone);
     }
     const chunk = this.chunkOf(task.index);
@@ -196,7 +208,7 @@
     task.machine = null;
     task.zone = null;
     task.observedState = null;
-    this.doneCount++;
+    this.doneTasks++;
     chunk.markDirty(now);
     this.listener?.onJobChanged(this);
   }
@@ -246,14 +258,14 @@
     switch (stored.kind) {
       case 'done':
         task.phase = 'done';
-        this.doneCount++;
+        this.doneTasks++;
         break;
       case 'placed':
         task.phase = 'placed';
         task.attemptNumber = stored.placement.attemptNumber;
         task.machine = stored.placement.machine;
         task.isInherited = true;
-        this.assignedCount++;
+        this.placedTasks++;
         this.zoneTally.add(null);
         break;
       case 'waiting':
--- a/src/scheduler/dependency-graph.ts
+++ b/src/scheduler/dependency-graph.ts
@@ -44,16 +44,16 @@
 
   /** All jobs that depend on this one, directly or through others: they are cancelled together with it. */
   dependentsOf(id: JobId): ActiveJob[] {
-    const found = new Set<ActiveJob>();
+    const dependents = new Set<ActiveJob>();
     const pending: JobId[] = [id];
     for (let next = pending.pop(); next !== undefined; next = pending.pop()) {
       for (const job of this.dependents.get(next) ?? []) {
-        if (found.has(job)) continue;
-        found.add(job);
+        if (dependents.has(job)) continue;
+        dependents.add(job);
         pending.push(job.spec.id);
       }
     }
-    return [...found];
+    return [...dependents];
   }
 
   /** Removes the dependencies of a job that was cancelled. */
--- a/src/scheduler/slo-targets.ts
+++ b/src/scheduler/slo-targets.ts
@@ -88,13 +88,13 @@
    * the time at which all tasks of its class should have started. Null: no target is left.
    */
   slackMs(spec: JobSpec, ageMs: number, expectedRunMs: number): number | null {
-    let least = this.nextTarget(spec, ageMs, expectedRunMs)?.slackMs ?? null;
+    let minSlackMs = this.nextTarget(spec, ageMs, expectedRunMs)?.slackMs ?? null;
     // Replicas go first in any case, and of them the oldest.
     const startTargets = spec.kind === 'array' ? this.startTargets.get(spec.jobClass) : undefined;
     for (const { withinMs } of startTargets ?? []) {
       const slackMs = withinMs - ageMs - FETCH_MS;
-      if (slackMs > 0 && (least === null || slackMs < least)) least = slackMs;
+      if (slackMs > 0 && (minSlackMs === null || slackMs < minSlackMs)) minSlackMs = slackMs;
     }
-    return least;
+    return minSlackMs;
   }
 }
--- a/src/store/errors.ts
+++ b/src/store/errors.ts
@@ -25,6 +25,11 @@
   }
 }
 
+/** Whether a request was refused for too many requests alone. */
+export function isRateLimitedError(error: unknown): boolean {
+  return error instanceof StoreRefusedError && error.isRateLimited;
+}
+
 /** The request exceeds the store's limits on sizes as they are now (400). It was not carried out. */
 export class StoreRequestTooLargeError extends StoreRefusedError {
   override readonly name = 'StoreRequestTooLargeError';
--- a/src/store/records.ts
+++ b/src/store/records.ts
@@ -3,7 +3,7 @@
 import { type Clock, sleep } from '../model/time.js';
 import type { KeyValue } from '../wire/key-value-store.js';
 import type { KeyValueStore } from './client.js';
-import { StoreRefusedError } from './errors.js';
+import { isRateLimitedError } from './errors.js';
 
 /** All rows under a prefix as of one revision or later: changes after it may or may not be in them. */
 export interface RecordSet {
@@ -18,11 +18,6 @@
   readonly isStillWanted: () => boolean;
 }
 
-/** Whether the request was refused for too many requests alone. */
-function isRateLimited(error: unknown): boolean {
-  return error instanceof StoreRefusedError && error.isRateLimited;
-}
-
 /**
  * Repeats a request for as long as it is rate limited and its answer is still wanted. Any other error is thrown,
  * and so is the last one once the answer is not wanted any more.
@@ -35,7 +30,7 @@
     try {
       return await request();
     } catch (error) {
-      if (!isRateLimited(error) || !isStillWanted()) throw error;
+      if (!isRateLimitedError(error) || !isStillWanted()) throw error;
       await sleep(clock, retryDelayMs());
     }
   }
--- a/src/store/store-limits.ts
+++ b/src/store/store-limits.ts
@@ -1,7 +1,7 @@
 /** The limits of the key-value store: the current ones, and those that the settings announce. */
 import type { Cancel, Clock } from '../model/time.js';
 import type { Settings, StoreLimitSettings } from '../wire/settings.js';
-import { StoreRefusedError, StoreRequestTooLargeError } from './errors.js';
+import { isRateLimitedError, StoreRequestTooLargeError } from './errors.js';
 import { DEFAULT_CHUNK_SIZE } from './keys.js';
 import { maxTasksPerChunk } from './progress-record.js';
 
@@ -54,7 +54,7 @@
   constructor(
     private readonly settings: Pick<Settings, 'storeLimits' | 'announcedStoreLimits'>,
     private readonly clock: Clock,
-    /** Null: the announced limits can't be told from today's by a probe. */
+    /** Null: the announced limits can't be distinguished from the current ones by a probe. */
     private readonly probe: LimitProbe | null = null,
   ) {
     const { storeLimits, announcedStoreLimits } = settings;
@@ -87,7 +87,7 @@
   /** Learns from a failed call: one that was rate limited or too large says something of the limits in force. */
   recordFailure(error: unknown): void {
     if (error instanceof StoreRequestTooLargeError) this.confirmAnnouncedLimits();
-    else if (error instanceof StoreRefusedError && error.isRateLimited) this.handleRateLimited();
+    else if (isRateLimitedError(error)) this.handleRateLimited();
   }
 
   /**
