--- a/test/simulation/fake-cloud.ts
+++ b/test/simulation/fake-cloud.ts
@@ -72,7 +72,7 @@
     const ask = <T>(act: () => T): Promise<T> =>
       new Promise((resolve, reject) => {
         clock.after(LATENCY_MS, () => {
-          if (this.outage) reject(new CloudRequestRefusedError('cloud answered 503'));
+          if (this.outage) reject(new CloudRequestRefusedError(503));
           else resolve(act());
         });
       });
--- a/test/unit/cloud-wire.test.ts
+++ b/test/unit/cloud-wire.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { CloudClient } from '../../src/cloud/client.js';
+import { CloudClient, CloudRequestRefusedError } from '../../src/cloud/client.js';
 import type { MachineId, MachineTypeId, ScaleOutRequestId, ZoneId } from '../../src/model/ids.js';
 import type { HttpCaller } from '../../src/net/http-client.js';
 
@@ -10,12 +10,12 @@
 }
 
 /** A client of a cloud that answers everything alike, and what it sent. */
-function cloudClient(answer: unknown): { client: CloudClient; sent: SentRequest[] } {
+function cloudClient(answer: unknown, status = 200): { client: CloudClient; sent: SentRequest[] } {
   const sent: SentRequest[] = [];
   const http: HttpCaller = {
     call: (method, path, body) => {
       sent.push({ method, path, body });
-      return Promise.resolve({ status: 200, body: answer });
+      return Promise.resolve({ status, body: answer });
     },
   };
   return { client: new CloudClient(http, 1000), sent };
@@ -50,4 +50,29 @@
       '/machines?after=host-000001&most=500',
     ]);
   });
+
+  it.each([
+    [429, 'CLOUD_RATE_LIMITED'],
+    [503, 'CLOUD_REQUEST_REFUSED'],
+    [500, 'CLOUD_REQUEST_REFUSED'],
+  ])('reject with the reason where the cloud refuses (%i)', async (status, code) => {
+    const { client } = cloudClient({ error: 'trouble' }, status);
+    const error: unknown = await client.deleteMachines([]).catch((reason: unknown) => reason);
+    expect(error).toBeInstanceOf(CloudRequestRefusedError);
+    expect(error).toMatchObject({ code, status, message: `cloud answered ${status}` });
+  });
+
+  it('tell a pool without capacity from a refusal', async () => {
+    const request = {
+      name: 'p5-1' as ScaleOutRequestId,
+      type: 'small' as MachineTypeId,
+      zone: 'north' as ZoneId,
+      spot: true,
+      count: 2,
+    };
+    expect(await cloudClient({ error: 'no capacity' }, 503).client.createMachines(request)).toBe(
+      'no capacity',
+    );
+    await expect(cloudClient(null, 503).client.createMachines(request)).rejects.toThrow('cloud answered 503');
+  });
 });
