--- a/src/fleet/fleet-manager.ts
+++ b/src/fleet/fleet-manager.ts
@@ -105,18 +105,23 @@
   }
 
   /** See `MachineInventory.registerMachine`. */
-  registerMachine(machine: Machine, source: FactSource, since: MonotonicTime, address = ''): Worker | null {
-    return this.inventory.registerMachine(machine, source, since, address);
+  registerMachine(
+    machine: Machine,
+    source: FactSource,
+    rentedAt: MonotonicTime,
+    address = '',
+  ): Worker | null {
+    return this.inventory.registerMachine(machine, source, rentedAt, address);
   }
 
   /** See `MachineInventory.registerUnconfirmed`. */
-  registerUnconfirmed(machine: Machine, since: MonotonicTime, address: string): Worker | null {
-    return this.inventory.registerUnconfirmed(machine, since, address);
+  registerUnconfirmed(machine: Machine, rentedAt: MonotonicTime, address: string): Worker | null {
+    return this.inventory.registerUnconfirmed(machine, rentedAt, address);
   }
 
   /** See `MachineInventory.registerUnknown`. */
-  registerUnknown(id: MachineId, since: MonotonicTime): Worker | null {
-    return this.inventory.registerUnknown(id, since);
+  registerUnknown(id: MachineId, rentedAt: MonotonicTime): Worker | null {
+    return this.inventory.registerUnknown(id, rentedAt);
   }
 
   /** Machines so far that turned out to be something else than was recorded. */
--- a/src/fleet/inventory.ts
+++ b/src/fleet/inventory.ts
@@ -57,33 +57,38 @@
   }
 
   /** Takes in confirmed facts of a machine. Null: it is gone, or of a type that the cloud does not offer. */
-  registerMachine(machine: Machine, source: FactSource, since: MonotonicTime, address = ''): Worker | null {
-    const known = this.ctx.workers.get(machine.id);
-    if (known?.confirmedFacts && sameMachine(known.confirmedFacts.machine, machine))
-      return withAddress(known, address);
+  registerMachine(
+    machine: Machine,
+    source: FactSource,
+    rentedAt: MonotonicTime,
+    address = '',
+  ): Worker | null {
+    const existing = this.ctx.workers.get(machine.id);
+    if (existing?.confirmedFacts && sameMachine(existing.confirmedFacts.machine, machine))
+      return withAddress(existing, address);
     const type = this.ctx.machineTypes.get(machine.type);
     if (!type || this.ctx.workers.isGone(machine.id)) return null;
     const learnedAt = this.ctx.clock.now();
     const facts: ConfirmedFacts = { state: 'confirmed', machine, type, source, learnedAt };
-    if (!known) return this.add(new Worker(machine.id, facts, since), address);
-    this.logChange(known, facts);
-    known.learn(facts);
-    return withAddress(known, address);
+    if (!existing) return this.add(new Worker(machine.id, facts, rentedAt), address);
+    this.logChange(existing, facts);
+    existing.learn(facts);
+    return withAddress(existing, address);
   }
 
   /** Takes in a machine from a record of a version that also recorded guesses. */
-  registerUnconfirmed(machine: Machine, since: MonotonicTime, address: string): Worker | null {
-    const known = this.ctx.workers.get(machine.id);
-    if (known) return known;
+  registerUnconfirmed(machine: Machine, rentedAt: MonotonicTime, address: string): Worker | null {
+    const existing = this.ctx.workers.get(machine.id);
+    if (existing) return existing;
     const type = this.ctx.machineTypes.get(machine.type);
     if (!type) return null;
-    return this.add(new Worker(machine.id, { state: 'unconfirmed', machine, type }, since), address);
+    return this.add(new Worker(machine.id, { state: 'unconfirmed', machine, type }, rentedAt), address);
   }
 
   /** Takes in a machine of which nothing is known but that a predecessor placed a task on it. */
-  registerUnknown(id: MachineId, since: MonotonicTime): Worker | null {
+  registerUnknown(id: MachineId, rentedAt: MonotonicTime): Worker | null {
     this.ctx.log.info({ machine: id }, KNOWN_BY_TASK_ONLY);
-    return this.add(new Worker(id, UNKNOWN_FACTS, since), '');
+    return this.add(new Worker(id, UNKNOWN_FACTS, rentedAt), '');
   }
 
   private add(worker: Worker, address: string): Worker | null {
--- a/src/workers/failure-detector.ts
+++ b/src/workers/failure-detector.ts
@@ -1,6 +1,6 @@
-import type { LeaderContext } from '../core/context.js';
 import type { Heartbeat } from '../model/heartbeat.js';
 import { type MonotonicTime, since } from '../model/time.js';
+import type { FailureDetectionContext } from './failure-detection-context.js';
 import {
   countUp,
   emptySnapshot,
@@ -46,7 +46,7 @@
   private lastTickAt: MonotonicTime;
 
   constructor(
-    private readonly ctx: LeaderContext,
+    private readonly ctx: FailureDetectionContext,
     private readonly options: WorkerFailureDetectorOptions,
   ) {
     this.timeouts = new HeartbeatTimeouts(ctx);
--- a/src/workers/heartbeat-timeouts.ts
+++ b/src/workers/heartbeat-timeouts.ts
@@ -1,5 +1,5 @@
-import type { LeaderContext } from '../core/context.js';
 import { type Millis, ms, type MonotonicTime, since } from '../model/time.js';
+import type { FailureDetectionContext } from './failure-detection-context.js';
 import type { Worker } from './state/worker.js';
 
 /** A healthy worker's heartbeats lie up to a quarter more than `report_s` apart (PROTOCOL). */
@@ -16,7 +16,7 @@
   /** One change of controller and two heartbeats: by then an answered worker has shown that it is. */
   private readonly contactTimeout: Millis;
 
-  constructor(private readonly ctx: Pick<LeaderContext, 'operators' | 'settings' | 'startedAt'>) {
+  constructor(private readonly ctx: Pick<FailureDetectionContext, 'operators' | 'settings' | 'startedAt'>) {
     const { silenceTimeout } = ctx.operators.workers;
     this.silenceTimeout =
       silenceTimeout ?? ms(ctx.settings.heartbeatInterval * MAX_INTERVAL_FACTOR + TRANSIT_MS);
--- a/src/workers/inbound-partition.ts
+++ b/src/workers/inbound-partition.ts
@@ -1,5 +1,5 @@
-import type { LeaderContext } from '../core/context.js';
 import { type Millis, type MonotonicTime, plus, since } from '../model/time.js';
+import type { FailureDetectionContext } from './failure-detection-context.js';
 import type { HeartbeatTimeouts } from './heartbeat-timeouts.js';
 
 /**
@@ -18,7 +18,7 @@
   private hasHeardAny = false;
 
   constructor(
-    private readonly ctx: Pick<LeaderContext, 'settings' | 'startedAt' | 'workers'>,
+    private readonly ctx: Pick<FailureDetectionContext, 'settings' | 'startedAt' | 'workers'>,
     private readonly timeouts: HeartbeatTimeouts,
   ) {
     this.lastHeardAt = ctx.startedAt;
--- a/src/workers/lease-expiry.ts
+++ b/src/workers/lease-expiry.ts
@@ -1,5 +1,5 @@
-import type { LeaderContext } from '../core/context.js';
 import { maxLocalDuration, type MonotonicTime, plus } from '../model/time.js';
+import type { FailureDetectionContext } from './failure-detection-context.js';
 import type { Worker } from './state/worker.js';
 
 /** Added to a lease before it counts as expired. */
@@ -11,7 +11,7 @@
 
   /** `predecessorRenewalMs`: for how long an earlier leader may renew leases after our takeover. */
   constructor(
-    private readonly ctx: Pick<LeaderContext, 'settings' | 'startedAt'>,
+    private readonly ctx: Pick<FailureDetectionContext, 'settings' | 'startedAt'>,
     private readonly predecessorRenewalMs: number,
   ) {
     this.unknownAnsweredAt = ctx.startedAt;
--- a/src/workers/worker-prober.ts
+++ b/src/workers/worker-prober.ts
@@ -1,8 +1,8 @@
-import type { LeaderContext } from '../core/context.js';
 import type { Heartbeat } from '../model/heartbeat.js';
 import { type MonotonicTime, since } from '../model/time.js';
 import { NoSocketError } from '../net/http-client.js';
 import { usableShare } from '../wire/settings.js';
+import type { FailureDetectionContext } from './failure-detection-context.js';
 import type { HeartbeatTimeouts } from './heartbeat-timeouts.js';
 import type { Worker } from './state/worker.js';
 
@@ -38,7 +38,7 @@
   private readonly maxEarlyPerTick: number;
 
   constructor(
-    private readonly ctx: LeaderContext,
+    private readonly ctx: FailureDetectionContext,
     private readonly options: WorkerProberOptions,
   ) {
     const processorMs = TICK_MS * usableShare(ctx.settings) * EARLY_PROCESSOR_SHARE;
--- a/test/unit/failure-detector.test.ts
+++ b/test/unit/failure-detector.test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from 'vitest';
-import type { LeaderContext } from '../../src/core/context.js';
 import { defaultOperators } from '../../src/config/operators.js';
 import type { MachineId, MachineTypeId, ZoneId } from '../../src/model/ids.js';
 import { seconds } from '../../src/model/time.js';
 import { NoAnswerError } from '../../src/net/http-client.js';
+import type { FailureDetectionContext } from '../../src/workers/failure-detection-context.js';
 import { WorkerFailureDetector } from '../../src/workers/failure-detector.js';
 import { type Worker } from '../../src/workers/state/worker.js';
 import { WorkerRegistry } from '../../src/workers/state/worker-registry.js';
@@ -28,12 +28,12 @@
     workers.add(worker);
   }
   let isFenced = false;
-  const ctx = {
+  const ctx: FailureDetectionContext = {
     clock,
     workers,
     startedAt: clock.now(),
     operators: defaultOperators(),
-    settings: { heartbeatInterval: seconds(3), workerLeaseDuration: seconds(20) },
+    settings: { heartbeatInterval: seconds(3), workerLeaseDuration: seconds(20), cpuShare: null },
     isEnded: () => false,
     maxConcurrentWorkerCalls: 64,
     load: () => 0,
@@ -41,7 +41,7 @@
       fetchHeartbeat: () =>
         new Promise((_, reject) => clock.after(failsMs, () => reject(new NoAnswerError('deadline passed')))),
     },
-  } as unknown as LeaderContext;
+  };
   const detector = new WorkerFailureDetector(ctx, {
     predecessorRenewalMs: 0,
     onHeartbeat: () => {},
--- a/test/unit/load.test.ts
+++ b/test/unit/load.test.ts
@@ -3,7 +3,6 @@
 import { Admission } from '../../src/api/admission.js';
 import { MemoryMonitor } from '../../src/controller/memory-monitor.js';
 import { WorkerRedirects } from '../../src/controller/worker-redirects.js';
-import type { LeaderContext } from '../../src/core/context.js';
 import { defaultOperators } from '../../src/config/operators.js';
 import { openLogger } from '../../src/log/logger.js';
 import type {
@@ -22,6 +21,7 @@
 import type { PeerLink } from '../../src/peer/link.js';
 import { NO_SOCKET_STATUS, RoutedCaller } from '../../src/peer/routed-caller.js';
 import type { Task } from '../../src/scheduler/task.js';
+import type { FailureDetectionContext } from '../../src/workers/failure-detection-context.js';
 import { WorkerFailureDetector } from '../../src/workers/failure-detector.js';
 import { WorkerRegistry } from '../../src/workers/state/worker-registry.js';
 import { VirtualClock } from '../simulation/clock.js';
@@ -77,7 +77,7 @@
   const clock = new VirtualClock();
   const workers = new WorkerRegistry();
   const probed: MachineId[] = [];
-  const ctx = {
+  const ctx: FailureDetectionContext = {
     clock,
     workers,
     startedAt: clock.now(),
@@ -92,7 +92,7 @@
         return new Promise(() => {});
       },
     },
-  } as unknown as LeaderContext;
+  };
   const ignore = (): void => {};
   const detector = new WorkerFailureDetector(ctx, {
     predecessorRenewalMs: 0,
