--- a/test/unit/failure-detector.test.ts
+++ b/test/unit/failure-detector.test.ts
@@ -1,59 +1,78 @@
 import { describe, expect, it } from 'vitest';
 import { defaultOperators } from '../../src/config/operators.js';
-import type { MachineId, MachineTypeId, ZoneId } from '../../src/model/ids.js';
-import { seconds } from '../../src/model/time.js';
+import type { JobId, MachineId, MachineTypeId, Revision, ZoneId } from '../../src/model/ids.js';
+import { type MonotonicTime, seconds, type WallTime } from '../../src/model/time.js';
 import { NoAnswerError } from '../../src/net/http-client.js';
+import { ActiveJob } from '../../src/scheduler/active-job.js';
 import type { FailureDetectionContext } from '../../src/workers/failure-detection-context.js';
-import { WorkerFailureDetector } from '../../src/workers/failure-detector.js';
-import { type Worker } from '../../src/workers/state/worker.js';
+import {
+  WorkerFailureDetector,
+  type WorkerFailureDetectorOptions,
+} from '../../src/workers/failure-detector.js';
+import type { Worker } from '../../src/workers/state/worker.js';
 import { WorkerRegistry } from '../../src/workers/state/worker-registry.js';
 import { VirtualClock } from '../simulation/clock.js';
+import { submission } from '../simulation/submission.js';
 import { workerOf } from '../simulation/worker-state.js';
 
-/** Three workers, one of them silent: returns whether its machine is fenced when probes fail after `failsMs`. */
-async function isSilentWorkerFenced(failsMs: number): Promise<boolean> {
-  const clock = new VirtualClock();
-  const workers = new WorkerRegistry();
-  for (const name of ['a', 'b', 'c']) {
-    const machine = {
-      id: name as MachineId,
-      type: 'small' as MachineTypeId,
-      zone: 'north' as ZoneId,
-      spot: false,
-    };
-    const worker = workerOf(machine, clock.now());
-    worker.isUp = true;
-    worker.hasReported = true;
-    worker.address = `${name}:1`;
-    workers.add(worker);
-  }
-  let isFenced = false;
-  const ctx: FailureDetectionContext = {
+const ZONE = 'north' as ZoneId;
+
+/** A worker that is up and can be called. */
+function runningWorker(name: string, now: MonotonicTime): Worker {
+  const machine = { id: name as MachineId, type: 'small' as MachineTypeId, zone: ZONE, spot: false };
+  const worker = workerOf(machine, now);
+  worker.isUp = true;
+  worker.hasReported = true;
+  worker.address = `${name}:1`;
+  return worker;
+}
+
+function contextOf(
+  clock: VirtualClock,
+  overrides: Pick<FailureDetectionContext, 'settings' | 'workerClient'> & Partial<FailureDetectionContext>,
+): FailureDetectionContext {
+  return {
     clock,
-    workers,
+    workers: new WorkerRegistry(),
     startedAt: clock.now(),
     operators: defaultOperators(),
-    settings: { heartbeatInterval: seconds(3), workerLeaseDuration: seconds(20), cpuShare: null },
     isEnded: () => false,
     maxConcurrentWorkerCalls: 64,
     load: () => 0,
+    ...overrides,
+  };
+}
+
+const optionsWith = (
+  overrides: Partial<WorkerFailureDetectorOptions> = {},
+): WorkerFailureDetectorOptions => ({
+  predecessorRenewalMs: 0,
+  onHeartbeat: () => {},
+  fence: () => {},
+  onLeaseExpired: () => {},
+  ...overrides,
+});
+
+/** Three workers, one of them silent: returns whether its machine is fenced when probes fail after `failsMs`. */
+async function isSilentWorkerFenced(failsMs: number): Promise<boolean> {
+  const clock = new VirtualClock();
+  const ctx = contextOf(clock, {
+    settings: { heartbeatInterval: seconds(3), workerLeaseDuration: seconds(20), cpuShare: null },
     workerClient: {
       fetchHeartbeat: () =>
         new Promise((_, reject) => clock.after(failsMs, () => reject(new NoAnswerError('deadline passed')))),
     },
-  };
-  const detector = new WorkerFailureDetector(ctx, {
-    predecessorRenewalMs: 0,
-    onHeartbeat: () => {},
-    fence: () => {
-      isFenced = true;
-    },
-    onLeaseExpired: () => {},
   });
+  for (const name of ['a', 'b', 'c']) ctx.workers.add(runningWorker(name, clock.now()));
+  let isFenced = false;
+  const fence = (): void => {
+    isFenced = true;
+  };
+  const detector = new WorkerFailureDetector(ctx, optionsWith({ fence }));
   for (let tick = 0; tick < 24; tick++) {
     await clock.advance(500);
     for (const id of ['b', 'c']) {
-      const worker = workers.get(id as MachineId) as Worker;
+      const worker = ctx.workers.get(id as MachineId) as Worker;
       worker.contact.recordContact(clock.now());
       detector.recordHeartbeat(worker, clock.now());
     }
@@ -71,3 +90,56 @@
     expect(await isSilentWorkerFenced(2000)).toBe(false);
   });
 });
+
+function assignReplica(worker: Worker, number: number, now: MonotonicTime): void {
+  const spec = { ...submission({ shape: 'service', shards: 1 }), id: `j-${number}` as JobId };
+  const job = new ActiveJob(spec, 1 as Revision, 0 as WallTime);
+  worker.assign(job.beginAttempt(worker.id, ZONE, now));
+}
+
+/** The workers probed in two ticks, of 300 with replicas whose last heartbeats are some seconds old. */
+async function earlyProbes(cpuShare: number | null, load: number): Promise<MachineId[]> {
+  const clock = new VirtualClock();
+  const probed: MachineId[] = [];
+  const ctx = contextOf(clock, {
+    settings: { heartbeatInterval: seconds(6), workerLeaseDuration: seconds(34), cpuShare },
+    maxConcurrentWorkerCalls: 1000,
+    load: () => load,
+    workerClient: {
+      fetchHeartbeat: (address: string) => {
+        probed.push(address.split(':')[0] as MachineId);
+        return new Promise(() => {});
+      },
+    },
+  });
+  const detector = new WorkerFailureDetector(ctx, optionsWith());
+  await clock.advance(4000);
+  for (let index = 0; index < 300; index++) {
+    const worker = runningWorker(`host-${index}`, clock.now());
+    assignReplica(worker, index, clock.now());
+    worker.contact.recordHeartbeat((clock.now() - 2000 - index) as MonotonicTime);
+    ctx.workers.add(worker);
+  }
+  await clock.advance(100);
+  detector.tick(clock.now());
+  await clock.advance(100);
+  detector.tick(clock.now());
+  return probed;
+}
+
+describe('early probes of workers with replicas', () => {
+  // With all of them probed, they took a third of a leader's processor time on a tenth of a core.
+  it('take a bounded part of the processor time, the longest silent first', async () => {
+    const small = await earlyProbes(0.1, 0);
+    expect(small.length).toBeGreaterThan(0);
+    expect(small.length).toBeLessThanOrEqual(26);
+    expect(small[0]).toBe('host-299');
+    const whole = await earlyProbes(1, 0);
+    expect(whole.length).toBeGreaterThan(100);
+    expect((await earlyProbes(null, 0)).length).toBe(whole.length);
+  });
+
+  it('are not made by a leader that is behind with its work', async () => {
+    expect(await earlyProbes(0.1, 0.9)).toEqual([]);
+  });
+});
