--- a/packages/membership/test/failure-detection.test.ts
+++ b/packages/membership/test/failure-detection.test.ts
@@ -32,10 +32,10 @@
   it('declares no member failed while messages are lost, delayed and repeated', async () => {
     const healthy = await cluster();
     Object.assign(healthy.network.faults, {
-      lossShare: 0.02,
+      lossRate: 0.02,
       maxDelayMs: 60,
-      repeatShare: 0.05,
-      repeatWithinMs: 9000,
+      duplicateRate: 0.05,
+      maxDuplicateDelayMs: 9000,
     });
     await healthy.run(600_000);
     const failed = healthy.events.filter(
--- a/packages/simulation/src/history.ts
+++ b/packages/simulation/src/history.ts
@@ -1,40 +1,40 @@
-/** What owners did, as the resources that they act upon saw it, and the checker of it. */
+/** Records the effects of owners as the resources see them, and checks the invariants of ownership. */
 import { type FencingEpoch, type Owner, type UnitId } from '@plumyoke/takeover';
 import { EpochFence } from '@plumyoke/takeover/reference';
 
-/** An owner acts upon a unit's resources. */
+/** An effect of an owner on a unit's resources. */
 interface Effect {
   readonly unit: UnitId;
   readonly owner: Owner;
   readonly epoch: FencingEpoch;
 }
 
-/** What was wrong with a history; empty: nothing. */
+/** Descriptions of violated invariants; empty if there are none. */
 export type Violations = readonly string[];
 
 const nameOf = ({ member, process }: Owner): string => `${member}#${process}`;
 
-/** Resources behind a fence, recording what they accept. */
+/** Resources behind an epoch fence, which record the effects that they accept. */
 export class EffectHistory {
   private readonly fence = new EpochFence();
   private readonly ownerOfEpoch = new Map<string, string>();
   private readonly lastAccepted = new Map<UnitId, FencingEpoch>();
-  private readonly begun = new Map<string, string>();
+  private readonly jobStarters = new Map<string, string>();
   private readonly violations: string[] = [];
-  accepted = 0;
-  refused = 0;
+  acceptedCount = 0;
+  refusedCount = 0;
 
-  /** `fenced`: false makes a deliberately broken variant that accepts every effect. */
-  constructor(private readonly fenced = true) {}
+  /** `isFenced`: false makes a deliberately defective variant that accepts every effect. */
+  constructor(private readonly isFenced = true) {}
 
-  /** An effect arrives, perhaps late. False: it was refused. */
-  effect({ unit, owner, epoch }: Effect, now: number): boolean {
-    if (this.fenced && !this.fence.admit(unit, epoch)) {
-      this.refused++;
+  /** Records an effect, which may arrive late. Returns false if it was refused. */
+  recordEffect({ unit, owner, epoch }: Effect, now: number): boolean {
+    if (this.isFenced && !this.fence.admit(unit, epoch)) {
+      this.refusedCount++;
       return false;
     }
-    this.accepted++;
-    this.checkOneOwner(unit, owner, epoch, now);
+    this.acceptedCount++;
+    this.checkSingleOwner(unit, owner, epoch, now);
     const last = this.lastAccepted.get(unit);
     if (last !== undefined && epoch < last) {
       this.violations.push(`${now}: ${unit} accepted epoch ${epoch} of ${nameOf(owner)} after epoch ${last}`);
@@ -43,27 +43,28 @@
     return true;
   }
 
-  /** A job is begun by an accepted effect. */
-  begin(job: string, effect: Effect, now: number): boolean {
-    if (!this.effect(effect, now)) return false;
-    const before = this.begun.get(job);
+  /** Records an effect that starts a job. Returns false if it was refused. */
+  recordJobStart(job: string, effect: Effect, now: number): boolean {
+    if (!this.recordEffect(effect, now)) return false;
+    const before = this.jobStarters.get(job);
     if (before !== undefined) {
       this.violations.push(`${now}: ${job} was begun by ${nameOf(effect.owner)} after ${before}`);
     }
-    this.begun.set(job, nameOf(effect.owner));
+    this.jobStarters.set(job, nameOf(effect.owner));
     return true;
   }
 
-  get jobsBegun(): number {
-    return this.begun.size;
+  /** The number of jobs that were started. */
+  get startedJobCount(): number {
+    return this.jobStarters.size;
   }
 
-  /** How often the unit has changed hands, counted by what was accepted. */
+  /** Returns the highest epoch under which an effect on the unit was accepted; null: none was. */
   lastEpoch(unit: UnitId): FencingEpoch | null {
     return this.lastAccepted.get(unit) ?? null;
   }
 
-  private checkOneOwner(unit: UnitId, owner: Owner, epoch: FencingEpoch, now: number): void {
+  private checkSingleOwner(unit: UnitId, owner: Owner, epoch: FencingEpoch, now: number): void {
     const key = `${unit} ${epoch}`;
     const name = nameOf(owner);
     const before = this.ownerOfEpoch.get(key);
@@ -73,6 +74,7 @@
     this.ownerOfEpoch.set(key, name);
   }
 
+  /** Returns the violations so far. */
   check(): Violations {
     return this.violations;
   }
--- a/packages/simulation/src/index.ts
+++ b/packages/simulation/src/index.ts
@@ -1,10 +1,10 @@
-/** Stand-ins for clocks, networks, stores and controllers, and the checker of what they did. For tests and measurements. */
+/** Simulated clocks, networks, stores and clusters, and the checker of their histories. For tests and measurements. */
 export { EffectHistory } from './history.js';
 export { SimulatedNetwork } from './network.js';
 export { SharedStore } from './shared-store.js';
 export { type ClusterOptions, type Defects, SimulatedCluster } from './simulated-cluster.js';
 export { ProcessClock, type SimulatedClock, VirtualClock } from './virtual-clock.js';
 export { buildController } from './loopback/build-controller.js';
-export { Laboratory } from './loopback/loopback-cluster.js';
+export { LoopbackCluster } from './loopback/loopback-cluster.js';
 export { Relay } from './loopback/relay.js';
 export { FailoverMode } from './loopback/protocol.js';
--- a/packages/simulation/src/loopback/build-controller.ts
+++ b/packages/simulation/src/loopback/build-controller.ts
@@ -1,14 +1,14 @@
-/** Builds the stand-in controller's program from source. */
+/** Builds the program of a simulated controller from source. */
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { build } from 'esbuild';
 
-/** Resolves with the path of the built program. `source`: for callers that are bundled themselves. */
+/** Resolves to the path of the built program. `source`: must be given by callers that are bundled themselves. */
 export async function buildController(
   source = fileURLToPath(new URL('controller-main.ts', import.meta.url)),
 ): Promise<string> {
-  const outfile = join(tmpdir(), `standin-controller-${process.pid}.cjs`);
+  const outfile = join(tmpdir(), `simulated-controller-${process.pid}.cjs`);
   await build({
     entryPoints: [source],
     bundle: true,
--- a/packages/simulation/src/loopback/channel.ts
+++ b/packages/simulation/src/loopback/channel.ts
@@ -1,77 +1,77 @@
-/** Requests and answers as JSON lines over one connection, in both directions. */
+/** Requests and answers as lines of JSON over one connection, in both directions. */
 import type { Socket } from 'node:net';
 
-/** A request has a name and a number; an answer only the number. */
-interface Line {
+/** A request has an id and a name; its answer has only the id. */
+interface Frame {
   readonly id: number;
-  readonly ask?: string;
+  readonly name?: string;
   readonly body: unknown;
 }
 
-/** Answers the other side's requests; undefined: there is no answer. */
-export type Answerer = (ask: string, body: unknown) => Promise<unknown>;
+/** Handles a request of the other side; resolves to undefined for no answer. */
+export type RequestHandler = (name: string, body: unknown) => Promise<unknown>;
 
 /** One end of a connection. */
 export class Channel {
-  private rest = '';
-  private next = 1;
-  private readonly waiting = new Map<number, (answer: unknown) => void>();
+  private buffer = '';
+  private nextId = 1;
+  private readonly pendingRequests = new Map<number, (answer: unknown) => void>();
 
   constructor(
     private readonly socket: Socket,
-    private readonly answerer: Answerer,
+    private readonly handler: RequestHandler,
     onClose: () => void = () => {},
   ) {
     socket.setNoDelay(true);
     socket.setEncoding('utf8');
-    socket.on('data', (text: string) => this.read(text));
+    socket.on('data', (text: string) => this.receive(text));
     socket.on('error', () => socket.destroy());
     socket.on('close', () => {
-      for (const done of this.waiting.values()) done(null);
-      this.waiting.clear();
+      for (const resolve of this.pendingRequests.values()) resolve(null);
+      this.pendingRequests.clear();
       onClose();
     });
   }
 
-  private read(text: string): void {
-    const lines = (this.rest + text).split('\n');
-    this.rest = lines.pop() ?? '';
-    for (const line of lines) this.take(JSON.parse(line) as Line);
+  private receive(text: string): void {
+    const lines = (this.buffer + text).split('\n');
+    this.buffer = lines.pop() ?? '';
+    for (const line of lines) this.handleFrame(JSON.parse(line) as Frame);
   }
 
-  private take({ id, ask, body }: Line): void {
-    if (ask === undefined) {
-      this.waiting.get(id)?.(body);
-      this.waiting.delete(id);
+  private handleFrame({ id, name, body }: Frame): void {
+    if (name === undefined) {
+      this.pendingRequests.get(id)?.(body);
+      this.pendingRequests.delete(id);
       return;
     }
-    void this.answerer(ask, body).then((answer) => {
+    void this.handler(name, body).then((answer) => {
       if (answer !== undefined) this.write({ id, body: answer });
     });
   }
 
-  private write(line: Line): void {
+  private write(line: Frame): void {
     if (this.socket.writable) this.socket.write(`${JSON.stringify(line)}\n`);
   }
 
-  /** Null: no answer in time, or the connection has ended. */
-  request(ask: string, body: unknown, deadlineMs: number): Promise<unknown> {
-    const id = this.next++;
+  /** Sends a request. Resolves to null if there is no answer in time or the connection ends. */
+  request(name: string, body: unknown, deadlineMs: number): Promise<unknown> {
+    const id = this.nextId++;
     return new Promise((resolve) => {
-      const late = setTimeout(() => {
-        this.waiting.delete(id);
+      const timeout = setTimeout(() => {
+        this.pendingRequests.delete(id);
         resolve(null);
       }, deadlineMs);
-      this.waiting.set(id, (answer) => {
-        clearTimeout(late);
+      this.pendingRequests.set(id, (answer) => {
+        clearTimeout(timeout);
         resolve(answer);
       });
-      this.write({ id, ask, body });
+      this.write({ id, name, body });
     });
   }
 
-  /** Told, not asked. */
-  tell(ask: string, body: unknown): void {
-    this.write({ id: 0, ask, body });
+  /** Sends a message that needs no answer. */
+  notify(name: string, body: unknown): void {
+    this.write({ id: 0, name, body });
   }
 }
--- a/packages/simulation/src/loopback/controller-main.ts
+++ b/packages/simulation/src/loopback/controller-main.ts
@@ -1,4 +1,4 @@
-/** A stand-in controller as a real process: the real packages, over real connections, with jobs that do nothing. */
+/** A simulated controller as a real process: the real packages over real connections, with jobs that do nothing. */
 import { createServer } from 'node:net';
 import {
   type Clock,
@@ -27,17 +27,17 @@
   type EffectRequest,
   FailoverMode,
   type HelloRequest,
-  LabRequest,
-  VACANT,
+  HarnessRequest,
+  LEASE_EXPIRED,
 } from './protocol.js';
 import { dial, listen } from './relay.js';
 
-const ACT_EVERY_MS = 20;
-const STORE_MS = 1000;
-const REDIAL_MS = 100;
-/** The life of a grant, and how often it is renewed, as in the service. */
-const GRANT_MS = 2500;
-const RENEW_EVERY_MS = GRANT_MS / 4;
+const ACTION_INTERVAL_MS = 20;
+const STORE_TIMEOUT_MS = 1000;
+const RECONNECT_DELAY_MS = 100;
+/** The time to live of a lease, and how often it is renewed, as in the service. */
+const LEASE_TTL_MS = 2500;
+const LEASE_RENEW_INTERVAL_MS = LEASE_TTL_MS / 4;
 
 const clock: Clock = {
   now: () => performance.now(),
@@ -48,7 +48,7 @@
   },
 };
 
-/** A channel to a peer that is dialled again when it ends. */
+/** A channel to a peer that reconnects when the connection ends. */
 class PeerChannel {
   private channel: Channel | null = null;
 
@@ -68,7 +68,7 @@
       );
     });
     socket.on('error', () => socket.destroy());
-    socket.on('close', () => clock.after(REDIAL_MS, () => this.open()));
+    socket.on('close', () => clock.after(RECONNECT_DELAY_MS, () => this.open()));
   }
 
   async request(payload: Uint8Array, deadlineMs: number): Promise<Uint8Array | null> {
@@ -78,26 +78,26 @@
   }
 }
 
-/** The laboratory's store over its channel. */
-function remoteStore(lab: Channel): ConditionalStore {
-  const ask = async <T>(request: LabRequest, body: unknown): Promise<T> => {
-    const answer = await lab.request(request, body, STORE_MS);
+/** Returns the harness's store over its channel. */
+function remoteStore(harness: Channel): ConditionalStore {
+  const request = async <T>(name: HarnessRequest, body: unknown): Promise<T> => {
+    const answer = await harness.request(name, body, STORE_TIMEOUT_MS);
     if (answer === null) throw new StoreOutcomeUnknownError('no answer');
     if (answer === 'refused') throw new StoreUnavailableError('refused');
     return (answer as { value: T }).value;
   };
   return {
-    get: (key) => ask(LabRequest.Get, key),
-    commit: (conditions, writes) => ask(LabRequest.Commit, { conditions, writes }),
+    get: (key) => request(HarnessRequest.Get, key),
+    commit: (conditions, writes) => request(HarnessRequest.Commit, { conditions, writes }),
   };
 }
 
-/** What both ways of failover offer: whether this process may act on a unit. */
+/** Both modes of failover decide whether this process may act on a unit. */
 interface Failover {
   currentOwnership(unit: UnitId): Ownership | null;
 }
 
-async function startMembership(options: ControllerOptions, lab: Channel): Promise<Failover> {
+async function startMembership(options: ControllerOptions, harness: Channel): Promise<Failover> {
   const peers = new Map(
     Object.entries(options.peers).map(([member, port]) => [member, new PeerChannel(port)]),
   );
@@ -118,7 +118,7 @@
   );
   membership.listen((event) => {
     if (event.kind !== 'state-changed') return;
-    lab.tell(LabRequest.Event, { kind: event.kind, subject: event.member, to: event.to });
+    harness.notify(HarnessRequest.Event, { kind: event.kind, subject: event.member, to: event.to });
   });
   const server = createServer((socket) => {
     new Channel(socket, async (_, body) => {
@@ -127,17 +127,17 @@
     });
   });
   const port = await listen(server);
-  lab.tell(LabRequest.Hello, { member: options.member, port } satisfies HelloRequest);
+  harness.notify(HarnessRequest.Hello, { member: options.member, port } satisfies HelloRequest);
   const coordinator = new TakeoverCoordinator<null>(
     options.units as UnitId[],
     {
       clock,
       log: {
         info: () => {},
-        warn: (_, text) => lab.tell(LabRequest.Event, { kind: 'warning', subject: '', to: text }),
+        warn: (_, text) => harness.notify(HarnessRequest.Event, { kind: 'warning', subject: '', to: text }),
       },
       membership,
-      claims: new OwnershipRegistry(remoteStore(lab)),
+      claims: new OwnershipRegistry(remoteStore(harness)),
       settings: DEFAULT_TAKEOVER_SETTINGS,
     },
     {
@@ -152,63 +152,67 @@
   return coordinator;
 }
 
-/** Ownership by a grant that is renewed, and claimed by whoever is first when it has ended. */
-class GrantElection implements Failover {
-  private readonly owned = new Map<UnitId, { readonly ownership: Ownership; sureUntil: number }>();
+/** Ownership by a renewed lease: the first that claims the unit after its expiry is the next owner. */
+class LeaseElection implements Failover {
+  private readonly ownedUnits = new Map<UnitId, { readonly ownership: Ownership; validUntil: number }>();
   private readonly registry: OwnershipRegistry;
   private readonly self: Owner;
 
   constructor(
     private readonly options: ControllerOptions,
-    private readonly lab: Channel,
+    private readonly harness: Channel,
   ) {
-    this.registry = new OwnershipRegistry(remoteStore(lab));
+    this.registry = new OwnershipRegistry(remoteStore(harness));
     const process = Math.random().toString(36).slice(2) as ProcessId;
     this.self = { member: options.member as MemberId, process };
-    this.renewAll();
+    this.scheduleRenewals();
   }
 
   currentOwnership(unit: UnitId): Ownership | null {
-    const held = this.owned.get(unit);
-    return held !== undefined && clock.now() < held.sureUntil ? held.ownership : null;
+    const held = this.ownedUnits.get(unit);
+    return held !== undefined && clock.now() < held.validUntil ? held.ownership : null;
   }
 
-  async standFor(unit: UnitId): Promise<void> {
-    if (this.owned.has(unit)) return;
-    const found = await this.registry.read(unit);
-    if (found === null || found.kind === 'damaged' || found.kind === 'owned') return;
+  async campaign(unit: UnitId): Promise<void> {
+    if (this.ownedUnits.has(unit)) return;
+    const reading = await this.registry.read(unit);
+    if (reading === null || reading.kind === 'damaged' || reading.kind === 'owned') return;
     const sentAt = clock.now();
-    const result = await this.registry.claim(unit, this.self, found);
+    const result = await this.registry.claim(unit, this.self, reading);
     if (result.kind !== 'won') return;
-    this.owned.set(unit, { ownership: result.ownership, sureUntil: sentAt + GRANT_MS });
-    await this.lab.request(
-      LabRequest.Grant,
-      { unit, ttlMs: GRANT_MS, epoch: result.ownership.epoch },
-      STORE_MS,
+    this.ownedUnits.set(unit, { ownership: result.ownership, validUntil: sentAt + LEASE_TTL_MS });
+    await this.harness.request(
+      HarnessRequest.CreateLease,
+      { unit, ttlMs: LEASE_TTL_MS, epoch: result.ownership.epoch },
+      STORE_TIMEOUT_MS,
     );
   }
 
-  private renewAll(): void {
-    clock.after(RENEW_EVERY_MS, () => {
-      for (const [unit, held] of this.owned) void this.renew(unit, held);
-      for (const unit of this.options.units as UnitId[]) void this.standFor(unit);
-      this.renewAll();
+  private scheduleRenewals(): void {
+    clock.after(LEASE_RENEW_INTERVAL_MS, () => {
+      for (const [unit, held] of this.ownedUnits) void this.renew(unit, held);
+      for (const unit of this.options.units as UnitId[]) void this.campaign(unit);
+      this.scheduleRenewals();
     });
   }
 
   private async renew(
     unit: UnitId,
-    held: { readonly ownership: Ownership; sureUntil: number },
+    held: { readonly ownership: Ownership; validUntil: number },
   ): Promise<void> {
     const sentAt = clock.now();
-    const answer = await this.lab.request(LabRequest.Touch, { unit, epoch: held.ownership.epoch }, STORE_MS);
-    if (answer === true) held.sureUntil = sentAt + GRANT_MS;
-    else if (answer === false) this.owned.delete(unit);
+    const answer = await this.harness.request(
+      HarnessRequest.RenewLease,
+      { unit, epoch: held.ownership.epoch },
+      STORE_TIMEOUT_MS,
+    );
+    if (answer === true) held.validUntil = sentAt + LEASE_TTL_MS;
+    else if (answer === false) this.ownedUnits.delete(unit);
   }
 }
 
-/** Acts upon every unit that it may act upon, one job after the other. */
-function act(options: ControllerOptions, failover: Failover, lab: Channel): void {
+/** Starts jobs on every unit that this process may act on, one after the other. */
+function startActions(options: ControllerOptions, failover: Failover, harness: Channel): void {
   let jobs = 0;
   const step = (): void => {
     for (const unit of options.units as UnitId[]) {
@@ -223,29 +227,31 @@
         epoch,
         job: `${unit}/${epoch}/${jobs}`,
       };
-      lab.tell(LabRequest.Effect, effect);
+      harness.notify(HarnessRequest.Effect, effect);
     }
-    clock.after(ACT_EVERY_MS, step);
+    clock.after(ACTION_INTERVAL_MS, step);
   };
   step();
 }
 
 function main(): void {
   const options = JSON.parse(process.argv[2] ?? '') as ControllerOptions;
-  const socket = dial(options.labPort);
-  // The laboratory has ended: so does the controller.
+  const socket = dial(options.harnessPort);
+  // The harness has ended, and so does the controller.
   socket.on('close', () => process.exit(0));
   socket.on('connect', () => {
-    let election: GrantElection | null = null;
-    const lab = new Channel(socket, (ask, body) => {
-      if (ask === VACANT) void election?.standFor(body as UnitId);
+    let election: LeaseElection | null = null;
+    const harness = new Channel(socket, (name, body) => {
+      if (name === LEASE_EXPIRED) void election?.campaign(body as UnitId);
       return Promise.resolve(undefined);
     });
-    if (options.mode === FailoverMode.GrantOnly) {
-      lab.tell(LabRequest.Hello, { member: options.member, port: 0 } satisfies HelloRequest);
-      election = new GrantElection(options, lab);
-      act(options, election, lab);
-    } else void startMembership(options, lab).then((failover) => act(options, failover, lab));
+    if (options.mode === FailoverMode.LeaseOnly) {
+      harness.notify(HarnessRequest.Hello, { member: options.member, port: 0 } satisfies HelloRequest);
+      election = new LeaseElection(options, harness);
+      startActions(options, election, harness);
+    } else {
+      void startMembership(options, harness).then((failover) => startActions(options, failover, harness));
+    }
   });
 }
 
--- a/packages/simulation/src/loopback/loopback-cluster.ts
+++ b/packages/simulation/src/loopback/loopback-cluster.ts
@@ -1,4 +1,4 @@
-/** Runs stand-in controllers as processes of this machine, makes them fail, and records what they do. */
+/** The test harness: runs simulated controllers as processes of this machine, injects faults, and records effects. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { createServer, type Server, type Socket } from 'node:net';
 import { DEFAULT_TUNING, type MemberId, type MembershipTuning, type ProcessId } from '@plumyoke/membership';
@@ -13,22 +13,22 @@
   type EventReport,
   type FailoverMode,
   type HelloRequest,
-  LabRequest,
-  VACANT,
+  HarnessRequest,
+  LEASE_EXPIRED,
 } from './protocol.js';
 import { listen, Relay } from './relay.js';
 
-/** How often grants are looked at. */
-const EXPIRY_EVERY_MS = 50;
+/** How often leases are checked for expiry. */
+const LEASE_CHECK_INTERVAL_MS = 50;
 
-interface Grant {
+interface Lease {
   readonly epoch: number;
   readonly ttlMs: number;
-  until: number;
+  validUntil: number;
 }
 
-/** Something that happened, on the laboratory's clock. */
-export interface LabEvent {
+/** An event that a controller reported, with the harness's time of its arrival. */
+export interface ClusterEvent {
   readonly at: number;
   readonly observer: string;
   readonly kind: string;
@@ -36,53 +36,53 @@
   readonly to: string;
 }
 
-/** The first accepted effect of an epoch: from then on its owner serves. */
-export interface Served {
+/** The owner of an epoch, with the time of its first accepted effect. */
+export interface ServingOwner {
   readonly at: number;
   readonly member: string;
   readonly epoch: number;
 }
 
-/** What is run. */
-export interface LaboratoryOptions {
+/** The options of a cluster. */
+export interface LoopbackClusterOptions {
   readonly controllers: number;
   readonly units: number;
   readonly mode: FailoverMode;
-  /** The built program of a stand-in controller. */
+  /** The path of the built program of a controller (see `buildController`). */
   readonly program: string;
   readonly tuning?: MembershipTuning;
 }
 
-interface Running {
+interface ControllerProcess {
   readonly child: ChildProcess;
-  stopped: boolean;
+  isPaused: boolean;
 }
 
 const now = (): number => performance.now();
 
-/** Controllers, their store, their resources, and the links between them. */
-export class Laboratory {
+/** Controllers as child processes, with their store, their resources, and the links between them. */
+export class LoopbackCluster {
   readonly members: readonly string[];
   readonly units: readonly UnitId[];
   readonly history = new EffectHistory();
-  readonly events: LabEvent[] = [];
+  readonly events: ClusterEvent[] = [];
   readonly store: SharedStore;
   private readonly relay = new Relay();
-  private readonly running = new Map<string, Running>();
+  private readonly running = new Map<string, ControllerProcess>();
   private readonly channels = new Map<string, Channel>();
   private readonly ports = new Map<string, number>();
   private readonly routes = new Map<string, number>();
-  private readonly grants = new Map<string, Grant>();
-  private readonly serving = new Map<UnitId, Served>();
-  /** When the holder's record of a unit was last claimed. */
+  private readonly leases = new Map<string, Lease>();
+  private readonly servingOwners = new Map<UnitId, ServingOwner>();
+  /** When each unit was last claimed. */
   private readonly claimedAt = new Map<UnitId, number>();
-  private readonly expiry: NodeJS.Timeout;
+  private readonly leaseTimer: NodeJS.Timeout;
   private server: Server | null = null;
-  private labPort = 0;
+  private harnessPort = 0;
 
-  constructor(private readonly options: LaboratoryOptions) {
-    this.members = Array.from({ length: options.controllers }, (_, n) => `c${n}`);
-    this.units = Array.from({ length: options.units }, (_, n) => `unit-${n}` as UnitId);
+  constructor(private readonly options: LoopbackClusterOptions) {
+    this.members = Array.from({ length: options.controllers }, (_, index) => `c${index}`);
+    this.units = Array.from({ length: options.units }, (_, index) => `unit-${index}` as UnitId);
     const clock = {
       now,
       wall: () => Date.now(),
@@ -92,12 +92,15 @@
       },
     };
     this.store = new SharedStore(clock, Math.random);
-    this.expiry = setInterval(() => this.expire(), EXPIRY_EVERY_MS);
+    this.leaseTimer = setInterval(() => this.expireLeases(), LEASE_CHECK_INTERVAL_MS);
   }
 
+  /** Starts the harness and all controllers. */
   async start(): Promise<void> {
+    // A paused child does not notice that its connection to the harness has closed, and would outlive this process.
+    process.once('exit', this.killAll);
     this.server = createServer((socket) => this.accept(socket));
-    this.labPort = await listen(this.server);
+    this.harnessPort = await listen(this.server);
     for (const from of this.members) {
       for (const to of this.members) {
         if (from === to) continue;
@@ -109,48 +112,48 @@
 
   private accept(socket: Socket): void {
     let member = '';
-    const channel: Channel = new Channel(socket, (ask, body) => {
-      if (ask === (LabRequest.Hello as string)) {
+    const channel: Channel = new Channel(socket, (name, body) => {
+      if (name === (HarnessRequest.Hello as string)) {
         const hello = body as HelloRequest;
         member = hello.member;
         this.ports.set(member, hello.port);
         this.channels.set(member, channel);
         return Promise.resolve(undefined);
       }
-      return Promise.resolve(this.answer(member, ask as LabRequest, body));
+      return Promise.resolve(this.handleRequest(member, name as HarnessRequest, body));
     });
   }
 
-  private answer(member: string, ask: LabRequest, body: unknown): unknown {
-    switch (ask) {
-      case LabRequest.Effect:
-        this.effect(body as EffectRequest);
+  private handleRequest(member: string, name: HarnessRequest, body: unknown): unknown {
+    switch (name) {
+      case HarnessRequest.Effect:
+        this.recordEffect(body as EffectRequest);
         return undefined;
-      case LabRequest.Event:
+      case HarnessRequest.Event:
         this.events.push({ at: now(), observer: member, ...(body as EventReport) });
         return undefined;
       default:
-        if (this.store.refused.has(member)) return 'refused';
-        return this.answerStore(ask, body);
+        if (this.store.refusedClients.has(member)) return 'refused';
+        return this.handleStoreRequest(name, body);
     }
   }
 
-  private answerStore(ask: LabRequest, body: unknown): unknown {
-    switch (ask) {
-      case LabRequest.Get:
+  private handleStoreRequest(name: HarnessRequest, body: unknown): unknown {
+    switch (name) {
+      case HarnessRequest.Get:
         return { value: this.store.get(String(body)) };
-      case LabRequest.Commit:
+      case HarnessRequest.Commit:
         return { value: this.commit(body as CommitRequest) };
-      case LabRequest.Grant: {
+      case HarnessRequest.CreateLease: {
         const { unit, ttlMs, epoch } = body as { unit: string; ttlMs: number; epoch: number };
-        this.grants.set(unit, { epoch, ttlMs, until: now() + ttlMs });
+        this.leases.set(unit, { epoch, ttlMs, validUntil: now() + ttlMs });
         return true;
       }
-      case LabRequest.Touch: {
+      case HarnessRequest.RenewLease: {
         const { unit, epoch } = body as { unit: string; epoch: number };
-        const grant = this.grants.get(unit);
-        if (grant?.epoch !== epoch) return false;
-        grant.until = now() + grant.ttlMs;
+        const lease = this.leases.get(unit);
+        if (lease?.epoch !== epoch) return false;
+        lease.validUntil = now() + lease.ttlMs;
         return true;
       }
       default:
@@ -167,36 +170,38 @@
     return result;
   }
 
-  private effect({ unit, member, process, epoch, job }: EffectRequest): void {
+  private recordEffect({ unit, member, process, epoch, job }: EffectRequest): void {
     const owner = { member: member as MemberId, process: process as ProcessId };
     const effect = { unit: unit as UnitId, owner, epoch: epoch as FencingEpoch };
-    if (!this.history.begin(job, effect, now())) return;
-    const serving = this.serving.get(unit as UnitId);
+    if (!this.history.recordJobStart(job, effect, now())) return;
+    const serving = this.servingOwners.get(unit as UnitId);
     if (serving === undefined || epoch > serving.epoch) {
-      this.serving.set(unit as UnitId, { at: now(), member, epoch });
+      this.servingOwners.set(unit as UnitId, { at: now(), member, epoch });
     }
   }
 
-  private expire(): void {
-    for (const [unit, grant] of this.grants) {
-      if (grant.until > now()) continue;
-      this.grants.delete(unit);
+  private expireLeases(): void {
+    for (const [unit, lease] of this.leases) {
+      if (lease.validUntil > now()) continue;
+      this.leases.delete(unit);
       this.store.delete(`ownership/${unit}/holder`);
-      for (const channel of this.channels.values()) channel.tell(VACANT, unit);
+      for (const channel of this.channels.values()) channel.notify(LEASE_EXPIRED, unit);
     }
   }
 
-  /** Who serves the unit, by its effects. */
-  served(unit: UnitId): Served | null {
-    return this.serving.get(unit) ?? null;
+  /** Returns the owner of the unit, by its effects; null: there was none yet. */
+  servingOwner(unit: UnitId): ServingOwner | null {
+    return this.servingOwners.get(unit) ?? null;
   }
 
+  /** Returns when the unit was last claimed; 0: never. */
   lastClaimAt(unit: UnitId): number {
     return this.claimedAt.get(unit) ?? 0;
   }
 
-  // Failures, each of a child of this process, by its id
+  // Faults; each acts on a child of this process, by its id
 
+  /** Starts a controller unless it is running. */
   spawn(member: string): void {
     if (this.running.has(member)) return;
     const peers: Record<string, number> = {};
@@ -209,14 +214,15 @@
       units: this.units,
       tuning: this.options.tuning ?? DEFAULT_TUNING,
       peers,
-      labPort: this.labPort,
+      harnessPort: this.harnessPort,
     };
     const child = spawn(process.execPath, [this.options.program, JSON.stringify(options)], {
       stdio: 'ignore',
     });
-    this.running.set(member, { child, stopped: false });
+    this.running.set(member, { child, isPaused: false });
   }
 
+  /** Kills a controller. */
   kill(member: string): void {
     const running = this.running.get(member);
     if (!running) return;
@@ -224,44 +230,51 @@
     running.child.kill('SIGKILL');
   }
 
-  stopProcess(member: string): void {
+  /** Stops a controller's process without ending it. */
+  pause(member: string): void {
     const running = this.running.get(member);
     if (!running) return;
-    running.stopped = true;
+    running.isPaused = true;
     running.child.kill('SIGSTOP');
   }
 
-  continueProcess(member: string): void {
+  /** Continues a paused controller. */
+  resume(member: string): void {
     const running = this.running.get(member);
-    if (!running?.stopped) return;
-    running.stopped = false;
+    if (!running?.isPaused) return;
+    running.isPaused = false;
     running.child.kill('SIGCONT');
   }
 
-  /** No message of `member` arrives at its peers. */
-  mute(member: string): void {
+  /** Drops all messages from `member` to its peers. */
+  cutOutbound(member: string): void {
     for (const other of this.members) if (other !== member) this.relay.cut(member, other);
   }
 
-  /** No message of its peers arrives at `member`. */
-  deafen(member: string): void {
+  /** Drops all messages from its peers to `member`. */
+  cutInbound(member: string): void {
     for (const other of this.members) if (other !== member) this.relay.cut(other, member);
   }
 
-  /** Everything runs, and every link works. */
-  heal(): void {
+  private readonly killAll = (): void => {
+    for (const member of [...this.running.keys()]) this.kill(member);
+  };
+
+  /** Ends all faults: every process runs, and every link works. */
+  endFaults(): void {
     this.relay.healAll();
-    this.store.refused.clear();
+    this.store.refusedClients.clear();
     for (const member of this.members) {
-      this.continueProcess(member);
+      this.resume(member);
       this.spawn(member);
     }
   }
 
-  /** Ends all children and closes all ports. */
+  /** Kills all children and closes all ports. */
   close(): void {
-    clearInterval(this.expiry);
-    for (const member of [...this.running.keys()]) this.kill(member);
+    process.off('exit', this.killAll);
+    clearInterval(this.leaseTimer);
+    this.killAll();
     this.server?.close();
     this.relay.close();
   }
--- a/packages/simulation/src/loopback/protocol.ts
+++ b/packages/simulation/src/loopback/protocol.ts
@@ -1,4 +1,4 @@
-/** What stand-in controllers and the laboratory that runs them tell each other. */
+/** The protocol between simulated controllers and the test harness that runs them. */
 import type { MembershipTuning } from '@plumyoke/membership';
 import type { StoreCondition, StoreWrite } from '@plumyoke/takeover/reference';
 
@@ -6,49 +6,49 @@
 export enum FailoverMode {
   /** By the failure detector's verdict. */
   Membership = 'membership',
-  /** When the owner's grant has ended, as the service does without failure detection. */
-  GrantOnly = 'grant-only',
+  /** When the owner's lease has expired, as in the service without failure detection. */
+  LeaseOnly = 'grant-only',
 }
 
-/** What a stand-in controller is started with, as JSON in its first argument. */
+/** The options of a simulated controller, passed as JSON in its first argument. */
 export interface ControllerOptions {
   readonly member: string;
   readonly mode: FailoverMode;
   readonly units: readonly string[];
   readonly tuning: MembershipTuning;
-  /** The ports on which it reaches its peers, by member. */
+  /** The ports of its peers, by member. */
   readonly peers: Readonly<Record<string, number>>;
-  /** The laboratory's port: store, resources, log. */
-  readonly labPort: number;
+  /** The harness's port: store, resources, log. */
+  readonly harnessPort: number;
 }
 
-/** The requests of a controller to the laboratory. */
-export enum LabRequest {
+/** The requests of a controller to the harness. */
+export enum HarnessRequest {
   Hello = 'hello',
   Get = 'get',
   Commit = 'commit',
-  Grant = 'grant',
-  Touch = 'touch',
+  CreateLease = 'create-lease',
+  RenewLease = 'renew-lease',
   Effect = 'effect',
   Event = 'event',
 }
 
-/** What the laboratory tells controllers in grant-only mode: a holder's grant has ended. */
-export const VACANT = 'vacant';
+/** What the harness sends to controllers in lease-only mode: an owner's lease has expired. */
+export const LEASE_EXPIRED = 'lease-expired';
 
-/** A controller's first words: where its peers reach it. */
+/** A controller's first message: the port on which its peers reach it. */
 export interface HelloRequest {
   readonly member: string;
   readonly port: number;
 }
 
-/** A transaction; `grant` binds the holder's key to it. */
+/** A transaction. */
 export interface CommitRequest {
   readonly conditions: readonly StoreCondition[];
   readonly writes: readonly StoreWrite[];
 }
 
-/** An owner acts upon a unit. */
+/** An effect of an owner on a unit. */
 export interface EffectRequest {
   readonly unit: string;
   readonly member: string;
@@ -57,7 +57,7 @@
   readonly job: string;
 }
 
-/** A controller tells what it has seen. */
+/** An event that a controller reports. */
 export interface EventReport {
   readonly kind: string;
   readonly subject: string;
--- a/packages/simulation/src/loopback/relay.ts
+++ b/packages/simulation/src/loopback/relay.ts
@@ -1,9 +1,9 @@
-/** A relay between processes on loopback: every ordered pair has a port, and drops bytes in one direction when cut. */
+/** A relay between processes on loopback: every ordered pair has a port, and bytes of a cut direction are dropped. */
 import { type AddressInfo, connect, createServer, type Server, type Socket } from 'node:net';
 
 const LOOPBACK = '127.0.0.1';
 
-/** Listens on a free port. */
+/** Listens on a free port; resolves to the port. */
 export function listen(server: Server): Promise<number> {
   return new Promise((resolve, reject) => {
     server.once('error', reject);
@@ -11,7 +11,7 @@
   });
 }
 
-/** Dials a port of this machine. */
+/** Connects to a port of this machine. */
 export function dial(port: number, host = LOOPBACK): Socket {
   return connect({ host, port });
 }
@@ -24,28 +24,28 @@
   /** Connections that lost bytes, by the direction that was cut. */
   private readonly broken = new Map<Socket, string>();
 
-  /** The port on which `from` reaches `to`. */
+  /** Opens a port on which `from` reaches `to`; resolves to it. */
   open(from: string, to: string, targetPort: () => number, targetHost = LOOPBACK): Promise<number> {
-    const server = createServer((near) => {
-      const far = dial(targetPort(), targetHost);
-      this.pipe(near, far, from, to);
-      this.pipe(far, near, to, from);
+    const server = createServer((inbound) => {
+      const outbound = dial(targetPort(), targetHost);
+      this.pipe(inbound, outbound, from, to);
+      this.pipe(outbound, inbound, to, from);
     });
     this.servers.push(server);
     return listen(server);
   }
 
-  /** Bytes of a cut direction are dropped; the connection stays, as behind a packet filter. */
+  /** Forwards bytes. Those of a cut direction are dropped; the connection stays open, as behind a packet filter. */
   private pipe(source: Socket, target: Socket, from: string, to: string): void {
     this.sockets.add(source);
-    let broken = false;
+    let isBroken = false;
     source.on('data', (bytes) => {
-      // What was dropped cannot be made up for: the stream is useless from then on.
-      if (!broken && this.isCut(from, to)) {
-        broken = true;
+      // Dropped bytes are lost for good, so the stream is unusable from then on.
+      if (!isBroken && this.isCut(from, to)) {
+        isBroken = true;
         this.broken.set(source, `${from} ${to}`);
       }
-      if (!broken && target.writable) target.write(bytes);
+      if (!isBroken && target.writable) target.write(bytes);
     });
     source.on('error', () => source.destroy());
     source.on('close', () => {
@@ -59,24 +59,28 @@
     return this.cuts.has(`${from} ${to}`);
   }
 
+  /** Drops bytes from `from` to `to` from now on. */
   cut(from: string, to: string): void {
     this.cuts.add(`${from} ${to}`);
   }
 
-  /** Bytes pass again. Connections that lost some are closed, so that the processes dial anew. */
+  /** Restores one direction. Connections that lost bytes are closed, so that the processes reconnect. */
   heal(from: string, to: string): void {
     const pair = `${from} ${to}`;
     this.cuts.delete(pair);
-    for (const [socket, lost] of this.broken) if (lost === pair) socket.destroy();
+    for (const [socket, brokenPair] of this.broken) {
+      if (brokenPair === pair) socket.destroy();
+    }
   }
 
-  /** Connections that lost bytes are closed, so that the processes dial anew. */
+  /** Restores all directions. If any was cut, all connections are closed, so that the processes reconnect. */
   healAll(): void {
     if (this.cuts.size === 0) return;
     this.cuts.clear();
     for (const socket of this.sockets) socket.destroy();
   }
 
+  /** Closes all ports and connections. */
   close(): void {
     for (const server of this.servers) server.close();
     for (const socket of this.sockets) socket.destroy();
--- a/packages/simulation/src/measure/failure-kinds.ts
+++ b/packages/simulation/src/measure/failure-kinds.ts
@@ -1,29 +1,29 @@
-/** The failures that are measured: how each is brought about. */
-import type { Laboratory } from '../loopback/loopback-cluster.js';
+/** The kinds of failures that are measured, and how each is injected. */
+import type { LoopbackCluster } from '../loopback/loopback-cluster.js';
 
-/** One way in which an owner fails. */
+/** A kind of failure of an owner. */
 export interface FailureKind {
   readonly name: string;
-  readonly inflict: (laboratory: Laboratory, owner: string) => void;
+  readonly inject: (cluster: LoopbackCluster, owner: string) => void;
 }
 
-/** Every kind leads to a takeover, by verdict or by grant. */
+/** All kinds. Each leads to a takeover, by a verdict or by the expiry of the lease. */
 export const FAILURE_KINDS: readonly FailureKind[] = [
-  { name: 'killed', inflict: (laboratory, owner) => laboratory.kill(owner) },
-  { name: 'stopped', inflict: (laboratory, owner) => laboratory.stopProcess(owner) },
+  { name: 'killed', inject: (cluster, owner) => cluster.kill(owner) },
+  { name: 'stopped', inject: (cluster, owner) => cluster.pause(owner) },
   {
     name: 'cut off',
-    inflict: (laboratory, owner) => {
-      laboratory.mute(owner);
-      laboratory.deafen(owner);
-      laboratory.store.refused.add(owner);
+    inject: (cluster, owner) => {
+      cluster.cutOutbound(owner);
+      cluster.cutInbound(owner);
+      cluster.store.refusedClients.add(owner);
     },
   },
   {
     name: 'heard by none',
-    inflict: (laboratory, owner) => {
-      laboratory.mute(owner);
-      laboratory.store.refused.add(owner);
+    inject: (cluster, owner) => {
+      cluster.cutOutbound(owner);
+      cluster.store.refusedClients.add(owner);
     },
   },
 ];
--- a/packages/simulation/src/measure/report.ts
+++ b/packages/simulation/src/measure/report.ts
@@ -1,4 +1,4 @@
-/** A self-contained HTML page with plots: figures as tables, plots as SVG in the page itself. */
+/** Renders a self-contained HTML page with tables and SVG plots. */
 import { BarChart, LineChart } from 'echarts/charts';
 import { GridComponent, LegendComponent, TitleComponent } from 'echarts/components';
 import * as echarts from 'echarts/core';
@@ -9,13 +9,13 @@
 const WIDTH = 900;
 const HEIGHT = 380;
 
-/** Values over shared categories. */
+/** A series of values over shared categories. */
 export interface Series {
   readonly name: string;
   readonly values: readonly (number | null)[];
 }
 
-/** A curve through points. */
+/** A named curve. */
 export interface Curve {
   readonly name: string;
   readonly points: readonly (readonly [number, number])[];
@@ -29,7 +29,7 @@
   return svg;
 }
 
-/** Bars for each category, one colour a series. */
+/** Renders a bar plot with one colour a series. */
 export function barPlot(
   title: string,
   unit: string,
@@ -46,19 +46,19 @@
   });
 }
 
-/** Curves over a numeric axis. */
-export function linePlot(title: string, x: string, y: string, curves: readonly Curve[]): string {
+/** Renders curves over a numeric axis. */
+export function linePlot(title: string, xLabel: string, yLabel: string, curves: readonly Curve[]): string {
   return render({
     title: { text: title, textStyle: { fontSize: 14 } },
     legend: { bottom: 0 },
     grid: { left: 70, right: 30, top: 50, bottom: 85 },
-    xAxis: { type: 'value', name: x, nameLocation: 'middle', nameGap: 28 },
-    yAxis: { type: 'value', name: y },
+    xAxis: { type: 'value', name: xLabel, nameLocation: 'middle', nameGap: 28 },
+    yAxis: { type: 'value', name: yLabel },
     series: curves.map(({ name, points }) => ({
       name,
       type: 'line',
       showSymbol: false,
-      data: points.map((p) => [...p]),
+      data: points.map((point) => [...point]),
     })),
   });
 }
@@ -66,14 +66,14 @@
 const escaped = (text: string): string =>
   text.replaceAll('&', '&amp;').replaceAll('<', '&lt;').replaceAll('>', '&gt;');
 
-/** A table with a header. */
+/** Renders a table with a header. */
 export function htmlTable(header: readonly string[], rows: readonly (readonly string[])[]): string {
   const row = (cells: readonly string[], tag: string): string =>
     `<tr>${cells.map((cell) => `<${tag}>${escaped(cell)}</${tag}>`).join('')}</tr>`;
   return `<table>${row(header, 'th')}${rows.map((cells) => row(cells, 'td')).join('')}</table>`;
 }
 
-/** The whole page. */
+/** Renders the page. */
 export function htmlPage(title: string, intro: string, parts: readonly string[]): string {
   const style =
     'body{font:14px sans-serif;max-width:960px;margin:2em auto}table{border-collapse:collapse;margin:1em 0}' +
--- a/packages/simulation/src/measure/takeover-main.ts
+++ b/packages/simulation/src/measure/takeover-main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run measure:takeover`: how long a takeover takes, by stage, with the failure detector and by the grant alone, on
- * this machine. Long: not for CI.
+ * `npm run measure:takeover`: measures takeover times by stage, with the failure detector and by lease expiry alone, on
+ * this machine. Takes long: not for CI.
  */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { cpus } from 'node:os';
@@ -10,12 +10,12 @@
 import { DEFAULT_TUNING, type MembershipTuning } from '@plumyoke/membership';
 import { buildController } from '../loopback/build-controller.js';
 import { FailoverMode } from '../loopback/protocol.js';
-import { BoxLoad } from './host-load.js';
+import { HostLoad } from './host-load.js';
 import { FAILURE_KINDS, type FailureKind } from './failure-kinds.js';
 import { barPlot, htmlPage, htmlTable, linePlot } from './report.js';
 import { type TakeoverTimes, Trial } from './trial.js';
 
-/** From the repository's root, where `npm run` starts. */
+/** Relative to the repository's root, where `npm run` starts. */
 const CONTROLLER_SOURCE = 'packages/simulation/src/loopback/controller-main.ts';
 const PERCENTILES = [50, 90, 99];
 const CURVE_STEP = 2;
@@ -28,14 +28,14 @@
   readonly mode: FailoverMode;
   readonly controllers: number;
   readonly kind: FailureKind;
-  /** Busy processes beside it. */
+  /** The number of busy processes beside it. */
   readonly load: number;
 }
 
 interface Result extends Setup {
   readonly histograms: Readonly<Record<Stage, Histogram>>;
   readonly failures: number;
-  /** Takeovers that did not happen within the time that a trial waits. */
+  /** The number of takeovers that were not completed within the time that a trial waits. */
   readonly missing: number;
 }
 
@@ -50,7 +50,7 @@
   readonly tuning: MembershipTuning;
 }
 
-function readOptions(): Options {
+function parseOptions(): Options {
   const { values } = parseArgs({
     options: {
       failures: { type: 'string', default: '200' },
@@ -84,12 +84,15 @@
 }
 
 function setups({ sizes, loads, modes }: Options): Setup[] {
-  const found: Setup[] = [];
-  for (const load of loads)
-    for (const controllers of sizes)
-      for (const kind of FAILURE_KINDS)
-        for (const mode of modes) found.push({ mode, controllers, kind, load });
-  return found;
+  const combinations: Setup[] = [];
+  for (const load of loads) {
+    for (const controllers of sizes) {
+      for (const kind of FAILURE_KINDS) {
+        for (const mode of modes) combinations.push({ mode, controllers, kind, load });
+      }
+    }
+  }
+  return combinations;
 }
 
 async function measure(
@@ -97,15 +100,15 @@
   { failures, parallel, tuning }: Options,
   program: string,
 ): Promise<Result> {
-  const each = Math.ceil(failures / parallel);
-  const load = new BoxLoad(setup.load);
+  const failuresPerTrial = Math.ceil(failures / parallel);
+  const load = new HostLoad(setup.load);
   try {
     const trials = Array.from({ length: parallel }, () =>
-      new Trial({ ...setup, failures: each, program, tuning }).run(),
+      new Trial({ ...setup, failures: failuresPerTrial, program, tuning }).run(),
     );
     return collect(setup, (await Promise.all(trials)).flat());
   } finally {
-    load.end();
+    load.stop();
   }
 }
 
@@ -126,25 +129,29 @@
   return { ...setup, histograms, failures: times.length, missing };
 }
 
-async function falseSuspicions(options: Options, program: string): Promise<string[][]> {
+/** Resolves to the number of suspicions in each of the quiet clusters. */
+async function countFalseSuspicions(
+  { parallel, quietMs, tuning }: Options,
+  program: string,
+  controllers: number,
+  load: number,
+): Promise<number[]> {
+  const kind = FAILURE_KINDS[0] as FailureKind;
+  const setup = { mode: FailoverMode.Membership, controllers, kind, failures: 0, program, tuning };
+  const hostLoad = new HostLoad(load);
+  try {
+    const trials = Array.from({ length: parallel }, () => new Trial(setup).countFalseSuspicions(quietMs));
+    return await Promise.all(trials);
+  } finally {
+    hostLoad.stop();
+  }
+}
+
+async function measureFalseSuspicions(options: Options, program: string): Promise<string[][]> {
   const rows: string[][] = [];
   for (const load of options.loads) {
     for (const controllers of options.sizes) {
-      const box = new BoxLoad(load);
-      const kind = FAILURE_KINDS[0] as FailureKind;
-      const setup = {
-        mode: FailoverMode.Membership,
-        controllers,
-        kind,
-        failures: 0,
-        program,
-        tuning: options.tuning,
-      };
-      const trials = Array.from({ length: options.parallel }, () =>
-        new Trial(setup).quietSuspicions(options.quietMs),
-      );
-      const counts = await Promise.all(trials);
-      box.end();
+      const counts = await countFalseSuspicions(options, program, controllers, load);
       const hours = (options.quietMs * options.parallel) / HOUR_MS;
       const total = counts.reduce((sum, count) => sum + count, 0);
       rows.push([
@@ -188,7 +195,7 @@
     return [
       barPlot(`${kind.name}: until another controller serves, median`, 'ms', categories, [
         { name: 'failure detector', values: median(FailoverMode.Membership) },
-        { name: 'grant alone', values: median(FailoverMode.GrantOnly) },
+        { name: 'lease alone', values: median(FailoverMode.LeaseOnly) },
       ]),
       linePlot(
         `${kind.name}: share of takeovers that were over by then`,
@@ -201,7 +208,7 @@
 }
 
 async function main(): Promise<void> {
-  const options = readOptions();
+  const options = parseOptions();
   const program = await buildController(CONTROLLER_SOURCE);
   const results: Result[] = [];
   for (const setup of setups(options)) {
@@ -212,7 +219,7 @@
       `${nameOf(setup)}: ${result.failures} failures, ${result.missing} not taken over, serving after ${serving} ms\n`,
     );
   }
-  const quiet = await falseSuspicions(options, program);
+  const quiet = await measureFalseSuspicions(options, program);
   for (const [name, total, hours, rate] of quiet) {
     process.stdout.write(`quiet, ${name}: ${total} suspicions in ${hours} cluster hours, ${rate} an hour\n`);
   }
@@ -220,7 +227,7 @@
     'setup',
     'failures',
     'missing',
-    ...STAGES.flatMap((stage) => PERCENTILES.map((p) => `${stage.slice(0, -2)} p${p}`)),
+    ...STAGES.flatMap((stage) => PERCENTILES.map((percentile) => `${stage.slice(0, -2)} p${percentile}`)),
   ];
   const rows = results.map((result) => [
     nameOf(result),
@@ -229,7 +236,7 @@
     ...STAGES.flatMap((stage) => cells(result, stage)),
   ]);
   const page = htmlPage(
-    'Takeovers by stand-in controllers',
+    'Takeovers by simulated controllers',
     `Milliseconds from the failure. All processes ran on this one machine (${cpus().length} cores) over loopback, ${options.parallel} clusters at once; "load" is the number of busy processes beside them; probes every ${options.tuning.probeIntervalMs} ms, suspicion ${options.tuning.suspicionMs} ms. Times on separate machines will differ.`,
     [
       htmlTable(header, rows),
@@ -243,4 +250,8 @@
   process.stdout.write(`report: ${path}\n`);
 }
 
+// Exits through the `exit` event, which kills the children of all clusters, also those that are paused.
+process.once('SIGINT', () => process.exit(130));
+process.once('SIGTERM', () => process.exit(143));
+
 void main();
--- a/packages/simulation/src/measure/trial.ts
+++ b/packages/simulation/src/measure/trial.ts
@@ -1,16 +1,16 @@
-/** One laboratory in which owners fail again and again, and the times that each takeover took. */
+/** Measures takeovers in one cluster whose owners fail repeatedly. */
 import type { MembershipTuning } from '@plumyoke/membership';
 import type { UnitId } from '@plumyoke/takeover';
-import { type LabEvent, Laboratory } from '../loopback/loopback-cluster.js';
+import { type ClusterEvent, LoopbackCluster } from '../loopback/loopback-cluster.js';
 import type { FailoverMode } from '../loopback/protocol.js';
 import type { FailureKind } from './failure-kinds.js';
 
-const LOOK_EVERY_MS = 5;
-const GIVE_UP_MS = 30_000;
-/** A cluster counts as settled when it has been quiet for so long. */
+const POLL_INTERVAL_MS = 5;
+const TIMEOUT_MS = 30_000;
+/** A cluster is settled once no event has occurred for this time. */
 const QUIET_MS = 1200;
 
-/** Milliseconds from the failure; null: it did not come to that. */
+/** The times of one takeover in milliseconds from the failure; null: the stage was not reached. */
 export interface TakeoverTimes {
   readonly suspectMs: number | null;
   readonly failedMs: number | null;
@@ -18,7 +18,7 @@
   readonly servingMs: number | null;
 }
 
-/** What is run. */
+/** The options of a trial. */
 export interface TrialOptions {
   readonly mode: FailoverMode;
   readonly controllers: number;
@@ -30,91 +30,91 @@
 
 const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
-async function holds(condition: () => boolean): Promise<boolean> {
-  const end = performance.now() + GIVE_UP_MS;
+async function waitUntil(condition: () => boolean): Promise<boolean> {
+  const end = performance.now() + TIMEOUT_MS;
   while (performance.now() < end) {
     if (condition()) return true;
-    await sleep(LOOK_EVERY_MS);
+    await sleep(POLL_INTERVAL_MS);
   }
   return false;
 }
 
-/** One cluster of processes. */
+/** A trial on one cluster of processes. A trial is run once. */
 export class Trial {
-  private readonly laboratory: Laboratory;
+  private readonly cluster: LoopbackCluster;
   private readonly unit: UnitId;
 
   constructor(private readonly options: TrialOptions) {
     const { controllers, mode, program, tuning } = options;
-    this.laboratory = new Laboratory({ controllers, units: 1, mode, program, tuning });
-    this.unit = this.laboratory.units[0] as UnitId;
+    this.cluster = new LoopbackCluster({ controllers, units: 1, mode, program, tuning });
+    this.unit = this.cluster.units[0] as UnitId;
   }
 
-  /** Resolves with the times of all failures. Throws if a history is wrong. */
+  /** Resolves to the times of all failures. Throws if the history violates an invariant. */
   async run(): Promise<TakeoverTimes[]> {
     const times: TakeoverTimes[] = [];
     try {
-      await this.laboratory.start();
-      for (let i = 0; i < this.options.failures; i++) {
+      await this.cluster.start();
+      for (let failure = 0; failure < this.options.failures; failure++) {
         await this.settle();
-        times.push(await this.fail());
-        this.laboratory.heal();
+        times.push(await this.measureFailure());
+        this.cluster.endFaults();
       }
     } finally {
-      this.laboratory.close();
+      this.cluster.close();
     }
-    const violations = this.laboratory.history.check();
+    const violations = this.cluster.history.check();
     if (violations.length > 0) throw new Error(violations.join('\n'));
     return times;
   }
 
-  /** Suspicions in a cluster in which nothing fails, for so long. */
-  async quietSuspicions(forMs: number): Promise<number> {
+  /** Counts the suspicions in a cluster without failures. */
+  async countFalseSuspicions(durationMs: number): Promise<number> {
     try {
-      await this.laboratory.start();
+      await this.cluster.start();
       await this.settle();
-      const from = this.laboratory.events.length;
-      await sleep(forMs);
-      return this.laboratory.events.slice(from).filter(({ to }) => to === 'suspect').length;
+      const from = this.cluster.events.length;
+      await sleep(durationMs);
+      return this.cluster.events.slice(from).filter(({ to }) => to === 'suspect').length;
     } finally {
-      this.laboratory.close();
+      this.cluster.close();
     }
   }
 
   private async settle(): Promise<void> {
-    const { laboratory, unit } = this;
-    await holds(() => laboratory.served(unit) !== null);
-    // At another moment of the probes' and renewals' periods each time.
+    const { cluster, unit } = this;
+    await waitUntil(() => cluster.servingOwner(unit) !== null);
+    // A random delay, so that failures occur at different phases of probing and renewal.
     await sleep(QUIET_MS + Math.random() * 700);
-    let last = laboratory.events.length;
+    let last = cluster.events.length;
     let quietSince = performance.now();
-    await holds(() => {
-      if (laboratory.events.length !== last) quietSince = performance.now();
-      last = laboratory.events.length;
+    await waitUntil(() => {
+      if (cluster.events.length !== last) quietSince = performance.now();
+      last = cluster.events.length;
       return performance.now() - quietSince > QUIET_MS;
     });
   }
 
-  private async fail(): Promise<TakeoverTimes> {
-    const { laboratory, unit, options } = this;
-    const before = laboratory.served(unit);
-    if (before === null) throw new Error('nobody serves');
-    const events = laboratory.events.length;
+  private async measureFailure(): Promise<TakeoverTimes> {
+    const { cluster, unit, options } = this;
+    const before = cluster.servingOwner(unit);
+    if (before === null) throw new Error('the unit has no owner');
+    const events = cluster.events.length;
     const at = performance.now();
-    options.kind.inflict(laboratory, before.member);
-    const taken = await holds(() => (laboratory.served(unit)?.epoch ?? 0) > before.epoch);
-    const after = laboratory.events.slice(events).filter(({ subject }) => subject === before.member);
+    options.kind.inject(cluster, before.member);
+    const isTakenOver = await waitUntil(() => (cluster.servingOwner(unit)?.epoch ?? 0) > before.epoch);
+    const after = cluster.events.slice(events).filter(({ subject }) => subject === before.member);
     const first = (state: string): number | null => firstAt(after, state, at);
     return {
       suspectMs: first('suspect'),
       failedMs: first('failed'),
-      claimedMs: taken ? laboratory.lastClaimAt(unit) - at : null,
-      servingMs: taken ? (laboratory.served(unit)?.at ?? at) - at : null,
+      claimedMs: isTakenOver ? cluster.lastClaimAt(unit) - at : null,
+      servingMs: isTakenOver ? (cluster.servingOwner(unit)?.at ?? at) - at : null,
     };
   }
 }
 
-function firstAt(events: readonly LabEvent[], state: string, from: number): number | null {
+function firstAt(events: readonly ClusterEvent[], state: string, from: number): number | null {
   const event = events.find(({ to }) => to === state);
   return event ? event.at - from : null;
 }
--- a/packages/simulation/src/shared-store.ts
+++ b/packages/simulation/src/shared-store.ts
@@ -1,4 +1,4 @@
-/** A store with conditional writes, as simulated processes see it: slow, refusing, or answering nothing. */
+/** A simulated store with conditional writes, with latency, outages and late commits. */
 import { type StoreRevision } from '@plumyoke/takeover';
 import {
   type CommitResult,
@@ -13,32 +13,37 @@
 
 const LATENCY_MS = 5;
 const DEADLINE_MS = 1000;
-/** A transaction without an answer is carried out within this time. */
-const LATE_WITHIN_MS = 8000;
+/** A transaction that is not answered is carried out within this time. */
+const MAX_LATE_COMMIT_MS = 8000;
 
-/** One consistent store that all processes share. */
+/** A consistent store that all simulated processes share. */
 export class SharedStore {
   private readonly keys = new Map<string, StoredValue>();
   private revision = 0;
-  outage = false;
-  /** Processes that are refused while the others are served. */
-  readonly refused = new Set<string>();
-  /** Of this share of transactions none is answered, and each is carried out late. */
-  lateShare = 0;
-  requests = 0;
+  /** Whether the store refuses every request. */
+  isUnavailable = false;
+  /** Clients that are refused while the others are served. */
+  readonly refusedClients = new Set<string>();
+  /** The fraction of transactions that are not answered and are carried out late. */
+  lateCommitRate = 0;
+  requestCount = 0;
 
   constructor(
     private readonly clock: SimulatedClock,
     private readonly random: () => number,
   ) {}
 
+  /** Reads a key without latency or faults. */
   get(key: string): StoredValue | null {
     return this.keys.get(key) ?? null;
   }
 
+  /** Carries out a transaction without latency or faults. */
   commit(conditions: readonly StoreCondition[], writes: readonly StoreWrite[]): CommitResult {
-    const holds = conditions.every(({ key, revision }) => (this.keys.get(key)?.revision ?? 0) === revision);
-    if (!holds) return { committed: false };
+    const conditionsHold = conditions.every(
+      ({ key, revision }) => (this.keys.get(key)?.revision ?? 0) === revision,
+    );
+    if (!conditionsHold) return { committed: false };
     this.revision++;
     const revision = this.revision as StoreRevision;
     for (const { key, value } of writes) {
@@ -47,32 +52,34 @@
     return { committed: true, revision };
   }
 
-  /** A value that no program wrote. */
-  damage(key: string, value: unknown): void {
+  /** Overwrites a key with a value that no program wrote, such as a damaged record. */
+  overwrite(key: string, value: unknown): void {
     this.revision++;
     this.keys.set(key, { value, revision: this.revision as StoreRevision });
   }
 
+  /** Deletes a key without latency or faults. */
   delete(key: string): void {
     this.keys.delete(key);
   }
 
-  /** The store as one process sees it. */
-  for(name: string, clock: SimulatedClock): ConditionalStore {
-    const ask = <T>(act: () => T): Promise<T> =>
+  /** Returns the store's interface for one client, whose timers run on `clock`. */
+  clientFor(name: string, clock: SimulatedClock): ConditionalStore {
+    const request = <T>(operation: () => T): Promise<T> =>
       new Promise((resolve, reject) => {
-        this.requests++;
+        this.requestCount++;
         clock.after(LATENCY_MS, () => {
-          if (this.outage || this.refused.has(name)) reject(new StoreUnavailableError('refused'));
-          else resolve(act());
+          if (this.isUnavailable || this.refusedClients.has(name))
+            reject(new StoreUnavailableError('refused'));
+          else resolve(operation());
         });
       });
     return {
-      get: (key) => ask(() => this.get(key)),
+      get: (key) => request(() => this.get(key)),
       commit: (conditions, writes) => {
-        if (this.random() >= this.lateShare) return ask(() => this.commit(conditions, writes));
-        this.clock.after(this.random() * LATE_WITHIN_MS, () => {
-          if (!this.outage) this.commit(conditions, writes);
+        if (this.random() >= this.lateCommitRate) return request(() => this.commit(conditions, writes));
+        this.clock.after(this.random() * MAX_LATE_COMMIT_MS, () => {
+          if (!this.isUnavailable) this.commit(conditions, writes);
         });
         return new Promise((_, reject) => {
           clock.after(DEADLINE_MS, () => reject(new StoreOutcomeUnknownError('no answer')));
--- a/packages/simulation/src/simulated-cluster.ts
+++ b/packages/simulation/src/simulated-cluster.ts
@@ -1,4 +1,4 @@
-/** Controllers with membership and takeover on a virtual clock, and the troubles that befall them. */
+/** A cluster of controllers with membership and takeover on a virtual clock, and the faults that tests inject. */
 import {
   DEFAULT_TUNING,
   majorityOf,
@@ -23,11 +23,11 @@
 import { SharedStore } from './shared-store.js';
 import { ProcessClock, VirtualClock } from './virtual-clock.js';
 
-/** How often an owner acts upon its units. */
-const ACT_EVERY_MS = 100;
-const SAMPLE_EVERY_MS = 50;
+/** How often an owner acts on its units. */
+const ACTION_INTERVAL_MS = 100;
+const SAMPLE_INTERVAL_MS = 50;
 
-/** Deliberately broken variants, to see that the checks notice. */
+/** Deliberate defects, to show that the checks detect them. */
 export interface Defects {
   readonly noFencing?: boolean;
   /** No member learns that it is suspected. */
@@ -36,7 +36,7 @@
   readonly noMajority?: boolean;
 }
 
-/** What a cluster is made of. */
+/** The options of a cluster. */
 export interface ClusterOptions {
   readonly controllers: number;
   readonly units: number;
@@ -49,23 +49,23 @@
   readonly clock: ProcessClock;
   readonly membership: Membership;
   readonly coordinator: TakeoverCoordinator<number>;
-  paused: boolean;
+  isPaused: boolean;
 }
 
-/** An event of the membership, with when and where it was seen. */
-export interface SeenEvent {
+/** An event of the membership, with its time and observer. */
+export interface ObservedEvent {
   readonly at: number;
   readonly observer: MemberId;
   readonly event: MembershipEvent;
 }
 
-/** What a message says of members, as far as the variants change it. */
+/** The parts of a message that the variant without refutation changes. */
 interface SuspicionsInMessage {
   aboutReceiver: { suspected: boolean } | null;
   rows?: { peers: { identity: { member: string }; suspectedForMs: number | null }[] }[];
 }
 
-/** Takes out of a message what tells its receiver that it is suspected. */
+/** Removes from a message everything that tells its receiver that it is suspected. */
 function withoutSuspicionOf(receiver: MemberId, payload: Uint8Array): Uint8Array {
   const message = JSON.parse(Buffer.from(payload).toString('utf8')) as SuspicionsInMessage;
   if (message.aboutReceiver) message.aboutReceiver.suspected = false;
@@ -75,9 +75,9 @@
   return Buffer.from(JSON.stringify(message));
 }
 
-const silent = { info: () => {}, warn: () => {} };
+const silentLog = { info: () => {}, warn: () => {} };
 
-/** A whole cluster in one process. */
+/** A cluster whose controllers all run in this process. */
 export class SimulatedCluster {
   readonly clock = new VirtualClock();
   readonly random: () => number;
@@ -86,13 +86,13 @@
   readonly history: EffectHistory;
   readonly members: readonly MemberId[];
   readonly units: readonly UnitId[];
-  readonly events: SeenEvent[] = [];
-  /** What operators would have been told. */
+  readonly events: ObservedEvent[] = [];
+  /** All warnings that were logged. */
   readonly warnings: string[] = [];
   private readonly running = new Map<MemberId, RunningController>();
   private readonly connectedSince = new Map<string, number>();
-  private jobs = 0;
-  /** Failed verdicts on members that too many others had reached all the while. */
+  private jobCount = 0;
+  /** Verdicts of failure on members that too many others had reached all the time. */
   readonly unfoundedVerdicts: string[] = [];
 
   constructor(private readonly options: ClusterOptions) {
@@ -101,9 +101,9 @@
     this.network = new SimulatedNetwork(this.clock, this.random);
     this.store = new SharedStore(this.clock, this.random);
     this.history = new EffectHistory(!options.defects?.noFencing);
-    this.members = Array.from({ length: options.controllers }, (_, n) => `c${n}` as MemberId);
-    this.units = Array.from({ length: options.units }, (_, n) => `unit-${n}` as UnitId);
-    this.sample();
+    this.members = Array.from({ length: options.controllers }, (_, index) => `c${index}` as MemberId);
+    this.units = Array.from({ length: options.units }, (_, index) => `unit-${index}` as UnitId);
+    this.scheduleSample();
   }
 
   get settings(): MembershipSettings {
@@ -117,17 +117,17 @@
 
   start(member: MemberId): void {
     if (this.running.has(member)) return;
-    // Each machine's time of day is off by up to a second: a restart may seem to lie before its predecessor.
+    // Each process's time of day is off by up to a second: a restart may seem to precede the former process.
     const clock = new ProcessClock(this.clock, (this.random() - 0.5) * 2000);
     const settings = { ...this.settings, self: member };
     const membership = this.createMembership(member, settings, clock);
-    // The settings were checked: now the variant takes its majority away.
+    // The settings have been validated: only now can the defective variant lower the majority.
     if (this.options.defects?.noMajority) settings.majority = 1;
     const log = {
       info: () => {},
       warn: (_: object, text: string) => this.warnings.push(`${member}: ${text}`),
     };
-    const claims = new OwnershipRegistry(this.store.for(member, clock));
+    const claims = new OwnershipRegistry(this.store.clientFor(member, clock));
     const coordinator = new TakeoverCoordinator<number>(
       this.units,
       { clock, log, membership, claims, settings: DEFAULT_TAKEOVER_SETTINGS },
@@ -138,13 +138,13 @@
         stop: () => {},
       },
     );
-    const controller: RunningController = { clock, membership, coordinator, paused: false };
+    const controller: RunningController = { clock, membership, coordinator, isPaused: false };
     this.running.set(member, controller);
     this.network.attach(member, { clock, handler: (payload) => membership.handle(payload) });
-    membership.listen((event) => this.seen(member, event));
+    membership.listen((event) => this.recordEvent(member, event));
     membership.start();
     coordinator.start();
-    this.act(member, controller, claims);
+    this.scheduleActions(member, controller, claims);
   }
 
   private createMembership(member: MemberId, settings: MembershipSettings, clock: ProcessClock): Membership {
@@ -154,7 +154,7 @@
     return new Membership(settings, {
       clock,
       random: this.random,
-      log: silent,
+      log: silentLog,
       selfReport: () => ({ load: 0.1, ready: true }),
       transport: {
         support: () => PeerSupport.Supported,
@@ -166,22 +166,22 @@
     });
   }
 
-  /** The owner begins a job now and then: recorded first, then carried out by an effect that may arrive late. */
-  private act(member: MemberId, controller: RunningController, claims: OwnershipRegistry): void {
-    controller.clock.after(ACT_EVERY_MS, () => {
+  /** Lets an owner start jobs periodically: recorded first, then carried out by an effect that may arrive late. */
+  private scheduleActions(member: MemberId, controller: RunningController, claims: OwnershipRegistry): void {
+    controller.clock.after(ACTION_INTERVAL_MS, () => {
       for (const unit of this.units) {
         const ownership = controller.coordinator.currentOwnership(unit);
-        if (ownership) void this.beginJob(ownership, claims);
+        if (ownership) void this.startJob(ownership, claims);
       }
-      this.act(member, controller, claims);
+      this.scheduleActions(member, controller, claims);
     });
   }
 
-  private async beginJob(ownership: Ownership, claims: OwnershipRegistry): Promise<void> {
+  private async startJob(ownership: Ownership, claims: OwnershipRegistry): Promise<void> {
     const { unit, owner, epoch } = ownership;
-    // Owners draw from a small pool, so that two that both believe to own a unit try the same job.
-    const job = `${unit}/job-${this.jobs % 500}`;
-    this.jobs++;
+    // Owners draw from a small pool, so that two processes that both believe to own a unit try the same job.
+    const job = `${unit}/job-${this.jobCount % 500}`;
+    this.jobCount++;
     const key = `job/${job}`;
     if (this.store.get(key) !== null) return;
     try {
@@ -192,36 +192,38 @@
       return;
     }
     const lateMs = this.random() < 0.1 ? this.random() * 5000 : 2;
-    this.clock.after(lateMs, () => this.history.begin(job, { unit, owner, epoch }, this.clock.now()));
+    this.clock.after(lateMs, () =>
+      this.history.recordJobStart(job, { unit, owner, epoch }, this.clock.now()),
+    );
   }
 
   kill(member: MemberId): void {
     const controller = this.running.get(member);
     if (!controller) return;
-    controller.clock.alive = false;
+    controller.clock.isAlive = false;
     this.running.delete(member);
     this.network.detach(member);
   }
 
-  /** The process stands still; its clocks run on. */
+  /** Pauses the process; its clocks continue. */
   pause(member: MemberId): void {
     const controller = this.running.get(member);
-    if (!controller || controller.paused) return;
-    controller.paused = true;
-    controller.clock.stop();
+    if (!controller || controller.isPaused) return;
+    controller.isPaused = true;
+    controller.clock.pause();
   }
 
   resume(member: MemberId): void {
     const controller = this.running.get(member);
-    if (!controller?.paused) return;
-    controller.paused = false;
-    controller.clock.goOn();
+    if (!controller?.isPaused) return;
+    controller.isPaused = false;
+    controller.clock.resume();
   }
 
-  /** Graceful: hands its units over, says goodbye, ends. */
+  /** Shuts down gracefully: releases the units, announces the departure, ends. */
   async leave(member: MemberId): Promise<void> {
     const controller = this.running.get(member);
-    if (!controller || controller.paused) return;
+    if (!controller || controller.isPaused) return;
     await controller.coordinator.leave();
     await controller.membership.leave();
     controller.coordinator.stop();
@@ -229,12 +231,12 @@
     this.kill(member);
   }
 
-  /** All troubles end: every process runs, every link works, the store answers. */
+  /** Ends all faults: every process runs, every link works, the store answers. */
   endFaults(): void {
     this.network.healAll();
-    this.store.outage = false;
-    this.store.refused.clear();
-    this.store.lateShare = 0;
+    this.store.isUnavailable = false;
+    this.store.refusedClients.clear();
+    this.store.lateCommitRate = 0;
     for (const member of this.members) {
       this.resume(member);
       this.start(member);
@@ -242,7 +244,7 @@
   }
 
   isRunning(member: MemberId): boolean {
-    return this.running.get(member)?.paused === false;
+    return this.running.get(member)?.isPaused === false;
   }
 
   membership(member: MemberId): Membership {
@@ -255,10 +257,10 @@
     return this.membership(observer).state(subject);
   }
 
-  /** Running controllers that may act on the unit now, by their own word. One that stands still has no word. */
+  /** Returns the running controllers that believe they may act on the unit now. A paused one believes nothing. */
   ownersOf(unit: UnitId): MemberId[] {
     return [...this.running]
-      .filter(([, { coordinator, paused }]) => !paused && coordinator.currentOwnership(unit) !== null)
+      .filter(([, { coordinator, isPaused }]) => !isPaused && coordinator.currentOwnership(unit) !== null)
       .map(([member]) => member);
   }
 
@@ -270,36 +272,38 @@
     await this.clock.advance(ms);
   }
 
-  // What truly was the case
+  // The true state, to check verdicts against
 
-  private sample(): void {
-    this.clock.after(SAMPLE_EVERY_MS, () => {
+  private scheduleSample(): void {
+    this.clock.after(SAMPLE_INTERVAL_MS, () => {
       const now = this.clock.now();
-      for (const a of this.members) for (const b of this.members) this.samplePair(a, b, now);
-      this.sample();
+      for (const from of this.members) {
+        for (const to of this.members) this.samplePair(from, to, now);
+      }
+      this.scheduleSample();
     });
   }
 
-  private samplePair(a: MemberId, b: MemberId, now: number): void {
-    const key = `${a} ${b}`;
-    const connected =
-      this.isRunning(a) &&
-      this.isRunning(b) &&
-      this.network.faults.lossShare === 0 &&
-      this.network.passes(a, b) &&
-      this.network.passes(b, a);
-    if (!connected) this.connectedSince.delete(key);
+  private samplePair(from: MemberId, to: MemberId, now: number): void {
+    const key = `${from} ${to}`;
+    const isConnected =
+      this.isRunning(from) &&
+      this.isRunning(to) &&
+      this.network.faults.lossRate === 0 &&
+      this.network.canPass(from, to) &&
+      this.network.canPass(to, from);
+    if (!isConnected) this.connectedSince.delete(key);
     else if (!this.connectedSince.has(key)) this.connectedSince.set(key, now);
   }
 
-  private seen(observer: MemberId, event: MembershipEvent): void {
+  private recordEvent(observer: MemberId, event: MembershipEvent): void {
     const at = this.clock.now();
     this.events.push({ at, observer, event });
     if (event.kind === 'state-changed' && event.to === MemberState.Failed)
       this.checkVerdict(at, event.member);
   }
 
-  /** A member that more than a minority has reached all the while cannot have been found silent by a majority. */
+  /** A member that more than a minority has reached all the time cannot have been found silent by a majority. */
   private checkVerdict(at: number, subject: MemberId): void {
     const { suspicionMs, probeIntervalMs } = DEFAULT_TUNING;
     const reachedBy = this.members.filter((other) => {
--- a/packages/simulation/src/virtual-clock.ts
+++ b/packages/simulation/src/virtual-clock.ts
@@ -1,4 +1,4 @@
-/** Time that moves only when a test moves it, and the clocks of processes that stop, die or start again. */
+/** Virtual time that only tests advance, and clocks of simulated processes that pause and die. */
 
 interface Timer {
   readonly at: number;
@@ -6,24 +6,25 @@
   run: (() => void) | null;
 }
 
-/** Timers of one moment run in the order in which they were set. */
-const sooner = (a: Timer, b: Timer): boolean => a.at < b.at || (a.at === b.at && a.order < b.order);
+/** Orders timers by time; those of the same time run in the order in which they were set. */
+const isEarlier = (first: Timer, second: Timer): boolean =>
+  first.at < second.at || (first.at === second.at && first.order < second.order);
 
-/** What processes in a simulation read time from. */
+/** The clock that simulated processes use. */
 export interface SimulatedClock {
   now(): number;
   wall(): number;
   after(delayMs: number, run: () => void): () => void;
 }
 
-/** The time of day at which simulations begin. */
+/** The time of day at which simulations begin, in milliseconds since 1970. */
 const EPOCH_MS = 1_790_000_000_000;
 
-/** A queue of timers, run in order by `advance`. */
+/** A queue of timers that `advance` runs in order. */
 export class VirtualClock implements SimulatedClock {
   private time = 0;
   private order = 0;
-  /** A binary heap, the soonest first: sites at size have tens of thousands of timers. */
+  /** A binary heap, the earliest first: full-size simulated sites have tens of thousands of timers. */
   private readonly timers: Timer[] = [];
 
   now(): number {
@@ -37,43 +38,43 @@
   after(delayMs: number, run: () => void): () => void {
     const timer: Timer = { at: this.time + Math.max(0, delayMs), order: this.order++, run };
     const { timers } = this;
-    let i = timers.push(timer) - 1;
-    while (i > 0) {
-      const parent = (i - 1) >>> 1;
-      if (!sooner(timer, timers[parent] as Timer)) break;
-      timers[i] = timers[parent] as Timer;
-      i = parent;
+    let index = timers.push(timer) - 1;
+    while (index > 0) {
+      const parent = (index - 1) >>> 1;
+      if (!isEarlier(timer, timers[parent] as Timer)) break;
+      timers[index] = timers[parent] as Timer;
+      index = parent;
     }
-    timers[i] = timer;
+    timers[index] = timer;
     return () => {
       timer.run = null;
     };
   }
 
-  private takeFirst(): void {
+  private removeFirst(): void {
     const { timers } = this;
     const last = timers.pop();
     if (!last || timers.length === 0) return;
-    let i = 0;
+    let index = 0;
     for (;;) {
-      let child = 2 * i + 1;
+      let child = 2 * index + 1;
       if (child >= timers.length) break;
-      if (child + 1 < timers.length && sooner(timers[child + 1] as Timer, timers[child] as Timer)) child++;
-      if (!sooner(timers[child] as Timer, last)) break;
-      timers[i] = timers[child] as Timer;
-      i = child;
+      if (child + 1 < timers.length && isEarlier(timers[child + 1] as Timer, timers[child] as Timer)) child++;
+      if (!isEarlier(timers[child] as Timer, last)) break;
+      timers[index] = timers[child] as Timer;
+      index = child;
     }
-    timers[i] = last;
+    timers[index] = last;
   }
 
-  /** Runs everything that falls due within so many milliseconds. */
+  /** Advances the time and runs all timers that become due, with the promises that they settle. */
   async advance(ms: number): Promise<void> {
     const until = this.time + ms;
     for (;;) {
       await settle();
       const next = this.timers[0];
       if (!next || next.at > until) break;
-      this.takeFirst();
+      this.removeFirst();
       this.time = next.at;
       next.run?.();
     }
@@ -81,20 +82,20 @@
   }
 }
 
-/** Lets every promise that can go on do so: all microtasks run before the next immediate. */
+/** Lets all settled promises continue: every microtask runs before the next immediate. */
 function settle(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
 
-/** The clock of one process: nothing of it runs after the process was killed, or while it is stopped. */
+/** The clock of one process: none of its timers runs after the process was killed, or while it is paused. */
 export class ProcessClock implements SimulatedClock {
-  alive = true;
-  private still = false;
-  private readonly due: (() => void)[] = [];
+  isAlive = true;
+  private isPaused = false;
+  private readonly pendingCallbacks: (() => void)[] = [];
 
   constructor(
     private readonly base: SimulatedClock,
-    /** How far this machine's time of day is off. */
+    /** How far this process's time of day is off. */
     private readonly wallOffsetMs = 0,
   ) {}
 
@@ -110,20 +111,20 @@
     return this.base.after(delayMs, () => this.whenRunning(run));
   }
 
-  /** Runs now, or when the stopped process goes on; never once it was killed. */
+  /** Runs the callback now, or when the paused process resumes; never once it was killed. */
   whenRunning(run: () => void): void {
-    if (this.still) this.due.push(run);
-    else if (this.alive) run();
+    if (this.isPaused) this.pendingCallbacks.push(run);
+    else if (this.isAlive) run();
   }
 
-  /** The process stands still while its clock runs on. */
-  stop(): void {
-    this.still = true;
+  /** Pauses the process; its clock continues. */
+  pause(): void {
+    this.isPaused = true;
   }
 
-  /** All that fell due meanwhile runs at once. */
-  goOn(): void {
-    this.still = false;
-    for (const run of this.due.splice(0)) this.whenRunning(run);
+  /** Resumes the process; callbacks that became due meanwhile run at once. */
+  resume(): void {
+    this.isPaused = false;
+    for (const run of this.pendingCallbacks.splice(0)) this.whenRunning(run);
   }
 }
--- a/packages/takeover/test/loopback.test.ts
+++ b/packages/takeover/test/loopback.test.ts
@@ -1,14 +1,14 @@
-import { buildController, FailoverMode, Laboratory } from '@plumyoke/simulation';
+import { buildController, FailoverMode, LoopbackCluster } from '@plumyoke/simulation';
 import type { UnitId } from '@plumyoke/takeover';
 import { afterEach, beforeAll, describe, expect, it } from 'vitest';
 
 /**
- * Real processes on loopback, killed, stopped and cut off. Ownership is asserted, times are not: the machine may be
- * busy. `npm run measure:takeover` measures the same.
+ * Real processes on loopback that are killed, paused and cut off. Ownership is asserted, times are not: the machine may
+ * be busy. `npm run measure:takeover` measures the times.
  */
 const UNIT = 'unit-0' as UnitId;
-const PATIENCE_MS = 60_000;
-const LOOK_EVERY_MS = 50;
+const TIMEOUT_MS = 60_000;
+const POLL_INTERVAL_MS = 50;
 /** Longer than it takes to suspect a controller. */
 const STABLE_MS = 1500;
 
@@ -17,85 +17,95 @@
   program = await buildController();
 });
 
-const laboratories: Laboratory[] = [];
-afterEach(() => laboratories.splice(0).forEach((laboratory) => laboratory.close()));
+const clusters: LoopbackCluster[] = [];
+afterEach(() => clusters.splice(0).forEach((cluster) => cluster.close()));
 
-async function until(what: string, holds: () => boolean): Promise<void> {
-  const end = performance.now() + PATIENCE_MS;
-  while (!holds()) {
-    if (performance.now() > end) throw new Error(`not within ${PATIENCE_MS / 1000} s: ${what}`);
-    await new Promise((resolve) => setTimeout(resolve, LOOK_EVERY_MS));
+async function until(description: string, condition: () => boolean): Promise<void> {
+  const end = performance.now() + TIMEOUT_MS;
+  while (!condition()) {
+    if (performance.now() > end) throw new Error(`not within ${TIMEOUT_MS / 1000} s: ${description}`);
+    await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
   }
 }
 
-/** Started, every unit served, and every controller seen alive by all others. */
-async function laboratory(controllers = 3): Promise<Laboratory> {
-  const started = new Laboratory({ controllers, units: 2, mode: FailoverMode.Membership, program });
-  laboratories.push(started);
+/** Starts a cluster and waits until every unit is served and every controller sees all others alive. */
+async function startCluster(controllers = 3): Promise<LoopbackCluster> {
+  const started = new LoopbackCluster({ controllers, units: 2, mode: FailoverMode.Membership, program });
+  clusters.push(started);
   await started.start();
-  await until('all units are served', () => started.units.every((unit) => started.served(unit) !== null));
-  await until('all see all', () => sightings(started, 'alive') >= controllers * (controllers - 1));
+  await until('all units are served', () =>
+    started.units.every((unit) => started.servingOwner(unit) !== null),
+  );
+  await until(
+    'all controllers see all others',
+    () => countViews(started, 'alive') >= controllers * (controllers - 1),
+  );
   return started;
 }
 
-function sightings({ events }: Laboratory, state: string): number {
+function countViews({ events }: LoopbackCluster, state: string): number {
   return new Set(
     events.filter(({ to }) => to === state).map(({ observer, subject }) => `${observer} ${subject}`),
   ).size;
 }
 
-function owner(laboratory: Laboratory): string {
-  return laboratory.served(UNIT)?.member ?? '';
+function owner(cluster: LoopbackCluster): string {
+  return cluster.servingOwner(UNIT)?.member ?? '';
 }
 
-async function untilReplaced(laboratory: Laboratory, former: string): Promise<void> {
-  await until(`another than ${former} serves`, () => owner(laboratory) !== former);
+async function untilReplaced(cluster: LoopbackCluster, former: string): Promise<void> {
+  await until(`another than ${former} serves`, () => owner(cluster) !== former);
 }
 
-/** Whether every controller's last word on every other is that it is alive. */
-function viewsAgree({ events, members }: Laboratory): boolean {
+/** Returns whether every controller has last reported every other as alive. */
+function viewsAgree({ events, members }: LoopbackCluster): boolean {
   const latest = new Map<string, string>();
   for (const { observer, subject, to } of events) latest.set(`${observer} ${subject}`, to);
-  return members.every((a) => members.every((b) => a === b || latest.get(`${a} ${b}`) === 'alive'));
+  return members.every((observer) =>
+    members.every((subject) => observer === subject || latest.get(`${observer} ${subject}`) === 'alive'),
+  );
 }
 
-/** The views agree, and go on agreeing for a while: a suspicion that is still to come would show. */
-async function settle(laboratory: Laboratory): Promise<void> {
-  laboratory.heal();
+/** Ends all faults and waits until the views agree for some time: a late suspicion would show. */
+async function settle(cluster: LoopbackCluster): Promise<void> {
+  cluster.endFaults();
   let agreedSince = performance.now();
   await until('the views agree, and stay so', () => {
-    if (!viewsAgree(laboratory)) agreedSince = performance.now();
+    if (!viewsAgree(cluster)) agreedSince = performance.now();
     return performance.now() - agreedSince > STABLE_MS;
   });
-  expect(laboratory.history.check()).toEqual([]);
+  expect(cluster.history.check()).toEqual([]);
 }
 
-describe('processes on loopback', () => {
+describe('controllers as processes on loopback', () => {
   it(
-    'a killed owner is replaced, and back within 200 ms it is a follower',
+    'replace a killed owner, which is a follower when it restarts within 200 ms',
     async () => {
-      const running = await laboratory();
+      const running = await startCluster();
       const former = owner(running);
       running.kill(former);
       await new Promise((resolve) => setTimeout(resolve, 200));
       running.spawn(former);
-      const epoch = running.served(UNIT)?.epoch ?? 0;
-      await until('the unit has another owner process', () => (running.served(UNIT)?.epoch ?? 0) > epoch);
+      const epoch = running.servingOwner(UNIT)?.epoch ?? 0;
+      await until(
+        'the unit has another owner process',
+        () => (running.servingOwner(UNIT)?.epoch ?? 0) > epoch,
+      );
       await settle(running);
     },
-    PATIENCE_MS * 3,
+    TIMEOUT_MS * 3,
   );
 
   it(
-    'an owner that is stopped for longer than the suspicion period is replaced, and its late effects are refused',
+    'replace an owner that is paused for longer than the suspicion period, and refuse its late effects',
     async () => {
-      const running = await laboratory();
+      const running = await startCluster();
       const former = owner(running);
-      running.stopProcess(former);
+      running.pause(former);
       await untilReplaced(running, former);
       const successor = owner(running);
-      running.continueProcess(former);
-      await until('the former owner says that it was replaced', () =>
+      running.resume(former);
+      await until('the former owner reports that it was replaced', () =>
         running.events.some(
           ({ observer, kind, to }) =>
             observer === former && kind === 'warning' && to.includes('another controller took over unit-0'),
@@ -104,33 +114,33 @@
       expect(owner(running)).toBe(successor);
       await settle(running);
     },
-    PATIENCE_MS * 3,
+    TIMEOUT_MS * 3,
   );
 
   it(
-    'an owner that hears all and is heard by none is replaced once the store refuses it, too',
+    'replace an owner with an outbound partition once the store refuses it as well',
     async () => {
-      const running = await laboratory();
+      const running = await startCluster();
       const former = owner(running);
-      running.mute(former);
-      await until('the others find it failed', () =>
+      running.cutOutbound(former);
+      await until('the others declare it failed', () =>
         running.events.some(({ subject, to }) => subject === former && to === 'failed'),
       );
-      // It shows through the store that it lives.
+      // Its heartbeats in the store protect it.
       expect(owner(running)).toBe(former);
-      running.store.refused.add(former);
+      running.store.refusedClients.add(former);
       await untilReplaced(running, former);
       await settle(running);
     },
-    PATIENCE_MS * 3,
+    TIMEOUT_MS * 3,
   );
 
   it(
-    'an owner that is heard and hears none keeps its units',
+    'spare an owner with an inbound partition',
     async () => {
-      const running = await laboratory();
+      const running = await startCluster();
       const former = owner(running);
-      running.deafen(former);
+      running.cutInbound(former);
       await until('the others suspect it', () =>
         running.events.some(({ subject, to }) => subject === former && to === 'suspect'),
       );
@@ -139,13 +149,13 @@
       await settle(running);
       expect(owner(running)).toBe(former);
     },
-    PATIENCE_MS * 3,
+    TIMEOUT_MS * 3,
   );
 
   it(
-    'the survivor is killed as soon as it has claimed: the next one takes over',
+    'let the next survivor take over when the first one is killed after its claim',
     async () => {
-      const running = await laboratory(5);
+      const running = await startCluster(5);
       const former = owner(running);
       running.kill(former);
       await untilReplaced(running, former);
@@ -154,32 +164,33 @@
       await until('a third owner serves', () => ![former, second].includes(owner(running)));
       await settle(running);
     },
-    PATIENCE_MS * 3,
+    TIMEOUT_MS * 3,
   );
 
   it(
-    'all but one are stopped: the one takes nothing, and afterwards every unit has one owner',
+    'let a single running controller take nothing, and have one owner a unit afterwards',
     async () => {
-      const running = await laboratory();
+      const running = await startCluster();
       const former = owner(running);
-      const epoch = running.served(UNIT)?.epoch;
+      const epoch = running.servingOwner(UNIT)?.epoch;
       const others = running.members.filter((member) => member !== former);
-      const [only] = others as [string];
-      for (const member of running.members) if (member !== only) running.stopProcess(member);
-      await until('the one suspects the others', () =>
+      const [survivor] = others as [string];
+      for (const member of running.members) if (member !== survivor) running.pause(member);
+      await until('the survivor suspects the others', () =>
         others
           .concat(former)
           .every(
             (member) =>
-              member === only ||
+              member === survivor ||
               running.events.some(
-                ({ observer, subject, to }) => observer === only && subject === member && to === 'suspect',
+                ({ observer, subject, to }) =>
+                  observer === survivor && subject === member && to === 'suspect',
               ),
           ),
       );
-      expect(running.served(UNIT)?.epoch).toBe(epoch);
+      expect(running.servingOwner(UNIT)?.epoch).toBe(epoch);
       await settle(running);
     },
-    PATIENCE_MS * 3,
+    TIMEOUT_MS * 3,
   );
 });
--- a/packages/takeover/test/random-schedules.test.ts
+++ b/packages/takeover/test/random-schedules.test.ts
@@ -63,14 +63,14 @@
   return [
     onOne('kill', (cluster, on) => cluster.kill(on)),
     onOne('start', (cluster, on) => cluster.start(on)),
-    onOne('back at once', (cluster, on) => {
+    onOne('restart at once', (cluster, on) => {
       cluster.kill(on);
       cluster.start(on);
     }),
     onOne('pause', (cluster, on) => cluster.pause(on)),
     onOne('resume', (cluster, on) => cluster.resume(on)),
     onOne('leave', (cluster, on) => void cluster.leave(on)),
-    onOne('store refuses', (cluster, on) => cluster.store.refused.add(on)),
+    onOne('store refuses', (cluster, on) => cluster.store.refusedClients.add(on)),
     onPair('cut one way', (cluster, a, b) => cluster.network.cut(a, b)),
     onPair('heal', (cluster, a, b) => cluster.network.heal(a, b)),
     onOne('cut off', (cluster, on) => {
@@ -79,17 +79,17 @@
         cluster.network.cut(other, on);
       }
     }),
-    onAll('store out', (cluster, share) => {
-      cluster.store.outage = share < 0.2;
+    onAll('store outage', (cluster, share) => {
+      cluster.store.isUnavailable = share < 0.2;
     }),
-    onAll('transactions come late', (cluster, share) => {
-      cluster.store.lateShare = share;
+    onAll('late transactions', (cluster, share) => {
+      cluster.store.lateCommitRate = share;
     }),
-    onAll('requests come again', (cluster, share) => {
-      Object.assign(cluster.network.faults, { repeatShare: share, repeatWithinMs: 8000 });
+    onAll('duplicate requests', (cluster, share) => {
+      Object.assign(cluster.network.faults, { duplicateRate: share, maxDuplicateDelayMs: 8000 });
     }),
-    onAll('messages are slow and get lost', (cluster, share) => {
-      Object.assign(cluster.network.faults, { maxDelayMs: 4 + share * 800, lossShare: share / 2 });
+    onAll('slow and lost messages', (cluster, share) => {
+      Object.assign(cluster.network.faults, { maxDelayMs: 4 + share * 800, lossRate: share / 2 });
     }),
   ];
 }
@@ -156,7 +156,7 @@
     cluster.endFaults();
     await cluster.run(SETTLE_MS);
     expectSettled(cluster);
-    expect(cluster.history.refused).toBeGreaterThan(0);
+    expect(cluster.history.refusedCount).toBeGreaterThan(0);
   });
 
   it('no fencing: effects of a replaced owner are accepted', async () => {
--- a/packages/takeover/test/takeover.test.ts
+++ b/packages/takeover/test/takeover.test.ts
@@ -42,7 +42,7 @@
   return {
     clock,
     store,
-    registry: (name) => new OwnershipRegistry(store.for(name, clock)),
+    registry: (name) => new OwnershipRegistry(store.clientFor(name, clock)),
     async get(promise) {
       await clock.advance(1500);
       return promise;
@@ -92,7 +92,7 @@
     const { registry, get, store, clock } = createFixture();
     const a = registry('a');
     const found = claimable(await get(a.read(UNIT)));
-    store.lateShare = 1;
+    store.lateCommitRate = 1;
     const result = await get(a.claim(UNIT, owner('a'), found));
     expect(result.kind).toBe('uncertain');
     await clock.advance(8000);
@@ -103,7 +103,7 @@
     const { registry, get, store } = createFixture();
     const a = registry('a');
     const found = claimable(await get(a.read(UNIT)));
-    store.outage = true;
+    store.isUnavailable = true;
     expect(await get(a.read(UNIT))).toBeNull();
     expect(await get(a.claim(UNIT, owner('a'), found))).toEqual({ kind: 'unavailable' });
   });
@@ -119,7 +119,7 @@
     ['epoch', { format: 1, epoch: -1 }, 'field epoch cannot be read'],
   ])('names a damaged %s record', async (key, value, problem) => {
     const { registry, get, store } = createFixture();
-    store.damage(`ownership/${UNIT}/${key}`, value);
+    store.overwrite(`ownership/${UNIT}/${key}`, value);
     expect(await get(registry('a').read(UNIT))).toEqual({
       kind: 'damaged',
       key: `ownership/${UNIT}/${key}`,
@@ -234,13 +234,13 @@
     const former = soleOwner(simulated);
     simulated.pause(former);
     await simulated.run(6000);
-    const refused = simulated.history.refused;
+    const refused = simulated.history.refusedCount;
     simulated.resume(former);
     await simulated.run(3000);
     expect(soleOwner(simulated)).not.toBe(former);
     expect(simulated.stageOf(former, UNIT)).toBe('watching');
     // Effects that it had sent before the pause may still arrive, and are refused; it must not send new ones.
-    expect(simulated.history.refused).toBe(refused);
+    expect(simulated.history.refusedCount).toBe(refused);
     const replacedWarnings = simulated.warnings.filter((line) =>
       line.startsWith(`${former}: another controller took over`),
     );
@@ -259,7 +259,7 @@
     const other = simulated.members.find((member) => member !== owner) as MemberId;
     expect(simulated.state(other, owner)).toBe(MemberState.Failed);
     // Once the store refuses it as well, it cannot write heartbeats any more.
-    simulated.store.refused.add(owner);
+    simulated.store.refusedClients.add(owner);
     await simulated.run(5000);
     expect(simulated.ownersOf(UNIT).filter((member) => member !== owner)).toHaveLength(1);
   });
@@ -283,16 +283,16 @@
   it('waits for the store, and passes to the next survivor when the store refuses the first', async () => {
     const simulated = await cluster();
     const former = soleOwner(simulated);
-    simulated.store.outage = true;
+    simulated.store.isUnavailable = true;
     simulated.kill(former);
     await simulated.run(6000);
     expect(simulated.ownersOf(UNIT)).toEqual([]);
-    simulated.store.outage = false;
+    simulated.store.isUnavailable = false;
     await simulated.run(4000);
     const second = soleOwner(simulated);
     simulated.start(former);
     await simulated.run(4000);
-    simulated.store.refused.add(former);
+    simulated.store.refusedClients.add(former);
     simulated.kill(second);
     await simulated.run(8000);
     expect([former, second]).not.toContain(soleOwner(simulated));
@@ -324,7 +324,7 @@
   it('is blocked by a damaged record, names the key and the remedy, and continues once it is repaired', async () => {
     const simulated = await cluster();
     const former = soleOwner(simulated);
-    simulated.store.damage(`ownership/${UNIT}/holder`, 'scribble');
+    simulated.store.overwrite(`ownership/${UNIT}/holder`, 'scribble');
     simulated.kill(former);
     await simulated.run(10_000);
     expect(simulated.ownersOf(UNIT)).toEqual([]);
--- a/test/simulation/site-controllers.ts
+++ b/test/simulation/site-controllers.ts
@@ -209,7 +209,7 @@
   crash(name: string): void {
     const node = this.running.get(name);
     if (!node) return;
-    node.clock.alive = false;
+    node.clock.isAlive = false;
     this.running.delete(name);
     this.peerNetwork.detach(name);
     this.trace(`${name}     crashes`);
@@ -220,10 +220,10 @@
     const clock = this.running.get(name)?.clock;
     if (!clock) return;
     this.trace(`${name}     stands still`);
-    clock.stop();
+    clock.pause();
     this.clock.after(s * 1000, () => {
       this.trace(`${name}     goes on`);
-      clock.goOn();
+      clock.resume();
     });
   }
 
