--- a/test/profile/main.ts
+++ b/test/profile/main.ts
@@ -12,15 +12,15 @@
 import { systemClock, sleep } from '../../src/model/time.js';
 import { HttpTarget, NoAnswerError } from '../../src/net/http-client.js';
 import { FakeCloud } from '../simulation/fake-cloud.js';
-import { type JobWish, LEASE_S, submissionBody, TYPES } from '../simulation/site-setup.js';
+import { type JobRequest, LEASE_S, submissionBody, MACHINE_TYPES } from '../simulation/site-setup.js';
 import { FakeKeyValueStore } from '../simulation/fake-key-value-store.js';
-import { type JobFacts, FakeWorker, type WorkerWorld } from '../simulation/fake-worker.js';
+import { type JobBehavior, FakeWorker, type WorkerEnvironment } from '../simulation/fake-worker.js';
 import {
   cloudHandler,
   heartbeatAnswer,
-  reportBody,
+  heartbeatBody,
   serve,
-  stateHandler,
+  storeHandler,
   workersHandler,
 } from '../simulation/fake-servers.js';
 import { settingsFile } from '../simulation/settings-file.js';
@@ -68,15 +68,15 @@
 
 const workers = new Map<MachineId, FakeWorker>();
 const links = new Map<MachineId, HttpTarget[]>();
-const jobs = new Map<JobId, JobFacts>();
+const jobs = new Map<JobId, JobBehavior>();
 const fronts = NODES.map((n) => new HttpTarget(`127.0.0.1:${FRONT + n}`, 200));
 let started = 0;
 
-const world: WorkerWorld = {
+const world: WorkerEnvironment = {
   nodes: NODES.map(String),
-  job: (id) => jobs.get(id),
-  started: () => started++,
-  left: () => {},
+  behaviorOf: (id) => jobs.get(id),
+  onTaskStarted: () => started++,
+  onTaskEnded: () => {},
   async heartbeat(worker, node, report) {
     const { id } = worker.machine;
     const targets = links.get(id) ?? NODES.map((n) => new HttpTarget(`127.0.0.1:${FRONT + n}`, 1));
@@ -85,7 +85,7 @@
       const reply = await (targets[Number(node)] as HttpTarget).call(
         'POST',
         '/agent/beat',
-        reportBody(report, addressOf),
+        heartbeatBody(report, addressOf),
         4000,
       );
       return heartbeatAnswer(reply.status, reply.body);
@@ -98,11 +98,11 @@
 const state = new FakeKeyValueStore(systemClock);
 const cloud = new FakeCloud(
   systemClock,
-  TYPES,
+  MACHINE_TYPES,
   (machine) =>
     workers.set(machine.id, new FakeWorker(machine, systemClock, world, LEASE_S * 1000, REPORT_MS)),
   (id) => {
-    workers.get(id)?.vanish();
+    workers.get(id)?.terminate();
     workers.delete(id);
   },
   () => {},
@@ -171,7 +171,7 @@
 /** Submits a job and asks for it until it is over. */
 async function user(kind: 'array' | 'service'): Promise<void> {
   const ref = `j-${String(nextJob++).padStart(6, '0')}`;
-  const wish: JobWish = {
+  const wish: JobRequest = {
     ref,
     kind,
     team: nextJob % 2 ? 'red' : 'blue',
@@ -185,7 +185,7 @@
     image: wish.image as ImageId,
     fetchMs: 1500,
     runMs: kind === 'array' ? RUN_S * 1000 : null,
-    broken: false,
+    failsAlways: false,
   });
   const until = performance.now() + 90_000;
   const front = (): HttpTarget => fronts[Math.floor(random() * fronts.length)] as HttpTarget;
@@ -227,8 +227,8 @@
   rmSync(OUT, { recursive: true, force: true });
   mkdirSync(OUT, { recursive: true });
   writeFileSync(`${OUT}/exit.cjs`, "process.on('SIGTERM', () => process.exit(0));\n");
-  await serve(STATE, '127.0.0.1', stateHandler(state.for('all', systemClock)));
-  await serve(CLOUD, '127.0.0.1', cloudHandler(cloud.for(systemClock), TYPES, addressOf));
+  await serve(STATE, '127.0.0.1', storeHandler(state.clientFor('all', systemClock)));
+  await serve(CLOUD, '127.0.0.1', cloudHandler(cloud.clientFor(systemClock), MACHINE_TYPES, addressOf));
   await serve(
     WORKERS,
     '0.0.0.0',
@@ -237,7 +237,7 @@
   for (let n = 0; n < Number(values.machines); n++)
     cloud.adopt({
       id: `host-${String(n).padStart(6, '0')}` as MachineId,
-      type: TYPES[0]?.id as MachineTypeId,
+      type: MACHINE_TYPES[0]?.id as MachineTypeId,
       zone: (n % 2 ? 'north' : 'south') as ZoneId,
       spot: n % 3 === 0,
     });
@@ -254,7 +254,7 @@
   await sleep(systemClock, Number(values.seconds) * 1000);
   await end(nodes);
   console.log(
-    `${workers.size} machines, ${started} starts, ${nextJob} jobs, ${state.requests} state requests`,
+    `${workers.size} machines, ${started} starts, ${nextJob} jobs, ${state.requestCount} state requests`,
   );
   for (const n of NODES) console.log(`node-${n}: ${JSON.stringify(last.get(n))}`);
   if (!values.profile) process.exit(0);
--- a/test/profile/placement-main.ts
+++ b/test/profile/placement-main.ts
@@ -12,8 +12,8 @@
 import type { Worker } from '../../src/workers/state/worker.js';
 import { CommandIssuer } from '../../src/workers/command-issuer.js';
 import { markStartsSent, commandsFor } from '../../src/workers/worker-commands.js';
-import { workerOf } from '../simulation/worker-state.js';
-import { MIXED_ZONES, TYPES } from '../simulation/site-setup.js';
+import { confirmedWorker } from '../simulation/worker-state.js';
+import { MIXED_ZONES, MACHINE_TYPES } from '../simulation/site-setup.js';
 import { submission } from '../simulation/submission.js';
 
 const EPOCH = 1 as Epoch;
@@ -45,8 +45,8 @@
   let jobs = 1;
   for (let n = 0; n < machines; n++) {
     const zone = MIXED_ZONES[n % MIXED_ZONES.length] as (typeof MIXED_ZONES)[0];
-    const host = workerOf(
-      { id: `host-${n}` as MachineId, type: TYPES[0]?.id as MachineTypeId, zone, spot: true },
+    const host = confirmedWorker(
+      { id: `host-${n}` as MachineId, type: MACHINE_TYPES[0]?.id as MachineTypeId, zone, spot: true },
       now,
     );
     for (let t = 0; t < tasks; t++) {
--- a/test/simulation/fake-cloud.ts
+++ b/test/simulation/fake-cloud.ts
@@ -6,31 +6,31 @@
 
 const LATENCY_MS = 80;
 /** Machines in one answer. */
-const PAGE = 500;
+const PAGE_SIZE = 500;
 
-interface Rented1 extends Machine {
-  readonly at: number;
-  up: boolean;
+interface FakeMachine extends Machine {
+  readonly createdAt: number;
+  isUp: boolean;
 }
 
 /** A cloud in memory, by the published protocol. */
 export class FakeCloud {
-  readonly machines = new Map<MachineId, Rented1>();
-  private readonly answers = new Map<string, MachineId[]>();
+  readonly machines = new Map<MachineId, FakeMachine>();
+  private readonly createdByRequest = new Map<string, MachineId[]>();
   /** Digits of a machine's number. */
-  idLength = 6;
-  private next = 0;
-  outage = false;
+  idDigits = 6;
+  private nextNumber = 0;
+  isUnavailable = false;
   /** Every rental and deletion comes once more, so many ms after it was carried out. */
-  repeatAfter: number | null = null;
+  duplicateDelayMs: number | null = null;
   /** How long a boot takes; null: as long as the type's usually does. */
   bootMs: number | null = null;
   /** Machines appear in the list only so long after they were rented. */
   listLagMs = 0;
   /** The next so many machines never come up. */
-  deadBoots = 0;
+  failingBoots = 0;
   /** Machines left to give, by pool; a pool not named here has enough. */
-  readonly room = new Map<string, number>();
+  readonly remainingCapacity = new Map<string, number>();
 
   constructor(
     private readonly clock: Clock,
@@ -41,17 +41,17 @@
   ) {}
 
   private create(type: MachineTypeId, zone: ZoneId, spot: boolean): MachineId {
-    const id = `host-${String(this.next++).padStart(this.idLength, '0')}` as MachineId;
-    const machine: Rented1 = { id, type, zone, spot, at: this.clock.now(), up: false };
+    const id = `host-${String(this.nextNumber++).padStart(this.idDigits, '0')}` as MachineId;
+    const machine: FakeMachine = { id, type, zone, spot, createdAt: this.clock.now(), isUp: false };
     this.machines.set(id, machine);
-    if (this.deadBoots > 0) {
-      this.deadBoots--;
+    if (this.failingBoots > 0) {
+      this.failingBoots--;
       return id;
     }
     const boot = this.bootMs ?? this.types.find((t) => t.id === type)?.bootTime ?? 0;
     this.clock.after(boot, () => {
       if (!this.machines.has(id)) return;
-      machine.up = true;
+      machine.isUp = true;
       this.onUp(machine);
     });
     return id;
@@ -59,37 +59,37 @@
 
   /** A machine that was rented before the day begins. */
   adopt(machine: Machine): void {
-    this.machines.set(machine.id, { ...machine, at: this.clock.now(), up: true });
-    this.next = Math.max(this.next, Number(machine.id.slice('host-'.length)) + 1);
+    this.machines.set(machine.id, { ...machine, createdAt: this.clock.now(), isUp: true });
+    this.nextNumber = Math.max(this.nextNumber, Number(machine.id.slice('host-'.length)) + 1);
     this.onUp(machine);
   }
 
-  for(clock: Clock): Cloud {
+  clientFor(clock: Clock): Cloud {
     const ask = <T>(act: () => T): Promise<T> =>
       new Promise((resolve, reject) => {
         clock.after(LATENCY_MS, () => {
-          if (this.outage) reject(new CloudRequestRefusedError('cloud answered 503'));
+          if (this.isUnavailable) reject(new CloudRequestRefusedError('cloud answered 503'));
           else resolve(act());
         });
       });
     const twice = <T>(act: () => T): Promise<T> =>
       ask(() => {
-        if (this.repeatAfter !== null) this.clock.after(this.repeatAfter, act);
+        if (this.duplicateDelayMs !== null) this.clock.after(this.duplicateDelayMs, act);
         return act();
       });
     return {
       listMachineTypes: () => ask(() => [...this.types]),
       createMachines: (r) =>
         twice((): ScaleOutResult => {
-          const known = this.answers.get(r.name);
+          const known = this.createdByRequest.get(r.name);
           if (known) return { machines: known };
           const key = poolKey(r);
-          const room = this.room.get(key) ?? Infinity;
+          const room = this.remainingCapacity.get(key) ?? Infinity;
           const count = Math.min(r.count, room);
           if (count === 0) return 'no capacity';
-          if (room !== Infinity) this.room.set(key, room - count);
+          if (room !== Infinity) this.remainingCapacity.set(key, room - count);
           const hosts = Array.from({ length: count }, () => this.create(r.type, r.zone, r.spot));
-          this.answers.set(r.name, hosts);
+          this.createdByRequest.set(r.name, hosts);
           this.trace(`cloud      rents ${count} ${key}`);
           return { machines: hosts };
         }),
@@ -104,15 +104,15 @@
       listMachines: (after) =>
         ask(() => {
           const rest = [...this.machines.values()].filter(
-            (m) => m.id > after && this.clock.now() - m.at >= this.listLagMs,
+            (m) => m.id > after && this.clock.now() - m.createdAt >= this.listLagMs,
           );
-          const machines = rest.slice(0, PAGE).map((m): ListedMachine => ({
+          const machines = rest.slice(0, PAGE_SIZE).map((m): ListedMachine => ({
             ...m,
             address: address(m.id),
-            status: m.up ? 'running' : 'starting',
-            age: ms(this.clock.now() - m.at),
+            status: m.isUp ? 'running' : 'starting',
+            age: ms(this.clock.now() - m.createdAt),
           }));
-          return { more: rest.length > PAGE, machines };
+          return { more: rest.length > PAGE_SIZE, machines };
         }),
     };
   }
--- a/test/simulation/fake-key-value-store.ts
+++ b/test/simulation/fake-key-value-store.ts
@@ -19,23 +19,23 @@
 interface Entry {
   value: unknown;
   revision: Revision;
-  grant: LeaseId | null;
+  lease: LeaseId | null;
 }
 
 const LATENCY_MS = 5;
 /** Rows in one answer. */
-const PAGE = 500;
+const PAGE_SIZE = 500;
 const DEADLINE_MS = 1000;
-const TXN_BYTES = 64 * 1024;
+const MAX_TXN_BYTES = 64 * 1024;
 
-export interface Sizes {
+export interface SizeLimits {
   readonly txnOps: number;
   readonly valueBytes: number;
 }
 
 /** What the service answers 400. */
-function malformed(
-  { txnOps, valueBytes }: Sizes,
+function sizeViolation(
+  { txnOps, valueBytes }: SizeLimits,
   conditions: readonly Compare[],
   writes: readonly WriteOperation[],
 ): string | null {
@@ -43,64 +43,64 @@
   if (conditions.length > txnOps * 4) return 'too many conditions';
   if (writes.some((w) => 'set' in w && Buffer.byteLength(JSON.stringify(w.value)) > valueBytes))
     return 'a value too long';
-  return Buffer.byteLength(JSON.stringify({ conditions, writes })) > TXN_BYTES ? 'too long' : null;
+  return Buffer.byteLength(JSON.stringify({ conditions, writes })) > MAX_TXN_BYTES ? 'too long' : null;
 }
 
 /** Compares nothing but keys that nobody writes, to learn the limits. */
-function isProbe(conditions: readonly Compare[], writes: readonly WriteOperation[]): boolean {
+function isLimitProbe(conditions: readonly Compare[], writes: readonly WriteOperation[]): boolean {
   return writes.length === 0 && conditions.every(({ key }) => key.startsWith('unused/'));
 }
 
 /** A state service in memory, by the published protocol. */
 export class FakeKeyValueStore {
   readonly keys = new Map<string, Entry>();
-  private readonly log: WatchEvent[] = [];
-  private readonly grants = new Map<LeaseId, { ttl: number; until: number }>();
+  private readonly history: WatchEvent[] = [];
+  private readonly leases = new Map<LeaseId, { ttl: number; until: number }>();
   private readonly watchers = new Set<() => void>();
   private revision = 0;
-  private nextGrant = 1;
+  private nextLeaseId = 1;
   /** Puts and deletes that were asked for, carried out or not. */
-  writes = 0;
-  requests = 0;
+  writeCount = 0;
+  requestCount = 0;
   /** What one value and one transaction may hold. */
-  sizes: Sizes = { txnOps: 16, valueBytes: 16 * 1024 };
+  sizeLimits: SizeLimits = { txnOps: 16, valueBytes: 16 * 1024 };
   /** What it would not even look at. */
-  readonly malformed: string[] = [];
+  readonly rejectedTransactions: string[] = [];
   /** Comparisons that were refused because the limits have fallen, and that asked just that. */
-  probes = 0;
-  outage = false;
+  limitProbeCount = 0;
+  isUnavailable = false;
   /** Requests and changes a second; more are answered 429, bursts of a second's worth aside. */
-  limits: { readonly requests: TokenBucket; readonly writes: TokenBucket } | null = null;
+  rateLimits: { readonly requests: TokenBucket; readonly writes: TokenBucket } | null = null;
   /** Every commit comes once more, so many ms after it was carried out. */
-  repeatAfter: number | null = null;
+  duplicateDelayMs: number | null = null;
   /** Nodes that are refused while the others are served. */
-  readonly refused = new Set<string>();
+  readonly refusedClients = new Set<string>();
   /** Of this share of commits none is answered, and each is carried out 2 to 12 s later, after newer ones. */
-  lateShare = 0;
+  lateCommitRate = 0;
   /** Between 0 and 1. */
   random: () => number = () => 0;
   /** The next commit of such a node brings no answer and is applied after this many ms. */
-  readonly delayCommit = new Map<string, number>();
+  readonly nextCommitDelayMs = new Map<string, number>();
 
   constructor(private readonly clock: Clock) {
-    this.expire();
+    this.scheduleLeaseExpiry();
   }
 
-  private expire(): void {
+  private scheduleLeaseExpiry(): void {
     this.clock.after(50, () => {
       const now = this.clock.now();
-      for (const [id, grant] of this.grants) {
+      for (const [id, grant] of this.leases) {
         // During an outage no lease ends; after it every lease has its full time again.
-        if (this.outage) grant.until = now + grant.ttl;
-        else if (grant.until <= now) this.endGrant(id);
+        if (this.isUnavailable) grant.until = now + grant.ttl;
+        else if (grant.until <= now) this.endLease(id);
       }
-      this.expire();
+      this.scheduleLeaseExpiry();
     });
   }
 
-  private endGrant(id: LeaseId): void {
-    this.grants.delete(id);
-    const drops = [...this.keys].filter(([, e]) => e.grant === id).map(([key]) => ({ drop: key }));
+  private endLease(id: LeaseId): void {
+    this.leases.delete(id);
+    const drops = [...this.keys].filter(([, e]) => e.lease === id).map(([key]) => ({ drop: key }));
     if (drops.length > 0) this.apply(drops);
   }
 
@@ -110,16 +110,16 @@
     for (const w of writes) {
       if ('set' in w) {
         const value: unknown = JSON.parse(JSON.stringify(w.value));
-        this.keys.set(w.set, { value, revision, grant: w.grant ?? null });
-        this.log.push({ key: w.set, value, revision });
-      } else if (this.keys.delete(w.drop)) this.log.push({ key: w.drop, value: undefined, revision });
+        this.keys.set(w.set, { value, revision, lease: w.grant ?? null });
+        this.history.push({ key: w.set, value, revision });
+      } else if (this.keys.delete(w.drop)) this.history.push({ key: w.drop, value: undefined, revision });
     }
     for (const wake of [...this.watchers]) wake();
     return revision;
   }
 
-  private decide(conditions: readonly Compare[], writes: readonly WriteOperation[]): TxnResult {
-    this.writes += writes.length;
+  private execute(conditions: readonly Compare[], writes: readonly WriteOperation[]): TxnResult {
+    this.writeCount += writes.length;
     const failed = conditions
       .filter((c) => (this.keys.get(c.key)?.revision ?? 0) !== c.revision)
       .map((c) => c.key);
@@ -127,9 +127,9 @@
     return { ok: true, revision: writes.length > 0 ? this.apply(writes) : (this.revision as Revision) };
   }
 
-  private tooMany(writes: number): boolean {
-    if (!this.limits) return false;
-    return !this.limits.requests.tryTake() || (writes > 0 && !this.limits.writes.tryTake(writes));
+  private isRateLimited(writes: number): boolean {
+    if (!this.rateLimits) return false;
+    return !this.rateLimits.requests.tryTake() || (writes > 0 && !this.rateLimits.writes.tryTake(writes));
   }
 
   value(key: string): unknown {
@@ -139,19 +139,20 @@
   /** What an earlier day has left. */
   restore(records: readonly KeyValue[]): void {
     for (const { key, value, revision } of records) {
-      this.keys.set(key, { value, revision, grant: null });
+      this.keys.set(key, { value, revision, lease: null });
       this.revision = Math.max(this.revision, revision);
     }
   }
 
   /** The service as one process sees it. */
-  for(node: string, clock: Clock): KeyValueStore {
+  clientFor(node: string, clock: Clock): KeyValueStore {
     const ask = <T>(act: () => T, writes = 0): Promise<T> =>
       new Promise((resolve, reject) => {
-        this.requests++;
+        this.requestCount++;
         clock.after(LATENCY_MS, () => {
-          if (this.outage || this.refused.has(node)) reject(new StoreRefusedError('state answered 503'));
-          else if (this.tooMany(writes)) reject(new StoreRefusedError('state answered 429', true));
+          if (this.isUnavailable || this.refusedClients.has(node))
+            reject(new StoreRefusedError('state answered 503'));
+          else if (this.isRateLimited(writes)) reject(new StoreRefusedError('state answered 429', true));
           else resolve(act());
         });
       });
@@ -161,7 +162,7 @@
           const e = this.keys.get(key);
           if (!e) return null;
           const row = { key, value: e.value, revision: e.revision };
-          return e.grant === null ? row : { ...row, lease: e.grant };
+          return e.lease === null ? row : { ...row, lease: e.lease };
         }),
       range: (prefix, after) =>
         ask((): KeyValuePage => {
@@ -169,52 +170,56 @@
             .filter(([key]) => key.startsWith(prefix) && (after === undefined || key > after))
             .sort(([a], [b]) => (a < b ? -1 : 1))
             .map(([key, e]) => ({ key, value: e.value, revision: e.revision }));
-          return { rows: rows.slice(0, PAGE), more: rows.length > PAGE, revision: this.revision as Revision };
+          return {
+            rows: rows.slice(0, PAGE_SIZE),
+            more: rows.length > PAGE_SIZE,
+            revision: this.revision as Revision,
+          };
         }),
       txn: (conditions, writes) => {
-        const error = malformed(this.sizes, conditions, writes);
+        const error = sizeViolation(this.sizeLimits, conditions, writes);
         if (error) {
-          if (isProbe(conditions, writes)) this.probes++;
-          else this.malformed.push(error);
+          if (isLimitProbe(conditions, writes)) this.limitProbeCount++;
+          else this.rejectedTransactions.push(error);
           return Promise.reject(new StoreRequestTooLargeError(`state: commit refused ${error}`));
         }
-        const late = writes.length > 0 && this.lateShare > 0 && this.random() < this.lateShare;
-        const delay = late ? 2000 + 10_000 * this.random() : this.delayCommit.get(node);
+        const late = writes.length > 0 && this.lateCommitRate > 0 && this.random() < this.lateCommitRate;
+        const delay = late ? 2000 + 10_000 * this.random() : this.nextCommitDelayMs.get(node);
         if (delay === undefined)
           return ask(() => {
-            if (this.repeatAfter !== null)
-              this.clock.after(this.repeatAfter, () => this.decide(conditions, writes));
-            return this.decide(conditions, writes);
+            if (this.duplicateDelayMs !== null)
+              this.clock.after(this.duplicateDelayMs, () => this.execute(conditions, writes));
+            return this.execute(conditions, writes);
           }, writes.length);
-        this.delayCommit.delete(node);
-        this.clock.after(delay, () => this.decide(conditions, writes));
+        this.nextCommitDelayMs.delete(node);
+        this.clock.after(delay, () => this.execute(conditions, writes));
         return new Promise((_, reject) => {
           clock.after(DEADLINE_MS, () => reject(new StoreOutcomeUnknownError('state: deadline passed')));
         });
       },
       grantLease: (ttl) =>
         ask(() => {
-          const id = this.nextGrant++ as LeaseId;
-          this.grants.set(id, { ttl, until: this.clock.now() + ttl });
+          const id = this.nextLeaseId++ as LeaseId;
+          this.leases.set(id, { ttl, until: this.clock.now() + ttl });
           return id;
         }),
       keepLeaseAlive: (id) =>
         ask(() => {
-          const grant = this.grants.get(id);
+          const grant = this.leases.get(id);
           if (grant) grant.until = this.clock.now() + grant.ttl;
           return grant !== undefined;
         }),
-      revokeLease: (id) => ask(() => this.endGrant(id)),
+      revokeLease: (id) => ask(() => this.endLease(id)),
       watch: (prefix, after, waitMs) =>
         new Promise((resolve, reject) => {
-          if (this.refused.has(node) || this.outage) {
+          if (this.refusedClients.has(node) || this.isUnavailable) {
             clock.after(LATENCY_MS, () => reject(new StoreRefusedError('state: watch answered 503')));
             return;
           }
           const news = (): WatchEvent[] =>
-            this.log.filter((c) => c.revision > after && c.key.startsWith(prefix));
+            this.history.filter((c) => c.revision > after && c.key.startsWith(prefix));
           const answer = (): void => {
-            if (this.outage || this.refused.has(node)) return;
+            if (this.isUnavailable || this.refusedClients.has(node)) return;
             if (news().length === 0 && this.clock.now() < end) return;
             this.watchers.delete(answer);
             clock.after(LATENCY_MS, () => resolve({ revision: this.revision as Revision, changes: news() }));
--- a/test/simulation/fake-servers.ts
+++ b/test/simulation/fake-servers.ts
@@ -44,10 +44,10 @@
 }
 
 /** Thrown by a handler whose answer the network loses. */
-export class AnswerLost extends Error {}
+export class AnswerLostError extends Error {}
 
 function answerTo(error: unknown): Answer | null {
-  if (error instanceof AnswerLost || error instanceof StoreOutcomeUnknownError) return null;
+  if (error instanceof AnswerLostError || error instanceof StoreOutcomeUnknownError) return null;
   if (error instanceof StoreRefusedError) return { status: error.isRateLimited ? 429 : 503, body: {} };
   if (error instanceof CloudRequestRefusedError) return { status: 503, body: { error: 'trouble' } };
   return { status: 400, body: { error: String(error) } };
@@ -99,7 +99,10 @@
   return tether === undefined ? { set, value: data } : { set, value: data, grant: tether };
 }
 
-async function commit(store: KeyValueStore, { if: conditions, writes = [] }: WireCommit): Promise<Answer> {
+async function handleTransaction(
+  store: KeyValueStore,
+  { if: conditions, writes = [] }: WireCommit,
+): Promise<Answer> {
   const result = await store.txn(
     conditions.map(({ key, stamp }) => ({ key, revision: stamp })),
     writes.map(writeOf),
@@ -108,7 +111,7 @@
   return { status: 409, body: { failed: result.failed } };
 }
 
-async function changes(store: KeyValueStore, query: URLSearchParams): Promise<Answer> {
+async function handleWatch(store: KeyValueStore, query: URLSearchParams): Promise<Answer> {
   const after = Number(query.get('after')) as Revision;
   const read = await store.watch(query.get('under') ?? '', after, Number(query.get('waitMs')));
   const news = (read?.changes ?? []).map(({ key, value, revision }) =>
@@ -117,12 +120,12 @@
   return { status: 200, body: { ledger: read?.revision, news } };
 }
 
-async function range(store: KeyValueStore, query: URLSearchParams): Promise<Answer> {
+async function handleRange(store: KeyValueStore, query: URLSearchParams): Promise<Answer> {
   const page = await store.range(query.get('under') ?? '', query.get('after') ?? undefined);
   return { status: 200, body: { rows: page.rows.map(rowOf), more: page.more, ledger: page.revision } };
 }
 
-async function grants(store: KeyValueStore, { method, url, body }: Request): Promise<Answer> {
+async function handleLease(store: KeyValueStore, { method, url, body }: Request): Promise<Answer> {
   if (url.pathname === '/grants') {
     const { ttlMs } = body as { ttlMs: number };
     return { status: 200, body: { tether: await store.grantLease(ttlMs) } };
@@ -134,13 +137,13 @@
 }
 
 /** The state service's interface over a stand-in. */
-export function stateHandler(store: KeyValueStore): Handler {
+export function storeHandler(store: KeyValueStore): Handler {
   return async (request) => {
     const { pathname, searchParams } = request.url;
-    if (pathname === '/commit') return commit(store, request.body);
-    if (pathname === '/changes') return changes(store, searchParams);
-    if (pathname === '/keys') return range(store, searchParams);
-    if (pathname.startsWith('/grants')) return grants(store, request);
+    if (pathname === '/commit') return handleTransaction(store, request.body);
+    if (pathname === '/changes') return handleWatch(store, searchParams);
+    if (pathname === '/keys') return handleRange(store, searchParams);
+    if (pathname.startsWith('/grants')) return handleLease(store, request);
     const row = await store.get(decodeURIComponent(pathname.slice('/keys/'.length)));
     return row ? { status: 200, body: rowOf(row) } : { status: 404, body: {} };
   };
@@ -214,7 +217,7 @@
 };
 
 /** A worker's report in the words of the protocol. */
-export function reportBody(heartbeat: Heartbeat, addressOf: (id: MachineId) => string): object {
+export function heartbeatBody(heartbeat: Heartbeat, addressOf: (id: MachineId) => string): object {
   return {
     host: heartbeat.machine,
     address: addressOf(heartbeat.machine),
@@ -234,7 +237,7 @@
   };
 }
 
-interface WireOrder {
+interface WireCommand {
   readonly verb: 'run' | 'kill' | 'clear';
   readonly shard: TaskId;
   readonly try: AttemptNumber;
@@ -243,13 +246,18 @@
 
 interface WireAnswer {
   readonly epoch?: number;
-  readonly orders?: readonly WireOrder[];
+  readonly orders?: readonly WireCommand[];
   readonly foreman?: string;
 }
 
 const KINDS = { run: 'start', kill: 'stop', clear: 'forget' } as const;
 
-function commandOf({ verb, shard: task, try: attemptNumber, drainS: graceS = 0 }: WireOrder): WorkerCommand {
+function commandOf({
+  verb,
+  shard: task,
+  try: attemptNumber,
+  drainS: graceS = 0,
+}: WireCommand): WorkerCommand {
   const kind = KINDS[verb];
   return kind === 'stop' ? { kind, task, attemptNumber, graceS } : { kind, task, attemptNumber };
 }
@@ -270,13 +278,13 @@
     const worker = workerAt(to);
     if (!worker) return Promise.resolve({ status: 404, body: {} });
     if (url.pathname === '/show')
-      return Promise.resolve({ status: 200, body: reportBody(worker.show(), addressOf) });
+      return Promise.resolve({ status: 200, body: heartbeatBody(worker.currentHeartbeat(), addressOf) });
     const { epoch, tenure, orders } = body as {
       epoch: FencingToken;
       tenure: AgentIncarnation;
-      orders: WireOrder[];
+      orders: WireCommand[];
     };
     const { executed, heartbeat } = worker.command(epoch, tenure, orders.map(commandOf));
-    return Promise.resolve({ status: executed ? 200 : 409, body: reportBody(heartbeat, addressOf) });
+    return Promise.resolve({ status: executed ? 200 : 409, body: heartbeatBody(heartbeat, addressOf) });
   };
 }
--- a/test/simulation/fake-worker.ts
+++ b/test/simulation/fake-worker.ts
@@ -13,13 +13,13 @@
 import type { Clock } from '../../src/model/time.js';
 import { address } from './fake-cloud.js';
 
-export interface JobFacts {
+export interface JobBehavior {
   readonly image: ImageId;
   readonly fetchMs: number;
   /** Null: runs until it is killed. */
   readonly runMs: number | null;
   /** Every attempt fails. */
-  readonly broken: boolean;
+  readonly failsAlways: boolean;
 }
 
 export interface HeartbeatAnswer {
@@ -30,20 +30,20 @@
   readonly foreman?: string;
 }
 
-export interface WorkerWorld {
+export interface WorkerEnvironment {
   readonly nodes: readonly string[];
-  job(id: JobId): JobFacts | undefined;
-  started(worker: FakeWorker, task: TaskId, attemptNumber: AttemptNumber): void;
-  left(worker: FakeWorker, task: TaskId, why: string): void;
+  behaviorOf(id: JobId): JobBehavior | undefined;
+  onTaskStarted(worker: FakeWorker, task: TaskId, attemptNumber: AttemptNumber): void;
+  onTaskEnded(worker: FakeWorker, task: TaskId, why: string): void;
   /** Null: no answer. */
   heartbeat(worker: FakeWorker, node: string, heartbeat: Heartbeat): Promise<HeartbeatAnswer | null>;
 }
 
-const SENT_ELSEWHERE = 421;
+const MISDIRECTED_STATUS = 421;
 /** By then a worker that was sent elsewhere reports there. */
-const REDIRECTED_MS = 250;
+const REDIRECT_DELAY_MS = 250;
 
-interface Here {
+interface LocalAttempt {
   attemptNumber: AttemptNumber;
   state: AttemptState;
   cause: string | null;
@@ -51,69 +51,71 @@
 
 /** One machine's worker, by the published protocol. */
 export class FakeWorker {
-  private session = 1;
-  private counter = 0;
+  private incarnation = 1;
+  private sequence = 0;
   private token = 0;
-  private node = 0;
-  private lastAnsweredSent: number;
-  private readonly here = new Map<TaskId, Here>();
-  private readonly images = new Set<ImageId>();
-  private reporting = false;
-  private dirty = false;
-  private lastSent = -Infinity;
+  private nodeIndex = 0;
+  private leaseRenewedAt: number;
+  private readonly attempts = new Map<TaskId, LocalAttempt>();
+  private readonly fetchedImages = new Set<ImageId>();
+  private isHeartbeatInFlight = false;
+  private hasChanges = false;
+  private lastHeartbeatAt = -Infinity;
   /** Does nothing; messages to it wait. */
-  hung = false;
+  isHung = false;
   /** Its machine fails whatever it starts. */
-  sick = false;
-  gone = false;
-  notice: number | null = null;
-  private readonly held: (() => void)[] = [];
+  failsTasks = false;
+  isGone = false;
+  interruptionNoticeS: number | null = null;
+  private readonly heldCallbacks: (() => void)[] = [];
 
   constructor(
     readonly machine: Machine,
     private readonly clock: Clock,
-    private readonly world: WorkerWorld,
+    private readonly environment: WorkerEnvironment,
     private readonly leaseMs: number,
-    private readonly reportMs: number,
+    private readonly heartbeatIntervalMs: number,
   ) {
-    this.lastAnsweredSent = clock.now();
-    this.tick();
+    this.leaseRenewedAt = clock.now();
+    this.scheduleTick();
   }
 
   hang(): void {
-    this.hung = true;
+    this.isHung = true;
   }
 
-  goOn(): void {
-    this.hung = false;
+  resume(): void {
+    this.isHung = false;
     this.checkLease();
-    for (const run of this.held.splice(0)) run();
+    for (const run of this.heldCallbacks.splice(0)) run();
   }
 
-  private tick(): void {
-    if (this.gone) return;
+  private scheduleTick(): void {
+    if (this.isGone) return;
     this.clock.after(250, () => {
-      if (!this.hung) {
+      if (!this.isHung) {
         this.checkLease();
-        const wait = this.dirty ? 500 : this.reportMs;
-        if (!this.reporting && this.clock.now() - this.lastSent >= wait) void this.heartbeat();
+        const wait = this.hasChanges ? 500 : this.heartbeatIntervalMs;
+        if (!this.isHeartbeatInFlight && this.clock.now() - this.lastHeartbeatAt >= wait)
+          void this.heartbeat();
       }
-      this.tick();
+      this.scheduleTick();
     });
   }
 
   private checkLease(): void {
-    if (this.gone || this.clock.now() - this.lastAnsweredSent <= this.leaseMs) return;
-    for (const [task, t] of this.here) if (t.state !== 'exited') this.world.left(this, task, 'lease over');
-    this.here.clear();
-    this.session++;
-    this.lastAnsweredSent = this.clock.now();
-    this.dirty = true;
+    if (this.isGone || this.clock.now() - this.leaseRenewedAt <= this.leaseMs) return;
+    for (const [task, t] of this.attempts)
+      if (t.state !== 'exited') this.environment.onTaskEnded(this, task, 'lease over');
+    this.attempts.clear();
+    this.incarnation++;
+    this.leaseRenewedAt = this.clock.now();
+    this.hasChanges = true;
   }
 
   private snapshot(): Heartbeat {
-    this.counter++;
-    const attempts: Attempt[] = [...this.here].map(([task, t]) => ({
+    this.sequence++;
+    const attempts: Attempt[] = [...this.attempts].map(([task, t]) => ({
       task,
       attemptNumber: t.attemptNumber,
       state: t.state,
@@ -125,39 +127,40 @@
       type: this.machine.type,
       zone: this.machine.zone,
       spot: this.machine.spot,
-      incarnation: this.session as AgentIncarnation,
-      sequence: this.counter as HeartbeatSequence,
+      incarnation: this.incarnation as AgentIncarnation,
+      sequence: this.sequence as HeartbeatSequence,
       token: this.token as FencingToken,
-      interruptionNotice: this.notice as Heartbeat['interruptionNotice'],
+      interruptionNotice: this.interruptionNoticeS as Heartbeat['interruptionNotice'],
       attempts,
     };
   }
 
   private async heartbeat(): Promise<void> {
-    this.reporting = true;
-    this.dirty = false;
+    this.isHeartbeatInFlight = true;
+    this.hasChanges = false;
     const sent = this.clock.now();
-    this.lastSent = sent;
-    const session = this.session;
-    const node = this.world.nodes[this.node % this.world.nodes.length] as string;
-    const answer = await this.world.heartbeat(this, node, this.snapshot());
-    this.reporting = false;
-    if (this.gone || this.hung) return;
-    const named = answer?.status === SENT_ELSEWHERE ? this.world.nodes.indexOf(answer.foreman ?? '') : -1;
-    if (named >= 0 && this.world.nodes[named] !== node) {
-      this.node = named;
-      this.lastSent = this.clock.now() - this.reportMs + REDIRECTED_MS;
+    this.lastHeartbeatAt = sent;
+    const session = this.incarnation;
+    const node = this.environment.nodes[this.nodeIndex % this.environment.nodes.length] as string;
+    const answer = await this.environment.heartbeat(this, node, this.snapshot());
+    this.isHeartbeatInFlight = false;
+    if (this.isGone || this.isHung) return;
+    const named =
+      answer?.status === MISDIRECTED_STATUS ? this.environment.nodes.indexOf(answer.foreman ?? '') : -1;
+    if (named >= 0 && this.environment.nodes[named] !== node) {
+      this.nodeIndex = named;
+      this.lastHeartbeatAt = this.clock.now() - this.heartbeatIntervalMs + REDIRECT_DELAY_MS;
       return;
     }
     if (!answer || answer.status !== 200) {
-      this.node++;
-      this.lastSent = this.clock.now() - this.reportMs + 1000;
+      this.nodeIndex++;
+      this.lastHeartbeatAt = this.clock.now() - this.heartbeatIntervalMs + 1000;
       return;
     }
-    if (this.clock.now() - sent > 4000 || session !== this.session || answer.token < this.token) return;
-    if (answer.token > this.token) this.dirty = true;
+    if (this.clock.now() - sent > 4000 || session !== this.incarnation || answer.token < this.token) return;
+    if (answer.token > this.token) this.hasChanges = true;
     this.token = answer.token;
-    this.lastAnsweredSent = sent;
+    this.leaseRenewedAt = sent;
     this.execute(answer.orders);
   }
 
@@ -167,34 +170,34 @@
     session: AgentIncarnation,
     orders: readonly WorkerCommand[],
   ): { executed: boolean; heartbeat: Heartbeat } {
-    if (token < this.token || session !== this.session)
+    if (token < this.token || session !== this.incarnation)
       return { executed: false, heartbeat: this.snapshot() };
-    if (token > this.token) this.dirty = true;
+    if (token > this.token) this.hasChanges = true;
     this.token = token;
     this.execute(orders);
     return { executed: true, heartbeat: this.snapshot() };
   }
 
   /** Runs now, or once the machine goes on. */
-  whenAwake(run: () => void): void {
-    if (this.hung) this.held.push(run);
-    else if (!this.gone) run();
+  runWhenResponsive(run: () => void): void {
+    if (this.isHung) this.heldCallbacks.push(run);
+    else if (!this.isGone) run();
   }
 
   /** What it says now, without its counter moving on. */
-  copy(): Heartbeat {
+  repeatedHeartbeat(): Heartbeat {
     const heartbeat = this.snapshot();
-    this.counter--;
+    this.sequence--;
     return heartbeat;
   }
 
-  show(): Heartbeat {
+  currentHeartbeat(): Heartbeat {
     return this.snapshot();
   }
 
   private execute(orders: readonly WorkerCommand[]): void {
     for (const order of orders) {
-      const known = this.here.get(order.task);
+      const known = this.attempts.get(order.task);
       if (order.kind === 'start') {
         if (known && known.attemptNumber === order.attemptNumber) continue;
         if (known && known.state !== 'exited') continue;
@@ -203,63 +206,67 @@
         if (known && known.attemptNumber === order.attemptNumber && known.state !== 'exited')
           this.exit(order.task, known, 'stopped');
       } else if (known && known.attemptNumber === order.attemptNumber && known.state === 'exited')
-        this.here.delete(order.task);
+        this.attempts.delete(order.task);
     }
   }
 
-  private exit(task: TaskId, t: Here, cause: string): void {
+  private exit(task: TaskId, t: LocalAttempt, cause: string): void {
     const was = t.state;
     t.state = 'exited';
     t.cause = cause;
-    this.dirty = true;
-    if (was === 'running') this.world.left(this, task, cause);
+    this.hasChanges = true;
+    if (was === 'running') this.environment.onTaskEnded(this, task, cause);
   }
 
   private start(task: TaskId, attemptNumber: AttemptNumber): void {
-    const job = this.world.job(parseTaskId(task)?.job as JobId);
-    const t: Here = { attemptNumber, state: 'fetching', cause: null };
-    this.here.set(task, t);
-    this.dirty = true;
+    const job = this.environment.behaviorOf(parseTaskId(task)?.job as JobId);
+    const t: LocalAttempt = { attemptNumber, state: 'fetching', cause: null };
+    this.attempts.set(task, t);
+    this.hasChanges = true;
     if (!job) {
       this.exit(task, t, 'no_such');
       return;
     }
-    this.clock.after(this.images.has(job.image) ? 1 : job.fetchMs, () => this.ready(task, t, job));
+    this.clock.after(this.fetchedImages.has(job.image) ? 1 : job.fetchMs, () =>
+      this.startRunning(task, t, job),
+    );
   }
 
-  private ready(task: TaskId, t: Here, job: JobFacts): void {
-    if (this.gone || t.state !== 'fetching' || this.here.get(task) !== t) return;
-    this.images.add(job.image);
+  private startRunning(task: TaskId, t: LocalAttempt, job: JobBehavior): void {
+    if (this.isGone || t.state !== 'fetching' || this.attempts.get(task) !== t) return;
+    this.fetchedImages.add(job.image);
     t.state = 'running';
-    this.dirty = true;
-    this.world.started(this, task, t.attemptNumber);
-    if (this.sick || job.broken) this.finishAfter(task, t, 800, 'error');
+    this.hasChanges = true;
+    this.environment.onTaskStarted(this, task, t.attemptNumber);
+    if (this.failsTasks || job.failsAlways) this.finishAfter(task, t, 800, 'error');
     else if (job.runMs !== null) this.finishAfter(task, t, job.runMs, 'done');
   }
 
-  private finishAfter(task: TaskId, t: Here, ms: number, cause: string): void {
+  private finishAfter(task: TaskId, t: LocalAttempt, ms: number, cause: string): void {
     this.clock.after(ms, () => {
       const finish = (): void => {
-        if (!this.gone && t.state === 'running' && this.here.get(task) === t) this.exit(task, t, cause);
+        if (!this.isGone && t.state === 'running' && this.attempts.get(task) === t) this.exit(task, t, cause);
       };
-      this.whenAwake(finish);
+      this.runWhenResponsive(finish);
     });
   }
 
   /** The machine ends and is back at once: a new session, and nothing on it. */
   restart(): void {
-    for (const [task, t] of this.here) if (t.state !== 'exited') this.world.left(this, task, 'restarted');
-    this.here.clear();
-    this.images.clear();
-    this.session++;
-    this.lastAnsweredSent = this.clock.now();
-    this.dirty = true;
+    for (const [task, t] of this.attempts)
+      if (t.state !== 'exited') this.environment.onTaskEnded(this, task, 'restarted');
+    this.attempts.clear();
+    this.fetchedImages.clear();
+    this.incarnation++;
+    this.leaseRenewedAt = this.clock.now();
+    this.hasChanges = true;
   }
 
   /** The machine is gone, with everything on it. */
-  vanish(): void {
-    this.gone = true;
-    for (const [task, t] of this.here) if (t.state === 'running') this.world.left(this, task, 'machine gone');
-    this.here.clear();
+  terminate(): void {
+    this.isGone = true;
+    for (const [task, t] of this.attempts)
+      if (t.state === 'running') this.environment.onTaskEnded(this, task, 'machine gone');
+    this.attempts.clear();
   }
 }
--- a/test/simulation/settings-file.ts
+++ b/test/simulation/settings-file.ts
@@ -1,7 +1,7 @@
 /** The settings file of a controller that runs against stand-ins on loopback. */
 
 /** Another controller, and where this one reaches it. */
-interface SiblingSettings {
+interface PeerSettings {
   readonly member: string;
   readonly zone: string;
   readonly address: string;
@@ -13,7 +13,7 @@
   readonly zone: string;
   readonly front: string;
   readonly listen: string;
-  readonly siblings: readonly SiblingSettings[];
+  readonly siblings: readonly PeerSettings[];
   readonly cloud: string;
   readonly state: string;
   readonly zones: readonly string[];
@@ -29,7 +29,7 @@
 
 const decimal = (value: number): string => (Number.isInteger(value) ? value.toFixed(1) : String(value));
 
-function siblingTable({ member, zone, address }: SiblingSettings): string {
+function siblingTable({ member, zone, address }: PeerSettings): string {
   return `[[siblings]]\nmember = "${member}"\nsite = "${zone}"\naddress = "${address}"\n`;
 }
 
@@ -39,41 +39,41 @@
 }
 
 /** As the platform would hand it over. */
-export function settingsFile(s: ControllerSettings): string {
-  return `member = "${s.member}"
-site = "${s.zone}"
-front = "${s.front}"
-cluster_listen = "${s.listen}"
-${s.siblings.map(siblingTable).join('')}
+export function settingsFile(settings: ControllerSettings): string {
+  return `member = "${settings.member}"
+site = "${settings.zone}"
+front = "${settings.front}"
+cluster_listen = "${settings.listen}"
+${settings.siblings.map(siblingTable).join('')}
 [endpoints]
-cloud = "${s.cloud}"
-state = "${s.state}"
+cloud = "${settings.cloud}"
+state = "${settings.state}"
 [facts]
-nodes = ${s.siblings.length + 1}
-zones = [${s.zones.map((zone) => `"${zone}"`).join(', ')}]
+nodes = ${settings.siblings.length + 1}
+zones = [${settings.zones.map((zone) => `"${zone}"`).join(', ')}]
 clock_error_ms = 1000.0
-${s.teams.map(teamTable).join('')}
+${settings.teams.map(teamTable).join('')}
 [[facts.objectives]]
 kind = "finished"
 class = "batch"
-within_s = ${decimal(s.finishWithinS)}
+within_s = ${decimal(settings.finishWithinS)}
 share = 0.9
 [facts.workers]
-report_s = ${s.reportS}
-lease_s = ${s.leaseS}
+report_s = ${settings.reportS}
+lease_s = ${settings.leaseS}
 gang_wait_s = 45.0
 gang_peer_s = 4.0
-cancel_s = ${decimal(s.cancelS)}
+cancel_s = ${decimal(settings.cancelS)}
 [facts.state]
 rps = 200.0
 write_rps = 60.0
 value_kb = 16.0
 txn_ops = 16
 [facts.cloud]
-rps = ${decimal(s.cloudRps)}
-list_lag_s = ${decimal(s.listLagS)}
+rps = ${decimal(settings.cloudRps)}
+list_lag_s = ${decimal(settings.listLagS)}
 [facts.resources]
-cpu = ${s.cpu}
+cpu = ${settings.cpu}
 memory_mb = 204.0
 sockets = 2500
 `;
--- a/test/simulation/site-controllers.ts
+++ b/test/simulation/simulated-controllers.ts
@@ -20,14 +20,14 @@
 import type { MemberLine } from '../../src/wire/members.js';
 import type { Settings } from '../../src/wire/settings.js';
 import { ProcessClock } from './clock.js';
-import { CANCEL_S, settingsOf, SMALL, TYPES } from './site-setup.js';
-import { SiteMachines } from './site-workers.js';
+import { CANCEL_S, siteSettings, SMALL_SITE, MACHINE_TYPES } from './site-setup.js';
+import { SimulatedMachines } from './simulated-machines.js';
 import { type HeartbeatAnswer, type FakeWorker } from './fake-worker.js';
 
 /** One way between two controllers. */
-const PEER_MS = 3;
+const PEER_LATENCY_MS = 3;
 
-interface Running {
+interface RunningController {
   /** Null: the site runs without failure detection. */
   readonly failover: Failover | null;
   readonly clock: ProcessClock;
@@ -37,16 +37,16 @@
 }
 
 /** Controllers that start, end, stand still and are cut off from each other. */
-export class SiteNodes extends SiteMachines {
-  protected readonly running = new Map<string, Running>();
+export class SimulatedControllers extends SimulatedMachines {
+  protected readonly running = new Map<string, RunningController>();
   /** Of this share of the reports a copy arrives again, 2 to 40 s later, at whoever leads then. */
-  copyShare = 0;
+  duplicateHeartbeatRate = 0;
   /** Nodes that reach no other controller. */
-  readonly alone = new Set<string>();
+  readonly isolatedNodes = new Set<string>();
   /** Nodes that start from now on could not read the machine types. */
-  typesUnknown = false;
+  machineTypesUnknown = false;
   /** Nodes of a version that knows nothing of cancellations told between controllers. */
-  readonly old = new Set<string>();
+  readonly earlierVersionNodes = new Set<string>();
   /** The protocol version that all controllers have that are not `old`. */
   version = PROTOCOL_VERSION;
   /** Failure detection, where a test switches it on; nodes that start from then on have it. */
@@ -59,21 +59,21 @@
   private readonly log: Logger = {
     ...silentLogger,
     error: (fields, text) => {
-      if (text === START_WITHHELD) this.rules.breach(`withheld: ${JSON.stringify(fields)}`);
+      if (text === START_WITHHELD) this.rules.recordViolation(`withheld: ${JSON.stringify(fields)}`);
     },
   };
 
-  constructor(size = SMALL) {
+  constructor(size = SMALL_SITE) {
     super(size);
     this.peerNetwork = new SimulatedNetwork(this.clock, this.random);
   }
 
   start(name: string): void {
     const clock = new ProcessClock(this.clock);
-    const settings = this.failover ? this.settingsWithSiblings(name) : settingsOf(name, this.size);
-    const store = this.state.for(name, clock);
+    const settings = this.failover ? this.settingsWithPeers(name) : siteSettings(name, this.size);
+    const store = this.store.clientFor(name, clock);
     const limits = new StoreLimits(settings, clock, limitProbe(store, settings));
-    if (this.old.size === 0) limits.allowSplitProgress();
+    if (this.earlierVersionNodes.size === 0) limits.allowSplitProgress();
     const cancellations = new ConfirmedCancellations(clock, seconds(CANCEL_S));
     const ctx: ControllerContext = {
       member: name as MemberId,
@@ -82,17 +82,19 @@
       settings,
       operators: defaultOperators(),
       store,
-      cloud: this.cloud.for(clock),
-      workerClient: this.callerFor(name, clock),
+      cloud: this.cloud.clientFor(clock),
+      workerClient: this.workerClientFor(name, clock),
       random: this.random,
-      machineTypes: new Map(this.typesUnknown ? [] : (this.size.types ?? TYPES).map((t) => [t.id, t])),
+      machineTypes: new Map(
+        this.machineTypesUnknown ? [] : (this.size.types ?? MACHINE_TYPES).map((t) => [t.id, t]),
+      ),
       maxConcurrentWorkerCalls: 64,
       load: () => this.load,
       storeLimits: limits,
       cancellations,
       allPeersSupport: (version) =>
-        version <= this.version && !this.nodes.some((other) => this.old.has(other)),
-      peers: this.siblingsOf(name, clock),
+        version <= this.version && !this.nodes.some((other) => this.earlierVersionNodes.has(other)),
+      peers: this.peersOf(name, clock),
       prefetchedRecords: (prefix) =>
         this.running.get(name)?.failover?.readAhead(prefix) ?? Promise.resolve(null),
     };
@@ -113,8 +115,8 @@
       leadership.leader?.onCancellationsConfirmed(ids);
       const told = cancellations.list(ids);
       for (const other of this.nodes) {
-        if (other === name || !this.hears(name, other)) continue;
-        this.clock.after(PEER_MS, () => {
+        if (other === name || !this.canReach(name, other)) continue;
+        this.clock.after(PEER_LATENCY_MS, () => {
           const to = this.running.get(other);
           to?.clock.whenRunning(() => to.cancellations.learn(told));
         });
@@ -125,10 +127,10 @@
     leadership.run();
   }
 
-  protected settingsWithSiblings(name: string): Settings {
+  protected settingsWithPeers(name: string): Settings {
     const others = this.nodes.filter((other) => other !== name);
     const siblings = others.map((member) => ({ member: member as MemberId, address: '127.0.0.1:2' }));
-    return { ...settingsOf(name, this.size), peers: siblings };
+    return { ...siteSettings(name, this.size), peers: siblings };
   }
 
   protected failoverOf(
@@ -142,14 +144,15 @@
       context,
       feature: this.failover,
       leadership,
-      stateOk: () => !this.state.outage && !this.state.refused.has(name),
-      allHaveSpoken: () => this.old.size === 0,
+      stateOk: () => !this.store.isUnavailable && !this.store.refusedClients.has(name),
+      allHaveSpoken: () => this.earlierVersionNodes.size === 0,
       transport: {
-        support: (peer) => (this.old.has(peer) ? PeerSupport.Unsupported : PeerSupport.Supported),
+        support: (peer) =>
+          this.earlierVersionNodes.has(peer) ? PeerSupport.Unsupported : PeerSupport.Supported,
         request: (to, payload, deadlineMs) =>
           this.peerNetwork.request(
             name,
-            this.alone.has(name) || this.alone.has(to) ? '' : to,
+            this.isolatedNodes.has(name) || this.isolatedNodes.has(to) ? '' : to,
             payload,
             deadlineMs,
             clock,
@@ -175,16 +178,18 @@
   }
 
   /** Whether cancellations pass between two controllers: both know of them and nothing cuts them off. */
-  protected hears(a: string, b: string): boolean {
-    return ![a, b].some((name) => this.alone.has(name) || this.old.has(name) || !this.running.has(name));
+  protected canReach(a: string, b: string): boolean {
+    return ![a, b].some(
+      (name) => this.isolatedNodes.has(name) || this.earlierVersionNodes.has(name) || !this.running.has(name),
+    );
   }
 
-  protected siblingsOf(name: string, clock: ProcessClock): PeerStatusSource {
+  protected peersOf(name: string, clock: ProcessClock): PeerStatusSource {
     const ask = (other: string, deadlineMs: number): Promise<PeerStatus | null> =>
       new Promise((resolve) => {
         clock.after(deadlineMs, () => resolve(null));
-        if (!this.hears(name, other)) return;
-        this.clock.after(PEER_MS, () => {
+        if (!this.canReach(name, other)) return;
+        this.clock.after(PEER_LATENCY_MS, () => {
           const to = this.running.get(other);
           to?.clock.whenRunning(() => {
             const word: PeerStatus = {
@@ -192,7 +197,7 @@
               leadingEpoch: to.leadership.leader?.epoch ?? null,
               cancellations: to.cancellations.list(),
             };
-            clock.after(PEER_MS, () => resolve(word));
+            clock.after(PEER_LATENCY_MS, () => resolve(word));
           });
         });
       });
@@ -216,7 +221,7 @@
   }
 
   /** The process stands still for so long while its clock runs on, then goes on with whatever it did. */
-  standStill(name: string, s: number): void {
+  pause(name: string, s: number): void {
     const clock = this.running.get(name)?.clock;
     if (!clock) return;
     this.trace(`${name}     stands still`);
@@ -236,11 +241,14 @@
     const epoch = (name: string): number => this.running.get(name)?.leadership.leader?.epoch ?? 0;
     return this.nodes
       .filter((name) => epoch(name) > 0)
-      .filter((name) => name === node || !(this.alone.has(name) || (node !== null && this.alone.has(node))))
+      .filter(
+        (name) =>
+          name === node || !(this.isolatedNodes.has(name) || (node !== null && this.isolatedNodes.has(node))),
+      )
       .sort((a, b) => epoch(b) - epoch(a))[0];
   }
 
-  leads(node: string): boolean {
+  isLeading(node: string): boolean {
     return this.running.get(node)?.leadership.leader != null;
   }
 
@@ -256,15 +264,15 @@
   }
 
   /** What the machine says now comes once more, so much later, through the node that leads then. */
-  copyLater(id: MachineId, s: number): void {
-    const heartbeat = this.worker(id).copy();
+  duplicateHeartbeatLater(id: MachineId, s: number): void {
+    const heartbeat = this.worker(id).repeatedHeartbeat();
     this.clock.after(s * 1000, () => {
       this.trace(`network    delivers a copy of what ${id} said ${s} s ago`);
-      this.deliverCopy(heartbeat);
+      this.deliverDuplicate(heartbeat);
     });
   }
 
-  protected deliverCopy(heartbeat: Heartbeat): void {
+  protected deliverDuplicate(heartbeat: Heartbeat): void {
     const name = this.leader;
     if (name) void this.running.get(name)?.leadership.handleHeartbeat(heartbeat, name as MemberId);
   }
@@ -274,13 +282,13 @@
     node: string,
     heartbeat: Heartbeat,
   ): Promise<HeartbeatAnswer | null> {
-    if (this.copyShare > 0 && this.random() < this.copyShare) {
-      this.clock.after(2000 + 38_000 * this.random(), () => this.deliverCopy(heartbeat));
+    if (this.duplicateHeartbeatRate > 0 && this.random() < this.duplicateHeartbeatRate) {
+      this.clock.after(2000 + 38_000 * this.random(), () => this.deliverDuplicate(heartbeat));
     }
     return new Promise((resolve) => {
       this.clock.after(4000, () => resolve(null));
-      if (this.mute.has(worker.machine.id)) return;
-      const cut = (name: string): boolean => this.cuts.has(`${name} ${worker.machine.id}`);
+      if (this.outboundPartitioned.has(worker.machine.id)) return;
+      const cut = (name: string): boolean => this.cutLinks.has(`${name} ${worker.machine.id}`);
       if (cut(node) || !this.running.has(node)) {
         if (!cut(node)) this.clock.after(2, () => resolve(null));
         return;
@@ -292,7 +300,7 @@
           const own = this.running.get(node)?.leadership;
           const leads = own?.leader ? node : this.leaderSeenFrom(node);
           const leader = this.running.get(leads ?? '');
-          const reached = !this.oneWay.has(worker.machine.id);
+          const reached = !this.inboundPartitioned.has(worker.machine.id);
           if (!leader) {
             if (!reached) return;
             resolve({ status: 503, token: 0 as HeartbeatAnswer['token'], orders: [] });
--- a/test/simulation/site.ts
+++ b/test/simulation/simulated-site.ts
@@ -14,26 +14,26 @@
 } from '../../src/model/ids.js';
 import { parseTaskId } from '../../src/model/ids.js';
 import type { KeyValue } from '../../src/wire/key-value-store.js';
-import { type RuleChecker } from './rules.js';
-import { CANCEL_S, type JobWish, settingsOf, submissionBody } from './site-setup.js';
-import { SiteNodes } from './site-controllers.js';
+import { type RuleChecker } from './rule-checker.js';
+import { CANCEL_S, type JobRequest, siteSettings, submissionBody } from './site-setup.js';
+import { SimulatedControllers } from './simulated-controllers.js';
 
 /** A whole site on a virtual clock: three nodes, state service, cloud, workers, users, rule checker. */
-export class Site extends SiteNodes {
+export class SimulatedSite extends SimulatedControllers {
   /**
    * Goes on with the records that others have left, on the machines and with the tasks that they tell of.
    * `token`: the highest that the workers have seen. The leader's key is not among them: its grant ended.
    */
-  restore(records: readonly KeyValue[], wishes: readonly JobWish[], token: FencingToken): void {
-    this.state.restore(records);
+  restore(records: readonly KeyValue[], wishes: readonly JobRequest[], token: FencingToken): void {
+    this.store.restore(records);
     for (const wish of wishes) {
-      this.describe(wish, this.nodes[0] as string);
-      this.rules.accepted(wish.ref as JobId);
+      this.registerJob(wish, this.nodes[0] as string);
+      this.rules.recordAcceptance(wish.ref as JobId);
     }
     for (const { key, value } of records) {
       const { s: state } = value as { s?: string };
       if (key.startsWith('job/') && state !== 'a')
-        this.rules.endedBefore(key.slice(4) as JobId, state === 'd');
+        this.rules.recordEarlierEnd(key.slice(4) as JobId, state === 'd');
     }
     for (const { key, value } of records) {
       if (!key.startsWith('fleet/')) continue;
@@ -51,24 +51,24 @@
     }
   }
 
-  async submit(wish: JobWish, node = 'node-0'): Promise<number> {
-    const body = this.describe(wish, node);
-    const answer = await this.ask(node, `submits ${wish.ref}`, (users) => users.submit(body));
-    return this.submitted(wish, answer.status);
+  async submit(wish: JobRequest, node = 'node-0'): Promise<number> {
+    const body = this.registerJob(wish, node);
+    const answer = await this.request(node, `submits ${wish.ref}`, (users) => users.submit(body));
+    return this.recordSubmitStatus(wish, answer.status);
   }
 
   /** The same for one of many users at once: time moves on without it. */
-  async post(wish: JobWish, node: string): Promise<number> {
-    const body = this.describe(wish, node);
+  async submitConcurrently(wish: JobRequest, node: string): Promise<number> {
+    const body = this.registerJob(wish, node);
     const answer = await this.running
       .get(node)
       ?.users.submit(body)
       .catch(() => null);
-    return this.submitted(wish, answer?.status ?? 503);
+    return this.recordSubmitStatus(wish, answer?.status ?? 503);
   }
 
   /** A submission that must never be accepted: one that fits no machine, or lacks a field. */
-  async refused(wish: JobWish, node: string, lacks?: string): Promise<void> {
+  async expectRejected(wish: JobRequest, node: string, lacks?: string): Promise<void> {
     const body: Record<string, unknown> = { ...submissionBody(wish) };
     if (lacks !== undefined) delete body[lacks];
     const answer = await this.running
@@ -77,80 +77,81 @@
       .catch(() => null);
     const expected = lacks === undefined ? 422 : 400;
     if (answer && answer.status !== expected && answer.status !== 503) {
-      this.rules.breach(`accepted: ${wish.ref} got ${answer.status} instead of ${expected}`);
+      this.rules.recordViolation(`accepted: ${wish.ref} got ${answer.status} instead of ${expected}`);
     }
   }
 
-  protected submitted(wish: JobWish, status: number): number {
-    if (status === 201 || status === 200) this.rules.accepted(wish.ref as JobId);
+  protected recordSubmitStatus(wish: JobRequest, status: number): number {
+    if (status === 201 || status === 200) this.rules.recordAcceptance(wish.ref as JobId);
     return status;
   }
 
   /** A question of one of many users; null: no answer. Time moves on without it. */
-  async poll(ref: string, node: string): Promise<string | null> {
+  async queryConcurrently(ref: string, node: string): Promise<string | null> {
     const answer = await this.running
       .get(node)
       ?.users.query(ref)
       .catch(() => null);
     if (!answer || (answer.status !== 200 && answer.status !== 404)) return null;
-    return this.heard(ref, answer);
+    return this.recordState(ref, answer);
   }
 
   /** The same for a cancellation. */
-  async postCancel(ref: string, node: string): Promise<string | null> {
-    this.rules.cancelAsked(ref);
+  async cancelConcurrently(ref: string, node: string): Promise<string | null> {
+    this.rules.recordCancelRequest(ref);
     const answer = await this.running
       .get(node)
       ?.users.cancel(ref)
       .catch(() => null);
     if (answer?.status !== 200) return null;
-    return this.heardOfCancel(ref, answer);
+    return this.recordCancelState(ref, answer);
   }
 
-  protected heard(ref: string, answer: { status: number; body: object }): string {
+  protected recordState(ref: string, answer: { status: number; body: object }): string {
     const state = answer.status === 404 ? '404' : (answer.body as { status: string }).status;
-    this.rules.told(ref as JobId, state, this.clock.now());
+    this.rules.recordReportedState(ref as JobId, state, this.clock.now());
     return state;
   }
 
-  protected heardOfCancel(ref: string, answer: { status: number; body: object }): string {
-    const state = this.heard(ref, answer);
-    if (state === 'cancelled') this.rules.cancelled(ref as JobId, this.clock.now() + CANCEL_S * 1000);
+  protected recordCancelState(ref: string, answer: { status: number; body: object }): string {
+    const state = this.recordState(ref, answer);
+    if (state === 'cancelled')
+      this.rules.recordCancellation(ref as JobId, this.clock.now() + CANCEL_S * 1000);
     return state;
   }
 
-  get accepted(): number {
+  get acceptedCount(): number {
     return [...this.rules.acceptedJobs()].length;
   }
 
   /** The job as the user submits it; from now on the checker knows it. */
-  protected describe(wish: JobWish, node: string): Parameters<RuleChecker['submitted']>[1] {
+  protected registerJob(wish: JobRequest, node: string): Parameters<RuleChecker['recordSubmission']>[1] {
     const body = submissionBody(wish);
     const id = wish.ref as JobId;
     this.jobs.set(id, {
       image: 'img-1' as ImageId,
       fetchMs: 1000,
       runMs: body.shape === 'array' ? (wish.runS ?? 5) * 1000 : null,
-      broken: wish.broken ?? false,
+      failsAlways: wish.broken ?? false,
     });
-    const team = settingsOf(node, this.size).teams.find((t) => t.id === (body.owner as TeamId));
-    this.rules.submitted(id, body, team?.cpusMax ?? null);
+    const team = siteSettings(node, this.size).teams.find((t) => t.id === (body.owner as TeamId));
+    this.rules.recordSubmission(id, body, team?.cpusMax ?? null);
     return body;
   }
 
   async query(ref: string, node = 'node-0'): Promise<string> {
-    const answer = await this.ask(node, `asks for ${ref}`, (users) => users.query(ref));
-    if (answer.status === 200 || answer.status === 404) return this.heard(ref, answer);
+    const answer = await this.request(node, `asks for ${ref}`, (users) => users.query(ref));
+    if (answer.status === 200 || answer.status === 404) return this.recordState(ref, answer);
     return String(answer.status);
   }
 
   async cancel(ref: string, node = 'node-0'): Promise<string> {
-    this.rules.cancelAsked(ref);
-    const answer = await this.ask(node, `cancels ${ref}`, (users) => users.cancel(ref));
-    return answer.status === 200 ? this.heardOfCancel(ref, answer) : String(answer.status);
+    this.rules.recordCancelRequest(ref);
+    const answer = await this.request(node, `cancels ${ref}`, (users) => users.cancel(ref));
+    return answer.status === 200 ? this.recordCancelState(ref, answer) : String(answer.status);
   }
 
-  protected async ask(
+  protected async request(
     node: string,
     what: string,
     act: (users: UserService) => Promise<{ status: number; body: object }>,
@@ -174,8 +175,8 @@
   }
 
   /** Every running task of a job, by the checker's own account. */
-  tasksOn(ref: string): number {
-    return this.rules.count((task) => parseTaskId(task)?.job === ref);
+  runningTaskCount(ref: string): number {
+    return this.rules.countRunning((task) => parseTaskId(task)?.job === ref);
   }
 
   /**
@@ -194,8 +195,10 @@
         );
       }
       await this.clock.advance(1500);
-      if (!states.some((s) => s !== '503')) this.rules.breach(`forgotten: nobody answers for ${ref}`);
-      for (const state of states) if (state !== '503') this.rules.told(ref, state, this.clock.now());
+      if (!states.some((s) => s !== '503'))
+        this.rules.recordViolation(`forgotten: nobody answers for ${ref}`);
+      for (const state of states)
+        if (state !== '503') this.rules.recordReportedState(ref, state, this.clock.now());
     }
   }
 }
--- a/test/simulation/site-setup.ts
+++ b/test/simulation/site-setup.ts
@@ -5,7 +5,7 @@
 import { readSettings, type Settings } from '../../src/wire/settings.js';
 
 /** A job as a test asks for it; what it leaves open is filled in. */
-export interface JobWish {
+export interface JobRequest {
   ref: string;
   team?: string;
   kind?: 'array' | 'service';
@@ -26,9 +26,9 @@
 }
 
 /** What a wish leaves open. */
-const DEFAULT_WISH = {
+const DEFAULT_JOB_REQUEST = {
   team: 'red',
-  kind: 'array' as NonNullable<JobWish['kind']>,
+  kind: 'array' as NonNullable<JobRequest['kind']>,
   tasks: 1,
   cpus: 2,
   spot: false,
@@ -37,10 +37,10 @@
   runS: 5,
   image: 'img-1',
   awaits: [] as readonly string[],
-} satisfies Partial<JobWish>;
+} satisfies Partial<JobRequest>;
 
 /** The machine types that the cloud offers. */
-export const TYPES: MachineType[] = [
+export const MACHINE_TYPES: MachineType[] = [
   {
     id: 'small' as MachineTypeId,
     cpus: 8,
@@ -57,10 +57,10 @@
 
 /** Three zones, two types: what a site needs where every part of a placement rule is to bind. */
 export const MIXED_ZONES = ['north', 'south', 'west'] as ZoneId[];
-export const MIXED_TYPES: MachineType[] = [
-  { ...(TYPES[0] as MachineType), bootTime: seconds(2), zones: MIXED_ZONES },
+export const MIXED_MACHINE_TYPES: MachineType[] = [
+  { ...(MACHINE_TYPES[0] as MachineType), bootTime: seconds(2), zones: MIXED_ZONES },
   {
-    ...(TYPES[0] as MachineType),
+    ...(MACHINE_TYPES[0] as MachineType),
     id: 'large' as MachineTypeId,
     cpus: 16,
     memoryGb: 64,
@@ -74,7 +74,7 @@
 export const LEASE_S = 20;
 export const CANCEL_S = 40;
 /** How large a site is, and what its state service will take. */
-export interface Size {
+export interface SiteSize {
   /** CPUs that each team may use. */
   readonly limit: { red: number; blue: number };
   readonly reportS: number;
@@ -88,17 +88,22 @@
 }
 
 /** Two teams on a few machines. */
-export const SMALL: Size = { limit: { red: 24, blue: 40 }, reportS: 3, nodes: 3 };
+export const SMALL_SITE: SiteSize = { limit: { red: 24, blue: 40 }, reportS: 3, nodes: 3 };
 
 /** Room for many jobs of all placement kinds in three zones. */
-export const MIXED: Size = { ...SMALL, limit: { red: 96, blue: 96 }, types: MIXED_TYPES, zones: MIXED_ZONES };
+export const MIXED_SITE: SiteSize = {
+  ...SMALL_SITE,
+  limit: { red: 96, blue: 96 },
+  types: MIXED_MACHINE_TYPES,
+  zones: MIXED_ZONES,
+};
 
 function zoneOf(member: string, zones: readonly ZoneId[] = ['north' as ZoneId]): ZoneId {
   return zones[Number(member.slice('node-'.length)) % zones.length] ?? (zones[0] as ZoneId);
 }
 
 /** What the platform hands to one controller. */
-export function settingsOf(member: string, size: Size): Settings {
+export function siteSettings(member: string, size: SiteSize): Settings {
   return readSettings({
     member,
     site: zoneOf(member, size.zones),
@@ -119,8 +124,8 @@
 }
 
 /** The job as its user submits it. */
-export function submissionBody({ ref, ...wish }: JobWish) {
-  const { tasks, runS, zone, types, team, rank, spot, ...more } = { ...DEFAULT_WISH, ...wish };
+export function submissionBody({ ref, ...wish }: JobRequest) {
+  const { tasks, runS, zone, types, team, rank, spot, ...more } = { ...DEFAULT_JOB_REQUEST, ...wish };
   const array = more.kind === 'array';
   return {
     ref,
--- a/test/simulation/worker-state.ts
+++ b/test/simulation/worker-state.ts
@@ -2,10 +2,14 @@
 import { FactSource } from '../../src/model/machine-facts.js';
 import type { MonotonicTime } from '../../src/model/time.js';
 import { Worker } from '../../src/workers/state/worker.js';
-import { TYPES } from './site-setup.js';
+import { MACHINE_TYPES } from './site-setup.js';
 
 /** A machine of which everything is known. */
-export function workerOf(machine: Machine, at: MonotonicTime, type = TYPES[0] as MachineType): Worker {
+export function confirmedWorker(
+  machine: Machine,
+  at: MonotonicTime,
+  type = MACHINE_TYPES[0] as MachineType,
+): Worker {
   return new Worker(
     machine.id,
     { state: 'confirmed', machine, type, source: FactSource.Heartbeat, learnedAt: at },
--- a/test/soak/loopback-site.ts
+++ b/test/soak/loopback-site.ts
@@ -5,19 +5,19 @@
 import { systemClock } from '../../src/model/time.js';
 import { HttpTarget, type HttpReply } from '../../src/net/http-client.js';
 import { FakeCloud } from '../simulation/fake-cloud.js';
-import type { DaySite } from '../simulation/day-site.js';
-import { RuleChecker } from '../simulation/rules.js';
-import { cloudHandler, serve, stateHandler } from '../simulation/fake-servers.js';
+import type { ScenarioSite } from '../simulation/scenario-site.js';
+import { RuleChecker } from '../simulation/rule-checker.js';
+import { cloudHandler, serve, storeHandler } from '../simulation/fake-servers.js';
 import {
   CANCEL_S,
-  type JobWish,
+  type JobRequest,
   LEASE_S,
-  MIXED_TYPES,
+  MIXED_MACHINE_TYPES,
   MIXED_ZONES,
   submissionBody,
 } from '../simulation/site-setup.js';
 import { FakeKeyValueStore } from '../simulation/fake-key-value-store.js';
-import type { JobFacts, FakeWorker } from '../simulation/fake-worker.js';
+import type { JobBehavior, FakeWorker } from '../simulation/fake-worker.js';
 import { frontOf, LoopbackControllers, type Place } from './loopback-controllers.js';
 import { LoopbackMachines } from './loopback-workers.js';
 import { ScaledClock } from './scaled-clock.js';
@@ -52,16 +52,16 @@
 }
 
 /** The same interface as the virtual site's, so that the same days and troubles are played. */
-export class LoopbackSite implements DaySite {
+export class LoopbackSite implements ScenarioSite {
   readonly clock = new ScaledClock(SCALE);
   readonly nodes: readonly string[];
   readonly rules = new RuleChecker((text) => this.trace(`BROKEN     ${text}`));
-  readonly state = new FakeKeyValueStore(systemClock);
+  readonly store = new FakeKeyValueStore(systemClock);
   readonly random: () => number;
   readonly machines: LoopbackMachines;
   readonly controllers: LoopbackControllers;
   private readonly cloud: FakeCloud;
-  private readonly jobs = new Map<JobId, JobFacts>();
+  private readonly jobs = new Map<JobId, JobBehavior>();
   private readonly lines: string[] = [];
   private readonly users: ReadonlyMap<string, HttpTarget>;
   private readonly places: readonly Place[];
@@ -73,7 +73,7 @@
   ) {
     const generator = xoroshiro128plus(options.seed);
     this.random = () => uniformFloat64(generator);
-    this.state.random = this.random;
+    this.store.random = this.random;
     this.nodes = Array.from({ length: options.controllers }, (_, n) => `node-${n}`);
     this.places = this.nodes.map((member, n) => ({
       member,
@@ -101,11 +101,11 @@
       job: (id) => this.jobs.get(id),
       started: (task, attemptNumber, machine) => {
         this.trace(`${machine.id} runs ${task} try ${attemptNumber}`);
-        this.rules.started(task, machine, this.clock.now());
+        this.rules.recordStart(task, machine, this.clock.now());
       },
       left: (task, machine, why) => {
         this.trace(`${machine.id} ends ${task}: ${why}`);
-        this.rules.left(task, machine.id, why === 'done');
+        this.rules.recordEnd(task, machine.id, why === 'done');
       },
       trace: (text) => this.trace(text),
     });
@@ -117,7 +117,7 @@
       places: this.places,
       program,
       folder,
-      listener: { trace: (text) => this.trace(text), breach: (text) => this.rules.breach(text) },
+      listener: { trace: (text) => this.trace(text), breach: (text) => this.rules.recordViolation(text) },
       common: ({ host }) => ({
         cloud: `${host}:${CLOUD_PORT}`,
         state: `${host}:${STATE_PORT}`,
@@ -137,7 +137,7 @@
   private createCloud(): FakeCloud {
     const cloud = new FakeCloud(
       systemClock,
-      MIXED_TYPES,
+      MIXED_MACHINE_TYPES,
       (machine) => this.machines.begin(machine),
       (id) => this.machines.gone(id),
       (text) => this.trace(text),
@@ -164,8 +164,8 @@
   private async listen(): Promise<boolean> {
     try {
       for (const { member, host } of this.places) {
-        await serve(STATE_PORT, host, stateHandler(this.state.for(member, systemClock)));
-        const cloud = cloudHandler(this.cloud.for(systemClock), MIXED_TYPES, (id) =>
+        await serve(STATE_PORT, host, storeHandler(this.store.clientFor(member, systemClock)));
+        const cloud = cloudHandler(this.cloud.clientFor(systemClock), MIXED_MACHINE_TYPES, (id) =>
           this.machines.addressOf(id),
         );
         await serve(CLOUD_PORT, host, cloud);
@@ -180,7 +180,7 @@
     for (let n = 0; n < this.options.machines; n++)
       this.cloud.adopt({
         id: `host-${String(n).padStart(6, '0')}` as MachineId,
-        type: MIXED_TYPES[n % 4 === 0 ? 1 : 0]?.id as MachineTypeId,
+        type: MIXED_MACHINE_TYPES[n % 4 === 0 ? 1 : 0]?.id as MachineTypeId,
         zone: MIXED_ZONES[n % MIXED_ZONES.length] as (typeof MIXED_ZONES)[0],
         spot: n % 2 === 0,
       });
@@ -213,7 +213,7 @@
     this.controllers.crash(node);
   }
 
-  standStill(node: string, s: number): void {
+  pause(node: string, s: number): void {
     this.trace(`${node}     stands still`);
     const goOn = this.controllers.pause(node);
     this.clock.after(s * 1000, () => {
@@ -234,7 +234,7 @@
     return this.controllers.leader;
   }
 
-  get alone(): Set<string> {
+  get isolatedNodes(): Set<string> {
     return this.controllers.alone;
   }
 
@@ -250,35 +250,35 @@
     return worker;
   }
 
-  get cuts(): Set<string> {
+  get cutLinks(): Set<string> {
     return this.machines.cuts;
   }
 
-  get oneWay(): Set<MachineId> {
+  get inboundPartitioned(): Set<MachineId> {
     return this.machines.oneWay;
   }
 
-  get mute(): Set<MachineId> {
+  get outboundPartitioned(): Set<MachineId> {
     return this.machines.mute;
   }
 
-  get copyShare(): number {
+  get duplicateHeartbeatRate(): number {
     return this.machines.copyShare;
   }
 
-  set copyShare(share: number) {
+  set duplicateHeartbeatRate(share: number) {
     this.machines.copyShare = share;
   }
 
-  hold(_node: string, host: MachineId): void {
+  holdCommands(_node: string, host: MachineId): void {
     this.machines.hold(host);
   }
 
-  release(): void {
+  releaseCommands(): void {
     this.machines.release();
   }
 
-  takeAway(id: MachineId): void {
+  killMachine(id: MachineId): void {
     this.trace(`${id} dies`);
     this.machines.gone(id);
     this.cloud.machines.delete(id);
@@ -301,61 +301,62 @@
   }
 
   /** From now on the job may be accepted, and its tasks may start. */
-  private describe(wish: JobWish): ReturnType<typeof submissionBody> {
+  private describe(wish: JobRequest): ReturnType<typeof submissionBody> {
     const body = submissionBody(wish);
     const id = wish.ref as JobId;
     this.jobs.set(id, {
       image: 'img-1' as ImageId,
       fetchMs: FETCH_MS,
       runMs: body.shape === 'array' ? (wish.runS ?? 5) * 1000 * SCALE : null,
-      broken: false,
+      failsAlways: false,
     });
-    this.rules.submitted(id, body, this.options.limit);
+    this.rules.recordSubmission(id, body, this.options.limit);
     return body;
   }
 
-  async post(wish: JobWish, node: string): Promise<number> {
+  async submitConcurrently(wish: JobRequest, node: string): Promise<number> {
     const body = this.describe(wish);
     const reply = await this.ask(node, 'POST', '/v2/runs', body, SUBMIT_MS);
     if (reply?.status === 200 || reply?.status === 201)
-      this.rules.accepted(wish.ref as JobId, this.clock.now());
+      this.rules.recordAcceptance(wish.ref as JobId, this.clock.now());
     return reply?.status ?? 503;
   }
 
-  async refused(wish: JobWish, node: string, lacks?: string): Promise<void> {
+  async expectRejected(wish: JobRequest, node: string, lacks?: string): Promise<void> {
     const body: Record<string, unknown> = { ...submissionBody(wish) };
     if (lacks !== undefined) delete body[lacks];
     const reply = await this.ask(node, 'POST', '/v2/runs', body, SUBMIT_MS);
     const expected = lacks === undefined ? 422 : 400;
     if (reply && reply.status !== expected && reply.status !== 503 && reply.status !== 429)
-      this.rules.breach(`accepted: ${wish.ref} got ${reply.status} instead of ${expected}`);
+      this.rules.recordViolation(`accepted: ${wish.ref} got ${reply.status} instead of ${expected}`);
   }
 
-  async poll(ref: string, node: string): Promise<string | null> {
+  async queryConcurrently(ref: string, node: string): Promise<string | null> {
     const askedAt = this.clock.now();
     const reply = await this.ask(node, 'GET', `/v2/runs/${ref}`, undefined, QUERY_MS);
     if (!reply || (reply.status !== 200 && reply.status !== 404)) return null;
     return this.heard(ref, reply, askedAt);
   }
 
-  async postCancel(ref: string, node: string): Promise<string | null> {
+  async cancelConcurrently(ref: string, node: string): Promise<string | null> {
     const askedAt = this.clock.now();
-    this.rules.cancelAsked(ref);
+    this.rules.recordCancelRequest(ref);
     const reply = await this.ask(node, 'POST', `/v2/runs/${ref}/cancel`, {}, SUBMIT_MS);
     if (reply?.status !== 200) return null;
     const state = this.heard(ref, reply, askedAt);
-    if (state === 'cancelled') this.rules.cancelled(ref as JobId, this.clock.now() + CANCEL_S * 1000);
+    if (state === 'cancelled')
+      this.rules.recordCancellation(ref as JobId, this.clock.now() + CANCEL_S * 1000);
     return state;
   }
 
   private heard(ref: string, reply: HttpReply, askedAt: number): string {
     const state = reply.status === 404 ? '404' : (reply.body as { status: string }).status;
-    this.rules.told(ref as JobId, state, this.clock.now(), askedAt);
+    this.rules.recordReportedState(ref as JobId, state, this.clock.now(), askedAt);
     return state;
   }
 
-  tasksOn(ref: string): number {
-    return this.rules.count((task) => task.startsWith(`${ref}/`));
+  runningTaskCount(ref: string): number {
+    return this.rules.countRunning((task) => task.startsWith(`${ref}/`));
   }
 
   /** Cancelled work is gone, and every node tells of every accepted job. */
@@ -368,11 +369,11 @@
     while (open.size > 0 && systemClock.now() < until) {
       for (const question of open) {
         const [ref, node] = question.split(' ') as [string, string];
-        if ((await this.poll(ref, node)) !== null) open.delete(question);
+        if ((await this.queryConcurrently(ref, node)) !== null) open.delete(question);
       }
       if (open.size > 0) await this.clock.sleep(ASK_AGAIN_MS);
     }
-    for (const question of open) this.rules.breach(`forgotten: no answer for ${question}`);
+    for (const question of open) this.rules.recordViolation(`forgotten: no answer for ${question}`);
   }
 
   async close(): Promise<void> {
--- a/test/soak/loopback-workers.ts
+++ b/test/soak/loopback-workers.ts
@@ -7,18 +7,18 @@
 import { systemClock, sleep } from '../../src/model/time.js';
 import { HttpTarget } from '../../src/net/http-client.js';
 import {
-  AnswerLost,
+  AnswerLostError,
   type Handler,
   heartbeatAnswer,
-  reportBody,
+  heartbeatBody,
   serve,
   workersHandler,
 } from '../simulation/fake-servers.js';
 import {
   type HeartbeatAnswer,
-  type JobFacts,
+  type JobBehavior,
   FakeWorker,
-  type WorkerWorld,
+  type WorkerEnvironment,
 } from '../simulation/fake-worker.js';
 
 const WORKER_PORT = 9000;
@@ -37,7 +37,7 @@
   readonly random: () => number;
   readonly leader: () => string | undefined;
   readonly leaderOf: (epoch: number) => string | undefined;
-  readonly job: (id: JobId) => JobFacts | undefined;
+  readonly job: (id: JobId) => JobBehavior | undefined;
   readonly started: (task: TaskId, attemptNumber: AttemptNumber, machine: Machine) => void;
   readonly left: (task: TaskId, machine: Machine, why: string) => void;
   readonly trace: (text: string) => void;
@@ -50,7 +50,7 @@
 }
 
 /** Workers, and what the network does to them. */
-export class LoopbackMachines implements WorkerWorld {
+export class LoopbackMachines implements WorkerEnvironment {
   readonly workers = new Map<MachineId, FakeWorker>();
   /** `node host`: nothing passes between them. */
   readonly cuts = new Set<string>();
@@ -96,7 +96,7 @@
   }
 
   gone(id: MachineId): void {
-    this.workers.get(id)?.vanish();
+    this.workers.get(id)?.terminate();
     this.workers.delete(id);
     const up = this.up.get(id);
     this.up.delete(id);
@@ -116,14 +116,14 @@
     return async (request) => {
       const { id } = worker.machine;
       const { epoch } = (request.body ?? {}) as { epoch?: FencingToken };
-      if (this.oneWay.has(id) || this.cutFrom(id, epoch)) throw new AnswerLost();
+      if (this.oneWay.has(id) || this.cutFrom(id, epoch)) throw new AnswerLostError();
       if (this.holding.has(id)) await new Promise<void>((resolve) => this.held.push(resolve));
       // A machine that hangs carries it out when it goes on.
-      await new Promise<void>((resolve) => worker.whenAwake(resolve));
+      await new Promise<void>((resolve) => worker.runWhenResponsive(resolve));
       const { orders } = (request.body ?? {}) as { orders?: readonly { verb: string }[] };
       this.noteWork(id, orders?.some(({ verb }) => verb === 'run') ?? false);
       const after = this.repeatAfterMs;
-      if (after !== null) systemClock.after(after, () => worker.whenAwake(() => void act(request)));
+      if (after !== null) systemClock.after(after, () => worker.runWhenResponsive(() => void act(request)));
       return act(request);
     };
   }
@@ -154,7 +154,7 @@
       await sleep(systemClock, 2);
       return null;
     }
-    const body = reportBody(report, (host) => this.addressOf(host));
+    const body = heartbeatBody(report, (host) => this.addressOf(host));
     if (this.options.random() < this.copyShare) this.copyLater(body);
     if (this.options.random() < this.lostShare / 2) return this.lost();
     const answer = await this.call(this.up.get(id)?.links[this.nodes.indexOf(node)], body);
@@ -194,15 +194,15 @@
 
   // What its tasks do
 
-  job(id: JobId): JobFacts | undefined {
+  behaviorOf(id: JobId): JobBehavior | undefined {
     return this.options.job(id);
   }
 
-  started(worker: FakeWorker, task: TaskId, attemptNumber: AttemptNumber): void {
+  onTaskStarted(worker: FakeWorker, task: TaskId, attemptNumber: AttemptNumber): void {
     this.options.started(task, attemptNumber, worker.machine);
   }
 
-  left(worker: FakeWorker, task: TaskId, why: string): void {
+  onTaskEnded(worker: FakeWorker, task: TaskId, why: string): void {
     this.options.left(task, worker.machine, why);
   }
 }
--- a/test/soak/seed.ts
+++ b/test/soak/seed.ts
@@ -1,8 +1,8 @@
 /** One seed of the soak: a day of users on real processes, with troubles that overlap. */
 import { mkdirSync, rmSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
-import { Day, PLACEMENT_DAY } from '../simulation/day.js';
-import { type Trouble, TROUBLES } from '../simulation/faults.js';
+import { Scenario, PLACEMENT_PLAN } from '../simulation/scenario.js';
+import { type Fault, FAULTS } from '../simulation/faults.js';
 import type { RulePart } from './broken-controller.js';
 import { LoopbackSite } from './loopback-site.js';
 import { soakTroubles } from './soak-faults.js';
@@ -43,12 +43,12 @@
 const WATCHED_S = 46;
 const CAUGHT_WITHIN_S = 240;
 
-function draw(site: LoopbackSite, all: readonly Trouble[]): Trouble[] {
+function draw(site: LoopbackSite, all: readonly Fault[]): Fault[] {
   const { random } = site;
-  const [leadersChange] = TROUBLES;
-  const drawn: Trouble[] = random() < LEADERS_CHANGE_SHARE && leadersChange ? [leadersChange] : [];
+  const [leadersChange] = FAULTS;
+  const drawn: Fault[] = random() < LEADERS_CHANGE_SHARE && leadersChange ? [leadersChange] : [];
   while (drawn.length < TROUBLES_AT_ONCE) {
-    const trouble = all[Math.floor(random() * all.length)] as Trouble;
+    const trouble = all[Math.floor(random() * all.length)] as Fault;
     if (!drawn.includes(trouble)) drawn.push(trouble);
   }
   return drawn;
@@ -61,28 +61,28 @@
   rmSync(folder, { recursive: true, force: true });
   mkdirSync(folder, { recursive: true });
   const site = await LoopbackSite.open({ seed, controllers, program, folder, ...size });
-  const troubles = broken === null ? draw(site, [...TROUBLES, ...soakTroubles(site)]) : [];
-  const plan = { ...PLACEMENT_DAY, mostTasks: size.mostTasks, quietS: QUIET_S, afterLeastS: WATCHED_S };
-  const day = new Day(seed, site, broken === null ? plan : { ...plan, quietS: CAUGHT_WITHIN_S });
+  const troubles = broken === null ? draw(site, [...FAULTS, ...soakTroubles(site)]) : [];
+  const plan = { ...PLACEMENT_PLAN, mostTasks: size.mostTasks, quietS: QUIET_S, afterLeastS: WATCHED_S };
+  const day = new Scenario(seed, site, broken === null ? plan : { ...plan, quietBeforeS: CAUGHT_WITHIN_S });
   const caught = new Promise<void>((resolve) => {
     if (broken === null) return;
-    site.rules.onBreach = (text) => {
+    site.rules.onViolation = (text) => {
       if (text.startsWith('wrong_place')) resolve();
     };
   });
-  await Promise.race([day.play(troubles), caught]);
+  await Promise.race([day.run(troubles), caught]);
   await site.close();
   const { rules } = site;
-  if (rules.broken.length === 0 || broken !== null) rmSync(folder, { recursive: true, force: true });
+  if (rules.violations.length === 0 || broken !== null) rmSync(folder, { recursive: true, force: true });
   else writeFileSync(join(folder, 'history.txt'), site.text);
   return {
     seed,
     troubles: troubles.map(({ name }) => name),
     machines: size.machines,
-    accepted: day.accepted,
-    starts: rules.starts,
+    accepted: day.acceptedCount,
+    starts: rules.startCount,
     leaderships: site.controllers.leaderships,
     unknownMachines: site.controllers.unknownMachines,
-    broken: rules.broken,
+    broken: rules.violations,
   };
 }
--- a/test/soak/soak-faults.ts
+++ b/test/soak/soak-faults.ts
@@ -1,5 +1,5 @@
 /** Troubles that only real processes and sockets have, beside those of the virtual site. */
-import { cutOff, type Trouble } from '../simulation/faults.js';
+import { isolateNode, type Fault } from '../simulation/faults.js';
 import type { LoopbackSite } from './loopback-site.js';
 
 const LOST_SHARE = 0.15;
@@ -14,12 +14,12 @@
 }
 
 /** Of one site. */
-export function soakTroubles(site: LoopbackSite): readonly Trouble[] {
+export function soakTroubles(site: LoopbackSite): readonly Fault[] {
   return [
     {
       name: 'one controller is not heard by another',
-      forS: 30,
-      begin(_site, _users, random) {
+      durationS: 30,
+      inject(_site, _users, random) {
         const from = pick(site.nodes, random);
         const others = site.nodes.filter((node) => node !== from);
         return site.controllers.cutOneWay(from, pick(others, random));
@@ -27,8 +27,8 @@
     },
     {
       name: 'reports and answers are lost',
-      forS: 40,
-      begin() {
+      durationS: 40,
+      inject() {
         site.machines.lostShare = LOST_SHARE;
         return () => {
           site.machines.lostShare = 0;
@@ -37,8 +37,8 @@
     },
     {
       name: 'commands arrive once more, late',
-      forS: 40,
-      begin() {
+      durationS: 40,
+      inject() {
         site.machines.repeatAfterMs = REPEAT_AFTER_MS;
         return () => {
           site.machines.repeatAfterMs = null;
@@ -48,12 +48,12 @@
     {
       // Their records may not be written yet, and until they are heard nothing else names them.
       name: 'leaders end as new machines get their first work',
-      forS: 40,
-      begin() {
+      durationS: 40,
+      inject() {
         let next = 0;
         site.machines.onFirstWork = (id) => {
-          site.mute.add(id);
-          site.clock.after(MUTE_MS, () => site.mute.delete(id));
+          site.outboundPartitioned.add(id);
+          site.clock.after(MUTE_MS, () => site.outboundPartitioned.delete(id));
           const { leader } = site;
           if (leader === undefined || site.clock.now() < next) return;
           next = site.clock.now() + BETWEEN_ENDS_MS;
@@ -67,24 +67,24 @@
     },
     {
       name: 'a zone is cut off, with its controller',
-      forS: 28,
-      begin(_site, _users, random) {
+      durationS: 28,
+      inject(_site, _users, random) {
         const node = pick(site.nodes, random);
         const zone = site.zoneOf(node);
-        return cutOff(site, node, (host) => site.worker(host).machine.zone === zone);
+        return isolateNode(site, node, (host) => site.worker(host).machine.zone === zone);
       },
     },
     {
       name: 'controllers end one after the other, and the last leader hangs',
-      forS: 30,
-      begin() {
+      durationS: 30,
+      inject() {
         const nodes = [...site.nodes];
         nodes.forEach((node, n) => {
           site.clock.after(n * 4000, () => site.crash(node));
           site.clock.after(n * 4000 + 900, () => site.start(node));
         });
         site.clock.after(18_000, () => {
-          if (site.leader !== undefined) site.standStill(site.leader, 8);
+          if (site.leader !== undefined) site.pause(site.leader, 8);
         });
         return () => {};
       },
--- a/test/traces/failover.test.ts
+++ b/test/traces/failover.test.ts
@@ -1,10 +1,10 @@
 import { describe, expect, it } from 'vitest';
 import type { FailoverFeature } from '../../src/config/features.js';
-import { Day } from '../simulation/day.js';
-import { Site } from '../simulation/site.js';
+import { Scenario } from '../simulation/scenario.js';
+import { SimulatedSite } from '../simulation/simulated-site.js';
 import { seconds } from '../../src/model/time.js';
 import { CANCEL_S } from '../simulation/site-setup.js';
-import { TROUBLES } from '../simulation/faults.js';
+import { FAULTS } from '../simulation/faults.js';
 
 /** Whole sites with failure detection between their controllers, and leaders replaced before their grants end. */
 const FEATURE: FailoverFeature = {
@@ -19,8 +19,8 @@
 const GRANT_S = 2.5;
 const STEP_S = 0.05;
 
-async function site(feature: FailoverFeature | null = FEATURE): Promise<Site> {
-  const started = new Site();
+async function site(feature: FailoverFeature | null = FEATURE): Promise<SimulatedSite> {
+  const started = new SimulatedSite();
   started.failover = feature;
   started.startAll();
   await started.run(5);
@@ -33,18 +33,18 @@
 }
 
 /** Seconds until another node leads. */
-async function replacedAfter(site: Site, former: string, withinS = 20): Promise<number> {
+async function replacedAfter(site: SimulatedSite, former: string, withinS = 20): Promise<number> {
   for (let s = 0; s < withinS; s += STEP_S) {
     await site.run(STEP_S);
-    if (site.nodes.some((name) => name !== former && site.leads(name))) return s;
+    if (site.nodes.some((name) => name !== former && site.isLeading(name))) return s;
   }
   return Infinity;
 }
 
-async function finishes(site: Site): Promise<void> {
+async function finishes(site: SimulatedSite): Promise<void> {
   await site.run(120);
-  expect(site.rules.broken).toEqual([]);
-  expect(site.state.malformed).toEqual([]);
+  expect(site.rules.violations).toEqual([]);
+  expect(site.store.rejectedTransactions).toEqual([]);
   for (const ref of ['j-000001', 'j-000002', 'j-000003']) {
     expect(await site.query(ref, site.leader), ref).toBe('done');
   }
@@ -73,9 +73,9 @@
   it('keeps leading where only its peers are cut off and it reaches the state service', async () => {
     const running = await site();
     const leader = running.leader as string;
-    running.alone.add(leader);
+    running.isolatedNodes.add(leader);
     expect(await replacedAfter(running, leader, 30)).toBe(Infinity);
-    running.alone.clear();
+    running.isolatedNodes.clear();
     await running.run(5);
     for (const name of running.nodes) {
       expect(running.members(name).map(({ state }) => state)).toEqual(['alive', 'alive', 'alive']);
@@ -95,13 +95,13 @@
     const running = await site(quick);
     const former = running.leader as string;
     const stillS = 1.7;
-    running.standStill(former, stillS);
+    running.pause(former, stillS);
     const replacedS = await replacedAfter(running, former, stillS - STEP_S);
     expect(replacedS).toBeLessThan(stillS);
-    const lines = running.text.split('\n').length;
+    const lines = running.traceText.split('\n').length;
     await running.run(stillS - replacedS + 0.2);
-    expect(running.leads(former)).toBe(false);
-    const acts = running.text
+    expect(running.isLeading(former)).toBe(false);
+    const acts = running.traceText
       .split('\n')
       .slice(lines - 1)
       .filter((line) => line.includes(former));
@@ -125,11 +125,11 @@
     const running = await site();
     const former = running.leader as string;
     const other = running.nodes.find((name) => name !== former) as string;
-    running.old.add(other);
+    running.earlierVersionNodes.add(other);
     running.crash(former);
     expect(await replacedAfter(running, former)).toBeGreaterThan(GRANT_S * 0.7);
     await running.run(30);
-    expect(running.rules.broken).toEqual([]);
+    expect(running.rules.violations).toEqual([]);
   });
 });
 
@@ -141,30 +141,30 @@
     await running.submit({ ref: 'j-000009', kind: 'service', tasks: 2 });
     await running.run(30);
     const former = running.leader as string;
-    running.alone.add(former);
-    running.state.refused.add(former);
+    running.isolatedNodes.add(former);
+    running.store.refusedClients.add(former);
     expect(await replacedAfter(running, former)).toBeLessThan(GRANT_S);
     await running.run(3);
     await running.cancel('j-000009');
     await running.run(CANCEL_S + 10);
-    expect(running.rules.broken).toEqual([]);
-    running.alone.clear();
-    running.state.refused.clear();
+    expect(running.rules.violations).toEqual([]);
+    running.isolatedNodes.clear();
+    running.store.refusedClients.clear();
     await finishes(running);
   });
 });
 
 describe('the meetings of troubles, with failure detection on', () => {
-  it.each(TROUBLES.map((trouble, n) => [trouble.name, trouble, n] as const))(
+  it.each(FAULTS.map((trouble, n) => [trouble.name, trouble, n] as const))(
     '%s',
     async (_, trouble, n) => {
-      const other = TROUBLES[(n + 5) % TROUBLES.length] as (typeof TROUBLES)[number];
-      const day = new Day(900 + n, new Site());
+      const other = FAULTS[(n + 5) % FAULTS.length] as (typeof FAULTS)[number];
+      const day = new Scenario(900 + n, new SimulatedSite());
       day.site.failover = FEATURE;
-      await day.play([trouble, other]);
-      expect(day.site.rules.broken, `${trouble.name}; ${other.name}`).toEqual([]);
-      expect(day.site.state.malformed).toEqual([]);
-      expect(day.accepted).toBeGreaterThan(day.submitted / 2);
+      await day.run([trouble, other]);
+      expect(day.site.rules.violations, `${trouble.name}; ${other.name}`).toEqual([]);
+      expect(day.site.store.rejectedTransactions).toEqual([]);
+      expect(day.acceptedCount).toBeGreaterThan(day.submittedCount / 2);
     },
     60_000,
   );
--- a/test/traces/faults.test.ts
+++ b/test/traces/faults.test.ts
@@ -1,40 +1,43 @@
 import { describe, expect, it } from 'vitest';
 import { TokenBucket } from '../../src/net/token-bucket.js';
-import { begun, until } from './steps.js';
+import { startedSite, runUntil } from './steps.js';
 import { expectTrace } from './trace.js';
 
 describe('a machine that is heard and not reached', () => {
   it('takes nothing new, and its replicas move before its lease kills them', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 2 });
-    await until(site, () => site.tasksOn('j-000001') === 2);
-    const host = site.workerOf('j-000001/0');
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 2);
+    const host = site.machineOf('j-000001/0');
     site.trace(`network    brings nothing to ${host} any more, only from it`);
-    site.oneWay.add(host);
+    site.inboundPartitioned.add(host);
     const before = site.clock.now();
     await site.submit({ ref: 'j-000002', tasks: 3, runS: 4, team: 'blue' });
-    await until(site, () => site.tasksOn('j-000001') === 2 && site.workerOf('j-000001/0') !== host);
+    await runUntil(
+      site,
+      () => site.runningTaskCount('j-000001') === 2 && site.machineOf('j-000001/0') !== host,
+    );
     // lease 20 s: its reports went on, but they showed no answer of ours
     expect(site.clock.now() - before).toBeLessThan(60_000);
-    await until(site, () => site.state.value('open/j-000002') === undefined);
+    await runUntil(site, () => site.store.value('open/j-000002') === undefined);
     await expectTrace('one-way-replicas', site);
   });
 
   it('is found by its own reports when only an array runs on it', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', tasks: 2, cpus: 2, runS: 90 });
-    await until(site, () => site.tasksOn('j-000001') === 2);
-    const host = site.workerOf('j-000001/0');
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 2);
+    const host = site.machineOf('j-000001/0');
     site.trace(`network    brings nothing to ${host} any more, only from it`);
-    site.oneWay.add(host);
+    site.inboundPartitioned.add(host);
     const before = site.clock.now();
     // The first start sent there has no effect; what comes after it goes elsewhere or waits.
     await site.submit({ ref: 'j-000002', team: 'blue', runS: 10 });
     await site.run(4);
     await site.submit({ ref: 'j-000003', team: 'blue', tasks: 5, runS: 30 });
     await site.run(4);
-    expect(JSON.stringify(site.state.value('open/j-000003/0000') ?? null)).not.toContain(host);
-    await until(site, () => !site.cloud.machines.has(host));
+    expect(JSON.stringify(site.store.value('open/j-000003/0000') ?? null)).not.toContain(host);
+    await runUntil(site, () => !site.cloud.machines.has(host));
     expect(site.clock.now() - before).toBeLessThan(20_000);
     await site.run(150);
     expect(await site.query('j-000003')).toBe('done');
@@ -43,38 +46,41 @@
   });
 
   it('lets a cancellation through by its fence', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', tasks: 2, runS: 300 });
-    await until(site, () => site.tasksOn('j-000001') === 2);
-    site.oneWay.add(site.workerOf('j-000001/0'));
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 2);
+    site.inboundPartitioned.add(site.machineOf('j-000001/0'));
     expect(await site.cancel('j-000001')).toBe('cancelled');
     // the limit is 40 s
     await site.run(39);
-    expect(site.tasksOn('j-000001')).toBe(0);
+    expect(site.runningTaskCount('j-000001')).toBe(0);
     await expectTrace('one-way-cancel', site);
   });
 
   it('is met by no new leader either', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service' });
-    await until(site, () => site.tasksOn('j-000001') === 1);
-    const host = site.workerOf('j-000001/0');
-    site.oneWay.add(host);
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
+    const host = site.machineOf('j-000001/0');
+    site.inboundPartitioned.add(host);
     site.crash(site.leader as string);
-    await until(site, () => site.tasksOn('j-000001') === 1 && site.workerOf('j-000001/0') !== host);
+    await runUntil(
+      site,
+      () => site.runningTaskCount('j-000001') === 1 && site.machineOf('j-000001/0') !== host,
+    );
     await expectTrace('one-way-takeover', site);
   });
 });
 
 describe('late copies of reports', () => {
   it('bring no machine back, prove nothing and extend nothing, under any leader', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 6 });
-    await until(site, () => site.tasksOn('j-000001') === 6);
-    const host = site.workerOf('j-000001/0');
-    for (const s of [2, 9, 30, 75]) site.copyLater(host, s);
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 6);
+    const host = site.machineOf('j-000001/0');
+    for (const s of [2, 9, 30, 75]) site.duplicateHeartbeatLater(host, s);
     await site.run(1);
-    site.takeAway(host);
+    site.killMachine(host);
     await site.run(25);
     site.crash(site.leader as string);
     await site.run(10);
@@ -82,26 +88,29 @@
     expect(site.fleetSize).toBe(site.cloud.machines.size);
     await site.run(50);
     expect(site.fleetSize).toBe(site.cloud.machines.size);
-    expect(site.tasksOn('j-000001')).toBe(6);
+    expect(site.runningTaskCount('j-000001')).toBe(6);
     await expectTrace('late-copies', site);
   });
 });
 
 describe('repeats of requests that were carried out', () => {
   it('of commands start nothing again, however late, before and after a clear', async () => {
-    const site = await begun();
+    const site = await startedSite();
     site.repeatCommands(9);
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 2 });
     await site.submit({ ref: 'j-000002', tasks: 4, runS: 5 });
-    await until(site, () => site.tasksOn('j-000001') === 2 && site.tasksOn('j-000002') === 4);
+    await runUntil(
+      site,
+      () => site.runningTaskCount('j-000001') === 2 && site.runningTaskCount('j-000002') === 4,
+    );
     // Stopped for production work and started again elsewhere: the first attempts are cleared by then.
-    const sick = site.worker(site.workerOf('j-000001/0'));
-    sick.sick = true;
+    const sick = site.worker(site.machineOf('j-000001/0'));
+    sick.failsTasks = true;
     await site.submit({ ref: 'j-000003', tasks: 3, runS: 12, team: 'blue' });
     await site.run(7);
-    sick.sick = false;
+    sick.failsTasks = false;
     await site.submit({ ref: 'j-000004', tasks: 2, runS: 60, team: 'blue' });
-    await until(site, () => site.tasksOn('j-000004') === 2);
+    await runUntil(site, () => site.runningTaskCount('j-000004') === 2);
     expect(await site.cancel('j-000004')).toBe('cancelled');
     await site.run(50);
     expect(await site.query('j-000003')).toBe('done');
@@ -111,13 +120,13 @@
 
 describe('repeats of what the state service, the cloud and the users were asked', () => {
   it('change nothing: no older record comes back, nothing is rented or accepted twice', async () => {
-    const site = await begun();
+    const site = await startedSite();
     site.trace('network    delivers every commit, rental and deletion once more, 45 s later');
-    site.state.repeatAfter = 45_000;
-    site.cloud.repeatAfter = 45_000;
+    site.store.duplicateDelayMs = 45_000;
+    site.cloud.duplicateDelayMs = 45_000;
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 3 });
     await site.submit({ ref: 'j-000002', tasks: 8, runS: 6, team: 'blue' });
-    await until(site, () => site.tasksOn('j-000001') === 3);
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 3);
     await site.submit({ ref: 'j-000003', tasks: 2, runS: 40 });
     expect(await site.cancel('j-000003')).toBe('cancelled');
     expect(await site.submit({ ref: 'j-000003', tasks: 2, runS: 40 })).toBe(200);
@@ -127,146 +136,152 @@
     expect(await site.cancel('j-000002', 'node-2')).toBe('done');
     await site.run(12);
     // What a successor reads is what there is.
-    const recorded = JSON.stringify(site.state.value('fleet/0000'));
+    const recorded = JSON.stringify(site.store.value('fleet/0000'));
     expect([...site.cloud.machines.keys()].every((id) => recorded.includes(id))).toBe(true);
     expect(recorded.split('host-').length - 1).toBe(2 * site.cloud.machines.size);
     site.crash(site.leader as string);
     await site.run(20);
     expect(site.fleetSize).toBe(site.cloud.machines.size);
-    expect(site.tasksOn('j-000001')).toBe(3);
+    expect(site.runningTaskCount('j-000001')).toBe(3);
     await expectTrace('repeated-writes', site);
   });
 });
 
 describe('a controller with its workers and nobody else', () => {
   it('as leader gives them up to the one that follows', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 2 });
-    await until(site, () => site.tasksOn('j-000001') === 2);
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 2);
     const old = site.leader as string;
     const other = site.nodes.find((n) => n !== old) as string;
     site.trace(`network    leaves ${old} its workers only`);
-    site.state.refused.add(old);
-    site.alone.add(old);
+    site.store.refusedClients.add(old);
+    site.isolatedNodes.add(old);
     await site.run(8);
     expect(site.leader).not.toBe(old);
     await site.submit({ ref: 'j-000002', tasks: 2, runS: 5 }, other);
     await site.run(40);
     expect(await site.query('j-000002', other)).toBe('done');
-    expect(site.tasksOn('j-000001')).toBe(2);
+    expect(site.runningTaskCount('j-000001')).toBe(2);
     site.trace(`network    lets ${old} at the others again`);
-    site.state.refused.delete(old);
-    site.alone.delete(old);
+    site.store.refusedClients.delete(old);
+    site.isolatedNodes.delete(old);
     await site.run(10);
     expect(await site.query('j-000002', old)).toBe('done');
     await expectTrace('leader-alone', site);
   });
 
   it('as follower sends them on within their lease, and users find another node', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 6 });
-    await until(site, () => site.tasksOn('j-000001') === 6);
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 6);
     // Every worker begins with the first node; it leads or follows.
     site.crash('node-0');
     await site.run(6);
     site.start('node-0');
     const follower = site.nodes.find((n) => n !== site.leader && n !== 'node-0') as string;
     site.trace(`network    leaves ${follower} its workers only`);
-    site.state.refused.add(follower);
-    site.alone.add(follower);
+    site.store.refusedClients.add(follower);
+    site.isolatedNodes.add(follower);
     await site.run(45);
-    expect(site.tasksOn('j-000001')).toBe(6);
+    expect(site.runningTaskCount('j-000001')).toBe(6);
     expect(await site.query('j-000001', site.leader as string)).toBe('pending');
     await expectTrace('follower-alone', site);
   });
 
   it('has no machine deleted while it cannot know that it leads', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 6 });
-    await until(site, () => site.tasksOn('j-000001') === 6);
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 6);
     const old = site.leader as string;
-    const host = site.workerOf('j-000001/0');
+    const host = site.machineOf('j-000001/0');
     // Nobody succeeds it: the state service is out for all, and one machine is out of its reach.
-    site.state.outage = true;
+    site.store.isUnavailable = true;
     site.trace('state      is out');
-    site.cuts.add(`${old} ${host}`);
+    site.cutLinks.add(`${old} ${host}`);
     await site.run(2.6);
     const machines = site.cloud.machines.size;
     await site.run(9);
     expect(site.cloud.machines.size).toBe(machines);
-    site.cuts.clear();
-    site.state.outage = false;
+    site.cutLinks.clear();
+    site.store.isUnavailable = false;
     site.trace('state      is back');
     await site.run(20);
-    expect(site.tasksOn('j-000001')).toBe(6);
+    expect(site.runningTaskCount('j-000001')).toBe(6);
     await expectTrace('unsure-leader', site);
   });
 });
 
 describe('a controller that stands still while its clocks run on', () => {
   it('as leader, with decisions, orders and deletions under way, finds that another leads', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 4 });
     await site.submit({ ref: 'j-000002', tasks: 4, runS: 25, team: 'blue' });
-    await until(site, () => site.tasksOn('j-000001') === 4 && site.tasksOn('j-000002') === 4);
+    await runUntil(
+      site,
+      () => site.runningTaskCount('j-000001') === 4 && site.runningTaskCount('j-000002') === 4,
+    );
     const old = site.leader as string;
     const other = site.nodes.find((n) => n !== old) as string;
     // A start is being committed, a machine has just died, a report is about to be answered.
     await site.submit({ ref: 'j-000003', kind: 'service', tasks: 2, team: 'blue' }, other);
-    site.takeAway(site.workerOf('j-000001/0'));
+    site.killMachine(site.machineOf('j-000001/0'));
     await site.run(1.9);
-    site.standStill(old, 14);
+    site.pause(old, 14);
     await site.run(1);
     expect(await site.cancel('j-000002', other)).toBe('cancelled');
     await site.run(12);
-    const follows = site.nodes.filter((n) => n !== old && site.leads(n));
+    const follows = site.nodes.filter((n) => n !== old && site.isLeading(n));
     expect(follows.length).toBe(1);
     await site.run(20);
     // No flap: the one that has followed still leads.
     expect(site.leader).toBe(follows[0]);
-    expect(site.tasksOn('j-000001')).toBe(4);
-    expect(site.tasksOn('j-000002')).toBe(0);
-    expect(site.tasksOn('j-000003')).toBe(2);
+    expect(site.runningTaskCount('j-000001')).toBe(4);
+    expect(site.runningTaskCount('j-000002')).toBe(0);
+    expect(site.runningTaskCount('j-000003')).toBe(2);
     expect(await site.query('j-000002', old)).toBe('cancelled');
     await expectTrace('standing-still', site);
   });
 
   it('gives no answer that was read before it stood still', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service' });
-    await until(site, () => site.tasksOn('j-000001') === 1);
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
     const slow = site.nodes.find((n) => n !== site.leader) as string;
     const asked = site.query('j-000001', slow);
     // What the state service answers lies unread meanwhile.
-    site.clock.after(3, () => site.standStill(slow, 1.9));
+    site.clock.after(3, () => site.pause(slow, 1.9));
     expect(await asked).toBe('503');
   });
 });
 
 describe('controllers that are back at once', () => {
   it('a leader, within a fraction of a second, and again during its own election', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', tasks: 4, runS: 20 });
     await site.submit({ ref: 'j-000002', kind: 'service', team: 'blue' });
-    await until(site, () => site.tasksOn('j-000001') === 4 && site.tasksOn('j-000002') === 1);
+    await runUntil(
+      site,
+      () => site.runningTaskCount('j-000001') === 4 && site.runningTaskCount('j-000002') === 1,
+    );
     const old = site.leader as string;
     site.crash(old);
     await site.run(0.2);
     site.start(old);
     // Its takeover is on its way when it ends again; it is applied while the next start stands.
-    site.state.delayCommit.set(old, 300);
+    site.store.nextCommitDelayMs.set(old, 300);
     await site.run(0.05);
     site.crash(old);
     await site.run(0.1);
     site.start(old);
     await site.run(40);
     expect(await site.query('j-000001')).toBe('done');
-    expect(site.tasksOn('j-000002')).toBe(1);
+    expect(site.runningTaskCount('j-000002')).toBe(1);
     await expectTrace('back-in-election', site);
   });
 
   it('all of them, and the job accepted just before', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', tasks: 2, runS: 5 });
     for (const name of site.nodes) site.crash(name);
     await site.run(0.3);
@@ -277,20 +292,20 @@
   });
 
   it('a worker’s machine, in a new session', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 2 });
-    await until(site, () => site.tasksOn('j-000001') === 2);
-    site.worker(site.workerOf('j-000001/0')).restart();
-    await until(site, () => site.tasksOn('j-000001') === 2);
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 2);
+    site.worker(site.machineOf('j-000001/0')).restart();
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 2);
     await expectTrace('worker-back', site);
   });
 });
 
 describe('a crowd of submissions', () => {
   it('takes neither the leadership nor the starts their requests, and all are accepted in time', async () => {
-    const site = await begun();
+    const site = await startedSite();
     // What the sites' settings say: 200 requests and 60 changes a second.
-    site.state.limits = {
+    site.store.rateLimits = {
       requests: new TokenBucket(site.clock, 200, 200),
       writes: new TokenBucket(site.clock, 60, 60),
     };
@@ -299,35 +314,35 @@
     let turn = 0;
     const attempt = async (ref: string): Promise<void> => {
       const node = site.nodes[turn++ % site.nodes.length] as string;
-      const status = await site.post({ ref, team: 'blue', runS: 5 }, node);
+      const status = await site.submitConcurrently({ ref, team: 'blue', runS: 5 }, node);
       if (status !== 201) site.clock.after(1000 + (turn % 7) * 150, () => void attempt(ref));
     };
-    const first = site.state.value('epoch');
+    const first = site.store.value('epoch');
     for (const ref of waiting) void attempt(ref);
-    while (site.accepted < waiting.length && site.clock.now() - begin < 60_000) await site.run(1);
-    expect(site.accepted).toBe(waiting.length);
+    while (site.acceptedCount < waiting.length && site.clock.now() - begin < 60_000) await site.run(1);
+    expect(site.acceptedCount).toBe(waiting.length);
     // Guards against renewals that were refused until the grant ended.
-    expect(site.state.value('epoch')).toEqual(first);
-    expect(site.rules.starts).toBeGreaterThan(10);
-    expect(site.rules.broken).toEqual([]);
+    expect(site.store.value('epoch')).toEqual(first);
+    expect(site.rules.startCount).toBeGreaterThan(10);
+    expect(site.rules.violations).toEqual([]);
   });
 });
 
 describe('a full cluster', () => {
   it('lets low work begin within four minutes, however much goes before it', async () => {
-    const site = await begun();
-    for (const zone of ['north', 'south']) site.cloud.room.set(`small|${zone}|ordinary`, 1);
+    const site = await startedSite();
+    for (const zone of ['north', 'south']) site.cloud.remainingCapacity.set(`small|${zone}|ordinary`, 1);
     const low = { ref: 'j-900000', rank: 'idle', team: 'blue', tasks: 8, cpus: 2, runS: 20 };
     // Two machines of 8 CPUs; each wave fills them for as long as the next one takes to come.
     let wave = 0;
     await site.submit({ ref: `j-${wave++}`, rank: 'urgent', team: 'blue', tasks: 16, runS: 20 });
     await site.run(5);
     await site.submit(low);
-    while (site.clock.now() < 240_000 && site.tasksOn(low.ref) === 0) {
+    while (site.clock.now() < 240_000 && site.runningTaskCount(low.ref) === 0) {
       await site.submit({ ref: `j-${wave++}`, rank: 'urgent', team: 'blue', tasks: 10, runS: 20 });
       await site.run(15);
     }
-    expect(site.tasksOn(low.ref)).toBeGreaterThan(0);
+    expect(site.runningTaskCount(low.ref)).toBeGreaterThan(0);
     expect(site.clock.now()).toBeLessThan(240_000);
   });
 });
--- a/test/traces/gap.test.ts
+++ b/test/traces/gap.test.ts
@@ -1,23 +1,26 @@
 import { describe, expect, it } from 'vitest';
-import type { Site } from '../simulation/site.js';
-import { begun, until } from './steps.js';
+import type { SimulatedSite } from '../simulation/simulated-site.js';
+import { startedSite, runUntil } from './steps.js';
 import { expectTrace } from './trace.js';
 
 /** Longer than a cancellation has (40 s on the stand-ins), and than a lease (20 s). */
 const OUTAGE_S = 60;
 
 interface Gap {
-  readonly site: Site;
+  readonly site: SimulatedSite;
   readonly old: string;
   readonly other: string;
 }
 
 /** A service on a machine of its own and a long array; both run. */
 async function running(): Promise<Gap> {
-  const site = await begun();
+  const site = await startedSite();
   await site.submit({ ref: 'j-000001', kind: 'service', team: 'blue' });
   await site.submit({ ref: 'j-000002', tasks: 3, runS: 200 });
-  await until(site, () => site.tasksOn('j-000001') === 1 && site.tasksOn('j-000002') === 3);
+  await runUntil(
+    site,
+    () => site.runningTaskCount('j-000001') === 1 && site.runningTaskCount('j-000002') === 3,
+  );
   const old = site.leader as string;
   const other = site.nodes.find((n) => n !== old) as string;
   return { site, old, other };
@@ -25,18 +28,18 @@
 
 /** State refuses the leader alone, another controller confirms a cancellation, then state is out for all. */
 async function cancelInGap({ site, old, other }: Gap): Promise<void> {
-  site.state.refused.add(old);
+  site.store.refusedClients.add(old);
   site.trace(`state      refuses ${old}`);
   await site.run(1);
   expect(await site.cancel('j-000002', other)).toBe('cancelled');
   await site.run(0.5);
-  site.state.outage = true;
+  site.store.isUnavailable = true;
   site.trace('state      is out');
 }
 
 async function outageEnds({ site, old }: Gap): Promise<void> {
-  site.state.outage = false;
-  site.state.refused.delete(old);
+  site.store.isUnavailable = false;
+  site.store.refusedClients.delete(old);
   site.trace('state      is back');
   await site.run(30);
 }
@@ -47,11 +50,11 @@
     const { site, other } = gap;
     await cancelInGap(gap);
     await site.run(4);
-    expect(site.tasksOn('j-000002')).toBe(0);
-    expect(site.leads(gap.old)).toBe(true);
+    expect(site.runningTaskCount('j-000002')).toBe(0);
+    expect(site.isLeading(gap.old)).toBe(true);
     await site.run(OUTAGE_S - 4);
     // The others say that they confirmed nothing else: leases live through the outage.
-    expect(site.tasksOn('j-000001')).toBe(1);
+    expect(site.runningTaskCount('j-000001')).toBe(1);
     await outageEnds(gap);
     expect(await site.query('j-000002', other)).toBe('cancelled');
     await expectTrace('gap', site);
@@ -60,12 +63,12 @@
   it('a leader that is cut from the others as well stops answering: leases end within the limit', async () => {
     const gap = await running();
     const { site, old } = gap;
-    site.alone.add(old);
+    site.isolatedNodes.add(old);
     await cancelInGap(gap);
     await site.run(39);
-    expect(site.tasksOn('j-000002')).toBe(0);
+    expect(site.runningTaskCount('j-000002')).toBe(0);
     await site.run(OUTAGE_S - 39);
-    site.alone.delete(old);
+    site.isolatedNodes.delete(old);
     await outageEnds(gap);
     await expectTrace('gap-alone', site);
   });
@@ -73,10 +76,10 @@
   it('beside controllers of an older version, which tell nothing, time does it', async () => {
     const gap = await running();
     const { site, old } = gap;
-    for (const name of site.nodes) if (name !== old) site.old.add(name);
+    for (const name of site.nodes) if (name !== old) site.earlierVersionNodes.add(name);
     await cancelInGap(gap);
     await site.run(39);
-    expect(site.tasksOn('j-000002')).toBe(0);
+    expect(site.runningTaskCount('j-000002')).toBe(0);
     await site.run(OUTAGE_S - 39);
     await outageEnds(gap);
     await expectTrace('gap-old-siblings', site);
@@ -87,13 +90,13 @@
     const { site, old, other } = gap;
     const third = site.nodes.find((n) => n !== old && n !== other) as string;
     // What the confirming controller tells is lost, and so is its memory.
-    site.alone.add(other);
+    site.isolatedNodes.add(other);
     await cancelInGap(gap);
     site.crash(other);
-    site.alone.delete(other);
+    site.isolatedNodes.delete(other);
     site.start(other);
     await site.run(39);
-    expect(site.tasksOn('j-000002')).toBe(0);
+    expect(site.runningTaskCount('j-000002')).toBe(0);
     await site.run(OUTAGE_S - 39);
     await outageEnds(gap);
     expect(await site.query('j-000002', third)).toBe('cancelled');
@@ -103,11 +106,11 @@
   it('a machine that hangs with the task is deleted, although nobody is sure to lead', async () => {
     const gap = await running();
     const { site } = gap;
-    const host = site.workerOf('j-000002/0');
+    const host = site.machineOf('j-000002/0');
     site.worker(host).hang();
     await cancelInGap(gap);
     await site.run(35);
-    expect(site.tasksOn('j-000002')).toBe(0);
+    expect(site.runningTaskCount('j-000002')).toBe(0);
     expect(site.workers.has(host)).toBe(false);
     await site.run(OUTAGE_S - 35);
     await outageEnds(gap);
@@ -119,30 +122,30 @@
     const { site, old, other } = gap;
     // The machine where it will be placed has the image: a start is a start at once.
     await site.submit({ ref: 'j-000004', kind: 'service', team: 'blue' });
-    await until(site, () => site.tasksOn('j-000004') === 1);
+    await runUntil(site, () => site.runningTaskCount('j-000004') === 1);
     await site.cancel('j-000004');
     await site.run(5);
     // The order leaves, is held up, and no report's answer brings it another way while starts are allowed.
     for (const host of site.workers.keys()) {
-      site.hold(old, host);
-      site.mute.add(host);
+      site.holdCommands(old, host);
+      site.outboundPartitioned.add(host);
     }
     await site.submit({ ref: 'j-000003', kind: 'service', team: 'blue' }, other);
     await site.run(0.2);
     // Nobody is sure any more; then the others are served again for a moment, and the leader is not.
-    site.state.outage = true;
+    site.store.isUnavailable = true;
     await site.run(4);
-    site.mute.clear();
-    site.state.refused.add(old);
-    site.state.outage = false;
+    site.outboundPartitioned.clear();
+    site.store.refusedClients.add(old);
+    site.store.isUnavailable = false;
     expect(await site.cancel('j-000003', other)).toBe('cancelled');
-    site.state.outage = true;
+    site.store.isUnavailable = true;
     site.trace('state      is out again');
     await site.run(10);
-    const before = site.rules.starts;
-    site.release();
+    const before = site.rules.startCount;
+    site.releaseCommands();
     await site.run(5);
-    expect(site.rules.starts).toBe(before);
+    expect(site.rules.startCount).toBe(before);
     await outageEnds(gap);
     await expectTrace('gap-held-start', site);
   });
@@ -150,16 +153,16 @@
   it('a successor that could read nothing yet kills what it was told is cancelled', async () => {
     const gap = await running();
     const { site, old, other } = gap;
-    site.state.refused.add(old);
+    site.store.refusedClients.add(old);
     await site.run(1);
     expect(await site.cancel('j-000002', other)).toBe('cancelled');
     site.crash(old);
     // At the moment of its election: it knows who leads, and no job.
     while (site.leader === undefined) await site.run(0.001);
-    site.state.outage = true;
+    site.store.isUnavailable = true;
     site.trace('state      is out');
     await site.run(38);
-    expect(site.tasksOn('j-000002')).toBe(0);
+    expect(site.runningTaskCount('j-000002')).toBe(0);
     site.start(old);
     await site.run(OUTAGE_S - 38);
     await outageEnds(gap);
@@ -173,20 +176,20 @@
     const { site, old, other } = gap;
     // Everybody has been up for longer than a cancellation has.
     await site.run(25);
-    site.state.refused.add(old);
+    site.store.refusedClients.add(old);
     expect(await site.cancel('j-000002', other)).toBe('cancelled');
-    while (site.leads(old)) await site.run(0.001);
+    while (site.isLeading(old)) await site.run(0.001);
     while (site.leader === undefined) await site.run(0.001);
-    site.state.outage = true;
+    site.store.isUnavailable = true;
     site.trace('state      is out');
     await site.run(OUTAGE_S);
-    expect(site.tasksOn('j-000002')).toBe(0);
-    expect(site.tasksOn('j-000001')).toBe(1);
-    const starts = site.rules.starts;
+    expect(site.runningTaskCount('j-000002')).toBe(0);
+    expect(site.runningTaskCount('j-000001')).toBe(1);
+    const starts = site.rules.startCount;
     await outageEnds(gap);
     // Guards against a new leader that took all it had been shown before it had read the records for strays.
-    expect(site.tasksOn('j-000001')).toBe(1);
-    expect(site.rules.starts).toBe(starts);
+    expect(site.runningTaskCount('j-000001')).toBe(1);
+    expect(site.rules.startCount).toBe(starts);
     await expectTrace('gap-elected', site);
   });
 });
@@ -195,12 +198,12 @@
   it('ends no work while every controller says that it confirmed nothing, however long it lasts', async () => {
     const gap = await running();
     const { site } = gap;
-    site.state.outage = true;
+    site.store.isUnavailable = true;
     await site.run(120);
-    expect(site.tasksOn('j-000001')).toBe(1);
-    expect(site.tasksOn('j-000002')).toBe(3);
+    expect(site.runningTaskCount('j-000001')).toBe(1);
+    expect(site.runningTaskCount('j-000002')).toBe(3);
     await outageEnds(gap);
-    expect(site.tasksOn('j-000002')).toBe(3);
+    expect(site.runningTaskCount('j-000002')).toBe(3);
     await expectTrace('long-outage', site);
   });
 });
--- a/test/traces/pipeline-troubles.test.ts
+++ b/test/traces/pipeline-troubles.test.ts
@@ -1,17 +1,17 @@
 import { describe, expect, it } from 'vitest';
-import type { Site } from '../simulation/site.js';
-import { begun, until } from './steps.js';
+import type { SimulatedSite } from '../simulation/simulated-site.js';
+import { startedSite, runUntil } from './steps.js';
 import { expectTrace } from './trace.js';
 
 const ref = (n: number): string => `j-${String(n).padStart(6, '0')}`;
-const isOver = (site: Site, n: number): boolean => site.state.value(`open/${ref(n)}`) === undefined;
+const isOver = (site: SimulatedSite, n: number): boolean => site.store.value(`open/${ref(n)}`) === undefined;
 
 /** A job of one task on its machine, and one that waits for it; the leader's next write is the first one's end. */
-async function aboutToEnd(): Promise<{ site: Site; leader: string }> {
-  const site = await begun();
+async function aboutToEnd(): Promise<{ site: SimulatedSite; leader: string }> {
+  const site = await startedSite();
   await site.submit({ ref: ref(1), runS: 6 });
   await site.submit({ ref: ref(2), runS: 6, awaits: [ref(1)] });
-  await until(site, () => site.tasksOn(ref(1)) === 1, 40);
+  await runUntil(site, () => site.runningTaskCount(ref(1)) === 1, 40);
   const leader = site.leader as string;
   // Until then its start's records are durable, and nothing else is to be written.
   await site.run(4);
@@ -21,14 +21,14 @@
 describe('a dependency whose end is written in trouble', () => {
   it('releases nothing while its final write is late, and the leader changes before it arrives', async () => {
     const { site, leader } = await aboutToEnd();
-    site.state.delayCommit.set(leader, 8000);
-    while (site.tasksOn(ref(1)) > 0) await site.run(0.05);
+    site.store.nextCommitDelayMs.set(leader, 8000);
+    while (site.runningTaskCount(ref(1)) > 0) await site.run(0.05);
     await site.run(0.3);
     // Done on its machine, and durable nowhere.
-    expect(site.state.value(`job/${ref(1)}`)).toMatchObject({ s: 'a' });
-    expect(site.tasksOn(ref(2))).toBe(0);
+    expect(site.store.value(`job/${ref(1)}`)).toMatchObject({ s: 'a' });
+    expect(site.runningTaskCount(ref(2))).toBe(0);
     site.crash(leader);
-    await until(site, () => isOver(site, 2), 60);
+    await runUntil(site, () => isOver(site, 2), 60);
     site.start(leader);
     await site.run(10);
     expect(await site.query(ref(2), leader)).toBe('done');
@@ -37,11 +37,11 @@
 
   it('is released once, though the answer to its final write is lost', async () => {
     const { site, leader } = await aboutToEnd();
-    site.state.delayCommit.set(leader, 1);
-    await until(site, () => isOver(site, 2), 40);
+    site.store.nextCommitDelayMs.set(leader, 1);
+    await runUntil(site, () => isOver(site, 2), 40);
     expect(site.leader).toBe(leader);
     // Two tasks, two starts: the repeated write found the first one carried out.
-    expect(site.rules.starts).toBe(2);
+    expect(site.rules.startCount).toBe(2);
     await expectTrace('pipeline-unanswered-end', site);
   });
 
@@ -53,18 +53,18 @@
       await site.run(Math.max(0, end));
       const told = await site.cancel(ref(1), 'node-1');
       for (const node of site.nodes) await site.query(ref(2), node);
-      await until(site, () => isOver(site, 2), 60);
+      await runUntil(site, () => isOver(site, 2), 60);
       for (const node of site.nodes) expect(await site.query(ref(2), node)).toBe(told);
       await site.finish();
-      expect(site.rules.broken).toEqual([]);
+      expect(site.rules.violations).toEqual([]);
     },
   );
 });
 
 describe('a graph of dependents whose first job is cancelled', () => {
   /** Two branches that meet again, and a chain of 30 behind them. */
-  async function diamond(): Promise<{ site: Site; all: string[] }> {
-    const site = await begun();
+  async function diamond(): Promise<{ site: SimulatedSite; all: string[] }> {
+    const site = await startedSite();
     await site.submit({ ref: ref(1), runS: 300 });
     await site.submit({ ref: ref(2), awaits: [ref(1)] });
     await site.submit({ ref: ref(3), awaits: [ref(1)] }, 'node-1');
@@ -73,7 +73,7 @@
       while ((await site.submit({ ref: ref(n), awaits: [ref(n - 1)] }, 'node-1')) !== 201)
         await site.run(0.3);
     }
-    await until(site, () => site.tasksOn(ref(1)) === 1, 60);
+    await runUntil(site, () => site.runningTaskCount(ref(1)) === 1, 60);
     return { site, all: Array.from({ length: 34 }, (_, n) => ref(n + 1)) };
   }
 
@@ -82,35 +82,35 @@
     expect(await site.cancel(ref(1), 'node-2')).toBe('cancelled');
     for (const one of [...all].reverse()) for (const node of site.nodes) await site.query(one, node);
     await site.run(15);
-    for (const one of all) expect(site.state.value(`job/${one}`)).toMatchObject({ s: 'c' });
+    for (const one of all) expect(site.store.value(`job/${one}`)).toMatchObject({ s: 'c' });
     await site.finish();
-    expect(site.rules.broken).toEqual([]);
+    expect(site.rules.violations).toEqual([]);
   });
 
   it('is called cancelled after an outage beyond the limit that began as the leader was cut off', async () => {
     const { site, all } = await diamond();
     const leader = site.leader as string;
     const other = site.nodes.find((node) => node !== leader) as string;
-    site.state.refused.add(leader);
-    site.alone.add(leader);
+    site.store.refusedClients.add(leader);
+    site.isolatedNodes.add(leader);
     expect(await site.cancel(ref(1), other)).toBe('cancelled');
-    site.state.outage = true;
+    site.store.isUnavailable = true;
     await site.run(50);
-    site.state.outage = false;
-    site.state.refused.clear();
-    site.alone.clear();
+    site.store.isUnavailable = false;
+    site.store.refusedClients.clear();
+    site.isolatedNodes.clear();
     // The checker counts every `pending` from here on as orphaned.
     for (const one of all.slice(1, 6)) for (const node of site.nodes) await site.query(one, node);
     await site.run(30);
     for (const one of all) expect(await site.query(one, other)).toBe('cancelled');
     await site.finish();
-    expect(site.rules.broken).toEqual([]);
+    expect(site.rules.violations).toEqual([]);
   });
 });
 
 describe('a roll while pipelines run', () => {
   it('keeps every stage, with several processes killed at once, the leader among them each time', async () => {
-    const site = await begun();
+    const site = await startedSite();
     for (let p = 0; p < 4; p++) {
       for (let stage = 0; stage < 4; stage++) {
         const n = p * 4 + stage + 1;
@@ -118,7 +118,7 @@
         while ((await site.submit(wish, `node-${p % 3}`)) !== 201) await site.run(0.3);
       }
     }
-    await until(site, () => site.tasksOn(ref(1)) > 0, 60);
+    await runUntil(site, () => site.runningTaskCount(ref(1)) > 0, 60);
     for (let round = 0; round < 5; round++) {
       const leader = site.leader as string;
       const other = site.nodes.find((node) => node !== leader) as string;
@@ -131,10 +131,10 @@
       site.start(leader);
       await site.run(3);
     }
-    await until(site, () => [4, 8, 12, 16].every((n) => isOver(site, n)), 200);
+    await runUntil(site, () => [4, 8, 12, 16].every((n) => isOver(site, n)), 200);
     await site.run(5);
     for (const n of [4, 8, 12, 16]) expect(await site.query(ref(n))).toBe('done');
     await site.finish();
-    expect(site.rules.broken).toEqual([]);
+    expect(site.rules.violations).toEqual([]);
   });
 });
--- a/test/traces/placement-guard.test.ts
+++ b/test/traces/placement-guard.test.ts
@@ -1,9 +1,9 @@
 import { beforeEach, describe, expect, it, vi } from 'vitest';
 import type * as views from '../../src/leader/placement-views.js';
 import type * as rule from '../../src/scheduler/placement-rule.js';
-import { Day, PLACEMENT_DAY } from '../simulation/day.js';
-import { MIXED } from '../simulation/site-setup.js';
-import { Site } from '../simulation/site.js';
+import { Scenario, PLACEMENT_PLAN } from '../simulation/scenario.js';
+import { MIXED_SITE } from '../simulation/site-setup.js';
+import { SimulatedSite } from '../simulation/simulated-site.js';
 
 type Views = typeof views;
 type Rule = typeof rule;
@@ -41,10 +41,10 @@
 
 async function brokenOn(part: Part, guarded: boolean): Promise<readonly string[]> {
   Object.assign(fault, { part, guarded });
-  const day = new Day(5, new Site(MIXED), PLACEMENT_DAY);
+  const day = new Scenario(5, new SimulatedSite(MIXED_SITE), PLACEMENT_PLAN);
   day.site.cloud.bootMs = 1200;
-  await day.play([]);
-  return day.site.rules.broken;
+  await day.run([]);
+  return day.site.rules.violations;
 }
 
 beforeEach(() => Object.assign(fault, { part: null, guarded: true }));
--- a/test/traces/scenarios.test.ts
+++ b/test/traces/scenarios.test.ts
@@ -1,11 +1,11 @@
 import { describe, expect, it } from 'vitest';
 import type { MachineId } from '../../src/model/ids.js';
-import { begun, until } from './steps.js';
+import { startedSite, runUntil } from './steps.js';
 import { expectTrace } from './trace.js';
 
 describe('a quiet site', () => {
   it('rents, runs an array within its team’s limit, and gives the machines back', async () => {
-    const site = await begun();
+    const site = await startedSite();
     // 16 tasks of 2 CPUs are more than the 24 CPUs that the team may use.
     expect(await site.submit({ ref: 'j-000001', tasks: 16, runS: 10 })).toBe(201);
     await site.run(60);
@@ -15,7 +15,7 @@
   });
 
   it('keeps samePlace and apart', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', tasks: 6, samePlace: true, runS: 20 });
     await site.submit({ ref: 'j-000002', team: 'blue', tasks: 5, apart: true, runS: 20 });
     await site.run(80);
@@ -25,7 +25,7 @@
   });
 
   it('refuses what can never run, and knows a job whatever its repeat says', async () => {
-    const site = await begun();
+    const site = await startedSite();
     expect(await site.submit({ ref: 'j-000001', cpus: 9 })).toBe(422);
     expect(await site.submit({ ref: 'j-000001', team: 'green' })).toBe(422);
     expect(await site.query('j-000001')).toBe('404');
@@ -36,13 +36,13 @@
 
 describe('controllers that fail', () => {
   it('a successor takes the running work over without touching it', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 2 });
-    await until(site, () => site.tasksOn('j-000001') === 2);
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 2);
     site.crash(site.leader as string);
     await site.run(12);
     // Guards against a new leader that took every machine it had not heard yet for one that never came up.
-    expect(site.tasksOn('j-000001')).toBe(2);
+    expect(site.runningTaskCount('j-000001')).toBe(2);
     await site.submit({ ref: 'j-000002', runS: 5 }, site.leader);
     await site.run(20);
     expect(await site.query('j-000002', site.leader as string)).toBe('done');
@@ -50,29 +50,29 @@
   });
 
   it('all of them restart and nothing accepted is lost', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', tasks: 3, runS: 15 });
     await site.submit({ ref: 'j-000002', kind: 'service' });
-    await until(site, () => site.tasksOn('j-000002') === 1);
+    await runUntil(site, () => site.runningTaskCount('j-000002') === 1);
     for (const name of site.nodes) site.crash(name);
     await site.run(4);
     site.startAll();
     await site.run(40);
     expect(await site.query('j-000001')).toBe('done');
-    expect(site.tasksOn('j-000002')).toBe(1);
+    expect(site.runningTaskCount('j-000002')).toBe(1);
     await expectTrace('all-restart', site);
   });
 
   it('a leader refused by the state service alone gives way; its late commit changes nothing', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service' });
-    await until(site, () => site.tasksOn('j-000001') === 1);
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
     const old = site.leader as string;
     const other = site.nodes.find((n) => n !== old) as string;
     // The old leader's next decision is applied half a minute late, long after the takeover.
-    site.state.delayCommit.set(old, 30_000);
+    site.store.nextCommitDelayMs.set(old, 30_000);
     await site.submit({ ref: 'j-000002', runS: 10 }, other);
-    site.state.refused.add(old);
+    site.store.refusedClients.add(old);
     await site.run(60);
     expect(site.leader).not.toBe(old);
     expect(await site.query('j-000002', other)).toBe('done');
@@ -82,95 +82,95 @@
 
 describe('cancelling', () => {
   it('beats a start that was being committed', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service' });
-    await until(site, () => site.tasksOn('j-000001') === 1);
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
     // The start of j-000002 is committed only after its cancellation: it must fail.
     const other = site.nodes.find((n) => n !== site.leader) as string;
-    site.state.delayCommit.set(site.leader as string, 400);
+    site.store.nextCommitDelayMs.set(site.leader as string, 400);
     await site.submit({ ref: 'j-000002', runS: 60 }, other);
     await site.run(0.1);
     expect(await site.cancel('j-000002', other)).toBe('cancelled');
     await site.run(20);
-    expect(site.tasksOn('j-000002')).toBe(0);
+    expect(site.runningTaskCount('j-000002')).toBe(0);
     expect(await site.query('j-000002')).toBe('cancelled');
     await expectTrace('cancel-against-start', site);
   });
 
   it('comes too late for a job that is done', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', runS: 5 });
-    await until(site, () => site.state.value('open/j-000001') === undefined);
+    await runUntil(site, () => site.store.value('open/j-000001') === undefined);
     expect(await site.cancel('j-000001')).toBe('done');
     expect(await site.query('j-000001', 'node-2')).toBe('done');
   });
 
   it('neutralises a run order that is held back by the network', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service' });
-    await until(site, () => site.tasksOn('j-000001') === 1);
-    const host = site.workerOf('j-000001/0');
-    site.hold(site.leader as string, host);
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
+    const host = site.machineOf('j-000001/0');
+    site.holdCommands(site.leader as string, host);
     await site.submit({ ref: 'j-000002', kind: 'service' });
     await site.run(0.3);
     expect(await site.cancel('j-000002')).toBe('cancelled');
     await site.run(45);
     // The order was sent and not answered. Its late arrival must find the attempt ended, not unknown.
-    site.release();
+    site.releaseCommands();
     await site.run(10);
-    expect(site.tasksOn('j-000002')).toBe(0);
+    expect(site.runningTaskCount('j-000002')).toBe(0);
     await expectTrace('cancel-against-held-run', site);
   });
 
   it('reaches a task on a machine that hangs, by fencing it', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service' });
-    await until(site, () => site.tasksOn('j-000001') === 1);
-    site.cloud.outage = true;
-    site.worker(site.workerOf('j-000001/0')).hang();
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
+    site.cloud.isUnavailable = true;
+    site.worker(site.machineOf('j-000001/0')).hang();
     expect(await site.cancel('j-000001')).toBe('cancelled');
     await site.run(15);
-    site.cloud.outage = false;
+    site.cloud.isUnavailable = false;
     await site.run(30);
-    expect(site.tasksOn('j-000001')).toBe(0);
+    expect(site.runningTaskCount('j-000001')).toBe(0);
     await expectTrace('cancel-on-hung-machine', site);
   });
 });
 
 describe('machines that fail', () => {
   it('a dead one is fenced and its replica starts elsewhere, once', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 6 });
-    await until(site, () => site.tasksOn('j-000001') === 6);
-    site.takeAway(site.workerOf('j-000001/0'));
-    await until(site, () => site.tasksOn('j-000001') === 6);
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 6);
+    site.killMachine(site.machineOf('j-000001/0'));
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 6);
     await expectTrace('dead-machine', site);
   });
 
   it('a hung one that goes on later does not run its task twice', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 2 });
-    await until(site, () => site.tasksOn('j-000001') === 2);
-    const host = site.workerOf('j-000001/0');
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 2);
+    const host = site.machineOf('j-000001/0');
     const worker = site.worker(host);
-    site.cloud.outage = true;
+    site.cloud.isUnavailable = true;
     worker.hang();
     // Neither the worker nor the cloud answers: only the lease can free the tasks.
     await site.run(19);
-    expect(site.rules.where('j-000001/0' as never)).toBe(host);
-    worker.goOn();
-    site.cloud.outage = false;
+    expect(site.rules.machineOf('j-000001/0' as never)).toBe(host);
+    worker.resume();
+    site.cloud.isUnavailable = false;
     await site.run(60);
-    expect(site.tasksOn('j-000001')).toBe(2);
+    expect(site.runningTaskCount('j-000001')).toBe(2);
     await expectTrace('hung-machine', site);
   });
 
   it('one that fails every task is closed, and a job that fails everywhere waits', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service' });
-    await until(site, () => site.tasksOn('j-000001') === 1);
-    const sick = site.worker(site.workerOf('j-000001/0'));
-    sick.sick = true;
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
+    const sick = site.worker(site.machineOf('j-000001/0'));
+    sick.failsTasks = true;
     await site.submit({ ref: 'j-000002', tasks: 4, runS: 5 });
     await site.submit({ ref: 'j-000003', team: 'blue', broken: true });
     await site.run(90);
@@ -180,9 +180,9 @@
   });
 
   it('ones that never come up are replaced, and a stockout is asked around', async () => {
-    const site = await begun();
-    site.cloud.deadBoots = 1;
-    site.cloud.room.set('small|north|ordinary', 1);
+    const site = await startedSite();
+    site.cloud.failingBoots = 1;
+    site.cloud.remainingCapacity.set('small|north|ordinary', 1);
     await site.submit({ ref: 'j-000001', runS: 5, cpus: 8 });
     await site.run(120);
     expect(await site.query('j-000001')).toBe('done');
@@ -192,15 +192,15 @@
 
 describe('outages and cuts', () => {
   it('a state outage stops decisions, not the work', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 2 });
-    await until(site, () => site.tasksOn('j-000001') === 2);
-    site.state.outage = true;
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 2);
+    site.store.isUnavailable = true;
     site.trace('state      is out');
     expect(await site.submit({ ref: 'j-000002', runS: 5 })).toBe(503);
     await site.run(15);
-    expect(site.tasksOn('j-000001')).toBe(2);
-    site.state.outage = false;
+    expect(site.runningTaskCount('j-000001')).toBe(2);
+    site.store.isUnavailable = false;
     site.trace('state      is back');
     expect(await site.submit({ ref: 'j-000002', runS: 5 })).toBe(201);
     await site.run(20);
@@ -209,50 +209,50 @@
   });
 
   it('a run order delivered late, after its task has ended and gone elsewhere, starts nothing', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service' });
-    await until(site, () => site.tasksOn('j-000001') === 1);
-    const host = site.workerOf('j-000001/0');
-    site.hold(site.leader as string, host);
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
+    const host = site.machineOf('j-000001/0');
+    site.holdCommands(site.leader as string, host);
     // It reaches the worker in a report's answer, runs and ends; the direct order is still on its way.
     await site.submit({ ref: 'j-000002', tasks: 2, runS: 4 });
     await site.run(25);
     expect(await site.query('j-000002')).toBe('done');
-    site.release();
+    site.releaseCommands();
     await site.run(10);
-    expect(site.tasksOn('j-000002')).toBe(0);
+    expect(site.runningTaskCount('j-000002')).toBe(0);
     await expectTrace('late-run-order', site);
   });
 
   it('a leader that hears no worker gives way', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 6 });
-    await until(site, () => site.tasksOn('j-000001') === 6);
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 6);
     const old = site.leader as string;
     for (const host of site.workers.keys()) {
-      for (const node of site.nodes) site.cuts.add(`${node} ${host}`);
+      for (const node of site.nodes) site.cutLinks.add(`${node} ${host}`);
     }
     await site.run(9);
-    site.cuts.clear();
+    site.cutLinks.clear();
     await site.run(20);
     expect(site.leader).not.toBe(old);
     await expectTrace('deaf-leader', site);
   });
 
   it('a silent machine whose lease has run out is believed only after the answers of an old leader', async () => {
-    const site = await begun();
+    const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 3, cpus: 4 });
-    await until(site, () => site.tasksOn('j-000001') === 3);
-    const host: MachineId = site.workerOf('j-000001/0');
-    site.cloud.outage = true;
-    for (const node of site.nodes) site.cuts.add(`${node} ${host}`);
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 3);
+    const host: MachineId = site.machineOf('j-000001/0');
+    site.cloud.isUnavailable = true;
+    for (const node of site.nodes) site.cutLinks.add(`${node} ${host}`);
     site.crash(site.leader as string);
     // lease 20 s: gone from the machine; the successor counts from its takeover plus what an old leader may answer.
     await site.run(70);
     site.trace('cloud      is back');
-    site.cloud.outage = false;
+    site.cloud.isUnavailable = false;
     await site.run(40);
-    expect(site.tasksOn('j-000001')).toBe(3);
+    expect(site.runningTaskCount('j-000001')).toBe(3);
     await expectTrace('lease-proof', site);
   });
 });
--- a/test/traces/size-4500.test.ts
+++ b/test/traces/size-4500.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import type { MachineId, MachineTypeId, ZoneId } from '../../src/model/ids.js';
-import { Site } from '../simulation/site.js';
+import { SimulatedSite } from '../simulation/simulated-site.js';
 
 const MACHINES = 4500;
 const JOBS = 44;
@@ -15,7 +15,7 @@
  */
 describe('a site of 4,500 machines', () => {
   it('is filled, taken over from its records alone, and given back', async () => {
-    const site = new Site({ limit: { red: 30_000, blue: 30_000 }, reportS: 6, nodes: 3 });
+    const site = new SimulatedSite({ limit: { red: 30_000, blue: 30_000 }, reportS: 6, nodes: 3 });
     site.startAll();
     // They come up, and report, at different moments, as machines do.
     for (let n = 0; n < MACHINES; n++) {
@@ -31,18 +31,18 @@
     }
     await site.run(45);
     expect(site.fleetSize).toBeGreaterThanOrEqual(FILLED);
-    const running = (): number => refs.reduce((sum, ref) => sum + site.tasksOn(ref), 0);
+    const running = (): number => refs.reduce((sum, ref) => sum + site.runningTaskCount(ref), 0);
     expect(running()).toBe(JOBS * TASKS);
     // A record holds many starts: what is written follows the jobs, not the machines.
-    expect(site.state.writes / site.rules.starts).toBeLessThan(0.1);
+    expect(site.store.writeCount / site.rules.startCount).toBeLessThan(0.1);
 
-    const before = { requests: site.state.requests, starts: site.rules.starts };
+    const before = { requests: site.store.requestCount, starts: site.rules.startCount };
     site.crash(site.leader as string);
     await site.run(15);
     expect(site.fleetSize).toBeGreaterThanOrEqual(FILLED);
     expect(running()).toBe(JOBS * TASKS);
-    expect(site.rules.starts).toBe(before.starts);
-    expect(site.state.requests - before.requests).toBeLessThan(250);
+    expect(site.rules.startCount).toBe(before.starts);
+    expect(site.store.requestCount - before.requests).toBeLessThan(250);
 
     const alive = site.leader as string;
     for (const ref of refs) while ((await site.cancel(ref, alive)) !== 'cancelled') await site.run(1);
@@ -50,8 +50,8 @@
     await site.run(150);
     expect(running()).toBe(0);
     expect(site.cloud.machines.size).toBeLessThan(MACHINES / 10);
-    expect(site.mostCalls).toBeLessThanOrEqual(2 * 64);
-    expect(site.state.malformed).toEqual([]);
-    expect(site.rules.broken).toEqual([]);
+    expect(site.maxConcurrentCalls).toBeLessThanOrEqual(2 * 64);
+    expect(site.store.rejectedTransactions).toEqual([]);
+    expect(site.rules.violations).toEqual([]);
   }, 120_000);
 });
--- a/test/traces/state-limits.test.ts
+++ b/test/traces/state-limits.test.ts
@@ -6,23 +6,28 @@
 import { StoreLimits } from '../../src/store/store-limits.js';
 import { VirtualClock } from '../simulation/clock.js';
 import { FakeKeyValueStore } from '../simulation/fake-key-value-store.js';
-import { Site } from '../simulation/site.js';
-import { until } from './steps.js';
+import { SimulatedSite } from '../simulation/simulated-site.js';
+import { runUntil } from './steps.js';
 
 const NEXT = { value_kb: 2, txn_ops: 5, write_rps: 30 };
 const REF = 'j-000001';
 const TASKS = 250;
 
 /** Two teams with room for hundreds of tasks. */
-function large(next?: object): Site {
-  return new Site({ limit: { red: 600, blue: 600 }, reportS: 3, nodes: 3, ...(next ? { next } : {}) });
+function large(next?: object): SimulatedSite {
+  return new SimulatedSite({
+    limit: { red: 600, blue: 600 },
+    reportS: 3,
+    nodes: 3,
+    ...(next ? { next } : {}),
+  });
 }
 
 /** The service takes less from now on. */
-function fall(site: Site): void {
+function fall(site: SimulatedSite): void {
   site.trace('state      takes less');
-  site.state.sizes = { txnOps: NEXT.txn_ops, valueBytes: NEXT.value_kb * 1024 };
-  site.state.limits = {
+  site.store.sizeLimits = { txnOps: NEXT.txn_ops, valueBytes: NEXT.value_kb * 1024 };
+  site.store.rateLimits = {
     requests: new TokenBucket(site.clock, 200, 200),
     writes: new TokenBucket(site.clock, NEXT.write_rps, NEXT.write_rps),
   };
@@ -30,16 +35,16 @@
 
 const limitsOf = (writeRps: number, txnOps: number) => ({ rps: 200, writeRps, valueBytes: 2048, txnOps });
 
-async function done(site: Site, ref = REF): Promise<void> {
-  await until(site, () => site.state.value(`open/${ref}`) === undefined, 240);
+async function done(site: SimulatedSite, ref = REF): Promise<void> {
+  await runUntil(site, () => site.store.value(`open/${ref}`) === undefined, 240);
   await site.run(10);
   expect(await site.query(ref, site.leader as string)).toBe('done');
   await site.finish();
-  expect(site.rules.broken).toEqual([]);
+  expect(site.rules.violations).toEqual([]);
 }
 
-const longest = (site: Site): number =>
-  Math.max(...[...site.state.keys.values()].map((e) => JSON.stringify(e.value).length));
+const longest = (site: SimulatedSite): number =>
+  Math.max(...[...site.store.keys.values()].map((e) => JSON.stringify(e.value).length));
 
 describe('limits of the state service that are announced', () => {
   it('are kept to from the first write on, while the old ones still hold', async () => {
@@ -47,43 +52,43 @@
     site.startAll();
     await site.run(1);
     await site.submit({ ref: REF, tasks: TASKS, runS: 30 });
-    await until(site, () => site.tasksOn(REF) > 200);
+    await runUntil(site, () => site.runningTaskCount(REF) > 200);
     expect(longest(site)).toBeLessThanOrEqual(NEXT.value_kb * 1024);
     fall(site);
     await done(site);
-    expect(site.state.malformed).toEqual([]);
+    expect(site.store.rejectedTransactions).toEqual([]);
     // Nothing of it is left behind.
-    expect([...site.state.keys.keys()].filter((key) => key.startsWith('open/'))).toEqual([]);
+    expect([...site.store.keys.keys()].filter((key) => key.startsWith('open/'))).toEqual([]);
   });
 
   it('fall in the middle of a takeover from a leader that wrote large records', async () => {
     const site = large(NEXT);
     // Beside controllers that could not read split records nothing is split.
-    for (const name of site.nodes) site.old.add(name);
+    for (const name of site.nodes) site.earlierVersionNodes.add(name);
     site.startAll();
     await site.run(1);
     await site.submit({ ref: REF, tasks: TASKS, runS: 40 });
-    await until(site, () => site.tasksOn(REF) > 200);
+    await runUntil(site, () => site.runningTaskCount(REF) > 200);
     expect(longest(site)).toBeGreaterThan(NEXT.value_kb * 1024);
-    site.old.clear();
+    site.earlierVersionNodes.clear();
     const old = site.leader as string;
     site.crash(old);
     await site.run(2.5);
     fall(site);
     site.start(old);
     await done(site);
-    expect(site.state.malformed.length).toBeLessThanOrEqual(1);
+    expect(site.store.rejectedTransactions.length).toBeLessThanOrEqual(1);
   });
 
   it('fall while records are being split, and the leader ends in between, twice', async () => {
     const site = large(NEXT);
-    for (const name of site.nodes) site.old.add(name);
+    for (const name of site.nodes) site.earlierVersionNodes.add(name);
     site.startAll();
     await site.run(1);
     await site.submit({ ref: REF, tasks: TASKS, runS: 60 });
     await site.submit({ ref: 'j-000002', tasks: TASKS, runS: 12, team: 'blue' });
-    await until(site, () => site.tasksOn(REF) > 200 && site.tasksOn('j-000002') > 200);
-    site.old.clear();
+    await runUntil(site, () => site.runningTaskCount(REF) > 200 && site.runningTaskCount('j-000002') > 200);
+    site.earlierVersionNodes.clear();
     fall(site);
     for (let i = 0; i < 2; i++) {
       // The first too large write tells; the next ones are parts.
@@ -95,7 +100,7 @@
     }
     await done(site, 'j-000002');
     await done(site);
-    expect(site.state.malformed.length).toBeLessThanOrEqual(3);
+    expect(site.store.rejectedTransactions.length).toBeLessThanOrEqual(3);
   });
 
   it('leave a job with long names its whole way: accepted, taken over, done or cancelled', async () => {
@@ -118,26 +123,26 @@
     site.version = PROTOCOL_VERSION;
     expect(await site.submit({ ref: REF, runS: 20, ...long })).toBe(201);
     expect(await site.submit({ ref: 'j-000004', runS: 5, awaits: [REF], ...long }, 'node-1')).toBe(201);
-    await until(site, () => site.tasksOn(REF) === 1 && site.tasksOn('j-000003') === 1);
+    await runUntil(site, () => site.runningTaskCount(REF) === 1 && site.runningTaskCount('j-000003') === 1);
     site.crash(site.leader as string);
-    await until(site, () => site.leader !== undefined, 10);
+    await runUntil(site, () => site.leader !== undefined, 10);
     const node = site.leader as string;
     expect(await site.cancel('j-000003', node)).toBe('cancelled');
-    await until(site, () => site.state.value('open/j-000004') === undefined, 90);
+    await runUntil(site, () => site.store.value('open/j-000004') === undefined, 90);
     await site.run(5);
     for (const ref of [REF, 'j-000002', 'j-000004']) expect(await site.query(ref, node)).toBe('done');
-    expect([...site.state.keys.keys()].filter((key) => /^(open|desc|deps)\//.test(key))).toEqual([]);
+    expect([...site.store.keys.keys()].filter((key) => /^(open|desc|deps)\//.test(key))).toEqual([]);
     // The write of the one that came too long to an earlier version.
-    expect(site.state.malformed.length).toBeLessThanOrEqual(1);
+    expect(site.store.rejectedTransactions.length).toBeLessThanOrEqual(1);
     await site.finish();
-    expect(site.rules.broken).toEqual([]);
+    expect(site.rules.violations).toEqual([]);
   });
 
   it('are asked for once rates are refused: a crowd lowers nothing, the fall is known for good', async () => {
     const clock = new VirtualClock();
     const settings = { storeLimits: limitsOf(60, 16), announcedStoreLimits: limitsOf(30, 5) };
     const state = new FakeKeyValueStore(clock);
-    const limits = new StoreLimits(settings, clock, limitProbe(state.for('node-0', clock), settings));
+    const limits = new StoreLimits(settings, clock, limitProbe(state.clientFor('node-0', clock), settings));
     const refused = new StoreRefusedError('state answered 429', true);
     limits.recordFailure(refused);
     // At once, until the service has answered.
@@ -145,45 +150,45 @@
     await clock.advance(100);
     expect(limits.writeRps).toBe(60);
     await clock.advance(3000);
-    state.sizes = { txnOps: 5, valueBytes: 2048 };
-    state.outage = true;
+    state.sizeLimits = { txnOps: 5, valueBytes: 2048 };
+    state.isUnavailable = true;
     limits.recordFailure(refused);
     await clock.advance(1500);
     expect(limits.writeRps).toBe(30);
-    state.outage = false;
+    state.isUnavailable = false;
     await clock.advance(600_000);
     expect(limits.writeRps).toBe(30);
-    expect(state.probes).toBe(1);
-    expect(state.malformed).toEqual([]);
+    expect(state.limitProbeCount).toBe(1);
+    expect(state.rejectedTransactions).toEqual([]);
   });
 
   it('are kept to by entries that are longer than reckoned: fewer of them share a record then', async () => {
     const site = large({ value_kb: 1, txn_ops: 5 });
-    site.cloud.idLength = 120;
+    site.cloud.idDigits = 120;
     site.startAll();
     await site.run(1);
-    site.state.sizes = { txnOps: 5, valueBytes: 1024 };
+    site.store.sizeLimits = { txnOps: 5, valueBytes: 1024 };
     await site.submit({ ref: REF, tasks: 60, runS: 20 });
     await done(site);
     expect(longest(site)).toBeLessThanOrEqual(1024);
     // Each refusal halves what shares a record: no loop.
-    expect(site.state.malformed.length).toBeLessThanOrEqual(8);
+    expect(site.store.rejectedTransactions.length).toBeLessThanOrEqual(8);
   });
 
   it('fall during an outage', async () => {
     const site = large(NEXT);
-    for (const name of site.nodes) site.old.add(name);
+    for (const name of site.nodes) site.earlierVersionNodes.add(name);
     site.startAll();
     await site.run(1);
     await site.submit({ ref: REF, tasks: TASKS, runS: 25 });
-    await until(site, () => site.tasksOn(REF) > 200);
-    site.state.outage = true;
+    await runUntil(site, () => site.runningTaskCount(REF) > 200);
+    site.store.isUnavailable = true;
     await site.run(12);
     fall(site);
-    site.state.outage = false;
+    site.store.isUnavailable = false;
     await done(site);
     // Once, not in a loop.
-    expect(site.state.malformed.length).toBeLessThanOrEqual(1);
+    expect(site.store.rejectedTransactions.length).toBeLessThanOrEqual(1);
   });
 });
 
@@ -193,8 +198,8 @@
     site.startAll();
     await site.run(1);
     await site.submit({ ref: REF, tasks: TASKS, runS: 10 });
-    await until(site, () => site.tasksOn(REF) > 100);
-    expect(site.state.value(`open/${REF}/0000`)).toBeDefined();
+    await runUntil(site, () => site.runningTaskCount(REF) > 100);
+    expect(site.store.value(`open/${REF}/0000`)).toBeDefined();
     await done(site);
   });
 });
--- a/test/traces/trace.ts
+++ b/test/traces/trace.ts
@@ -1,13 +1,13 @@
 import { existsSync, readFileSync, writeFileSync } from 'node:fs';
 import { expect } from 'vitest';
-import type { Site } from '../simulation/site.js';
+import type { SimulatedSite } from '../simulation/simulated-site.js';
 
 /** Compares a scenario's event log with the kept one; a first run, or ACCEPT_TRACES, writes it. */
-export async function expectTrace(name: string, site: Site): Promise<void> {
+export async function expectTrace(name: string, site: SimulatedSite): Promise<void> {
   await site.finish();
-  expect(site.rules.broken).toEqual([]);
+  expect(site.rules.violations).toEqual([]);
   const path = new URL(`./${name}.txt`, import.meta.url);
-  if (process.env['ACCEPT_TRACES']) writeFileSync(path, site.text);
+  if (process.env['ACCEPT_TRACES']) writeFileSync(path, site.traceText);
   expect(existsSync(path), `no golden trace ${name}; run npm run traces:accept and read it`).toBe(true);
-  expect(site.text).toBe(readFileSync(path, 'utf8'));
+  expect(site.traceText).toBe(readFileSync(path, 'utf8'));
 }
--- a/test/traces/upgrade.test.ts
+++ b/test/traces/upgrade.test.ts
@@ -26,9 +26,9 @@
 } from '../../src/model/protocol.js';
 import { leaderRecord } from '../../src/store/leader-record.js';
 import type { KeyValue } from '../../src/wire/key-value-store.js';
-import { Site } from '../simulation/site.js';
-import type { JobWish } from '../simulation/site-setup.js';
-import { begun, until } from './steps.js';
+import { SimulatedSite } from '../simulation/simulated-site.js';
+import type { JobRequest } from '../simulation/site-setup.js';
+import { startedSite, runUntil } from './steps.js';
 
 /** Made by the production version itself, on its stand-ins (docs/upgrade.md says how). */
 const production = JSON.parse(
@@ -43,7 +43,7 @@
   revision: stamp,
 }));
 
-const WISHES: JobWish[] = [
+const WISHES: JobRequest[] = [
   { ref: 'j-000001', tasks: 310, runS: 60 },
   { ref: 'j-000002', kind: 'service', tasks: 2, team: 'blue' },
   { ref: 'j-000003', runS: 2, team: 'blue' },
@@ -52,8 +52,8 @@
 ];
 
 /** A site that the production version has left in the middle of its work. */
-function left(old: boolean, next?: object): Site {
-  const site = new Site({
+function left(old: boolean, next?: object): SimulatedSite {
+  const site = new SimulatedSite({
     limit: { red: 700, blue: 60 },
     reportS: 3,
     nodes: 3,
@@ -64,12 +64,12 @@
     WISHES,
     fencingTokenOf(1 as Epoch, 0 as FenceGeneration),
   );
-  if (old) for (const name of site.nodes.slice(1)) site.old.add(name);
+  if (old) for (const name of site.nodes.slice(1)) site.earlierVersionNodes.add(name);
   return site;
 }
 
-async function readRow(site: Site, key: string): Promise<KeyValue> {
-  const reading = site.state.for('node-9', site.clock).get(key);
+async function readRow(site: SimulatedSite, key: string): Promise<KeyValue> {
+  const reading = site.store.clientFor('node-9', site.clock).get(key);
   await site.run(0.1);
   const row = await reading;
   if (!row) throw new Error(`${key} is missing`);
@@ -89,25 +89,25 @@
     site.startAll();
     await site.run(3);
     // Everything is where it was; nothing was stopped or started again.
-    expect(site.tasksOn('j-000001')).toBe(310);
-    expect(site.rules.starts).toBe(315);
+    expect(site.runningTaskCount('j-000001')).toBe(310);
+    expect(site.rules.startCount).toBe(315);
     expect(await site.query('j-000003')).toBe('done');
     expect(await site.query('j-000004', 'node-1')).toBe('cancelled');
-    if (next) site.state.sizes = { txnOps: 5, valueBytes: 2048 };
+    if (next) site.store.sizeLimits = { txnOps: 5, valueBytes: 2048 };
     // One machine dies: its tasks start elsewhere, and their records are written.
-    site.takeAway(site.workerOf('j-000001/0'));
-    await until(site, () => site.tasksOn('j-000001') === 310, 40);
+    site.killMachine(site.machineOf('j-000001/0'));
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 310, 40);
     await site.run(1);
-    const split = [...site.state.keys.keys()].some((key) => /^open\/j-\d+\/\d+-/.test(key));
+    const split = [...site.store.keys.keys()].some((key) => /^open\/j-\d+\/\d+-/.test(key));
     expect(split).toBe(!old);
-    await until(site, () => site.state.value('open/j-000001') === undefined, 120);
+    await runUntil(site, () => site.store.value('open/j-000001') === undefined, 120);
     await site.run(5);
     expect(await site.query('j-000001')).toBe('done');
     expect(await site.query('j-000005')).toBe('done');
-    expect(site.tasksOn('j-000002')).toBe(2);
+    expect(site.runningTaskCount('j-000002')).toBe(2);
     await site.finish();
-    expect(site.rules.broken).toEqual([]);
-    expect(site.state.malformed.length).toBeLessThanOrEqual(1);
+    expect(site.rules.violations).toEqual([]);
+    expect(site.store.rejectedTransactions.length).toBeLessThanOrEqual(1);
   });
 
   it('stay as a new leader has them when a late write of the old leader arrives, and an old one’s cancellation counts', async () => {
@@ -115,14 +115,14 @@
     const epochBefore = records.find((row) => row.key === 'epoch')?.revision as Revision;
     site.startAll();
     await site.run(3);
-    const old = site.state.for('node-9', site.clock);
+    const old = site.store.clientFor('node-9', site.clock);
     const late = old.txn(
       [{ key: 'epoch', revision: epochBefore }],
       [{ set: 'open/j-000001/0000', value: { d: [[0, 299]] } }],
     );
     await site.run(1);
     expect(await late).toEqual({ ok: false, failed: ['epoch'] });
-    expect(site.tasksOn('j-000001')).toBe(310);
+    expect(site.runningTaskCount('j-000001')).toBe(310);
     // As the production version cancels: the record's state alone, on the record's revision.
     const row = await readRow(site, 'job/j-000001');
     const cancelled = old.txn(
@@ -131,9 +131,9 @@
     );
     await site.run(10);
     expect(await cancelled).toMatchObject({ ok: true });
-    expect(site.tasksOn('j-000001')).toBe(0);
-    expect(site.state.value('open/j-000001')).toBe(undefined);
-    expect(site.rules.broken).toEqual([]);
+    expect(site.runningTaskCount('j-000001')).toBe(0);
+    expect(site.store.value('open/j-000001')).toBe(undefined);
+    expect(site.rules.violations).toEqual([]);
   });
 
   it('name no leader that could serve what is new', () => {
@@ -149,7 +149,7 @@
   named: string[];
 };
 
-const LANDED_WISHES: JobWish[] = [
+const LANDED_WISHES: JobRequest[] = [
   { ref: 'j-000001', tasks: 310, runS: 60 },
   { ref: 'j-000002', kind: 'service', tasks: 2, team: 'blue' },
   { ref: 'j-000003', runS: 2, team: 'blue' },
@@ -164,32 +164,32 @@
 describe('records of the version landed last', () => {
   it('are taken over: split progress, dependencies in lists of their own, what is over', async () => {
     const next = { value_kb: 1, txn_ops: 5, write_rps: 30 };
-    const site = new Site({ limit: { red: 700, blue: 60 }, reportS: 3, nodes: 3, next });
+    const site = new SimulatedSite({ limit: { red: 700, blue: 60 }, reportS: 3, nodes: 3, next });
     const rows = landed.records.map(({ key, value, stamp }) => ({ key, value, revision: stamp }));
     site.restore(
       rows.filter((row) => row.key !== 'leader'),
       LANDED_WISHES,
       fencingTokenOf(1 as Epoch, 0 as FenceGeneration),
     );
-    site.state.sizes = { txnOps: 5, valueBytes: 1024 };
+    site.store.sizeLimits = { txnOps: 5, valueBytes: 1024 };
     site.startAll();
     await site.run(3);
-    expect(site.tasksOn('j-000001')).toBe(310);
-    expect(site.tasksOn('j-000005')).toBe(1);
-    expect(site.tasksOn('j-000006')).toBe(0);
+    expect(site.runningTaskCount('j-000001')).toBe(310);
+    expect(site.runningTaskCount('j-000005')).toBe(1);
+    expect(site.runningTaskCount('j-000006')).toBe(0);
     expect(await site.query('j-000003')).toBe('done');
     expect(await site.query('j-000007', 'node-1')).toBe('cancelled');
     // Its list of dependencies has a record of its own; a machine's end splits nothing anew.
-    site.takeAway(site.workerOf('j-000001/0'));
-    await until(site, () => site.state.value('open/j-000008') === undefined, 200);
-    await until(site, () => site.state.value('open/j-000006') === undefined, 60);
-    await until(site, () => site.state.value('open/j-000001') === undefined, 120);
+    site.killMachine(site.machineOf('j-000001/0'));
+    await runUntil(site, () => site.store.value('open/j-000008') === undefined, 200);
+    await runUntil(site, () => site.store.value('open/j-000006') === undefined, 60);
+    await runUntil(site, () => site.store.value('open/j-000001') === undefined, 120);
     await site.run(5);
     for (const ref of ['j-000001', 'j-000006', 'j-000008']) expect(await site.query(ref)).toBe('done');
-    expect(site.tasksOn('j-000002')).toBe(2);
+    expect(site.runningTaskCount('j-000002')).toBe(2);
     await site.finish();
-    expect(site.rules.broken).toEqual([]);
-    expect(site.state.malformed).toEqual([]);
+    expect(site.rules.violations).toEqual([]);
+    expect(site.store.rejectedTransactions).toEqual([]);
   });
 
   it('and its frames are read; what is new since is kept from it', () => {
@@ -257,22 +257,22 @@
 
 describe('two versions side by side', () => {
   it('tell an old controller nothing of what it does not know, and take nothing new beside it', async () => {
-    const site = await begun();
-    for (const name of site.nodes) if (name !== site.leader) site.old.add(name);
+    const site = await startedSite();
+    for (const name of site.nodes) if (name !== site.leader) site.earlierVersionNodes.add(name);
     await site.submit({ ref: 'j-000001', tasks: 3, runS: 20 });
     expect(await site.submit({ ref: 'j-000002', awaits: ['j-000001'] })).toBe(503);
     expect(await site.submit({ ref: 'j-000003', awaits: [] })).toBe(201);
     // In an outage the old ones prove nothing, so the new leader answers no longer than the old one did.
-    await until(site, () => site.tasksOn('j-000001') === 3);
-    site.state.outage = true;
+    await runUntil(site, () => site.runningTaskCount('j-000001') === 3);
+    site.store.isUnavailable = true;
     await site.run(50);
-    expect(site.tasksOn('j-000001')).toBe(0);
-    site.state.outage = false;
+    expect(site.runningTaskCount('j-000001')).toBe(0);
+    site.store.isUnavailable = false;
     await site.run(60);
-    site.old.clear();
+    site.earlierVersionNodes.clear();
     expect(await site.submit({ ref: 'j-000002', awaits: ['j-000001'] })).toBe(201);
     await site.run(30);
     expect(await site.query('j-000002')).toBe('done');
-    expect(site.rules.broken).toEqual([]);
+    expect(site.rules.violations).toEqual([]);
   });
 });
--- a/test/unit/failover.test.ts
+++ b/test/unit/failover.test.ts
@@ -20,7 +20,7 @@
 import { epochRecord, encodeEpoch, encodeLeader, leaderRecord } from '../../src/store/leader-record.js';
 import type { MembersReport } from '../../src/wire/members.js';
 import { VirtualClock } from '../simulation/clock.js';
-import { settingsOf, SMALL } from '../simulation/site-setup.js';
+import { siteSettings, SMALL_SITE } from '../simulation/site-setup.js';
 import { FakeKeyValueStore } from '../simulation/fake-key-value-store.js';
 
 const folders: string[] = [];
@@ -57,7 +57,7 @@
 
 describe('check-config', () => {
   it('refuses failure detection with a controller that is named twice, with exit code 2', async () => {
-    const settings = settingsOf('a', SMALL);
+    const settings = siteSettings('a', SMALL_SITE);
     const sibling = { member: 'b' as MemberIdOfNode, address: '127.0.0.1:2' };
     const feature = loadFeatures(folderWith('enabled = true')).failover;
     if (feature === null) throw new Error('off');
@@ -213,7 +213,7 @@
   }> {
     const clock = new VirtualClock();
     const state = new FakeKeyValueStore(clock);
-    const store = state.for('a', clock);
+    const store = state.clientFor('a', clock);
     for (let n = 0; n < 8; n++) {
       void store.txn(
         [],
@@ -229,7 +229,7 @@
     const { clock, state, prefetch } = await filled();
     void prefetch.begin();
     await clock.advance(100);
-    const store = state.for('a', clock);
+    const store = state.clientFor('a', clock);
     void store.txn([], [{ drop: 'open/j-3/1' }, set('open/j-3/2', { n: 33 }), set('open/j-9/1', { n: 9 })]);
     await clock.advance(100);
     const taken = prefetch.take('open/');
@@ -253,10 +253,10 @@
 
   it('are missing, not wrong, where the state service was out', async () => {
     const { clock, state, prefetch } = await filled();
-    state.outage = true;
+    state.isUnavailable = true;
     void prefetch.begin();
     await clock.advance(1000);
-    state.outage = false;
+    state.isUnavailable = false;
     expect(await prefetch.take('open/')).toBeNull();
   });
 });
--- a/test/unit/failure-detector.test.ts
+++ b/test/unit/failure-detector.test.ts
@@ -8,7 +8,7 @@
 import { type Worker } from '../../src/workers/state/worker.js';
 import { WorkerRegistry } from '../../src/workers/state/worker-registry.js';
 import { VirtualClock } from '../simulation/clock.js';
-import { workerOf } from '../simulation/worker-state.js';
+import { confirmedWorker } from '../simulation/worker-state.js';
 
 /** Three machines, one of them silent; whether it is fenced when a probe fails after `failsMs`. */
 async function fenced(failsMs: number): Promise<boolean> {
@@ -21,7 +21,7 @@
       zone: 'north' as ZoneId,
       spot: false,
     };
-    const host = workerOf(machine, clock.now());
+    const host = confirmedWorker(machine, clock.now());
     host.isUp = true;
     host.hasReported = true;
     host.address = `${name}:1`;
--- a/test/unit/load.test.ts
+++ b/test/unit/load.test.ts
@@ -26,7 +26,7 @@
 import type { Worker } from '../../src/workers/state/worker.js';
 import { WorkerRegistry } from '../../src/workers/state/worker-registry.js';
 import { VirtualClock } from '../simulation/clock.js';
-import { workerOf } from '../simulation/worker-state.js';
+import { confirmedWorker } from '../simulation/worker-state.js';
 
 describe('the load monitor', () => {
   it('tells a process that has used up its share from one that waits', async () => {
@@ -104,7 +104,7 @@
       zone: 'north' as ZoneId,
       spot: false,
     };
-    const host = workerOf(machine, clock.now());
+    const host = confirmedWorker(machine, clock.now());
     Object.assign(host, { isUp: true, hasReported: true, address: `${machine.id}:1` });
     const job = { spec: { id: `j-${n}` as JobId, kind: 'service' }, locate: ignore };
     host.assign({ id: `j-${n}/0` as TaskId, job } as unknown as Task);
--- a/test/unit/machine-type-record.test.ts
+++ b/test/unit/machine-type-record.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import { decodeMachineTypes, encodeMachineTypes } from '../../src/store/machine-type-record.js';
-import { TYPES } from '../simulation/site-setup.js';
+import { MACHINE_TYPES } from '../simulation/site-setup.js';
 
 /** The value under `cloud/types` as every landed version writes it. */
 const STORED = [
@@ -20,10 +20,10 @@
 
 describe('the record of the machine types', () => {
   it('is written as by earlier versions, to the byte', () => {
-    expect(JSON.stringify(encodeMachineTypes(TYPES))).toBe(JSON.stringify(STORED));
+    expect(JSON.stringify(encodeMachineTypes(MACHINE_TYPES))).toBe(JSON.stringify(STORED));
   });
 
   it('is read as earlier versions wrote it', () => {
-    expect(decodeMachineTypes(STORED)).toEqual(TYPES);
+    expect(decodeMachineTypes(STORED)).toEqual(MACHINE_TYPES);
   });
 });
--- a/test/unit/placement.test.ts
+++ b/test/unit/placement.test.ts
@@ -27,7 +27,7 @@
 import type { TeamUsage } from '../../src/scheduler/job-store.js';
 import { plainPlace, structuredCloneOf } from './reference-placement.js';
 import { isStarving, Urgency } from '../../src/scheduler/urgency.js';
-import { TYPES } from '../simulation/site-setup.js';
+import { MACHINE_TYPES } from '../simulation/site-setup.js';
 
 const spec = (over: Partial<JobSpec>): JobSpec => ({
   id: 'j-000001' as JobId,
@@ -310,8 +310,8 @@
 
 describe('renting', () => {
   const pools = [
-    { type: TYPES[0] as (typeof TYPES)[0], zone: 'north' as ZoneId, spot: true },
-    { type: TYPES[0] as (typeof TYPES)[0], zone: 'north' as ZoneId, spot: false },
+    { type: MACHINE_TYPES[0] as (typeof MACHINE_TYPES)[0], zone: 'north' as ZoneId, spot: true },
+    { type: MACHINE_TYPES[0] as (typeof MACHINE_TYPES)[0], zone: 'north' as ZoneId, spot: false },
   ];
 
   it('takes the cheapest pool and counts what is coming', () => {
--- a/test/unit/share.test.ts
+++ b/test/unit/share.test.ts
@@ -11,7 +11,7 @@
   it('are one comparison, and each gets its own answer', async () => {
     const clock = new VirtualClock();
     const state = new FakeKeyValueStore(clock);
-    const store = state.for('node-0', clock);
+    const store = state.clientFor('node-0', clock);
     const revisions: Revision[] = [];
     for (let i = 0; i < 60; i++) {
       void store.txn([], [{ set: `job/j-${i}`, value: i }]).then((r) => {
@@ -21,7 +21,7 @@
     await clock.advance(100);
     void store.txn([], [{ set: 'job/j-7', value: 'cancelled' }]);
     await clock.advance(100);
-    const asked = state.requests;
+    const asked = state.requestCount;
     const confirmations = new RevisionConfirmations(clock, store, 64, 25);
     const same: boolean[] = [];
     for (let i = 0; i < 60; i++) {
@@ -30,7 +30,7 @@
       });
     }
     await clock.advance(100);
-    expect(state.requests - asked).toBe(1);
+    expect(state.requestCount - asked).toBe(1);
     expect(same.filter((s) => s)).toHaveLength(59);
     expect(same[7]).toBe(false);
   });
@@ -38,8 +38,8 @@
   it('fail together while the state service is out: nobody is told what was true before', async () => {
     const clock = new VirtualClock();
     const state = new FakeKeyValueStore(clock);
-    const confirmations = new RevisionConfirmations(clock, state.for('node-0', clock), 64, 25);
-    state.outage = true;
+    const confirmations = new RevisionConfirmations(clock, state.clientFor('node-0', clock), 64, 25);
+    state.isUnavailable = true;
     let failed = 0;
     for (let i = 0; i < 3; i++) void confirmations.same(`job/j-${i}`, 1 as Revision).catch(() => failed++);
     await clock.advance(500);
--- a/test/unit/worker.test.ts
+++ b/test/unit/worker.test.ts
@@ -12,18 +12,18 @@
 import { JobStore } from '../../src/scheduler/job-store.js';
 import type { Worker } from '../../src/workers/state/worker.js';
 import { reconcile } from '../../src/workers/reconciliation.js';
-import { workerOf } from '../simulation/worker-state.js';
-import { TYPES } from '../simulation/site-setup.js';
+import { confirmedWorker } from '../simulation/worker-state.js';
+import { MACHINE_TYPES } from '../simulation/site-setup.js';
 
 const EPOCH = 3 as Epoch;
 const LEASE = 28_000;
-const [type] = TYPES;
+const [type] = MACHINE_TYPES;
 const at = (s: number): MonotonicTime => (s * 1000) as MonotonicTime;
 
 function host(): Worker {
   if (!type) throw new Error('no type');
   const machine = { id: 'host-000001' as MachineId, type: type.id, zone: 'north' as never, spot: false };
-  return workerOf(machine, at(0), type);
+  return confirmedWorker(machine, at(0), type);
 }
 
 const heartbeat = (session: number, counter: number): Heartbeat => ({
