--- a/test/simulation/clock.ts
+++ b/test/simulation/clock.ts
@@ -2,7 +2,7 @@
 import { ProcessClock as SimulatedProcessClock, VirtualClock as SimulatedTime } from '@plumyoke/simulation';
 import type { Clock, MonotonicTime, WallTime } from '../../src/model/time.js';
 
-/** Time that moves only when a test moves it. */
+/** Virtual time that only tests advance. */
 export class VirtualClock extends SimulatedTime implements Clock {
   override now(): MonotonicTime {
     return super.now() as MonotonicTime;
@@ -13,7 +13,7 @@
   }
 }
 
-/** The clock of one process: nothing of it runs after the process was killed. */
+/** The clock of one process: none of its timers runs after the process was killed. */
 export class ProcessClock extends SimulatedProcessClock implements Clock {
   override now(): MonotonicTime {
     return super.now() as MonotonicTime;
--- a/test/simulation/fake-cloud.ts
+++ b/test/simulation/fake-cloud.ts
@@ -1,3 +1,4 @@
+/** A fake of the cloud. */
 import { type Cloud, CloudRequestRefusedError, type ScaleOutResult } from '../../src/cloud/client.js';
 import type { MachineId, MachineTypeId, ZoneId } from '../../src/model/ids.js';
 import type { ListedMachine, Machine, MachineType } from '../../src/model/machine.js';
@@ -5,7 +6,7 @@
 import { poolKey } from '../../src/fleet/capacity-plan.js';
 
 const LATENCY_MS = 80;
-/** Machines in one answer. */
+/** The maximum of machines in one answer. */
 const PAGE_SIZE = 500;
 
 interface FakeMachine extends Machine {
@@ -13,23 +14,24 @@
   isUp: boolean;
 }
 
-/** A cloud in memory, by the published protocol. */
+/** A cloud in memory that behaves as the published protocol says. */
 export class FakeCloud {
   readonly machines = new Map<MachineId, FakeMachine>();
   private readonly createdByRequest = new Map<string, MachineId[]>();
-  /** Digits of a machine's number. */
+  /** The number of digits in a machine's id. */
   idDigits = 6;
   private nextNumber = 0;
+  /** Whether every request is refused. */
   isUnavailable = false;
-  /** Every rental and deletion comes once more, so many ms after it was carried out. */
+  /** Every creation and deletion is carried out a second time after this delay; null: it is not. */
   duplicateDelayMs: number | null = null;
-  /** How long a boot takes; null: as long as the type's usually does. */
+  /** The duration of a boot; null: that of the machine type. */
   bootMs: number | null = null;
-  /** Machines appear in the list only so long after they were rented. */
+  /** The delay after which a new machine appears in the list. */
   listLagMs = 0;
-  /** The next so many machines never come up. */
+  /** The number of machines, from the next one on, that never come up. */
   failingBoots = 0;
-  /** Machines left to give, by pool; a pool not named here has enough. */
+  /** The number of machines that a pool can still provide; a pool that is not named has no limit. */
   readonly remainingCapacity = new Map<string, number>();
 
   constructor(
@@ -48,7 +50,7 @@
       this.failingBoots--;
       return id;
     }
-    const boot = this.bootMs ?? this.types.find((t) => t.id === type)?.bootTime ?? 0;
+    const boot = this.bootMs ?? this.types.find((machineType) => machineType.id === type)?.bootTime ?? 0;
     this.clock.after(boot, () => {
       if (!this.machines.has(id)) return;
       machine.isUp = true;
@@ -57,65 +59,69 @@
     return id;
   }
 
-  /** A machine that was rented before the day begins. */
+  /** Adds a machine that is up already. */
   adopt(machine: Machine): void {
     this.machines.set(machine.id, { ...machine, createdAt: this.clock.now(), isUp: true });
     this.nextNumber = Math.max(this.nextNumber, Number(machine.id.slice('host-'.length)) + 1);
     this.onUp(machine);
   }
 
+  /** Returns the cloud's interface for one process, whose timers run on `clock`. */
   clientFor(clock: Clock): Cloud {
-    const ask = <T>(act: () => T): Promise<T> =>
+    const request = <T>(operation: () => T): Promise<T> =>
       new Promise((resolve, reject) => {
         clock.after(LATENCY_MS, () => {
           if (this.isUnavailable) reject(new CloudRequestRefusedError('cloud answered 503'));
-          else resolve(act());
+          else resolve(operation());
         });
       });
-    const twice = <T>(act: () => T): Promise<T> =>
-      ask(() => {
-        if (this.duplicateDelayMs !== null) this.clock.after(this.duplicateDelayMs, act);
-        return act();
+    const requestWithDuplicate = <T>(operation: () => T): Promise<T> =>
+      request(() => {
+        if (this.duplicateDelayMs !== null) this.clock.after(this.duplicateDelayMs, operation);
+        return operation();
       });
     return {
-      listMachineTypes: () => ask(() => [...this.types]),
-      createMachines: (r) =>
-        twice((): ScaleOutResult => {
-          const known = this.createdByRequest.get(r.name);
-          if (known) return { machines: known };
-          const key = poolKey(r);
-          const room = this.remainingCapacity.get(key) ?? Infinity;
-          const count = Math.min(r.count, room);
+      listMachineTypes: () => request(() => [...this.types]),
+      createMachines: (scaleOut) =>
+        requestWithDuplicate((): ScaleOutResult => {
+          const existing = this.createdByRequest.get(scaleOut.name);
+          if (existing) return { machines: existing };
+          const key = poolKey(scaleOut);
+          const capacity = this.remainingCapacity.get(key) ?? Infinity;
+          const count = Math.min(scaleOut.count, capacity);
           if (count === 0) return 'no capacity';
-          if (room !== Infinity) this.remainingCapacity.set(key, room - count);
-          const hosts = Array.from({ length: count }, () => this.create(r.type, r.zone, r.spot));
-          this.createdByRequest.set(r.name, hosts);
+          if (capacity !== Infinity) this.remainingCapacity.set(key, capacity - count);
+          const created = Array.from({ length: count }, () =>
+            this.create(scaleOut.type, scaleOut.zone, scaleOut.spot),
+          );
+          this.createdByRequest.set(scaleOut.name, created);
           this.trace(`cloud      rents ${count} ${key}`);
-          return { machines: hosts };
+          return { machines: created };
         }),
-      deleteMachines: (hosts) =>
-        twice(() => {
-          for (const id of hosts) {
+      deleteMachines: (ids) =>
+        requestWithDuplicate(() => {
+          for (const id of ids) {
             if (!this.machines.delete(id)) continue;
             this.trace(`cloud      deletes ${id}`);
             this.onGone(id);
           }
         }),
       listMachines: (after) =>
-        ask(() => {
-          const rest = [...this.machines.values()].filter(
-            (m) => m.id > after && this.clock.now() - m.createdAt >= this.listLagMs,
+        request(() => {
+          const listed = [...this.machines.values()].filter(
+            (machine) => machine.id > after && this.clock.now() - machine.createdAt >= this.listLagMs,
           );
-          const machines = rest.slice(0, PAGE_SIZE).map((m): ListedMachine => ({
-            ...m,
-            address: address(m.id),
-            status: m.isUp ? 'running' : 'starting',
-            age: ms(this.clock.now() - m.createdAt),
+          const machines = listed.slice(0, PAGE_SIZE).map((machine): ListedMachine => ({
+            ...machine,
+            address: address(machine.id),
+            status: machine.isUp ? 'running' : 'starting',
+            age: ms(this.clock.now() - machine.createdAt),
           }));
-          return { more: rest.length > PAGE_SIZE, machines };
+          return { more: listed.length > PAGE_SIZE, machines };
         }),
     };
   }
 }
 
+/** Returns the address of a machine's worker. */
 export const address = (id: MachineId): string => `${id}:9000`;
--- a/test/simulation/fake-key-value-store.ts
+++ b/test/simulation/fake-key-value-store.ts
@@ -1,3 +1,4 @@
+/** A fake of the key-value store. */
 import type { LeaseId, Revision } from '../../src/model/ids.js';
 import type { Clock } from '../../src/model/time.js';
 import type { TokenBucket } from '../../src/net/token-bucket.js';
@@ -23,17 +24,18 @@
 }
 
 const LATENCY_MS = 5;
-/** Rows in one answer. */
+/** The maximum of rows in one answer. */
 const PAGE_SIZE = 500;
 const DEADLINE_MS = 1000;
 const MAX_TXN_BYTES = 64 * 1024;
 
+/** The limits of a transaction's operations and of a value's bytes. */
 export interface SizeLimits {
   readonly txnOps: number;
   readonly valueBytes: number;
 }
 
-/** What the service answers 400. */
+/** Returns why the service would answer 400; null if it would not. */
 function sizeViolation(
   { txnOps, valueBytes }: SizeLimits,
   conditions: readonly Compare[],
@@ -41,45 +43,47 @@
 ): string | null {
   if (writes.length > txnOps) return 'too many writes';
   if (conditions.length > txnOps * 4) return 'too many conditions';
-  if (writes.some((w) => 'set' in w && Buffer.byteLength(JSON.stringify(w.value)) > valueBytes))
+  if (writes.some((write) => 'set' in write && Buffer.byteLength(JSON.stringify(write.value)) > valueBytes))
     return 'a value too long';
   return Buffer.byteLength(JSON.stringify({ conditions, writes })) > MAX_TXN_BYTES ? 'too long' : null;
 }
 
-/** Compares nothing but keys that nobody writes, to learn the limits. */
+/** Returns whether a transaction only compares keys that nobody writes, to learn the limits. */
 function isLimitProbe(conditions: readonly Compare[], writes: readonly WriteOperation[]): boolean {
   return writes.length === 0 && conditions.every(({ key }) => key.startsWith('unused/'));
 }
 
-/** A state service in memory, by the published protocol. */
+/** A key-value store in memory that behaves as the published protocol says. */
 export class FakeKeyValueStore {
   readonly keys = new Map<string, Entry>();
   private readonly history: WatchEvent[] = [];
-  private readonly leases = new Map<LeaseId, { ttl: number; until: number }>();
+  private readonly leases = new Map<LeaseId, { ttl: number; validUntil: number }>();
   private readonly watchers = new Set<() => void>();
   private revision = 0;
   private nextLeaseId = 1;
-  /** Puts and deletes that were asked for, carried out or not. */
+  /** The number of requested puts and deletes, carried out or not. */
   writeCount = 0;
+  /** The number of requests. */
   requestCount = 0;
-  /** What one value and one transaction may hold. */
+  /** The limits of transactions and values. */
   sizeLimits: SizeLimits = { txnOps: 16, valueBytes: 16 * 1024 };
-  /** What it would not even look at. */
+  /** Transactions that were rejected for their size, by reason. */
   readonly rejectedTransactions: string[] = [];
-  /** Comparisons that were refused because the limits have fallen, and that asked just that. */
+  /** The number of probes for the limits that were rejected because the limits have fallen. */
   limitProbeCount = 0;
+  /** Whether every request is refused. */
   isUnavailable = false;
-  /** Requests and changes a second; more are answered 429, bursts of a second's worth aside. */
+  /** Rate limits, beyond which requests are answered 429; null: none. */
   rateLimits: { readonly requests: TokenBucket; readonly writes: TokenBucket } | null = null;
-  /** Every commit comes once more, so many ms after it was carried out. */
+  /** Every transaction is carried out a second time after this delay; null: it is not. */
   duplicateDelayMs: number | null = null;
-  /** Nodes that are refused while the others are served. */
+  /** Nodes whose requests are refused while the others are served. */
   readonly refusedClients = new Set<string>();
-  /** Of this share of commits none is answered, and each is carried out 2 to 12 s later, after newer ones. */
+  /** The fraction of transactions that are not answered and are carried out 2 to 12 s later, after newer ones. */
   lateCommitRate = 0;
-  /** Between 0 and 1. */
+  /** A random number from 0 up to 1. */
   random: () => number = () => 0;
-  /** The next commit of such a node brings no answer and is applied after this many ms. */
+  /** By node: its next transaction is not answered, and is carried out after this delay. */
   readonly nextCommitDelayMs = new Map<string, number>();
 
   constructor(private readonly clock: Clock) {
@@ -89,10 +93,10 @@
   private scheduleLeaseExpiry(): void {
     this.clock.after(50, () => {
       const now = this.clock.now();
-      for (const [id, grant] of this.leases) {
-        // During an outage no lease ends; after it every lease has its full time again.
-        if (this.isUnavailable) grant.until = now + grant.ttl;
-        else if (grant.until <= now) this.endLease(id);
+      for (const [id, lease] of this.leases) {
+        // During an outage no lease expires; after it every lease has its full time to live again.
+        if (this.isUnavailable) lease.validUntil = now + lease.ttl;
+        else if (lease.validUntil <= now) this.endLease(id);
       }
       this.scheduleLeaseExpiry();
     });
@@ -100,29 +104,31 @@
 
   private endLease(id: LeaseId): void {
     this.leases.delete(id);
-    const drops = [...this.keys].filter(([, e]) => e.lease === id).map(([key]) => ({ drop: key }));
+    const drops = [...this.keys].filter(([, entry]) => entry.lease === id).map(([key]) => ({ drop: key }));
     if (drops.length > 0) this.apply(drops);
   }
 
   private apply(writes: readonly WriteOperation[]): Revision {
     this.revision++;
     const revision = this.revision as Revision;
-    for (const w of writes) {
-      if ('set' in w) {
-        const value: unknown = JSON.parse(JSON.stringify(w.value));
-        this.keys.set(w.set, { value, revision, lease: w.grant ?? null });
-        this.history.push({ key: w.set, value, revision });
-      } else if (this.keys.delete(w.drop)) this.history.push({ key: w.drop, value: undefined, revision });
+    for (const write of writes) {
+      if ('set' in write) {
+        const value: unknown = JSON.parse(JSON.stringify(write.value));
+        this.keys.set(write.set, { value, revision, lease: write.grant ?? null });
+        this.history.push({ key: write.set, value, revision });
+      } else if (this.keys.delete(write.drop)) {
+        this.history.push({ key: write.drop, value: undefined, revision });
+      }
     }
-    for (const wake of [...this.watchers]) wake();
+    for (const notify of [...this.watchers]) notify();
     return revision;
   }
 
   private execute(conditions: readonly Compare[], writes: readonly WriteOperation[]): TxnResult {
     this.writeCount += writes.length;
     const failed = conditions
-      .filter((c) => (this.keys.get(c.key)?.revision ?? 0) !== c.revision)
-      .map((c) => c.key);
+      .filter(({ key, revision }) => (this.keys.get(key)?.revision ?? 0) !== revision)
+      .map(({ key }) => key);
     if (failed.length > 0) return { ok: false, failed };
     return { ok: true, revision: writes.length > 0 ? this.apply(writes) : (this.revision as Revision) };
   }
@@ -132,11 +138,12 @@
     return !this.rateLimits.requests.tryTake() || (writes > 0 && !this.rateLimits.writes.tryTake(writes));
   }
 
+  /** Returns the value of a key without latency or faults. */
   value(key: string): unknown {
     return this.keys.get(key)?.value;
   }
 
-  /** What an earlier day has left. */
+  /** Restores records of an earlier run. */
   restore(records: readonly KeyValue[]): void {
     for (const { key, value, revision } of records) {
       this.keys.set(key, { value, revision, lease: null });
@@ -144,32 +151,32 @@
     }
   }
 
-  /** The service as one process sees it. */
+  /** Returns the store's interface for one node, whose timers run on `clock`. */
   clientFor(node: string, clock: Clock): KeyValueStore {
-    const ask = <T>(act: () => T, writes = 0): Promise<T> =>
+    const request = <T>(operation: () => T, writes = 0): Promise<T> =>
       new Promise((resolve, reject) => {
         this.requestCount++;
         clock.after(LATENCY_MS, () => {
           if (this.isUnavailable || this.refusedClients.has(node))
             reject(new StoreRefusedError('state answered 503'));
           else if (this.isRateLimited(writes)) reject(new StoreRefusedError('state answered 429', true));
-          else resolve(act());
+          else resolve(operation());
         });
       });
     return {
       get: (key) =>
-        ask((): KeyValue | null => {
-          const e = this.keys.get(key);
-          if (!e) return null;
-          const row = { key, value: e.value, revision: e.revision };
-          return e.lease === null ? row : { ...row, lease: e.lease };
+        request((): KeyValue | null => {
+          const entry = this.keys.get(key);
+          if (!entry) return null;
+          const row = { key, value: entry.value, revision: entry.revision };
+          return entry.lease === null ? row : { ...row, lease: entry.lease };
         }),
       range: (prefix, after) =>
-        ask((): KeyValuePage => {
+        request((): KeyValuePage => {
           const rows = [...this.keys]
             .filter(([key]) => key.startsWith(prefix) && (after === undefined || key > after))
-            .sort(([a], [b]) => (a < b ? -1 : 1))
-            .map(([key, e]) => ({ key, value: e.value, revision: e.revision }));
+            .sort(([first], [second]) => (first < second ? -1 : 1))
+            .map(([key, { value, revision }]) => ({ key, value, revision }));
           return {
             rows: rows.slice(0, PAGE_SIZE),
             more: rows.length > PAGE_SIZE,
@@ -183,10 +190,10 @@
           else this.rejectedTransactions.push(error);
           return Promise.reject(new StoreRequestTooLargeError(`state: commit refused ${error}`));
         }
-        const late = writes.length > 0 && this.lateCommitRate > 0 && this.random() < this.lateCommitRate;
-        const delay = late ? 2000 + 10_000 * this.random() : this.nextCommitDelayMs.get(node);
+        const isLate = writes.length > 0 && this.lateCommitRate > 0 && this.random() < this.lateCommitRate;
+        const delay = isLate ? 2000 + 10_000 * this.random() : this.nextCommitDelayMs.get(node);
         if (delay === undefined)
-          return ask(() => {
+          return request(() => {
             if (this.duplicateDelayMs !== null)
               this.clock.after(this.duplicateDelayMs, () => this.execute(conditions, writes));
             return this.execute(conditions, writes);
@@ -198,36 +205,38 @@
         });
       },
       grantLease: (ttl) =>
-        ask(() => {
+        request(() => {
           const id = this.nextLeaseId++ as LeaseId;
-          this.leases.set(id, { ttl, until: this.clock.now() + ttl });
+          this.leases.set(id, { ttl, validUntil: this.clock.now() + ttl });
           return id;
         }),
       keepLeaseAlive: (id) =>
-        ask(() => {
-          const grant = this.leases.get(id);
-          if (grant) grant.until = this.clock.now() + grant.ttl;
-          return grant !== undefined;
+        request(() => {
+          const lease = this.leases.get(id);
+          if (lease) lease.validUntil = this.clock.now() + lease.ttl;
+          return lease !== undefined;
         }),
-      revokeLease: (id) => ask(() => this.endLease(id)),
+      revokeLease: (id) => request(() => this.endLease(id)),
       watch: (prefix, after, waitMs) =>
         new Promise((resolve, reject) => {
           if (this.refusedClients.has(node) || this.isUnavailable) {
             clock.after(LATENCY_MS, () => reject(new StoreRefusedError('state: watch answered 503')));
             return;
           }
-          const news = (): WatchEvent[] =>
-            this.history.filter((c) => c.revision > after && c.key.startsWith(prefix));
-          const answer = (): void => {
+          const newEvents = (): WatchEvent[] =>
+            this.history.filter(({ key, revision }) => revision > after && key.startsWith(prefix));
+          const answerIfDue = (): void => {
             if (this.isUnavailable || this.refusedClients.has(node)) return;
-            if (news().length === 0 && this.clock.now() < end) return;
-            this.watchers.delete(answer);
-            clock.after(LATENCY_MS, () => resolve({ revision: this.revision as Revision, changes: news() }));
+            if (newEvents().length === 0 && this.clock.now() < deadline) return;
+            this.watchers.delete(answerIfDue);
+            clock.after(LATENCY_MS, () =>
+              resolve({ revision: this.revision as Revision, changes: newEvents() }),
+            );
           };
-          const end = this.clock.now() + waitMs;
-          this.watchers.add(answer);
-          this.clock.after(waitMs, answer);
-          answer();
+          const deadline = this.clock.now() + waitMs;
+          this.watchers.add(answerIfDue);
+          this.clock.after(waitMs, answerIfDue);
+          answerIfDue();
         }),
     };
   }
--- a/test/simulation/fake-servers.ts
+++ b/test/simulation/fake-servers.ts
@@ -1,4 +1,4 @@
-/** The stand-ins of state service, cloud and workers behind real sockets, in the words of their protocols. */
+/** HTTP servers in front of the fakes of key-value store, cloud and workers, in the terms of their protocols. */
 import { createServer, type IncomingMessage, type Server } from 'node:http';
 import { type Cloud, CloudRequestRefusedError } from '../../src/cloud/client.js';
 import type {
@@ -19,7 +19,7 @@
 import type { WriteOperation } from '../../src/wire/key-value-store.js';
 import type { HeartbeatAnswer, FakeWorker } from './fake-worker.js';
 
-/** A request, its body parsed. */
+/** A request with its parsed body. */
 interface Request {
   readonly method: string;
   readonly url: URL;
@@ -43,7 +43,7 @@
   return (text === '' ? undefined : JSON.parse(text)) as never;
 }
 
-/** Thrown by a handler whose answer the network loses. */
+/** Thrown by a handler to send no answer, as if the network had lost it. */
 export class AnswerLostError extends Error {}
 
 function answerTo(error: unknown): Answer | null {
@@ -53,7 +53,7 @@
   return { status: 400, body: { error: String(error) } };
 }
 
-/** Serves `handler` on an address; a refusal of the state service or the cloud becomes a 503, a lost answer none. */
+/** Serves `handler` on an address. Refusals of the store or the cloud become 503, lost answers are not sent. */
 export function serve(port: number, host: string, handler: Handler): Promise<Server> {
   const server = createServer((request, response) => {
     void readJson(request)
@@ -63,7 +63,7 @@
       })
       .catch(answerTo)
       .then((answer) => {
-        // The other side's deadline ends it.
+        // The request ends by the client's deadline.
         if (answer === null) return;
         response.writeHead(answer.status, { 'content-type': 'application/json' });
         response.end(JSON.stringify(answer.body));
@@ -130,13 +130,13 @@
     const { ttlMs } = body as { ttlMs: number };
     return { status: 200, body: { tether: await store.grantLease(ttlMs) } };
   }
-  const grant = Number(url.pathname.split('/')[2]) as LeaseId;
-  if (method !== 'DELETE') return { status: (await store.keepLeaseAlive(grant)) ? 200 : 404, body: {} };
-  await store.revokeLease(grant);
+  const lease = Number(url.pathname.split('/')[2]) as LeaseId;
+  if (method !== 'DELETE') return { status: (await store.keepLeaseAlive(lease)) ? 200 : 404, body: {} };
+  await store.revokeLease(lease);
   return { status: 200, body: {} };
 }
 
-/** The state service's interface over a stand-in. */
+/** Returns the key-value store's HTTP interface. */
 export function storeHandler(store: KeyValueStore): Handler {
   return async (request) => {
     const { pathname, searchParams } = request.url;
@@ -149,7 +149,7 @@
   };
 }
 
-/** The cloud's interface over a stand-in. */
+/** Returns the cloud's HTTP interface. */
 export function cloudHandler(
   cloud: Cloud,
   types: readonly MachineType[],
@@ -157,17 +157,17 @@
 ): Handler {
   return async ({ method, url, body }) => {
     if (url.pathname === '/machine_types') {
-      const flavours = types.map((t) => ({
-        name: t.id,
-        cpus: t.cpus,
-        gpus: t.gpus,
-        memoryGb: t.memoryGb,
-        cacheGb: t.cacheGb,
-        fetchGbPerS: t.fetchGbPerS,
-        price: t.price,
-        spotPrice: t.spotPrice,
-        startupS: t.bootTime / 1000,
-        halls: t.zones,
+      const flavours = types.map((type) => ({
+        name: type.id,
+        cpus: type.cpus,
+        gpus: type.gpus,
+        memoryGb: type.memoryGb,
+        cacheGb: type.cacheGb,
+        fetchGbPerS: type.fetchGbPerS,
+        price: type.price,
+        spotPrice: type.spotPrice,
+        startupS: type.bootTime / 1000,
+        halls: type.zones,
       }));
       return { status: 200, body: { flavours } };
     }
@@ -176,36 +176,36 @@
       return { status: 200, body: {} };
     }
     if (method === 'POST') {
-      const w = body as {
+      const { hire, flavour, hall, reclaimable, howMany } = body as {
         hire: ScaleOutRequestId;
         flavour: MachineTypeId;
         hall: ZoneId;
         reclaimable: boolean;
         howMany: number;
       };
-      const rented = await cloud.createMachines({
-        name: w.hire,
-        type: w.flavour,
-        zone: w.hall,
-        spot: w.reclaimable,
-        count: w.howMany,
+      const created = await cloud.createMachines({
+        name: hire,
+        type: flavour,
+        zone: hall,
+        spot: reclaimable,
+        count: howMany,
       });
-      return rented === 'no capacity'
-        ? { status: 503, body: { error: rented } }
-        : { status: 200, body: { hosts: rented.machines } };
+      return created === 'no capacity'
+        ? { status: 503, body: { error: created } }
+        : { status: 200, body: { hosts: created.machines } };
     }
-    const most = Number(url.searchParams.get('most') ?? 500);
+    const maxCount = Number(url.searchParams.get('most') ?? 500);
     const { machines } = await cloud.listMachines(url.searchParams.get('after') ?? '');
-    const hosts = machines.slice(0, most).map((m) => ({
-      ref: m.id,
-      address: addressOf(m.id),
-      flavour: m.type,
-      hall: m.zone,
-      reclaimable: m.spot,
-      status: m.status,
-      heldS: m.age / 1000,
+    const hosts = machines.slice(0, maxCount).map((machine) => ({
+      ref: machine.id,
+      address: addressOf(machine.id),
+      flavour: machine.type,
+      hall: machine.zone,
+      reclaimable: machine.spot,
+      status: machine.status,
+      heldS: machine.age / 1000,
     }));
-    return { status: 200, body: { hosts, more: machines.length > most } };
+    return { status: 200, body: { hosts, more: machines.length > maxCount } };
   };
 }
 
@@ -216,7 +216,7 @@
   exited: 'ended',
 };
 
-/** A worker's report in the words of the protocol. */
+/** Returns the body of a heartbeat in the terms of the protocol. */
 export function heartbeatBody(heartbeat: Heartbeat, addressOf: (id: MachineId) => string): object {
   return {
     host: heartbeat.machine,
@@ -228,11 +228,11 @@
     counter: heartbeat.sequence,
     epoch: heartbeat.token,
     warningS: heartbeat.interruptionNotice,
-    shards: heartbeat.attempts.map((a) => ({
-      shard: a.task,
-      try: a.attemptNumber,
-      status: STATES[a.state],
-      cause: a.cause,
+    shards: heartbeat.attempts.map(({ task, attemptNumber, state, cause }) => ({
+      shard: task,
+      try: attemptNumber,
+      status: STATES[state],
+      cause,
     })),
   };
 }
@@ -262,14 +262,14 @@
   return kind === 'stop' ? { kind, task, attemptNumber, graceS } : { kind, task, attemptNumber };
 }
 
-/** What a controller answered to a report. */
+/** Parses a controller's answer to a heartbeat. */
 export function heartbeatAnswer(status: number, body: unknown): HeartbeatAnswer {
   const { epoch = 0, orders = [], foreman } = (body ?? {}) as WireAnswer;
   const answer = { status, token: epoch as FencingToken, orders: orders.map(commandOf) };
   return foreman === undefined ? answer : { ...answer, foreman };
 }
 
-/** All workers' interfaces; which one is meant, the address that was called tells. */
+/** Returns the HTTP interface of all workers; the address that was called selects the worker. */
 export function workersHandler(
   workerAt: (address: string) => FakeWorker | undefined,
   addressOf: (id: MachineId) => string,
--- a/test/simulation/fake-worker.ts
+++ b/test/simulation/fake-worker.ts
@@ -1,3 +1,4 @@
+/** A fake of the agent on a machine. */
 import type {
   HeartbeatSequence,
   ImageId,
@@ -13,34 +14,37 @@
 import type { Clock } from '../../src/model/time.js';
 import { address } from './fake-cloud.js';
 
+/** How the tasks of a job behave. */
 export interface JobBehavior {
   readonly image: ImageId;
   readonly fetchMs: number;
-  /** Null: runs until it is killed. */
+  /** Null: runs until it is stopped. */
   readonly runMs: number | null;
   /** Every attempt fails. */
   readonly failsAlways: boolean;
 }
 
+/** A controller's answer to a heartbeat. */
 export interface HeartbeatAnswer {
   readonly status: number;
   readonly token: FencingToken;
   readonly orders: readonly WorkerCommand[];
-  /** The controller that the worker is sent to. */
+  /** The controller to which the worker is redirected. */
   readonly foreman?: string;
 }
 
+/** What a worker needs of the site: the network, its jobs, and callbacks for its tasks. */
 export interface WorkerEnvironment {
   readonly nodes: readonly string[];
   behaviorOf(id: JobId): JobBehavior | undefined;
   onTaskStarted(worker: FakeWorker, task: TaskId, attemptNumber: AttemptNumber): void;
-  onTaskEnded(worker: FakeWorker, task: TaskId, why: string): void;
-  /** Null: no answer. */
+  onTaskEnded(worker: FakeWorker, task: TaskId, cause: string): void;
+  /** Sends a heartbeat; resolves to null for no answer. */
   heartbeat(worker: FakeWorker, node: string, heartbeat: Heartbeat): Promise<HeartbeatAnswer | null>;
 }
 
 const MISDIRECTED_STATUS = 421;
-/** By then a worker that was sent elsewhere reports there. */
+/** A redirected worker sends its next heartbeat within this time. */
 const REDIRECT_DELAY_MS = 250;
 
 interface LocalAttempt {
@@ -49,7 +53,7 @@
   cause: string | null;
 }
 
-/** One machine's worker, by the published protocol. */
+/** A worker that behaves as the published protocol says. */
 export class FakeWorker {
   private incarnation = 1;
   private sequence = 0;
@@ -61,9 +65,9 @@
   private isHeartbeatInFlight = false;
   private hasChanges = false;
   private lastHeartbeatAt = -Infinity;
-  /** Does nothing; messages to it wait. */
+  /** Whether the machine hangs: it does nothing, and messages to it wait. */
   isHung = false;
-  /** Its machine fails whatever it starts. */
+  /** Whether every task fails on this machine. */
   failsTasks = false;
   isGone = false;
   interruptionNoticeS: number | null = null;
@@ -80,10 +84,12 @@
     this.scheduleTick();
   }
 
+  /** Makes the machine hang. */
   hang(): void {
     this.isHung = true;
   }
 
+  /** Lets the machine resume: it checks its lease, then handles what has waited. */
   resume(): void {
     this.isHung = false;
     this.checkLease();
@@ -95,8 +101,8 @@
     this.clock.after(250, () => {
       if (!this.isHung) {
         this.checkLease();
-        const wait = this.hasChanges ? 500 : this.heartbeatIntervalMs;
-        if (!this.isHeartbeatInFlight && this.clock.now() - this.lastHeartbeatAt >= wait)
+        const intervalMs = this.hasChanges ? 500 : this.heartbeatIntervalMs;
+        if (!this.isHeartbeatInFlight && this.clock.now() - this.lastHeartbeatAt >= intervalMs)
           void this.heartbeat();
       }
       this.scheduleTick();
@@ -105,8 +111,8 @@
 
   private checkLease(): void {
     if (this.isGone || this.clock.now() - this.leaseRenewedAt <= this.leaseMs) return;
-    for (const [task, t] of this.attempts)
-      if (t.state !== 'exited') this.environment.onTaskEnded(this, task, 'lease over');
+    for (const [task, attempt] of this.attempts)
+      if (attempt.state !== 'exited') this.environment.onTaskEnded(this, task, 'lease over');
     this.attempts.clear();
     this.incarnation++;
     this.leaseRenewedAt = this.clock.now();
@@ -115,11 +121,11 @@
 
   private snapshot(): Heartbeat {
     this.sequence++;
-    const attempts: Attempt[] = [...this.attempts].map(([task, t]) => ({
+    const attempts: Attempt[] = [...this.attempts].map(([task, { attemptNumber, state, cause }]) => ({
       task,
-      attemptNumber: t.attemptNumber,
-      state: t.state,
-      cause: t.cause,
+      attemptNumber,
+      state,
+      cause,
     }));
     return {
       machine: this.machine.id,
@@ -138,17 +144,17 @@
   private async heartbeat(): Promise<void> {
     this.isHeartbeatInFlight = true;
     this.hasChanges = false;
-    const sent = this.clock.now();
-    this.lastHeartbeatAt = sent;
-    const session = this.incarnation;
+    const sentAt = this.clock.now();
+    this.lastHeartbeatAt = sentAt;
+    const { incarnation } = this;
     const node = this.environment.nodes[this.nodeIndex % this.environment.nodes.length] as string;
     const answer = await this.environment.heartbeat(this, node, this.snapshot());
     this.isHeartbeatInFlight = false;
     if (this.isGone || this.isHung) return;
-    const named =
+    const redirectIndex =
       answer?.status === MISDIRECTED_STATUS ? this.environment.nodes.indexOf(answer.foreman ?? '') : -1;
-    if (named >= 0 && this.environment.nodes[named] !== node) {
-      this.nodeIndex = named;
+    if (redirectIndex >= 0 && this.environment.nodes[redirectIndex] !== node) {
+      this.nodeIndex = redirectIndex;
       this.lastHeartbeatAt = this.clock.now() - this.heartbeatIntervalMs + REDIRECT_DELAY_MS;
       return;
     }
@@ -157,104 +163,107 @@
       this.lastHeartbeatAt = this.clock.now() - this.heartbeatIntervalMs + 1000;
       return;
     }
-    if (this.clock.now() - sent > 4000 || session !== this.incarnation || answer.token < this.token) return;
+    if (this.clock.now() - sentAt > 4000 || incarnation !== this.incarnation || answer.token < this.token)
+      return;
     if (answer.token > this.token) this.hasChanges = true;
     this.token = answer.token;
-    this.leaseRenewedAt = sent;
+    this.leaseRenewedAt = sentAt;
     this.execute(answer.orders);
   }
 
-  /** POST /commands; a hanging machine carries it out when it goes on. */
+  /** Handles POST /commands. A hanging machine handles it once it resumes. */
   command(
     token: FencingToken,
-    session: AgentIncarnation,
-    orders: readonly WorkerCommand[],
+    incarnation: AgentIncarnation,
+    commands: readonly WorkerCommand[],
   ): { executed: boolean; heartbeat: Heartbeat } {
-    if (token < this.token || session !== this.incarnation)
+    if (token < this.token || incarnation !== this.incarnation)
       return { executed: false, heartbeat: this.snapshot() };
     if (token > this.token) this.hasChanges = true;
     this.token = token;
-    this.execute(orders);
+    this.execute(commands);
     return { executed: true, heartbeat: this.snapshot() };
   }
 
-  /** Runs now, or once the machine goes on. */
+  /** Runs the callback now, or once the hanging machine resumes. */
   runWhenResponsive(run: () => void): void {
     if (this.isHung) this.heldCallbacks.push(run);
     else if (!this.isGone) run();
   }
 
-  /** What it says now, without its counter moving on. */
+  /** Returns the current heartbeat without using up a sequence number. */
   repeatedHeartbeat(): Heartbeat {
     const heartbeat = this.snapshot();
     this.sequence--;
     return heartbeat;
   }
 
+  /** Returns the current heartbeat under a new sequence number. */
   currentHeartbeat(): Heartbeat {
     return this.snapshot();
   }
 
-  private execute(orders: readonly WorkerCommand[]): void {
-    for (const order of orders) {
-      const known = this.attempts.get(order.task);
-      if (order.kind === 'start') {
-        if (known && known.attemptNumber === order.attemptNumber) continue;
-        if (known && known.state !== 'exited') continue;
-        this.start(order.task, order.attemptNumber);
-      } else if (order.kind === 'stop') {
-        if (known && known.attemptNumber === order.attemptNumber && known.state !== 'exited')
-          this.exit(order.task, known, 'stopped');
-      } else if (known && known.attemptNumber === order.attemptNumber && known.state === 'exited')
-        this.attempts.delete(order.task);
+  private execute(commands: readonly WorkerCommand[]): void {
+    for (const command of commands) {
+      const attempt = this.attempts.get(command.task);
+      if (command.kind === 'start') {
+        if (attempt && attempt.attemptNumber === command.attemptNumber) continue;
+        if (attempt && attempt.state !== 'exited') continue;
+        this.start(command.task, command.attemptNumber);
+      } else if (command.kind === 'stop') {
+        if (attempt && attempt.attemptNumber === command.attemptNumber && attempt.state !== 'exited')
+          this.exit(command.task, attempt, 'stopped');
+      } else if (attempt && attempt.attemptNumber === command.attemptNumber && attempt.state === 'exited')
+        this.attempts.delete(command.task);
     }
   }
 
-  private exit(task: TaskId, t: LocalAttempt, cause: string): void {
-    const was = t.state;
-    t.state = 'exited';
-    t.cause = cause;
+  private exit(task: TaskId, attempt: LocalAttempt, cause: string): void {
+    const previousState = attempt.state;
+    attempt.state = 'exited';
+    attempt.cause = cause;
     this.hasChanges = true;
-    if (was === 'running') this.environment.onTaskEnded(this, task, cause);
+    if (previousState === 'running') this.environment.onTaskEnded(this, task, cause);
   }
 
   private start(task: TaskId, attemptNumber: AttemptNumber): void {
     const job = this.environment.behaviorOf(parseTaskId(task)?.job as JobId);
-    const t: LocalAttempt = { attemptNumber, state: 'fetching', cause: null };
-    this.attempts.set(task, t);
+    const attempt: LocalAttempt = { attemptNumber, state: 'fetching', cause: null };
+    this.attempts.set(task, attempt);
     this.hasChanges = true;
     if (!job) {
-      this.exit(task, t, 'no_such');
+      this.exit(task, attempt, 'no_such');
       return;
     }
     this.clock.after(this.fetchedImages.has(job.image) ? 1 : job.fetchMs, () =>
-      this.startRunning(task, t, job),
+      this.startRunning(task, attempt, job),
     );
   }
 
-  private startRunning(task: TaskId, t: LocalAttempt, job: JobBehavior): void {
-    if (this.isGone || t.state !== 'fetching' || this.attempts.get(task) !== t) return;
+  private startRunning(task: TaskId, attempt: LocalAttempt, job: JobBehavior): void {
+    if (this.isGone || attempt.state !== 'fetching' || this.attempts.get(task) !== attempt) return;
     this.fetchedImages.add(job.image);
-    t.state = 'running';
+    attempt.state = 'running';
     this.hasChanges = true;
-    this.environment.onTaskStarted(this, task, t.attemptNumber);
-    if (this.failsTasks || job.failsAlways) this.finishAfter(task, t, 800, 'error');
-    else if (job.runMs !== null) this.finishAfter(task, t, job.runMs, 'done');
+    this.environment.onTaskStarted(this, task, attempt.attemptNumber);
+    if (this.failsTasks || job.failsAlways) this.finishAfter(task, attempt, 800, 'error');
+    else if (job.runMs !== null) this.finishAfter(task, attempt, job.runMs, 'done');
   }
 
-  private finishAfter(task: TaskId, t: LocalAttempt, ms: number, cause: string): void {
+  private finishAfter(task: TaskId, attempt: LocalAttempt, ms: number, cause: string): void {
     this.clock.after(ms, () => {
       const finish = (): void => {
-        if (!this.isGone && t.state === 'running' && this.attempts.get(task) === t) this.exit(task, t, cause);
+        if (!this.isGone && attempt.state === 'running' && this.attempts.get(task) === attempt)
+          this.exit(task, attempt, cause);
       };
       this.runWhenResponsive(finish);
     });
   }
 
-  /** The machine ends and is back at once: a new session, and nothing on it. */
+  /** Restarts the machine at once: a new incarnation without tasks. */
   restart(): void {
-    for (const [task, t] of this.attempts)
-      if (t.state !== 'exited') this.environment.onTaskEnded(this, task, 'restarted');
+    for (const [task, attempt] of this.attempts)
+      if (attempt.state !== 'exited') this.environment.onTaskEnded(this, task, 'restarted');
     this.attempts.clear();
     this.fetchedImages.clear();
     this.incarnation++;
@@ -262,11 +271,11 @@
     this.hasChanges = true;
   }
 
-  /** The machine is gone, with everything on it. */
+  /** Removes the machine with all its tasks. */
   terminate(): void {
     this.isGone = true;
-    for (const [task, t] of this.attempts)
-      if (t.state === 'running') this.environment.onTaskEnded(this, task, 'machine gone');
+    for (const [task, attempt] of this.attempts)
+      if (attempt.state === 'running') this.environment.onTaskEnded(this, task, 'machine gone');
     this.attempts.clear();
   }
 }
--- a/test/simulation/faults.ts
+++ b/test/simulation/faults.ts
@@ -1,55 +1,57 @@
+/** The faults that scenarios inject. */
 import type { MachineId } from '../../src/model/ids.js';
 import type { ScenarioSite } from './scenario-site.js';
 
-/** Users of a day, as far as troubles need them. */
+/** The users of a scenario, as far as faults control them. */
 export interface ScenarioUsers {
-  /** Calls off so many of the jobs that run. */
+  /** Cancels up to `count` of the running jobs. */
   cancelSome(count: number): void;
-  /** From now on jobs are called off at about the moment of their end. */
+  /** Whether jobs are cancelled at about the time of their end. */
   cancelNearEnd: boolean;
-  /** Repeats of submissions, cancels of ended jobs, jobs that can't run or lack a field. */
+  /** Whether users repeat submissions, cancel ended jobs, and submit jobs that cannot run or lack a field. */
   sendOddRequests: boolean;
 }
 
-/** One trouble: it begins, and it ends so many seconds later. */
+/** A fault that is injected, and ended after `durationS` seconds. */
 export interface Fault {
   readonly name: string;
   readonly durationS: number;
+  /** Injects the fault; the result ends it. */
   inject(site: ScenarioSite, users: ScenarioUsers, random: () => number): () => void;
 }
 
 const RESTART_DELAY_S = 3;
 
-function randomMachines(site: ScenarioSite, share: number, random: () => number): MachineId[] {
-  return [...site.workers.keys()].filter(() => random() < share);
+function randomMachines(site: ScenarioSite, fraction: number, random: () => number): MachineId[] {
+  return [...site.workers.keys()].filter(() => random() < fraction);
 }
 
-function crashLeader(site: ScenarioSite, backS: number): void {
+function crashLeader(site: ScenarioSite, restartDelayS: number): void {
   const name = site.leader;
   if (!name) return;
   site.crash(name);
-  site.clock.after(backS * 1000, () => {
+  site.clock.after(restartDelayS * 1000, () => {
     if (!site.isRunning(name)) site.start(name);
   });
 }
 
-function repeatEvery(site: ScenarioSite, s: number, times: number, act: () => void): void {
-  for (let i = 0; i < times; i++) site.clock.after(i * s * 1000, act);
+function repeatEvery(site: ScenarioSite, intervalS: number, times: number, action: () => void): void {
+  for (let index = 0; index < times; index++) site.clock.after(index * intervalS * 1000, action);
 }
 
 const noop = (): void => {};
 
-/** A controller and some machines reach each other, and nothing else. */
+/** Partitions a controller and some machines from everything else; the result ends the partition. */
 export function isolateNode(
   site: ScenarioSite,
   node: string,
-  isInside: (host: MachineId) => boolean,
+  isInside: (machine: MachineId) => boolean,
 ): () => void {
   site.store.refusedClients.add(node);
   site.isolatedNodes.add(node);
-  for (const host of site.workers.keys()) {
+  for (const machine of site.workers.keys()) {
     for (const name of site.nodes)
-      if ((name === node) !== isInside(host)) site.cutLinks.add(`${name} ${host}`);
+      if ((name === node) !== isInside(machine)) site.cutLinks.add(`${name} ${machine}`);
   }
   return () => {
     site.store.refusedClients.delete(node);
@@ -58,7 +60,7 @@
   };
 }
 
-/** Those of the protocol and of the meetings that the users have seen rules break in. */
+/** The faults of the protocol, and those in which users have seen rules broken. */
 export const FAULTS: readonly Fault[] = [
   {
     name: 'leaders change, some within a fraction of a second',
@@ -69,11 +71,11 @@
     },
   },
   {
-    name: 'state refuses the leader alone, then all',
+    name: 'the key-value store refuses the leader alone, then all',
     durationS: 48,
     inject(site) {
-      const old = site.leader;
-      if (old) site.store.refusedClients.add(old);
+      const leader = site.leader;
+      if (leader) site.store.refusedClients.add(leader);
       site.clock.after(1500, () => {
         site.store.isUnavailable = true;
       });
@@ -84,21 +86,21 @@
     },
   },
   {
-    name: 'the leader loses state and the others, not workers and users',
+    name: 'the leader loses the store and its peers, not workers and users',
     durationS: 30,
     inject(site) {
-      const old = site.leader;
-      if (!old) return noop;
-      site.store.refusedClients.add(old);
-      site.isolatedNodes.add(old);
+      const leader = site.leader;
+      if (!leader) return noop;
+      site.store.refusedClients.add(leader);
+      site.isolatedNodes.add(leader);
       return () => {
-        site.store.refusedClients.delete(old);
-        site.isolatedNodes.delete(old);
+        site.store.refusedClients.delete(leader);
+        site.isolatedNodes.delete(leader);
       };
     },
   },
   {
-    name: 'all controllers are away for longer than a lease',
+    name: 'all controllers are down for longer than a lease',
     durationS: 26,
     inject(site) {
       for (const name of site.nodes) site.crash(name);
@@ -106,7 +108,7 @@
     },
   },
   {
-    name: 'transactions come late, after newer ones',
+    name: 'transactions are applied late, after newer ones',
     durationS: 40,
     inject(site) {
       site.store.lateCommitRate = 0.25;
@@ -116,7 +118,7 @@
     },
   },
   {
-    name: 'reports come again, late',
+    name: 'heartbeats are duplicated late',
     durationS: 40,
     inject(site) {
       site.duplicateHeartbeatRate = 0.4;
@@ -126,45 +128,45 @@
     },
   },
   {
-    name: 'machines are deaf',
+    name: 'machines receive nothing (inbound partition)',
     durationS: 35,
     inject(site, _users, random) {
-      const hosts = randomMachines(site, 0.5, random);
-      for (const host of hosts) site.inboundPartitioned.add(host);
+      const machines = randomMachines(site, 0.5, random);
+      for (const machine of machines) site.inboundPartitioned.add(machine);
       return () => site.inboundPartitioned.clear();
     },
   },
   {
-    name: 'machines are mute',
+    name: 'heartbeats of machines are lost (outbound partition)',
     durationS: 35,
     inject(site, _users, random) {
-      const hosts = randomMachines(site, 0.5, random);
-      for (const host of hosts) site.outboundPartitioned.add(host);
+      const machines = randomMachines(site, 0.5, random);
+      for (const machine of machines) site.outboundPartitioned.add(machine);
       return () => site.outboundPartitioned.clear();
     },
   },
   {
-    name: 'machines hang and go on',
+    name: 'machines hang and resume',
     durationS: 30,
     inject(site, _users, random) {
-      const hosts = randomMachines(site, 0.5, random);
-      for (const host of hosts) site.worker(host).hang();
+      const machines = randomMachines(site, 0.5, random);
+      for (const machine of machines) site.worker(machine).hang();
       return () => {
-        for (const host of hosts) site.workers.get(host)?.resume();
+        for (const machine of machines) site.workers.get(machine)?.resume();
       };
     },
   },
   {
-    name: 'commands are held up and arrive late',
+    name: 'commands are delayed',
     durationS: 25,
     inject(site, _users, random) {
-      const hosts = randomMachines(site, 0.5, random);
-      for (const host of hosts) for (const node of site.nodes) site.holdCommands(node, host);
+      const machines = randomMachines(site, 0.5, random);
+      for (const machine of machines) for (const node of site.nodes) site.holdCommands(node, machine);
       return () => site.releaseCommands();
     },
   },
   {
-    name: 'many cancel in one instant',
+    name: 'many jobs are cancelled at once',
     durationS: 20,
     inject(site, users) {
       users.cancelSome(4);
@@ -173,7 +175,7 @@
     },
   },
   {
-    name: 'jobs are called off as they end',
+    name: 'jobs are cancelled as they end',
     durationS: 40,
     inject(_site, users) {
       users.cancelNearEnd = true;
@@ -183,7 +185,7 @@
     },
   },
   {
-    name: 'odd requests',
+    name: 'repeated and invalid requests',
     durationS: 40,
     inject(_site, users) {
       users.sendOddRequests = true;
@@ -196,26 +198,26 @@
     name: 'machines die',
     durationS: 20,
     inject(site, _users, random) {
-      for (const host of randomMachines(site, 0.4, random)) site.killMachine(host);
+      for (const machine of randomMachines(site, 0.4, random)) site.killMachine(machine);
       return noop;
     },
   },
   {
-    name: 'the leader stands still',
+    name: 'the leader is paused',
     durationS: 12,
     inject(site) {
-      const old = site.leader;
-      if (old) site.pause(old, 9);
+      const leader = site.leader;
+      if (leader) site.pause(leader, 9);
       return noop;
     },
   },
   {
-    name: 'workers and a controller are cut off from the rest',
+    name: 'workers and a controller are partitioned from the rest',
     durationS: 28,
     inject(site, _users, random) {
       const node = site.nodes[Math.floor(random() * site.nodes.length)] as string;
       const inside = new Set(randomMachines(site, 0.5, random));
-      return isolateNode(site, node, (host) => inside.has(host));
+      return isolateNode(site, node, (machine) => inside.has(machine));
     },
   },
 ];
--- a/test/simulation/placement-request.ts
+++ b/test/simulation/placement-request.ts
@@ -1,18 +1,18 @@
-/** Jobs whose placement rules bind: types, zones, kinds of machines, all tasks together, or at most half in a zone. */
+/** Random jobs with placement rules: machine types, zones, spot, zone affinity, zone anti-affinity. */
 import { type JobRequest, MIXED_MACHINE_TYPES, MIXED_ZONES } from './site-setup.js';
 
-const SERVICE_SHARE = 0.2;
+const SERVICE_FRACTION = 0.2;
 
 function pick<T>(from: readonly T[], random: () => number): T {
   return from[Math.floor(random() * from.length)] as T;
 }
 
-/** Each part of the rule is drawn by itself, so that most jobs have several; several of their tasks fit a machine. */
+/** Draws each part of the rule independently, so that most jobs have several. Several of their tasks fit a machine. */
 export function randomPlacementRequest(random: () => number, maxTasks: number): Omit<JobRequest, 'ref'> {
-  const isService = random() < SERVICE_SHARE;
+  const isService = random() < SERVICE_FRACTION;
   const spread = random();
   const samePlace = spread < 0.4;
-  // With one zone alone, half of the tasks could never run beside the other half.
+  // In a single zone, a job with anti-affinity could never run all of its tasks.
   const apart = !samePlace && spread < 0.7;
   const hasZone = !apart && random() < 0.35;
   const hasTypes = random() < 0.4;
--- a/test/simulation/rule-checker.ts
+++ b/test/simulation/rule-checker.ts
@@ -1,6 +1,8 @@
+/** Checks the protocol's rules on the events of a site. */
 import { type MachineId, type JobId, parseTaskId, type TaskId } from '../../src/model/ids.js';
 import type { Machine } from '../../src/model/machine.js';
 
+/** A submitted job, in the protocol's terms: the body of the submission and the team's CPU limit. */
 interface SubmittedJob {
   readonly owner: string;
   readonly cpus: number;
@@ -14,25 +16,27 @@
   readonly limit: number | null;
 }
 
-/** PROTOCOL's rules, checked on the stand-ins alone: it knows nothing of the controllers. */
+/** Checks PROTOCOL's rules from what the fakes observe alone: it does not look into the controllers. */
 export class RuleChecker {
   private readonly jobs = new Map<JobId, SubmittedJob>();
-  /** When their users were told that they are accepted. */
+  /** When the users learned that a job was accepted. */
   private readonly acceptedAt = new Map<JobId, number>();
   private readonly runningOn = new Map<TaskId, Machine>();
   private readonly usedCpus = new Map<string, number>();
   private readonly doneTasks = new Set<TaskId>();
   private readonly doneCounts = new Map<string, number>();
-  /** Jobs that a user has asked to cancel, answered or not. */
+  /** Jobs that a user has requested to cancel, whether answered or not. */
   private readonly cancelRequested = new Set<string>();
   private readonly cancelDeadlines = new Map<JobId, number>();
   private readonly reportedStates = new Map<JobId, { readonly state: string; readonly at: number }>();
+  /** Descriptions of all violations. */
   readonly violations: string[] = [];
+  /** The number of attempts that were started. */
   startCount = 0;
 
   constructor(private readonly trace: (text: string) => void) {}
 
-  /** Told of every breach. */
+  /** Called for every violation. */
   onViolation: (text: string) => void = () => {};
 
   recordViolation(text: string): void {
@@ -41,11 +45,12 @@
     this.trace(text);
   }
 
-  /** From the first attempt on a job may be accepted, and its tasks may start. */
+  /** Records a submission: from the first attempt on, the job may be accepted and its tasks may start. */
   recordSubmission(id: JobId, body: Omit<SubmittedJob, 'limit'>, limit: number | null): void {
     if (!this.jobs.has(id)) this.jobs.set(id, { ...body, limit });
   }
 
+  /** Records that a user learned that a job was accepted. */
   recordAcceptance(id: JobId, now = -Infinity): void {
     if (!this.acceptedAt.has(id)) this.acceptedAt.set(id, now);
   }
@@ -54,14 +59,17 @@
     return this.acceptedAt.keys();
   }
 
+  /** Returns the machine on which a task runs. */
   machineOf(task: TaskId): MachineId | undefined {
     return this.runningOn.get(task)?.id;
   }
 
-  countRunning(which: (task: TaskId) => boolean): number {
-    return [...this.runningOn.keys()].filter(which).length;
+  /** Counts the running tasks that match. */
+  countRunning(matches: (task: TaskId) => boolean): number {
+    return [...this.runningOn.keys()].filter(matches).length;
   }
 
+  /** Records that a task started, and checks all rules for starts. */
   recordStart(task: TaskId, machine: Machine, now: number): void {
     const id = parseTaskId(task)?.job as JobId;
     const job = this.jobs.get(id);
@@ -87,11 +95,11 @@
     if (!job.samePlace && !job.apart) return;
     const zones = [...this.runningOn]
       .filter(([other]) => parseTaskId(other)?.job === id)
-      .map(([, m]) => m.zone);
+      .map(([, { zone }]) => zone);
     if (job.samePlace && new Set(zones).size > 1) this.recordViolation(`wrong_place: ${id} in several zones`);
-    const here = zones.filter((zone) => zone === machine.zone).length;
-    if (job.apart && here > Math.ceil(job.shards / 2)) {
-      this.recordViolation(`wrong_place: ${here} tasks of ${id} in ${machine.zone}`);
+    const countInZone = zones.filter((zone) => zone === machine.zone).length;
+    if (job.apart && countInZone > Math.ceil(job.shards / 2)) {
+      this.recordViolation(`wrong_place: ${countInZone} tasks of ${id} in ${machine.zone}`);
     }
   }
 
@@ -101,11 +109,11 @@
   }
 
   private checkStartTime(task: TaskId, id: JobId, job: SubmittedJob, now: number): void {
-    const limit = this.cancelDeadlines.get(id);
-    if (limit !== undefined && now > limit) this.recordViolation(`ran_cancelled: ${task} starts`);
+    const deadline = this.cancelDeadlines.get(id);
+    if (deadline !== undefined && now > deadline) this.recordViolation(`ran_cancelled: ${task} starts`);
     for (const ref of job.awaits) {
-      const needed = this.jobs.get(ref as JobId)?.shards ?? 0;
-      if ((this.doneCounts.get(ref) ?? 0) < needed)
+      const required = this.jobs.get(ref as JobId)?.shards ?? 0;
+      if ((this.doneCounts.get(ref) ?? 0) < required)
         this.recordViolation(`too_early: ${task} before ${ref} is done`);
     }
   }
@@ -114,64 +122,71 @@
     this.usedCpus.set(job.owner, (this.usedCpus.get(job.owner) ?? 0) + tasks * job.cpus);
   }
 
-  recordEnd(task: TaskId, host: MachineId, done: boolean): void {
-    if (this.runningOn.get(task)?.id === host) {
+  /** Records that a task ended on a machine. */
+  recordEnd(task: TaskId, machine: MachineId, isDone: boolean): void {
+    if (this.runningOn.get(task)?.id === machine) {
       this.runningOn.delete(task);
       const job = this.jobs.get(parseTaskId(task)?.job as JobId);
       if (job) this.addUsage(job, -1);
     }
-    if (!done || this.doneTasks.has(task)) return;
+    if (!isDone || this.doneTasks.has(task)) return;
     this.doneTasks.add(task);
     const ref = parseTaskId(task)?.job as string;
     this.doneCounts.set(ref, (this.doneCounts.get(ref) ?? 0) + 1);
   }
 
-  /** How a job ended before the day began. */
-  recordEarlierEnd(id: JobId, done: boolean): void {
-    if (done) this.doneCounts.set(id, this.jobs.get(id)?.shards ?? 0);
+  /** Records how a job ended before this site began. */
+  recordEarlierEnd(id: JobId, isDone: boolean): void {
+    if (isDone) this.doneCounts.set(id, this.jobs.get(id)?.shards ?? 0);
     else this.cancelRequested.add(id);
   }
 
+  /** Records that a user requested a cancellation. */
   recordCancelRequest(id: string): void {
     this.cancelRequested.add(id);
   }
 
-  /** All jobs that it needs, directly or through others. */
+  /** Returns all direct and transitive dependencies of a job. */
   private ancestorsOf(id: string): Set<string> {
-    const found = new Set<string>();
-    const next = [...(this.jobs.get(id as JobId)?.awaits ?? [])];
-    for (let ref = next.pop(); ref !== undefined; ref = next.pop()) {
-      if (found.has(ref)) continue;
-      found.add(ref);
-      next.push(...(this.jobs.get(ref as JobId)?.awaits ?? []));
+    const ancestors = new Set<string>();
+    const pending = [...(this.jobs.get(id as JobId)?.awaits ?? [])];
+    for (let ref = pending.pop(); ref !== undefined; ref = pending.pop()) {
+      if (ancestors.has(ref)) continue;
+      ancestors.add(ref);
+      pending.push(...(this.jobs.get(ref as JobId)?.awaits ?? []));
     }
-    return found;
+    return ancestors;
   }
 
-  recordCancellation(id: JobId, limit: number): void {
-    if (!this.cancelDeadlines.has(id)) this.cancelDeadlines.set(id, limit);
+  /** Records a confirmed cancellation: no task of the job may run after the deadline. */
+  recordCancellation(id: JobId, deadline: number): void {
+    if (!this.cancelDeadlines.has(id)) this.cancelDeadlines.set(id, deadline);
   }
 
+  /** Checks that cancelled jobs have no running task after their deadline. */
   checkCancelled(now: number): void {
-    for (const [id, limit] of this.cancelDeadlines) {
-      if (now > limit && this.countRunning((t) => parseTaskId(t)?.job === id) > 0) {
+    for (const [id, deadline] of this.cancelDeadlines) {
+      if (now > deadline && this.countRunning((task) => parseTaskId(task)?.job === id) > 0) {
         this.recordViolation(`ran_cancelled: ${id} is still on a machine`);
       }
     }
   }
 
-  /** `askedAt`: an answer may only be as old as the question; what was told in between is no breach. */
+  /**
+   * Records a job's state as a user learned it, and checks all rules for answers. `askedAt`: when the request was sent.
+   * What was reported after that is no reason for a violation.
+   */
   recordReportedState(id: JobId, state: string, now: number, askedAt = now): void {
     const before = this.reportedStates.get(id);
-    const final = before?.state === 'done' || before?.state === 'cancelled';
+    const wasFinal = before?.state === 'done' || before?.state === 'cancelled';
     this.checkExistence(id, state, askedAt);
-    if (before && final && before.at <= askedAt && state !== before.state) {
+    if (before && wasFinal && before.at <= askedAt && state !== before.state) {
       this.recordViolation(`went_back: ${id} from ${before.state} to ${state}`);
     }
     if (state === 'pending' || state === 'running') this.checkOrphan(id, state, askedAt);
     if (state === 'cancelled') this.checkCancelRequested(id);
     if (state === 'done') this.checkDone(id);
-    if (!final) this.reportedStates.set(id, { state, at: now });
+    if (!wasFinal) this.reportedStates.set(id, { state, at: now });
   }
 
   private checkExistence(id: JobId, state: string, askedAt: number): void {
@@ -181,10 +196,11 @@
   }
 
   private checkOrphan(id: JobId, state: string, now: number): void {
-    const late = [...this.ancestorsOf(id)].find(
+    const cancelledAncestor = [...this.ancestorsOf(id)].find(
       (ref) => now > (this.cancelDeadlines.get(ref as JobId) ?? Infinity),
     );
-    if (late) this.recordViolation(`orphaned: ${id} is called ${state}, ${late} is cancelled`);
+    if (cancelledAncestor)
+      this.recordViolation(`orphaned: ${id} is called ${state}, ${cancelledAncestor} is cancelled`);
   }
 
   private checkCancelRequested(id: JobId): void {
--- a/test/simulation/scenario-site.ts
+++ b/test/simulation/scenario-site.ts
@@ -1,28 +1,28 @@
-/** What a day of users and troubles needs of a site, on the virtual clock or on real processes. */
+/** The interface of a site that scenarios run on: simulated on a virtual clock, or real processes on loopback. */
 import type { MachineId } from '../../src/model/ids.js';
 import type { Clock } from '../../src/model/time.js';
 import type { JobRequest } from './site-setup.js';
 
-/** The machines' side that troubles act on. */
+/** A worker, as far as faults act on it. */
 interface FaultyWorker {
   hang(): void;
   resume(): void;
 }
 
-/** The state service's side that troubles act on. */
+/** The key-value store, as far as faults act on it. */
 interface FaultyStore {
   isUnavailable: boolean;
   lateCommitRate: number;
   readonly refusedClients: Set<string>;
 }
 
-/** The rules that a day itself finds broken. */
+/** The checker's interface for violations that the scenario itself detects. */
 interface ScenarioRules {
   readonly violations: readonly string[];
   recordViolation(text: string): void;
 }
 
-/** Controllers, machines and users; see `Site`. */
+/** Controllers, machines and users; see `SimulatedSite`. Durations in `s` are seconds of the scenario's clock. */
 export interface ScenarioSite {
   readonly clock: Pick<Clock, 'now' | 'after'>;
   readonly nodes: readonly string[];
@@ -44,12 +44,12 @@
   pause(node: string, s: number): void;
   isRunning(node: string): boolean;
   worker(id: MachineId): FaultyWorker;
-  holdCommands(node: string, host: MachineId): void;
+  holdCommands(node: string, machine: MachineId): void;
   releaseCommands(): void;
   killMachine(id: MachineId): void;
-  submitConcurrently(wish: JobRequest, node: string): Promise<number>;
+  submitConcurrently(request: JobRequest, node: string): Promise<number>;
   queryConcurrently(ref: string, node: string): Promise<string | null>;
   cancelConcurrently(ref: string, node: string): Promise<string | null>;
-  expectRejected(wish: JobRequest, node: string, lacks?: string): Promise<void>;
+  expectRejected(request: JobRequest, node: string, missingField?: string): Promise<void>;
   runningTaskCount(ref: string): number;
 }
--- a/test/simulation/scenario.ts
+++ b/test/simulation/scenario.ts
@@ -1,3 +1,4 @@
+/** Random scenarios: users with jobs of every shape, overlapping faults, and checks of what must hold in the end. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import type { ScenarioSite } from './scenario-site.js';
@@ -10,43 +11,46 @@
   state: 'new' | 'accepted' | 'done' | 'cancelled';
   isCancelling: boolean;
   readonly submittedAt: number;
-  /** When its user was told that it is done. */
+  /** When its user was told that it is done; null: not yet. */
   doneAt: number | null;
 }
 
-/** A job may wait 90 s once the troubles are over, and then it runs. */
+/** Once the faults are over, a job may wait 90 s, and then it runs. */
 const MAX_AFTER_S = 170;
 const MIN_ARRIVAL_MS = 1500;
 const ARRIVAL_SPREAD_MS = 5000;
-/** How much faster jobs of all placement kinds come. */
+/** How much more often jobs of all placement kinds are submitted. */
 const PLACEMENT_ARRIVAL_FACTOR = 3;
 /** More than any machine has. */
 const TOO_MANY_CPUS = 1000;
+/** Every fault begins this long after the one before. */
+const FAULT_STAGGER_MS = 1200;
+const INITIAL_SERVICES = 3;
 const QUERY_INTERVAL_MS = 5000;
 const RETRY_MS = 2000;
 
-/** How a day goes. */
+/** The options of a scenario. Durations are in seconds of the site's clock. */
 export interface ScenarioPlan {
-  /** Jobs of all placement kinds, of up to so many tasks. */
+  /** Whether jobs have placement rules of all kinds, with up to `maxTasks` tasks. */
   readonly hasPlacementJobs: boolean;
   readonly maxTasks: number;
-  /** Before the troubles begin. */
+  /** Time before the first fault. */
   readonly quietBeforeS: number;
-  /** How long rules are watched after the troubles, even if all is served. */
+  /** The minimum time for which rules are checked after the faults. */
   readonly minAfterS: number;
 }
 
-/** Jobs of every shape on a site of one machine type. */
+/** Jobs of every shape, for sites with one machine type. */
 const DEFAULT_PLAN: ScenarioPlan = {
   hasPlacementJobs: false,
   maxTasks: 4,
   quietBeforeS: 30,
   minAfterS: MAX_AFTER_S,
 };
-/** Jobs of every placement kind: for sites with several types and zones. */
+/** Jobs of every placement kind, for sites with several machine types and zones. */
 export const PLACEMENT_PLAN: ScenarioPlan = { ...DEFAULT_PLAN, hasPlacementJobs: true, maxTasks: 6 };
 
-/** One day of users on the stand-ins: jobs of every shape, troubles that overlap, and what must hold in the end. */
+/** One scenario on a site. All that is random is drawn from the seed. */
 export class Scenario<S extends ScenarioSite = ScenarioSite> implements ScenarioUsers {
   cancelNearEnd = false;
   sendOddRequests = false;
@@ -63,28 +67,31 @@
     this.random = () => uniformFloat64(generator);
   }
 
-  async run(troubles: readonly Fault[]): Promise<void> {
+  /** Runs the scenario to its end. Violations are recorded in the site's rules. */
+  async run(faults: readonly Fault[]): Promise<void> {
     const { site } = this;
     site.startAll();
     await site.run(1);
-    for (let i = 0; i < 3; i++) this.submit({ kind: 'service', tasks: 1 + (i % 2), team: 'blue' });
+    for (let index = 0; index < INITIAL_SERVICES; index++) {
+      this.submit({ kind: 'service', tasks: 1 + (index % 2), team: 'blue' });
+    }
     this.scheduleArrivals();
     await site.run(this.plan.quietBeforeS);
     const ends: number[] = [];
-    for (const [i, trouble] of troubles.entries()) {
-      // They overlap: each begins within the one before.
-      site.clock.after(i * 1200, () => {
-        site.trace(`trouble    ${trouble.name}`);
-        const end = trouble.inject(site, this, this.random);
-        site.clock.after(trouble.durationS * 1000, () => {
-          site.trace(`over       ${trouble.name}`);
+    for (const [index, fault] of faults.entries()) {
+      // Faults overlap: each begins while the one before lasts.
+      site.clock.after(index * FAULT_STAGGER_MS, () => {
+        site.trace(`fault      ${fault.name}`);
+        const end = fault.inject(site, this, this.random);
+        site.clock.after(fault.durationS * 1000, () => {
+          site.trace(`over       ${fault.name}`);
           end();
         });
       });
-      ends.push(i * 1.2 + trouble.durationS);
+      ends.push((index * FAULT_STAGGER_MS) / 1000 + fault.durationS);
     }
     await site.run(Math.max(5, ...ends) + 1);
-    // Whoever is down by then comes back.
+    // Controllers that are still down are restarted.
     for (const name of site.nodes) if (!site.isRunning(name)) site.start(name);
     await site.run(15);
     this.isOver = true;
@@ -98,8 +105,8 @@
 
   private scheduleArrivals(): void {
     if (this.isOver) return;
-    const rush = this.plan.hasPlacementJobs ? PLACEMENT_ARRIVAL_FACTOR : 1;
-    this.site.clock.after((MIN_ARRIVAL_MS + ARRIVAL_SPREAD_MS * this.random()) / rush, () => {
+    const rate = this.plan.hasPlacementJobs ? PLACEMENT_ARRIVAL_FACTOR : 1;
+    this.site.clock.after((MIN_ARRIVAL_MS + ARRIVAL_SPREAD_MS * this.random()) / rate, () => {
       if (this.isOver) return;
       this.submit(
         this.plan.hasPlacementJobs
@@ -126,22 +133,22 @@
     };
   }
 
-  /** Arrays that were accepted, the latest ones, whatever became of them. */
+  /** Returns some of the latest arrays that were accepted, whatever their state is. */
   private someAcceptedArrays(): string[] {
-    const known = this.jobs.filter((j) => j.state !== 'new' && j.request.kind !== 'service').slice(-4);
-    return known.filter(() => this.random() < 0.5).map((j) => j.request.ref);
+    const recent = this.jobs.filter((job) => job.state !== 'new' && job.request.kind !== 'service').slice(-4);
+    return recent.filter(() => this.random() < 0.5).map((job) => job.request.ref);
   }
 
   private randomRunningNode(): string {
     const { nodes } = this.site;
-    const up = nodes.filter((n) => this.site.isRunning(n));
-    return up[Math.floor(this.random() * up.length)] ?? (nodes[0] as string);
+    const running = nodes.filter((node) => this.site.isRunning(node));
+    return running[Math.floor(this.random() * running.length)] ?? (nodes[0] as string);
   }
 
-  private submit(wish: Omit<JobRequest, 'ref'>): void {
+  private submit(request: Omit<JobRequest, 'ref'>): void {
     const ref = `j-${String(this.jobs.length + 1).padStart(6, '0')}`;
     const job: UserJob = {
-      request: { ref, ...wish },
+      request: { ref, ...request },
       state: 'new',
       isCancelling: false,
       submittedAt: this.site.clock.now(),
@@ -156,7 +163,7 @@
     if (status === 200 || status === 201) {
       job.state = 'accepted';
       this.scheduleQueries(job);
-      // Replicas are called off sooner or later.
+      // Some services are cancelled later.
       if (job.request.kind === 'service' && this.random() < 0.4) {
         this.site.clock.after(10_000 + 60_000 * this.random(), () => void this.cancel(job));
       }
@@ -173,9 +180,9 @@
         if (state === 'done') job.doneAt ??= this.site.clock.now();
       });
       this.scheduleQueries(job);
-      const lasted = this.site.clock.now() - job.submittedAt;
+      const ageMs = this.site.clock.now() - job.submittedAt;
       const runMs = (job.request.runS ?? 0) * 1000;
-      if (this.cancelNearEnd && job.request.kind !== 'service' && lasted > runMs && this.random() < 0.4)
+      if (this.cancelNearEnd && job.request.kind !== 'service' && ageMs > runMs && this.random() < 0.4)
         void this.cancel(job);
       if (this.sendOddRequests) this.makeOddRequests(job);
     });
@@ -183,7 +190,7 @@
 
   private makeOddRequests(job: UserJob): void {
     void this.site.submitConcurrently(job.request, this.randomRunningNode());
-    const ended = this.jobs.find((j) => j.state === 'done');
+    const ended = this.jobs.find((job) => job.state === 'done');
     if (ended) {
       void this.site.cancelConcurrently(ended.request.ref, this.randomRunningNode());
       void this.site.submitConcurrently(ended.request, this.randomRunningNode());
@@ -207,15 +214,16 @@
     else this.site.clock.after(RETRY_MS, () => void this.cancel(job));
   }
 
+  /** Cancels up to `count` of the running jobs, the latest ones. */
   cancelSome(count: number): void {
     const { site } = this;
     const running = this.jobs.filter(
-      (j) => j.state === 'accepted' && !j.isCancelling && site.runningTaskCount(j.request.ref) > 0,
+      (job) => job.state === 'accepted' && !job.isCancelling && site.runningTaskCount(job.request.ref) > 0,
     );
     for (const job of running.slice(-count)) void this.cancel(job);
   }
 
-  /** From when all that it waited for was done; null: something is not. */
+  /** Returns when all dependencies of the job were done; null: one is not. */
   private readyAt({ submittedAt, request }: UserJob): number | null {
     let ready = submittedAt;
     for (const ref of request.awaits ?? []) {
@@ -227,8 +235,8 @@
   }
 
   /**
-   * The last jobs of a chain may become ready long after the troubles: each has the same time from then on. None may
-   * be late itself.
+   * The last jobs of a chain of dependencies may become ready long after the faults: each has the same time from then
+   * on, and none may exceed it.
    */
   private mayStillBeServed(): boolean {
     const now = this.site.clock.now();
@@ -239,27 +247,29 @@
     return limits.length > 0 && limits.every((limit) => now < limit) && limits.some(Number.isFinite);
   }
 
-  /** Long after the troubles nothing waits: arrays are done, replicas run, cancelled jobs have no task. */
+  /** Describes the jobs that are not served: long after the faults arrays must be done, and services must run. */
   private unservedJobs(): string[] {
     const { site } = this;
     const texts: string[] = [];
     for (const { request, state } of this.jobs) {
       if (state === 'new' || state === 'done') continue;
-      const on = site.runningTaskCount(request.ref);
+      const running = site.runningTaskCount(request.ref);
       const tasks = request.tasks ?? 1;
-      if (state === 'cancelled' && on > 0) texts.push(`ran_cancelled: ${request.ref} at the end`);
+      if (state === 'cancelled' && running > 0) texts.push(`ran_cancelled: ${request.ref} at the end`);
       if (state === 'accepted' && request.kind !== 'service')
-        texts.push(`waits: ${request.ref} is not done, ${on} of ${tasks} run`);
-      if (state === 'accepted' && request.kind === 'service' && on < tasks)
-        texts.push(`waits: ${request.ref}, ${on} of ${tasks} replicas run`);
+        texts.push(`waits: ${request.ref} is not done, ${running} of ${tasks} run`);
+      if (state === 'accepted' && request.kind === 'service' && running < tasks)
+        texts.push(`waits: ${request.ref}, ${running} of ${tasks} replicas run`);
     }
     return texts;
   }
 
+  /** The number of jobs that were accepted. */
   get acceptedCount(): number {
-    return this.jobs.filter((j) => j.state !== 'new').length;
+    return this.jobs.filter((job) => job.state !== 'new').length;
   }
 
+  /** The number of jobs that were submitted. */
   get submittedCount(): number {
     return this.jobs.length;
   }
--- a/test/simulation/settings-file.ts
+++ b/test/simulation/settings-file.ts
@@ -1,13 +1,13 @@
-/** The settings file of a controller that runs against stand-ins on loopback. */
+/** The settings file of a controller that runs against fakes on loopback. */
 
-/** Another controller, and where this one reaches it. */
+/** Another controller and its address. */
 interface PeerSettings {
   readonly member: string;
   readonly zone: string;
   readonly address: string;
 }
 
-/** What differs from controller to controller and from tool to tool. */
+/** The settings that differ between controllers and between tools. */
 export interface ControllerSettings {
   readonly member: string;
   readonly zone: string;
@@ -38,7 +38,7 @@
   return `[[facts.teams]]\nname = "${name}"\n${limits}`;
 }
 
-/** As the platform would hand it over. */
+/** Renders the file in the platform's format. */
 export function settingsFile(settings: ControllerSettings): string {
   return `member = "${settings.member}"
 site = "${settings.zone}"
--- a/test/simulation/simulated-controllers.ts
+++ b/test/simulation/simulated-controllers.ts
@@ -1,4 +1,4 @@
-/** The controllers of a stand-in site. */
+/** The controllers of a simulated site. */
 import { PeerSupport } from '@plumyoke/membership';
 import { SimulatedNetwork } from '@plumyoke/simulation';
 import { UserService } from '../../src/api/user-service.js';
@@ -24,7 +24,7 @@
 import { SimulatedMachines } from './simulated-machines.js';
 import { type HeartbeatAnswer, type FakeWorker } from './fake-worker.js';
 
-/** One way between two controllers. */
+/** The latency of one direction between two controllers. */
 const PEER_LATENCY_MS = 3;
 
 interface RunningController {
@@ -36,26 +36,26 @@
   readonly cancellations: ConfirmedCancellations;
 }
 
-/** Controllers that start, end, stand still and are cut off from each other. */
+/** Controllers that can be started, killed, paused and partitioned. */
 export class SimulatedControllers extends SimulatedMachines {
   protected readonly running = new Map<string, RunningController>();
-  /** Of this share of the reports a copy arrives again, 2 to 40 s later, at whoever leads then. */
+  /** The fraction of heartbeats of which a duplicate arrives 2 to 40 s later, at the leader of that time. */
   duplicateHeartbeatRate = 0;
-  /** Nodes that reach no other controller. */
+  /** Nodes that cannot reach other controllers. */
   readonly isolatedNodes = new Set<string>();
-  /** Nodes that start from now on could not read the machine types. */
+  /** Whether nodes that start from now on do not know the machine types. */
   machineTypesUnknown = false;
-  /** Nodes of a version that knows nothing of cancellations told between controllers. */
+  /** Nodes of a version that does not exchange cancellations with its peers. */
   readonly earlierVersionNodes = new Set<string>();
-  /** The protocol version that all controllers have that are not `old`. */
+  /** The protocol version of all other nodes. */
   version = PROTOCOL_VERSION;
-  /** Failure detection, where a test switches it on; nodes that start from then on have it. */
+  /** Failure detection for nodes that start from now on; null: none. */
   failover: FailoverFeature | null = null;
   readonly peerNetwork: SimulatedNetwork;
-  /** The share of its processor time that each node uses. */
+  /** The share of processor time that each node reports. */
   load = 0;
 
-  /** A controller that had to withhold an order would have broken a rule without that check: no test may pass. */
+  /** A withheld command is recorded as a violation: without that check the controller would have broken a rule. */
   private readonly log: Logger = {
     ...silentLogger,
     error: (fields, text) => {
@@ -68,6 +68,7 @@
     this.peerNetwork = new SimulatedNetwork(this.clock, this.random);
   }
 
+  /** Starts a node. */
   start(name: string): void {
     const clock = new ProcessClock(this.clock);
     const settings = this.failover ? this.settingsWithPeers(name) : siteSettings(name, this.size);
@@ -75,7 +76,7 @@
     const limits = new StoreLimits(settings, clock, limitProbe(store, settings));
     if (this.earlierVersionNodes.size === 0) limits.allowSplitProgress();
     const cancellations = new ConfirmedCancellations(clock, seconds(CANCEL_S));
-    const ctx: ControllerContext = {
+    const context: ControllerContext = {
       member: name as MemberId,
       clock,
       log: this.log,
@@ -86,7 +87,7 @@
       workerClient: this.workerClientFor(name, clock),
       random: this.random,
       machineTypes: new Map(
-        this.machineTypesUnknown ? [] : (this.size.types ?? MACHINE_TYPES).map((t) => [t.id, t]),
+        this.machineTypesUnknown ? [] : (this.size.types ?? MACHINE_TYPES).map((type) => [type.id, type]),
       ),
       maxConcurrentWorkerCalls: 64,
       load: () => this.load,
@@ -98,27 +99,27 @@
       prefetchedRecords: (prefix) =>
         this.running.get(name)?.failover?.readAhead(prefix) ?? Promise.resolve(null),
     };
-    const leadership = new Leadership(ctx, () => Promise.resolve());
-    const failover = this.failoverOf(name, ctx, leadership, clock);
+    const leadership = new Leadership(context, () => Promise.resolve());
+    const failover = this.failoverOf(name, context, leadership, clock);
     this.running.set(name, {
       failover,
       clock,
       leadership,
       cancellations,
       users: new UserService(
-        ctx,
+        context,
         () => null,
         () => this.running.size,
       ),
     });
     cancellations.onLearned((ids) => {
       leadership.leader?.onCancellationsConfirmed(ids);
-      const told = cancellations.list(ids);
+      const confirmed = cancellations.list(ids);
       for (const other of this.nodes) {
         if (other === name || !this.canReach(name, other)) continue;
         this.clock.after(PEER_LATENCY_MS, () => {
-          const to = this.running.get(other);
-          to?.clock.whenRunning(() => to.cancellations.learn(told));
+          const receiver = this.running.get(other);
+          receiver?.clock.whenRunning(() => receiver.cancellations.learn(confirmed));
         });
       }
     });
@@ -129,8 +130,8 @@
 
   protected settingsWithPeers(name: string): Settings {
     const others = this.nodes.filter((other) => other !== name);
-    const siblings = others.map((member) => ({ member: member as MemberId, address: '127.0.0.1:2' }));
-    return { ...siteSettings(name, this.size), peers: siblings };
+    const peers = others.map((member) => ({ member: member as MemberId, address: '127.0.0.1:2' }));
+    return { ...siteSettings(name, this.size), peers };
   }
 
   protected failoverOf(
@@ -163,7 +164,7 @@
     return failover;
   }
 
-  /** The node hands over and says goodbye, then its process ends. */
+  /** Shuts a node down gracefully: it hands over and announces its departure, then its process ends. */
   leave(name: string): void {
     this.trace(`${name}     leaves`);
     void this.running
@@ -172,45 +173,49 @@
       .then(() => this.crash(name));
   }
 
-  /** What a node's operator is shown. */
+  /** Returns the members as a node shows them to operators. */
   members(name: string): MemberLine[] {
     return this.running.get(name)?.failover?.lines() ?? [];
   }
 
-  /** Whether cancellations pass between two controllers: both know of them and nothing cuts them off. */
-  protected canReach(a: string, b: string): boolean {
-    return ![a, b].some(
+  /** Returns whether cancellations pass between two controllers: both support them and neither is isolated. */
+  protected canReach(first: string, second: string): boolean {
+    return ![first, second].some(
       (name) => this.isolatedNodes.has(name) || this.earlierVersionNodes.has(name) || !this.running.has(name),
     );
   }
 
   protected peersOf(name: string, clock: ProcessClock): PeerStatusSource {
-    const ask = (other: string, deadlineMs: number): Promise<PeerStatus | null> =>
+    const requestStatus = (other: string, deadlineMs: number): Promise<PeerStatus | null> =>
       new Promise((resolve) => {
         clock.after(deadlineMs, () => resolve(null));
         if (!this.canReach(name, other)) return;
         this.clock.after(PEER_LATENCY_MS, () => {
-          const to = this.running.get(other);
-          to?.clock.whenRunning(() => {
-            const word: PeerStatus = {
-              uptime: to.cancellations.uptime,
-              leadingEpoch: to.leadership.leader?.epoch ?? null,
-              cancellations: to.cancellations.list(),
+          const receiver = this.running.get(other);
+          receiver?.clock.whenRunning(() => {
+            const status: PeerStatus = {
+              uptime: receiver.cancellations.uptime,
+              leadingEpoch: receiver.leadership.leader?.epoch ?? null,
+              cancellations: receiver.cancellations.list(),
             };
-            clock.after(PEER_LATENCY_MS, () => resolve(word));
+            clock.after(PEER_LATENCY_MS, () => resolve(status));
           });
         });
       });
     return {
       collectStatus: (deadlineMs) =>
-        Promise.all(this.nodes.filter((n) => n !== name).map((other) => ask(other, deadlineMs))),
+        Promise.all(
+          this.nodes.filter((other) => other !== name).map((other) => requestStatus(other, deadlineMs)),
+        ),
     };
   }
 
+  /** Starts all nodes. */
   startAll(): void {
     for (const name of this.nodes) this.start(name);
   }
 
+  /** Kills a node. */
   crash(name: string): void {
     const node = this.running.get(name);
     if (!node) return;
@@ -220,13 +225,13 @@
     this.trace(`${name}     crashes`);
   }
 
-  /** The process stands still for so long while its clock runs on, then goes on with whatever it did. */
-  pause(name: string, s: number): void {
+  /** Pauses a process while its clock continues; it resumes after `seconds`. */
+  pause(name: string, seconds: number): void {
     const clock = this.running.get(name)?.clock;
     if (!clock) return;
     this.trace(`${name}     stands still`);
     clock.pause();
-    this.clock.after(s * 1000, () => {
+    this.clock.after(seconds * 1000, () => {
       this.trace(`${name}     goes on`);
       clock.resume();
     });
@@ -236,7 +241,7 @@
     return this.leaderSeenFrom(null);
   }
 
-  /** Of several the one with the newest epoch, as a node hears of them that reaches the others. */
+  /** Returns the leader with the highest epoch that a node can know of; `node` null: of all. */
   protected leaderSeenFrom(node: string | null): string | undefined {
     const epoch = (name: string): number => this.running.get(name)?.leadership.leader?.epoch ?? 0;
     return this.nodes
@@ -245,14 +250,14 @@
         (name) =>
           name === node || !(this.isolatedNodes.has(name) || (node !== null && this.isolatedNodes.has(node))),
       )
-      .sort((a, b) => epoch(b) - epoch(a))[0];
+      .sort((first, second) => epoch(second) - epoch(first))[0];
   }
 
   isLeading(node: string): boolean {
     return this.running.get(node)?.leadership.leader != null;
   }
 
-  /** Machines in the leader's book. */
+  /** The number of machines in the leader's fleet. */
   get fleetSize(): number {
     const summary = this.running.get(this.leader ?? '')?.leadership.leader?.summary() as
       { workers: number } | undefined;
@@ -263,11 +268,11 @@
     return this.running.has(node);
   }
 
-  /** What the machine says now comes once more, so much later, through the node that leads then. */
-  duplicateHeartbeatLater(id: MachineId, s: number): void {
+  /** Delivers a copy of a machine's current heartbeat after a delay, to the leader of that time. */
+  duplicateHeartbeatLater(id: MachineId, delayS: number): void {
     const heartbeat = this.worker(id).repeatedHeartbeat();
-    this.clock.after(s * 1000, () => {
-      this.trace(`network    delivers a copy of what ${id} said ${s} s ago`);
+    this.clock.after(delayS * 1000, () => {
+      this.trace(`network    delivers a copy of what ${id} said ${delayS} s ago`);
       this.deliverDuplicate(heartbeat);
     });
   }
@@ -288,27 +293,27 @@
     return new Promise((resolve) => {
       this.clock.after(4000, () => resolve(null));
       if (this.outboundPartitioned.has(worker.machine.id)) return;
-      const cut = (name: string): boolean => this.cutLinks.has(`${name} ${worker.machine.id}`);
-      if (cut(node) || !this.running.has(node)) {
-        if (!cut(node)) this.clock.after(2, () => resolve(null));
+      const isCut = (name: string): boolean => this.cutLinks.has(`${name} ${worker.machine.id}`);
+      if (isCut(node) || !this.running.has(node)) {
+        if (!isCut(node)) this.clock.after(2, () => resolve(null));
         return;
       }
       const clock = this.running.get(node)?.clock;
       this.clock.after(3, () =>
         clock?.whenRunning(() => {
-          // A follower passes the report on to whoever leads.
+          // A follower forwards the heartbeat to the leader.
           const own = this.running.get(node)?.leadership;
-          const leads = own?.leader ? node : this.leaderSeenFrom(node);
-          const leader = this.running.get(leads ?? '');
-          const reached = !this.inboundPartitioned.has(worker.machine.id);
+          const leaderName = own?.leader ? node : this.leaderSeenFrom(node);
+          const leader = this.running.get(leaderName ?? '');
+          const canAnswer = !this.inboundPartitioned.has(worker.machine.id);
           if (!leader) {
-            if (!reached) return;
+            if (!canAnswer) return;
             resolve({ status: 503, token: 0 as HeartbeatAnswer['token'], orders: [] });
             return;
           }
-          const take = async (): Promise<void> => {
+          const handle = async (): Promise<void> => {
             const answer = await leader.leadership.handleHeartbeat(heartbeat, node as MemberId);
-            if (!reached) return;
+            if (!canAnswer) return;
             this.clock.after(2, () =>
               resolve(
                 answer?.kind === 'commands'
@@ -317,7 +322,7 @@
               ),
             );
           };
-          leader.clock.whenRunning(() => void take());
+          leader.clock.whenRunning(() => void handle());
         }),
       );
     });
--- a/test/simulation/simulated-machines.ts
+++ b/test/simulation/simulated-machines.ts
@@ -1,4 +1,4 @@
-/** The machines of a stand-in site, and the network between them and the controllers. */
+/** The machines of a simulated site, and the network between them and the controllers. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import type { WorkerClient } from '../../src/core/context.js';
@@ -20,7 +20,7 @@
 import { FakeKeyValueStore } from './fake-key-value-store.js';
 import { type HeartbeatAnswer, type JobBehavior, FakeWorker, type WorkerEnvironment } from './fake-worker.js';
 
-/** State service, cloud, workers and the checker of rules, on one virtual clock. */
+/** Key-value store, cloud, workers and rule checker on one virtual clock. */
 export abstract class SimulatedMachines implements WorkerEnvironment {
   readonly clock = new VirtualClock();
   readonly store = new FakeKeyValueStore(this.clock);
@@ -31,22 +31,22 @@
   protected readonly jobs = new Map<JobId, JobBehavior>();
   protected readonly lines: string[] = [];
   protected readonly random: () => number;
-  /** `node host`: nothing passes between them. */
+  /** Pairs `node machine` between which no message passes. */
   readonly cutLinks = new Set<string>();
-  /** `node host`: orders sent straight are held back until released. */
+  /** Pairs `node machine` whose direct commands are held until released. */
   readonly heldLinks = new Set<string>();
-  /** Their reports arrive; no answer and no command reaches them. */
+  /** Machines that receive nothing: their heartbeats arrive, but no answer and no command reaches them. */
   readonly inboundPartitioned = new Set<MachineId>();
-  /** They reach no controller; commands sent straight reach them. */
+  /** Machines whose heartbeats reach no controller, while direct commands reach them. */
   readonly outboundPartitioned = new Set<MachineId>();
   protected commandRepeatDelayS: number | null = null;
   protected readonly heldCommands: { pair: string; run: () => void }[] = [];
-  /** Direct calls to workers under way, at most so far. */
+  /** The maximum of concurrent direct calls to workers so far. */
   maxConcurrentCalls = 0;
   protected openCalls = 0;
 
   constructor(protected readonly size = SMALL_SITE) {
-    this.nodes = Array.from({ length: size.nodes }, (_, n) => `node-${n}`);
+    this.nodes = Array.from({ length: size.nodes }, (_, index) => `node-${index}`);
     const generator = xoroshiro128plus(7);
     this.random = () => uniformFloat64(generator);
     this.store.random = this.random;
@@ -59,88 +59,97 @@
     );
   }
 
-  /** A worker's report arrives at a node. */
+  /** Delivers a worker's heartbeat to a node. */
   abstract heartbeat(worker: FakeWorker, node: string, heartbeat: Heartbeat): Promise<HeartbeatAnswer | null>;
 
+  /** Adds a line to the trace, with the time. */
   trace(text: string): void {
     this.lines.push(`${(this.clock.now() / 1000).toFixed(2).padStart(7)}  ${text}`);
   }
 
+  /** The trace as text. */
   get traceText(): string {
     return `${this.lines.join('\n')}\n`;
   }
 
-  async run(s: number): Promise<void> {
-    await this.clock.advance(s * 1000);
+  /** Advances the time. */
+  async run(seconds: number): Promise<void> {
+    await this.clock.advance(seconds * 1000);
   }
 
   protected workerClientFor(node: string, clock: ProcessClock): WorkerClient {
-    const reach = <T>(addr: string, deadline: number, act: (w: FakeWorker) => T): Promise<T> =>
+    const call = <T>(
+      workerAddress: string,
+      deadlineMs: number,
+      operation: (worker: FakeWorker) => T,
+    ): Promise<T> =>
       new Promise((resolve, reject) => {
-        const host = addr.slice(0, addr.indexOf(':')) as MachineId;
-        const pair = `${node} ${host}`;
-        const worker = this.workers.get(host);
+        const machine = workerAddress.slice(0, workerAddress.indexOf(':')) as MachineId;
+        const pair = `${node} ${machine}`;
+        const worker = this.workers.get(machine);
         this.maxConcurrentCalls = Math.max(this.maxConcurrentCalls, ++this.openCalls);
-        let open = true;
-        const over = (): void => {
-          if (open) this.openCalls--;
-          open = false;
+        let isOpen = true;
+        const close = (): void => {
+          if (isOpen) this.openCalls--;
+          isOpen = false;
         };
-        clock.after(deadline, () => {
-          over();
+        clock.after(deadlineMs, () => {
+          close();
           reject(new NoAnswerError('deadline passed'));
         });
-        if (!worker || this.cutLinks.has(pair) || this.inboundPartitioned.has(host)) return;
-        const arrive = (): void =>
+        if (!worker || this.cutLinks.has(pair) || this.inboundPartitioned.has(machine)) return;
+        const deliver = (): void =>
           worker.runWhenResponsive(() => {
-            const answer = act(worker);
+            const answer = operation(worker);
             clock.after(2, () => {
-              over();
+              close();
               resolve(answer);
             });
           });
-        if (this.heldLinks.has(pair)) this.heldCommands.push({ pair, run: arrive });
-        else this.clock.after(2, arrive);
+        if (this.heldLinks.has(pair)) this.heldCommands.push({ pair, run: deliver });
+        else this.clock.after(2, deliver);
       });
     return {
-      sendCommands: (addr, token, session, orders, deadline) =>
-        reach(addr, deadline, (w) => {
-          const after = this.commandRepeatDelayS;
-          if (after !== null && orders.length > 0)
-            this.clock.after(after * 1000, () => this.repeatCommand(w, token, session, orders));
-          return w.command(token, session, orders);
+      sendCommands: (workerAddress, token, incarnation, commands, deadlineMs) =>
+        call(workerAddress, deadlineMs, (worker) => {
+          const delayS = this.commandRepeatDelayS;
+          if (delayS !== null && commands.length > 0)
+            this.clock.after(delayS * 1000, () => this.repeatCommand(worker, token, incarnation, commands));
+          return worker.command(token, incarnation, commands);
         }),
-      fetchHeartbeat: (addr, deadline) => reach(addr, deadline, (w) => w.currentHeartbeat()),
+      fetchHeartbeat: (workerAddress, deadlineMs) =>
+        call(workerAddress, deadlineMs, (worker) => worker.currentHeartbeat()),
     };
   }
 
-  holdCommands(node: string, host: MachineId): void {
-    this.heldLinks.add(`${node} ${host}`);
-    this.trace(`network    holds orders from ${node} to ${host}`);
+  /** Holds the direct commands of a node to a machine until they are released. */
+  holdCommands(node: string, machine: MachineId): void {
+    this.heldLinks.add(`${node} ${machine}`);
+    this.trace(`network    holds orders from ${node} to ${machine}`);
   }
 
-  /** What was held arrives now, in order, late as it is. */
+  /** Delivers all held commands, in order. */
   releaseCommands(): void {
     this.trace(`network    delivers ${this.heldCommands.length} held`);
     this.heldLinks.clear();
     for (const { run } of this.heldCommands.splice(0)) run();
   }
 
-  /** From now on the network delivers every command to a worker once more, so many seconds later. */
-  repeatCommands(s: number): void {
-    this.commandRepeatDelayS = s;
-    this.trace(`network    delivers commands once more, ${s} s later`);
+  /** Delivers every later command to a worker a second time after a delay. */
+  repeatCommands(delayS: number): void {
+    this.commandRepeatDelayS = delayS;
+    this.trace(`network    delivers commands once more, ${delayS} s later`);
   }
 
   protected repeatCommand(
     worker: FakeWorker,
     token: FencingToken,
-    session: AgentIncarnation,
-    orders: readonly WorkerCommand[],
+    incarnation: AgentIncarnation,
+    commands: readonly WorkerCommand[],
   ): void {
     worker.runWhenResponsive(() => {
-      const { executed } = worker.command(token, session, orders);
-      this.trace(`${worker.machine.id} ${executed ? 'carries out' : 'refuses'} a copy of ${orders.length}`);
+      const { executed } = worker.command(token, incarnation, commands);
+      this.trace(`${worker.machine.id} ${executed ? 'carries out' : 'refuses'} a copy of ${commands.length}`);
     });
   }
 
@@ -157,19 +166,21 @@
     this.workers.delete(id);
   }
 
-  /** The cloud takes a machine, without a word. */
+  /** Removes a machine without an interruption notice. */
   killMachine(id: MachineId): void {
     this.trace(`${id} dies`);
     this.onMachineGone(id);
     this.cloud.machines.delete(id);
   }
 
+  /** Returns the machine on which a task runs; throws if it runs on none. */
   machineOf(task: string): MachineId {
-    const host = this.rules.machineOf(task as TaskId);
-    if (!host) throw new Error(`${task} is on no machine`);
-    return host;
+    const machine = this.rules.machineOf(task as TaskId);
+    if (!machine) throw new Error(`${task} is on no machine`);
+    return machine;
   }
 
+  /** Returns the worker of a machine; throws if it is not up. */
   worker(id: MachineId): FakeWorker {
     const worker = this.workers.get(id);
     if (!worker) throw new Error(`${id} is not up`);
@@ -185,8 +196,8 @@
     this.rules.recordStart(task, worker.machine, this.clock.now());
   }
 
-  onTaskEnded(worker: FakeWorker, task: TaskId, why: string): void {
-    this.trace(`${worker.machine.id} ends ${task}: ${why}`);
-    this.rules.recordEnd(task, worker.machine.id, why === 'done');
+  onTaskEnded(worker: FakeWorker, task: TaskId, cause: string): void {
+    this.trace(`${worker.machine.id} ends ${task}: ${cause}`);
+    this.rules.recordEnd(task, worker.machine.id, cause === 'done');
   }
 }
--- a/test/simulation/simulated-site.ts
+++ b/test/simulation/simulated-site.ts
@@ -1,4 +1,4 @@
-/** A whole stand-in site: controllers, machines, and users. */
+/** A whole simulated site: controllers, machines, and users. */
 import { type UserService } from '../../src/api/user-service.js';
 import type {
   MachineId,
@@ -18,17 +18,17 @@
 import { CANCEL_S, type JobRequest, siteSettings, submissionBody } from './site-setup.js';
 import { SimulatedControllers } from './simulated-controllers.js';
 
-/** A whole site on a virtual clock: three nodes, state service, cloud, workers, users, rule checker. */
+/** A site on a virtual clock: controllers, key-value store, cloud, workers, users, rule checker. */
 export class SimulatedSite extends SimulatedControllers {
   /**
-   * Goes on with the records that others have left, on the machines and with the tasks that they tell of.
-   * `token`: the highest that the workers have seen. The leader's key is not among them: its grant ended.
+   * Restores the records of another run, with the machines and the running tasks that they describe. `token`: the
+   * highest that the workers have seen. The leader's key is not among the records: its lease has expired.
    */
-  restore(records: readonly KeyValue[], wishes: readonly JobRequest[], token: FencingToken): void {
+  restore(records: readonly KeyValue[], requests: readonly JobRequest[], token: FencingToken): void {
     this.store.restore(records);
-    for (const wish of wishes) {
-      this.registerJob(wish, this.nodes[0] as string);
-      this.rules.recordAcceptance(wish.ref as JobId);
+    for (const request of requests) {
+      this.registerJob(request, this.nodes[0] as string);
+      this.rules.recordAcceptance(request.ref as JobId);
     }
     for (const { key, value } of records) {
       const { s: state } = value as { s?: string };
@@ -51,42 +51,43 @@
     }
   }
 
-  async submit(wish: JobRequest, node = 'node-0'): Promise<number> {
-    const body = this.registerJob(wish, node);
-    const answer = await this.request(node, `submits ${wish.ref}`, (users) => users.submit(body));
-    return this.recordSubmitStatus(wish, answer.status);
+  /** Submits a job and advances the time until the answer arrives; resolves to its status. */
+  async submit(request: JobRequest, node = 'node-0'): Promise<number> {
+    const body = this.registerJob(request, node);
+    const answer = await this.request(node, `submits ${request.ref}`, (users) => users.submit(body));
+    return this.recordSubmitStatus(request, answer.status);
   }
 
-  /** The same for one of many users at once: time moves on without it. */
-  async submitConcurrently(wish: JobRequest, node: string): Promise<number> {
-    const body = this.registerJob(wish, node);
+  /** Submits as one of many concurrent users: does not advance the time. */
+  async submitConcurrently(request: JobRequest, node: string): Promise<number> {
+    const body = this.registerJob(request, node);
     const answer = await this.running
       .get(node)
       ?.users.submit(body)
       .catch(() => null);
-    return this.recordSubmitStatus(wish, answer?.status ?? 503);
+    return this.recordSubmitStatus(request, answer?.status ?? 503);
   }
 
-  /** A submission that must never be accepted: one that fits no machine, or lacks a field. */
-  async expectRejected(wish: JobRequest, node: string, lacks?: string): Promise<void> {
-    const body: Record<string, unknown> = { ...submissionBody(wish) };
-    if (lacks !== undefined) delete body[lacks];
+  /** Submits a job that must not be accepted: one that fits no machine, or missingField a field. */
+  async expectRejected(request: JobRequest, node: string, missingField?: string): Promise<void> {
+    const body: Record<string, unknown> = { ...submissionBody(request) };
+    if (missingField !== undefined) delete body[missingField];
     const answer = await this.running
       .get(node)
       ?.users.submit(body)
       .catch(() => null);
-    const expected = lacks === undefined ? 422 : 400;
+    const expected = missingField === undefined ? 422 : 400;
     if (answer && answer.status !== expected && answer.status !== 503) {
-      this.rules.recordViolation(`accepted: ${wish.ref} got ${answer.status} instead of ${expected}`);
+      this.rules.recordViolation(`accepted: ${request.ref} got ${answer.status} instead of ${expected}`);
     }
   }
 
-  protected recordSubmitStatus(wish: JobRequest, status: number): number {
-    if (status === 201 || status === 200) this.rules.recordAcceptance(wish.ref as JobId);
+  protected recordSubmitStatus(request: JobRequest, status: number): number {
+    if (status === 201 || status === 200) this.rules.recordAcceptance(request.ref as JobId);
     return status;
   }
 
-  /** A question of one of many users; null: no answer. Time moves on without it. */
+  /** Queries a job as one of many concurrent users; resolves to null for no answer. Does not advance the time. */
   async queryConcurrently(ref: string, node: string): Promise<string | null> {
     const answer = await this.running
       .get(node)
@@ -96,7 +97,7 @@
     return this.recordState(ref, answer);
   }
 
-  /** The same for a cancellation. */
+  /** Cancels a job as one of many concurrent users; resolves to null for no answer. Does not advance the time. */
   async cancelConcurrently(ref: string, node: string): Promise<string | null> {
     this.rules.recordCancelRequest(ref);
     const answer = await this.running
@@ -124,27 +125,31 @@
     return [...this.rules.acceptedJobs()].length;
   }
 
-  /** The job as the user submits it; from now on the checker knows it. */
-  protected registerJob(wish: JobRequest, node: string): Parameters<RuleChecker['recordSubmission']>[1] {
-    const body = submissionBody(wish);
-    const id = wish.ref as JobId;
+  /** Returns the body of a submission, and registers the job with the workers and the checker. */
+  protected registerJob(request: JobRequest, node: string): Parameters<RuleChecker['recordSubmission']>[1] {
+    const body = submissionBody(request);
+    const id = request.ref as JobId;
     this.jobs.set(id, {
       image: 'img-1' as ImageId,
       fetchMs: 1000,
-      runMs: body.shape === 'array' ? (wish.runS ?? 5) * 1000 : null,
-      failsAlways: wish.broken ?? false,
+      runMs: body.shape === 'array' ? (request.runS ?? 5) * 1000 : null,
+      failsAlways: request.broken ?? false,
     });
-    const team = siteSettings(node, this.size).teams.find((t) => t.id === (body.owner as TeamId));
+    const team = siteSettings(node, this.size).teams.find(
+      ({ id: teamId }) => teamId === (body.owner as TeamId),
+    );
     this.rules.recordSubmission(id, body, team?.cpusMax ?? null);
     return body;
   }
 
+  /** Queries a job and advances the time until the answer arrives; resolves to the state or the status. */
   async query(ref: string, node = 'node-0'): Promise<string> {
     const answer = await this.request(node, `asks for ${ref}`, (users) => users.query(ref));
     if (answer.status === 200 || answer.status === 404) return this.recordState(ref, answer);
     return String(answer.status);
   }
 
+  /** Cancels a job and advances the time until the answer arrives; resolves to the state or the status. */
   async cancel(ref: string, node = 'node-0'): Promise<string> {
     this.rules.recordCancelRequest(ref);
     const answer = await this.request(node, `cancels ${ref}`, (users) => users.cancel(ref));
@@ -153,35 +158,35 @@
 
   protected async request(
     node: string,
-    what: string,
-    act: (users: UserService) => Promise<{ status: number; body: object }>,
+    description: string,
+    operation: (users: UserService) => Promise<{ status: number; body: object }>,
   ): Promise<{ status: number; body: object }> {
     const users = this.running.get(node)?.users;
     if (!users) throw new Error(`${node} is down`);
     let answer: { status: number; body: object } | null = null;
-    void act(users).then(
-      (a) => {
-        answer = a;
+    void operation(users).then(
+      (result) => {
+        answer = result;
       },
       () => {
         answer = { status: 503, body: {} };
       },
     );
     while (answer === null) await this.clock.advance(5);
-    const done = answer as { status: number; body: object };
-    const status = (done.body as { status?: string }).status;
-    this.trace(`user       ${what} at ${node}: ${done.status}${status ? ` ${status}` : ''}`);
-    return done;
+    const received = answer as { status: number; body: object };
+    const status = (received.body as { status?: string }).status;
+    this.trace(`user       ${description} at ${node}: ${received.status}${status ? ` ${status}` : ''}`);
+    return received;
   }
 
-  /** Every running task of a job, by the checker's own account. */
+  /** Counts the running tasks of a job, as the checker has recorded them. */
   runningTaskCount(ref: string): number {
     return this.rules.countRunning((task) => parseTaskId(task)?.job === ref);
   }
 
   /**
-   * Cancellations past their limit that still have tasks on machines count as broken, and so does a
-   * job that was accepted and that no node can tell of.
+   * Checks the final state: a cancelled job that still has running tasks is a violation, and so is an accepted job that
+   * no node knows.
    */
   async finish(): Promise<void> {
     this.rules.checkCancelled(this.clock.now());
@@ -195,7 +200,7 @@
         );
       }
       await this.clock.advance(1500);
-      if (!states.some((s) => s !== '503'))
+      if (!states.some((state) => state !== '503'))
         this.rules.recordViolation(`forgotten: nobody answers for ${ref}`);
       for (const state of states)
         if (state !== '503') this.rules.recordReportedState(ref, state, this.clock.now());
--- a/test/simulation/site-setup.ts
+++ b/test/simulation/site-setup.ts
@@ -1,10 +1,10 @@
-/** What a stand-in site is set up with: its settings, machine types, and jobs as tests ask for them. */
+/** The setup of simulated sites: settings, machine types, and jobs as tests request them. */
 import type { MachineTypeId, ZoneId } from '../../src/model/ids.js';
 import type { MachineType } from '../../src/model/machine.js';
 import { seconds } from '../../src/model/time.js';
 import { readSettings, type Settings } from '../../src/wire/settings.js';
 
-/** A job as a test asks for it; what it leaves open is filled in. */
+/** A job as a test requests it; omitted fields get defaults. Fields ending in `S` are seconds. */
 export interface JobRequest {
   ref: string;
   team?: string;
@@ -25,7 +25,7 @@
   dueS?: number;
 }
 
-/** What a wish leaves open. */
+/** The defaults of a request. */
 const DEFAULT_JOB_REQUEST = {
   team: 'red',
   kind: 'array' as NonNullable<JobRequest['kind']>,
@@ -55,7 +55,7 @@
   },
 ];
 
-/** Three zones, two types: what a site needs where every part of a placement rule is to bind. */
+/** Three zones and two machine types, so that every part of a placement rule matters. */
 export const MIXED_ZONES = ['north', 'south', 'west'] as ZoneId[];
 export const MIXED_MACHINE_TYPES: MachineType[] = [
   { ...(MACHINE_TYPES[0] as MachineType), bootTime: seconds(2), zones: MIXED_ZONES },
@@ -71,19 +71,22 @@
   },
 ];
 
+/** The duration of a worker's lease. */
 export const LEASE_S = 20;
+/** The time within which a cancelled job must have ended. */
 export const CANCEL_S = 40;
-/** How large a site is, and what its state service will take. */
+
+/** The size of a site, and the limits of its key-value store. */
 export interface SiteSize {
   /** CPUs that each team may use. */
   readonly limit: { red: number; blue: number };
   readonly reportS: number;
   readonly nodes: number;
-  /** The machine types that the cloud offers; one type in two zones where nothing is said. */
+  /** The machine types that the cloud offers; by default one type in two zones. */
   readonly types?: readonly MachineType[];
-  /** The zones of the controllers, in turn; all are in the north where nothing is said. */
+  /** The zones of the controllers, in turn; by default all are in the north. */
   readonly zones?: readonly ZoneId[];
-  /** The state service's limits from some moment on, as the settings announce them. */
+  /** Later limits of the key-value store, as the settings announce them. */
   readonly next?: object;
 }
 
@@ -102,7 +105,7 @@
   return zones[Number(member.slice('node-'.length)) % zones.length] ?? (zones[0] as ZoneId);
 }
 
-/** What the platform hands to one controller. */
+/** Returns the settings of one controller. */
 export function siteSettings(member: string, size: SiteSize): Settings {
   return readSettings({
     member,
@@ -123,16 +126,16 @@
   });
 }
 
-/** The job as its user submits it. */
-export function submissionBody({ ref, ...wish }: JobRequest) {
-  const { tasks, runS, zone, types, team, rank, spot, ...more } = { ...DEFAULT_JOB_REQUEST, ...wish };
-  const array = more.kind === 'array';
+/** Returns the body with which a user submits the job. */
+export function submissionBody({ ref, ...request }: JobRequest) {
+  const { tasks, runS, zone, types, team, rank, spot, ...more } = { ...DEFAULT_JOB_REQUEST, ...request };
+  const isArray = more.kind === 'array';
   return {
     ref,
-    jobclass: more.jobClass ?? (array ? 'batch' : 'live'),
+    jobclass: more.jobClass ?? (isArray ? 'batch' : 'live'),
     owner: team,
     shape: more.kind,
-    rank: rank ?? (array ? 'standard' : 'production'),
+    rank: rank ?? (isArray ? 'standard' : 'production'),
     shards: tasks,
     cpus: more.cpus,
     gpus: 0,
@@ -144,7 +147,7 @@
     samePlace: more.samePlace,
     apart: more.apart,
     reclaimable: spot,
-    expectedS: array ? runS : 0,
+    expectedS: isArray ? runS : 0,
     savepointS: 0,
     flushS: 0,
     awaits: more.awaits,
--- a/test/simulation/submission.ts
+++ b/test/simulation/submission.ts
@@ -1,8 +1,9 @@
+/** Builds jobs for unit tests. */
 import type { JobSpec } from '../../src/model/job.js';
 import { parseSubmission } from '../../src/wire/users.js';
 
-/** A job of 200 tasks as a user submits it, with other fields where the test needs them. */
-export function submission(more: object): JobSpec {
+/** Returns the parsed submission of a job with 200 tasks. `overrides`: fields of the body. */
+export function submission(overrides: object): JobSpec {
   const parsed = parseSubmission({
     ref: 'j-000001',
     jobclass: 'batch',
@@ -21,7 +22,7 @@
     expectedS: 10,
     savepointS: 0,
     flushS: 0,
-    ...more,
+    ...overrides,
   });
   if (!parsed.ok) throw new Error(parsed.error);
   return parsed.value;
--- a/test/soak/seed.ts
+++ b/test/soak/seed.ts
@@ -1,7 +1,7 @@
 /** One seed of the soak: a day of users on real processes, with troubles that overlap. */
 import { mkdirSync, rmSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
-import { Scenario, PLACEMENT_PLAN } from '../simulation/scenario.js';
+import { PLACEMENT_PLAN, Scenario, type ScenarioPlan } from '../simulation/scenario.js';
 import { type Fault, FAULTS } from '../simulation/faults.js';
 import type { RulePart } from './broken-controller.js';
 import { LoopbackSite } from './loopback-site.js';
@@ -31,8 +31,8 @@
 
 /** Every so many seeds have a large site. */
 const LARGE_EVERY = 10;
-const LARGE = { machines: 300, limit: 1200, mostTasks: 40 };
-const SMALL = { machines: 3, limit: 96, mostTasks: 6 };
+const LARGE = { machines: 300, limit: 1200, maxTasks: 40 };
+const SMALL = { machines: 3, limit: 96, maxTasks: 6 };
 const CONTROLLERS = 3;
 const FIVE_EVERY = 7;
 const MANY_CONTROLLERS = 5;
@@ -62,7 +62,12 @@
   mkdirSync(folder, { recursive: true });
   const site = await LoopbackSite.open({ seed, controllers, program, folder, ...size });
   const troubles = broken === null ? draw(site, [...FAULTS, ...soakTroubles(site)]) : [];
-  const plan = { ...PLACEMENT_PLAN, mostTasks: size.mostTasks, quietS: QUIET_S, afterLeastS: WATCHED_S };
+  const plan: ScenarioPlan = {
+    ...PLACEMENT_PLAN,
+    maxTasks: size.maxTasks,
+    quietBeforeS: QUIET_S,
+    minAfterS: WATCHED_S,
+  };
   const day = new Scenario(seed, site, broken === null ? plan : { ...plan, quietBeforeS: CAUGHT_WITHIN_S });
   const caught = new Promise<void>((resolve) => {
     if (broken === null) return;
