--- a/test/simulation/fake-cloud.ts
+++ b/test/simulation/fake-cloud.ts
@@ -3,7 +3,11 @@
 import type { MachineId, MachineTypeId, ZoneId } from '../../src/model/ids.js';
 import type { ListedMachine, Machine, MachineType } from '../../src/model/machine.js';
 import { type Clock, ms } from '../../src/model/time.js';
-import { poolKey } from '../../src/fleet/capacity-plan.js';
+
+/** A pool's name in the kept traces and in `room`: the bytes of the traces stay. */
+function poolName({ type, zone, spot }: Pick<Machine, 'type' | 'zone' | 'spot'>): string {
+  return `${type}|${zone}|${spot ? 'spot' : 'ordinary'}`;
+}
 
 const LATENCY_MS = 80;
 /** The maximum of machines in one answer. */
@@ -86,7 +90,7 @@
         requestWithDuplicate((): ScaleOutResult => {
           const existing = this.createdByRequest.get(scaleOut.name);
           if (existing) return { machines: existing };
-          const key = poolKey(scaleOut);
+          const key = poolName(scaleOut);
           const capacity = this.remainingCapacity.get(key) ?? Infinity;
           const count = Math.min(scaleOut.count, capacity);
           if (count === 0) return 'no capacity';
