--- a/test/profile/main.ts
+++ b/test/profile/main.ts
@@ -1,7 +1,7 @@
 /**
- * Where controllers' processor time and memory go: real processes on loopback against the stand-ins of state service,
- * cloud and workers. `npm run profile -- --machines 400 --seconds 60`: what each controller used, and the share of
- * each function by V8's profiler. The numbers of real days differ: this shows what an event costs.
+ * Profiles the processor time and memory of controllers: real processes on loopback against fakes of key-value store,
+ * cloud and workers. `npm run profile -- --machines 400 --seconds 60` prints what each controller used, and the share of
+ * each function by V8's profiler. Real sites have other figures: this shows what an event costs.
  */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { mkdirSync, readdirSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -30,9 +30,9 @@
   options: {
     machines: { type: 'string', default: '400' },
     seconds: { type: 'string', default: '60' },
-    /** All controllers end after so many seconds and come back: what is measured begins there. */
+    /** If above 0, all controllers restart after this time, and the measurement begins then. */
     'restart-after': { type: 'string', default: '0' },
-    /** Jobs a second. */
+    /** Jobs per second. */
     services: { type: 'string', default: '1.2' },
     arrays: { type: 'string', default: '0.3' },
     tasks: { type: 'string', default: '70' },
@@ -43,25 +43,25 @@
   },
   allowNegative: true,
 });
-const OUT = 'target/profile';
-/** The same arrivals in every run. */
+const OUTPUT_FOLDER = 'target/profile';
+/** Seeded, so that every run has the same arrivals. */
 const generator = xoroshiro128plus(7);
 const random = (): number => uniformFloat64(generator);
-const STATE = 21_001;
-const CLOUD = 21_002;
-const WORKERS = 21_003;
-const FRONT = 21_010;
-const PEER = 21_020;
+const STORE_PORT = 21_001;
+const CLOUD_PORT = 21_002;
+const WORKER_PORT = 21_003;
+const FRONT_PORT = 21_010;
+const PEER_PORT = 21_020;
 const NODES = [0, 1, 2];
-const REPORT_MS = Number(values['report-s']) * 1000;
-const POLL_MS = 5000;
+const HEARTBEAT_INTERVAL_MS = Number(values['report-s']) * 1000;
+const QUERY_INTERVAL_MS = 5000;
 const RUN_S = 35;
 
 const addressOf = (id: MachineId): string => {
-  const n = Number(id.slice('host-'.length));
-  return `127.1.${n >> 8}.${n & 255}:${WORKERS}`;
+  const number = Number(id.slice('host-'.length));
+  return `127.1.${number >> 8}.${number & 255}:${WORKER_PORT}`;
 };
-const hostAt = (ip: string): MachineId => {
+const machineAt = (ip: string): MachineId => {
   const [, , high, low] = ip.split('.').map(Number);
   return `host-${String(((high ?? 0) << 8) + (low ?? 0)).padStart(6, '0')}` as MachineId;
 };
@@ -69,23 +69,24 @@
 const workers = new Map<MachineId, FakeWorker>();
 const links = new Map<MachineId, HttpTarget[]>();
 const jobs = new Map<JobId, JobBehavior>();
-const fronts = NODES.map((n) => new HttpTarget(`127.0.0.1:${FRONT + n}`, 200));
-let started = 0;
+const fronts = NODES.map((node) => new HttpTarget(`127.0.0.1:${FRONT_PORT + node}`, 200));
+let startCount = 0;
 
-const world: WorkerEnvironment = {
+const environment: WorkerEnvironment = {
   nodes: NODES.map(String),
   behaviorOf: (id) => jobs.get(id),
-  onTaskStarted: () => started++,
+  onTaskStarted: () => startCount++,
   onTaskEnded: () => {},
-  async heartbeat(worker, node, report) {
+  async heartbeat(worker, node, heartbeat) {
     const { id } = worker.machine;
-    const targets = links.get(id) ?? NODES.map((n) => new HttpTarget(`127.0.0.1:${FRONT + n}`, 1));
+    const targets =
+      links.get(id) ?? NODES.map((index) => new HttpTarget(`127.0.0.1:${FRONT_PORT + index}`, 1));
     links.set(id, targets);
     try {
       const reply = await (targets[Number(node)] as HttpTarget).call(
         'POST',
         '/agent/beat',
-        heartbeatBody(report, addressOf),
+        heartbeatBody(heartbeat, addressOf),
         4000,
       );
       return heartbeatAnswer(reply.status, reply.body);
@@ -95,12 +96,15 @@
   },
 };
 
-const state = new FakeKeyValueStore(systemClock);
+const store = new FakeKeyValueStore(systemClock);
 const cloud = new FakeCloud(
   systemClock,
   MACHINE_TYPES,
   (machine) =>
-    workers.set(machine.id, new FakeWorker(machine, systemClock, world, LEASE_S * 1000, REPORT_MS)),
+    workers.set(
+      machine.id,
+      new FakeWorker(machine, systemClock, environment, LEASE_S * 1000, HEARTBEAT_INTERVAL_MS),
+    ),
   (id) => {
     workers.get(id)?.terminate();
     workers.delete(id);
@@ -108,19 +112,19 @@
   () => {},
 );
 
-function settings(n: number): string {
+function settings(node: number): string {
   return settingsFile({
-    member: `node-${n}`,
+    member: `node-${node}`,
     zone: 'north',
-    front: `127.0.0.1:${FRONT + n}`,
-    listen: `127.0.0.1:${PEER + n}`,
-    siblings: NODES.filter((other) => other !== n).map((other) => ({
+    front: `127.0.0.1:${FRONT_PORT + node}`,
+    listen: `127.0.0.1:${PEER_PORT + node}`,
+    siblings: NODES.filter((other) => other !== node).map((other) => ({
       member: `node-${other}`,
       zone: 'north',
-      address: `127.0.0.1:${PEER + other}`,
+      address: `127.0.0.1:${PEER_PORT + other}`,
     })),
-    cloud: `127.0.0.1:${CLOUD}`,
-    state: `127.0.0.1:${STATE}`,
+    cloud: `127.0.0.1:${CLOUD_PORT}`,
+    state: `127.0.0.1:${STORE_PORT}`,
     zones: ['north', 'south'],
     teams: ['red', 'blue'].map((name) => ({ name, cpus: 1500, cpusMax: 60_000 })),
     finishWithinS: 150,
@@ -133,14 +137,14 @@
   });
 }
 
-function startNode(n: number): ChildProcess {
-  const path = `${OUT}/node-${n}.toml`;
-  writeFileSync(path, settings(n));
+function startNode(node: number): ChildProcess {
+  const path = `${OUTPUT_FOLDER}/node-${node}.toml`;
+  writeFileSync(path, settings(node));
   const profiling = values.profile
-    ? ['--cpu-prof', `--cpu-prof-dir=${OUT}`, `--cpu-prof-name=node-${n}.cpuprofile`]
+    ? ['--cpu-prof', `--cpu-prof-dir=${OUTPUT_FOLDER}`, `--cpu-prof-name=node-${node}.cpuprofile`]
     : [];
   const flags = values.flags.split(' ').filter((flag) => flag !== '');
-  const exit = ['-r', `./${OUT}/exit.cjs`];
+  const exit = ['-r', `./${OUTPUT_FOLDER}/exit.cjs`];
   const child = spawn(
     process.execPath,
     [...flags, ...profiling, ...exit, values.program, 'serve', '--config', path],
@@ -149,29 +153,32 @@
       env: { ...process.env, LOG_LEVEL: 'info' },
     },
   );
-  child.stderr?.on('data', (lines: Buffer) => summaries(n, lines.toString()));
+  const killChild = (): void => void child.kill('SIGKILL');
+  process.once('exit', killChild);
+  child.once('exit', () => process.off('exit', killChild));
+  child.stderr?.on('data', (lines: Buffer) => recordSummaries(node, lines.toString()));
   return child;
 }
 
-const last = new Map<number, Record<string, unknown>>();
+const lastSummaries = new Map<number, Record<string, unknown>>();
 
-function summaries(n: number, lines: string): void {
+function recordSummaries(node: number, lines: string): void {
   for (const line of lines.split('\n')) {
     if (!line.includes('"msg":"summary"')) continue;
     try {
-      last.set(n, JSON.parse(line) as Record<string, unknown>);
+      lastSummaries.set(node, JSON.parse(line) as Record<string, unknown>);
     } catch {
-      // Cut in two by the pipe; the next one tells as much.
+      // The pipe has split the line; the next summary says the same.
     }
   }
 }
 
 let nextJob = 0;
 
-/** Submits a job and asks for it until it is over. */
-async function user(kind: 'array' | 'service'): Promise<void> {
+/** Submits a job and queries it until it is done; cancels it if it takes too long. */
+async function runUser(kind: 'array' | 'service'): Promise<void> {
   const ref = `j-${String(nextJob++).padStart(6, '0')}`;
-  const wish: JobRequest = {
+  const request: JobRequest = {
     ref,
     kind,
     team: nextJob % 2 ? 'red' : 'blue',
@@ -182,19 +189,19 @@
     image: `img-${nextJob % 10}`,
   };
   jobs.set(ref as JobId, {
-    image: wish.image as ImageId,
+    image: request.image as ImageId,
     fetchMs: 1500,
     runMs: kind === 'array' ? RUN_S * 1000 : null,
     failsAlways: false,
   });
-  const until = performance.now() + 90_000;
+  const deadline = performance.now() + 90_000;
   const front = (): HttpTarget => fronts[Math.floor(random() * fronts.length)] as HttpTarget;
-  let accepted = false;
-  while (performance.now() < until) {
+  let isAccepted = false;
+  while (performance.now() < deadline) {
     try {
-      if (!accepted) {
-        const reply = await front().call('POST', '/v2/runs', submissionBody(wish), 5000);
-        accepted = reply.status < 300;
+      if (!isAccepted) {
+        const reply = await front().call('POST', '/v2/runs', submissionBody(request), 5000);
+        isAccepted = reply.status < 300;
       } else {
         const reply = await front().call('GET', `/v2/runs/${ref}`, undefined, 2000);
         if ((reply.body as { status?: string })?.status === 'done') return;
@@ -202,67 +209,74 @@
     } catch (error) {
       if (!(error instanceof NoAnswerError)) throw error;
     }
-    await sleep(systemClock, accepted ? POLL_MS : 1000);
+    await sleep(systemClock, isAccepted ? QUERY_INTERVAL_MS : 1000);
   }
   await front()
     .call('POST', `/v2/runs/${ref}/cancel`, {}, 5000)
     .catch(() => {});
 }
 
-function arrive(kind: 'array' | 'service', perSecond: number): void {
+function scheduleArrivals(kind: 'array' | 'service', perSecond: number): void {
   if (perSecond <= 0) return;
   systemClock.after((-Math.log(1 - random()) * 1000) / perSecond, () => {
-    void user(kind);
-    arrive(kind, perSecond);
+    void runUser(kind);
+    scheduleArrivals(kind, perSecond);
   });
 }
 
-async function end(nodes: readonly ChildProcess[]): Promise<void> {
+async function stopNodes(nodes: readonly ChildProcess[]): Promise<void> {
   const ended = nodes.map((node) => new Promise((resolve) => node.on('exit', resolve)));
   for (const node of nodes) node.kill('SIGTERM');
   await Promise.all(ended);
 }
 
 async function run(): Promise<void> {
-  rmSync(OUT, { recursive: true, force: true });
-  mkdirSync(OUT, { recursive: true });
-  writeFileSync(`${OUT}/exit.cjs`, "process.on('SIGTERM', () => process.exit(0));\n");
-  await serve(STATE, '127.0.0.1', storeHandler(state.clientFor('all', systemClock)));
-  await serve(CLOUD, '127.0.0.1', cloudHandler(cloud.clientFor(systemClock), MACHINE_TYPES, addressOf));
+  rmSync(OUTPUT_FOLDER, { recursive: true, force: true });
+  mkdirSync(OUTPUT_FOLDER, { recursive: true });
+  writeFileSync(`${OUTPUT_FOLDER}/exit.cjs`, "process.on('SIGTERM', () => process.exit(0));\n");
+  await serve(STORE_PORT, '127.0.0.1', storeHandler(store.clientFor('all', systemClock)));
+  await serve(CLOUD_PORT, '127.0.0.1', cloudHandler(cloud.clientFor(systemClock), MACHINE_TYPES, addressOf));
   await serve(
-    WORKERS,
+    WORKER_PORT,
     '0.0.0.0',
-    workersHandler((ip) => workers.get(hostAt(ip)), addressOf),
+    workersHandler((ip) => workers.get(machineAt(ip)), addressOf),
   );
-  for (let n = 0; n < Number(values.machines); n++)
+  for (let number = 0; number < Number(values.machines); number++) {
     cloud.adopt({
-      id: `host-${String(n).padStart(6, '0')}` as MachineId,
+      id: `host-${String(number).padStart(6, '0')}` as MachineId,
       type: MACHINE_TYPES[0]?.id as MachineTypeId,
-      zone: (n % 2 ? 'north' : 'south') as ZoneId,
-      spot: n % 3 === 0,
+      zone: (number % 2 ? 'north' : 'south') as ZoneId,
+      spot: number % 3 === 0,
     });
+  }
   let nodes = NODES.map(startNode);
   await sleep(systemClock, 3000);
-  for (let n = 0; n < 150 * Number(values.services); n++) void user('service');
-  arrive('service', Number(values.services));
-  arrive('array', Number(values.arrays));
+  for (let count = 0; count < 150 * Number(values.services); count++) void runUser('service');
+  scheduleArrivals('service', Number(values.services));
+  scheduleArrivals('array', Number(values.arrays));
   if (Number(values['restart-after']) > 0) {
     await sleep(systemClock, Number(values['restart-after']) * 1000);
-    await end(nodes);
+    await stopNodes(nodes);
     nodes = NODES.map(startNode);
   }
   await sleep(systemClock, Number(values.seconds) * 1000);
-  await end(nodes);
+  await stopNodes(nodes);
   console.log(
-    `${workers.size} machines, ${started} starts, ${nextJob} jobs, ${state.requestCount} state requests`,
+    `${workers.size} machines, ${startCount} starts, ${nextJob} jobs, ${store.requestCount} state requests`,
   );
-  for (const n of NODES) console.log(`node-${n}: ${JSON.stringify(last.get(n))}`);
+  for (const node of NODES) console.log(`node-${node}: ${JSON.stringify(lastSummaries.get(node))}`);
   if (!values.profile) process.exit(0);
-  for (const name of readdirSync(OUT).filter((file) => file.endsWith('.cpuprofile'))) {
+  for (const name of readdirSync(OUTPUT_FOLDER).filter((file) => file.endsWith('.cpuprofile'))) {
     console.log(`\n${name}`);
-    printShares(JSON.parse(readFileSync(`${OUT}/${name}`, 'utf8')) as Parameters<typeof printShares>[0]);
+    printShares(
+      JSON.parse(readFileSync(`${OUTPUT_FOLDER}/${name}`, 'utf8')) as Parameters<typeof printShares>[0],
+    );
   }
   process.exit(0);
 }
 
+// The handlers of 'exit' kill the controllers.
+process.once('SIGINT', () => process.exit(130));
+process.once('SIGTERM', () => process.exit(143));
+
 void run();
--- a/test/profile/placement-main.ts
+++ b/test/profile/placement-main.ts
@@ -1,5 +1,6 @@
 /**
- * What the check of run orders costs a leader: orders for every machine of a fleet, with and without it.
+ * Measures the cost of checking start commands against the placement rule: commands for every machine of a fleet, with
+ * and without the check.
  * `npm run measure:placement -- --machines 4000 --tasks 8`
  */
 import { parseArgs } from 'node:util';
@@ -17,76 +18,78 @@
 import { submission } from '../simulation/submission.js';
 
 const EPOCH = 1 as Epoch;
-const TASKS_A_JOB = 70;
-const MOST_ORDERS = 250;
+const TASKS_PER_JOB = 70;
+const MAX_COMMANDS = 250;
 const ROUNDS = 9;
-const NANOSECONDS = 1e6;
+const NANOSECONDS_PER_MS = 1e6;
 
 const { values } = parseArgs({
   options: { machines: { type: 'string', default: '4000' }, tasks: { type: 'string', default: '8' } },
 });
 
-/** Every third job is spread: the zones of its other tasks are asked as well. */
-function jobAt(n: number): ActiveJob {
+/** Returns a job. Every third one has zone anti-affinity: for it, the check looks at its other tasks as well. */
+function jobAt(index: number): ActiveJob {
   const spec: JobSpec = {
     ...submission({}),
-    id: `j-${n}` as JobId,
-    taskCount: TASKS_A_JOB,
+    id: `j-${index}` as JobId,
+    taskCount: TASKS_PER_JOB,
     allowsSpot: true,
-    zoneAntiAffinity: n % 3 === 0,
+    zoneAntiAffinity: index % 3 === 0,
   };
   return new ActiveJob(spec, 1 as Revision, 0 as WallTime);
 }
 
 function fleet(machines: number, tasks: number): Worker[] {
   const now = systemClock.now();
-  const hosts: Worker[] = [];
+  const workers: Worker[] = [];
   let job = jobAt(0);
   let jobs = 1;
-  for (let n = 0; n < machines; n++) {
-    const zone = MIXED_ZONES[n % MIXED_ZONES.length] as (typeof MIXED_ZONES)[0];
-    const host = confirmedWorker(
-      { id: `host-${n}` as MachineId, type: MACHINE_TYPES[0]?.id as MachineTypeId, zone, spot: true },
+  for (let index = 0; index < machines; index++) {
+    const zone = MIXED_ZONES[index % MIXED_ZONES.length] as (typeof MIXED_ZONES)[0];
+    const worker = confirmedWorker(
+      { id: `host-${index}` as MachineId, type: MACHINE_TYPES[0]?.id as MachineTypeId, zone, spot: true },
       now,
     );
-    for (let t = 0; t < tasks; t++) {
+    for (let count = 0; count < tasks; count++) {
       if (job.waitingCount === 0) job = jobAt(jobs++);
-      const task = job.beginAttempt(host.id, zone, now);
+      const task = job.beginAttempt(worker.id, zone, now);
       job.confirmPlacement(task);
-      host.assign(task);
+      worker.assign(task);
     }
-    hosts.push(host);
+    workers.push(worker);
   }
-  return hosts;
+  return workers;
 }
 
-/** Milliseconds for the first orders of all machines. */
-function timed(issue: (host: Worker) => void): number {
-  const hosts = fleet(Number(values.machines), Number(values.tasks));
-  const began = performance.now();
-  for (const host of hosts) issue(host);
-  return performance.now() - began;
+/** Returns the milliseconds that the first commands of all machines take. */
+function measureRound(issue: (worker: Worker) => void): number {
+  const workers = fleet(Number(values.machines), Number(values.tasks));
+  const startedAt = performance.now();
+  for (const worker of workers) issue(worker);
+  return performance.now() - startedAt;
 }
 
 function median(numbers: number[]): number {
-  return numbers.sort((a, b) => a - b)[Math.floor(numbers.length / 2)] ?? 0;
+  return numbers.sort((first, second) => first - second)[Math.floor(numbers.length / 2)] ?? 0;
 }
 
-function rounds(issue: (host: Worker) => void): number {
-  return median(Array.from({ length: ROUNDS }, () => timed(issue)));
+function medianOfRounds(issue: (worker: Worker) => void): number {
+  return median(Array.from({ length: ROUNDS }, () => measureRound(issue)));
 }
 
 const issuer = new CommandIssuer(
   { epoch: EPOCH, log: silentLogger, clock: systemClock },
   new DecisionLog(silentLogger, systemClock),
 );
-const plainMs = rounds((host) => {
-  const orders = commandsFor(host, systemClock.now(), true);
-  markStartsSent(host, orders, host.fencingToken(EPOCH));
+const plainMs = medianOfRounds((worker) => {
+  const commands = commandsFor(worker, systemClock.now(), true);
+  markStartsSent(worker, commands, worker.fencingToken(EPOCH));
 });
-const checkedMs = rounds((host) => void issuer.issue(host, true, [], MOST_ORDERS));
-const orders = Number(values.machines) * Number(values.tasks);
-const perOrder = ((checkedMs - plainMs) * NANOSECONDS) / orders;
-console.log(`${values.machines} machines, ${orders} run orders, median of ${ROUNDS} rounds on this machine`);
-console.log(`orders alone: ${plainMs.toFixed(1)} ms; with the check: ${checkedMs.toFixed(1)} ms`);
-console.log(`the check: ${perOrder.toFixed(0)} ns an order; ${issuer.withheld} withheld`);
+const checkedMs = medianOfRounds((worker) => void issuer.issue(worker, true, [], MAX_COMMANDS));
+const commandCount = Number(values.machines) * Number(values.tasks);
+const perCommandNs = ((checkedMs - plainMs) * NANOSECONDS_PER_MS) / commandCount;
+console.log(
+  `${values.machines} machines, ${commandCount} start commands, median of ${ROUNDS} rounds on this machine`,
+);
+console.log(`commands alone: ${plainMs.toFixed(1)} ms; with the check: ${checkedMs.toFixed(1)} ms`);
+console.log(`the check: ${perCommandNs.toFixed(0)} ns per command; ${issuer.withheld} withheld`);
--- a/test/soak/broken-controller.ts
+++ b/test/soak/broken-controller.ts
@@ -1,8 +1,8 @@
-/** Controllers from which one part of the placement rule was taken out: the checker must catch each. */
+/** Controllers that lack one part of the placement rule: the checker must detect each. */
 import { readFileSync } from 'node:fs';
 import { build, type Plugin } from 'esbuild';
 
-/** Text that is replaced in a source file. */
+/** A replacement of text in a source file. */
 interface Change {
   readonly file: string;
   readonly from: string;
@@ -11,7 +11,7 @@
 
 const RULE = 'scheduler/placement-rule.ts';
 
-/** What to take out for each part, in the scheduler and in the check of orders alike. */
+/** The replacements for each part; the rule is shared by the scheduler and the check of commands. */
 const CHANGES = {
   type: [
     {
@@ -42,9 +42,10 @@
 /** A part of the placement rule. */
 export type RulePart = keyof typeof CHANGES;
 
+/** All parts that can be removed. */
 export const RULE_PARTS = Object.keys(CHANGES) as RulePart[];
 
-function applied(path: string, changes: readonly Change[]): string {
+function applyChanges(path: string, changes: readonly Change[]): string {
   let text = readFileSync(path, 'utf8');
   for (const { file, from, to } of changes) {
     if (!path.endsWith(file)) continue;
@@ -55,20 +56,20 @@
   return text;
 }
 
-function plugin(changes: readonly Change[]): Plugin {
+function removalPlugin(changes: readonly Change[]): Plugin {
   return {
     name: 'broken-controller',
     setup(bundler) {
       bundler.onLoad({ filter: /\/src\/scheduler\/.*\.ts$/ }, ({ path }) => ({
-        contents: applied(path, changes),
+        contents: applyChanges(path, changes),
         loader: 'ts',
       }));
     },
   };
 }
 
-/** Builds the controllers' program, whole or broken. */
-export async function buildProgram(outfile: string, broken: RulePart | null): Promise<void> {
+/** Builds the controllers' program. `missingPart`: the part of the rule to remove; null: none. */
+export async function buildProgram(outfile: string, missingPart: RulePart | null): Promise<void> {
   await build({
     entryPoints: ['src/main.ts'],
     bundle: true,
@@ -79,6 +80,6 @@
     minifySyntax: true,
     minifyWhitespace: true,
     logLevel: 'warning',
-    plugins: broken === null ? [] : [plugin(CHANGES[broken])],
+    plugins: missingPart === null ? [] : [removalPlugin(CHANGES[missingPart])],
   });
 }
--- a/test/soak/controller-process.ts
+++ b/test/soak/controller-process.ts
@@ -1,9 +1,9 @@
-/** One controller as a process of this machine: started, killed and stopped by its id, its log kept and read. */
+/** A controller as a child process: started, killed and paused by its id, with its log stored and parsed. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { appendFileSync, readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 
-/** The runtime's flags, as production runs the program. */
+/** Returns the runtime flags with which production runs the program. */
 function productionFlags(): string[] {
   const { run } = parse(readFileSync('deploy/service.toml', 'utf8')) as { run: string };
   return run.split(' ').filter((word) => word.startsWith('--max') || word === '--single-threaded');
@@ -15,7 +15,7 @@
   try {
     return JSON.parse(line) as LogLine;
   } catch {
-    // What the runtime itself writes is kept in the file.
+    // Output of the runtime itself is only stored in the log file.
     return null;
   }
 }
@@ -23,22 +23,22 @@
 /** One line of a controller's log. */
 export type LogLine = Readonly<Record<string, unknown>> & { readonly msg: string };
 
-/** Where its files are, and who is told. */
+/** The files and callbacks of a controller. */
 export interface ControllerOptions {
   readonly program: string;
   readonly settings: string;
   readonly log: string;
   readonly onLine: (line: LogLine) => void;
-  /** `expected`: it was killed by us. */
-  readonly onExit: (expected: boolean) => void;
+  /** `isExpected`: it was killed by `kill`. */
+  readonly onExit: (isExpected: boolean) => void;
 }
 
-/** From its start to its end. */
+/** One run of a controller's program. */
 export class ControllerProcess {
   private readonly child: ChildProcess;
   private readonly ended: Promise<void>;
-  private killed = false;
-  private rest = '';
+  private isKilled = false;
+  private buffer = '';
 
   constructor(private readonly options: ControllerOptions) {
     const args = [...FLAGS, options.program, 'serve', '--config', options.settings];
@@ -47,40 +47,43 @@
       env: { ...process.env, LOG_LEVEL: 'info' },
     });
     this.child.stderr?.setEncoding('utf8');
-    this.child.stderr?.on('data', (text: string) => this.read(text));
-    // However this process ends, it leaves none behind, stopped or not.
+    this.child.stderr?.on('data', (text: string) => this.receive(text));
+    // No child may outlive this process, not even a paused one.
     const killChild = (): void => void this.child.kill('SIGKILL');
     process.on('exit', killChild);
     this.ended = new Promise((resolve) => {
       this.child.on('exit', () => {
         process.off('exit', killChild);
-        options.onExit(this.killed);
+        options.onExit(this.isKilled);
         resolve();
       });
     });
   }
 
-  private read(text: string): void {
+  private receive(text: string): void {
     appendFileSync(this.options.log, text);
-    const lines = (this.rest + text).split('\n');
-    this.rest = lines.pop() ?? '';
+    const lines = (this.buffer + text).split('\n');
+    this.buffer = lines.pop() ?? '';
     for (const line of lines) {
-      const told = parseLine(line);
-      if (told) this.options.onLine(told);
+      const logLine = parseLine(line);
+      if (logLine) this.options.onLine(logLine);
     }
   }
 
+  /** Kills the process; resolves once it has ended. */
   kill(): Promise<void> {
-    this.killed = true;
+    this.isKilled = true;
     this.child.kill('SIGKILL');
     return this.ended;
   }
 
+  /** Stops the process without ending it. */
   pause(): void {
-    if (!this.killed) this.child.kill('SIGSTOP');
+    if (!this.isKilled) this.child.kill('SIGSTOP');
   }
 
-  goOn(): void {
-    if (!this.killed) this.child.kill('SIGCONT');
+  /** Continues a paused process. */
+  resume(): void {
+    if (!this.isKilled) this.child.kill('SIGCONT');
   }
 }
--- a/test/soak/loopback-controllers.ts
+++ b/test/soak/loopback-controllers.ts
@@ -1,4 +1,4 @@
-/** The controllers of a site on loopback: real processes, the relays between them, and who of them leads. */
+/** The controllers of a site on loopback: real processes, the relays between them, and their leaderships. */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { Relay } from '@plumyoke/simulation';
@@ -11,67 +11,67 @@
 const FRONT_PORT = 21_010;
 const PEER_PORT = 21_020;
 
-/** What is told of them. */
+/** Callbacks for the trace and for violations. */
 interface ControllerListener {
   trace(text: string): void;
-  breach(text: string): void;
+  recordViolation(text: string): void;
 }
 
-/** Where a controller of this site is. */
-export interface Place {
+/** The name, zone and address of a controller. */
+export interface ControllerPlace {
   readonly member: string;
   readonly zone: string;
   readonly host: string;
 }
 
-/** What all of them are started with. */
+/** The options of all controllers. */
 export interface ControllersOptions {
-  readonly places: readonly Place[];
+  readonly places: readonly ControllerPlace[];
   readonly program: string;
   readonly folder: string;
-  /** What a controller's settings say beside its own addresses and siblings. */
+  /** The settings of a controller other than its own addresses and peers. */
   readonly common: (
-    place: Place,
+    place: ControllerPlace,
   ) => Omit<ControllerSettings, 'member' | 'zone' | 'front' | 'listen' | 'siblings'>;
   readonly listener: ControllerListener;
 }
 
-/** Starts, kills and stops controllers, each a child of this process, by its id. */
+/** Starts, kills and pauses controllers, each a child of this process. */
 export class LoopbackControllers {
-  /** Those that reach no other controller. */
-  readonly alone = new ObservedSet<string>();
-  /** Machines that new leaders knew by a task alone. */
-  unknownMachines = 0;
+  /** Members that cannot reach other controllers. */
+  readonly isolatedMembers = new ObservedSet<string>();
+  /** The number of machines that new leaders knew only from a task's record. */
+  machinesKnownByTask = 0;
   private readonly relay = new Relay();
   private readonly running = new Map<string, ControllerProcess>();
   private readonly ending = new Map<string, Promise<void>>();
-  private readonly leading = new Map<string, number>();
-  private readonly epochs = new Map<number, string>();
+  private readonly epochByLeader = new Map<string, number>();
+  private readonly leaderByEpoch = new Map<number, string>();
 
   constructor(private readonly options: ControllersOptions) {
-    this.alone.onChange = (member, present) => this.isolate(member, present);
+    this.isolatedMembers.onChange = (member, present) => this.setIsolated(member, present);
   }
 
-  private isolate(member: string, alone: boolean): void {
+  private setIsolated(member: string, isIsolated: boolean): void {
     for (const { member: other } of this.options.places) {
       if (other === member) continue;
       for (const [from, to] of [
         [member, other],
         [other, member],
       ] as [string, string][]) {
-        if (alone) this.relay.cut(from, to);
-        else if (!this.alone.has(other)) this.relay.heal(from, to);
+        if (isIsolated) this.relay.cut(from, to);
+        else if (!this.isolatedMembers.has(other)) this.relay.heal(from, to);
       }
     }
   }
 
-  /** Nothing passes from one controller to the other, in this direction alone. */
+  /** Cuts the link from one controller to another in this direction only; the result restores it. */
   cutOneWay(from: string, to: string): () => void {
     this.relay.cut(from, to);
     return () => this.relay.heal(from, to);
   }
 
-  /** Writes all settings; the relays between the controllers listen. */
+  /** Writes all settings files and opens the relays between the controllers. */
   async prepare(): Promise<void> {
     const { places, folder, common } = this.options;
     mkdirSync(folder, { recursive: true });
@@ -88,7 +88,7 @@
     }
   }
 
-  /** Once a former process of this name has ended. */
+  /** Starts a controller once its former process has ended. */
   start(member: string): void {
     void (this.ending.get(member) ?? Promise.resolve()).then(() => this.spawn(member));
   }
@@ -101,64 +101,69 @@
       program,
       settings: join(folder, `${member}.toml`),
       log: join(folder, `${member}.log`),
-      onLine: (line) => this.read(member, line),
-      onExit: (expected) => {
-        if (!expected) listener.breach(`ended: ${member} ended by itself`);
+      onLine: (line) => this.handleLogLine(member, line),
+      onExit: (isExpected) => {
+        if (!isExpected) listener.recordViolation(`ended: ${member} ended by itself`);
       },
     });
     this.running.set(member, process);
   }
 
-  private read(member: string, { msg, ...line }: LogLine): void {
+  private handleLogLine(member: string, { msg, ...line }: LogLine): void {
     const { listener } = this.options;
     if (msg === 'elected') {
       const epoch = Number(line['epoch']);
-      this.leading.set(member, epoch);
-      this.epochs.set(epoch, member);
+      this.epochByLeader.set(member, epoch);
+      this.leaderByEpoch.set(epoch, member);
       listener.trace(`${member}     leads, epoch ${epoch}`);
     }
     if (msg === 'leadership ended') {
-      this.leading.delete(member);
+      this.epochByLeader.delete(member);
       listener.trace(`${member}     leads no more: ${String(line['why'])}`);
     }
-    if (msg === KNOWN_BY_TASK_ONLY) this.unknownMachines++;
-    if (msg === START_WITHHELD) listener.breach(`withheld: ${JSON.stringify(line)}`);
-    if (msg === 'uncaught exception') listener.breach(`exception: ${member}: ${String(line['error'])}`);
+    if (msg === KNOWN_BY_TASK_ONLY) this.machinesKnownByTask++;
+    if (msg === START_WITHHELD) listener.recordViolation(`withheld: ${JSON.stringify(line)}`);
+    if (msg === 'uncaught exception')
+      listener.recordViolation(`exception: ${member}: ${String(line['error'])}`);
   }
 
+  /** Kills a controller. */
   crash(member: string): void {
     const process = this.running.get(member);
     if (!process) return;
     this.running.delete(member);
-    this.leading.delete(member);
+    this.epochByLeader.delete(member);
     this.options.listener.trace(`${member}     crashes`);
     this.ending.set(member, process.kill());
   }
 
+  /** Pauses a controller; the result resumes it. */
   pause(member: string): () => void {
     const process = this.running.get(member);
     process?.pause();
-    return () => process?.goOn();
+    return () => process?.resume();
   }
 
   isRunning(member: string): boolean {
     return this.running.has(member);
   }
 
-  /** Of several the one with the newest epoch. */
+  /** The leader; of several the one with the highest epoch. */
   get leader(): string | undefined {
-    return [...this.leading].sort(([, a], [, b]) => b - a)[0]?.[0];
+    return [...this.epochByLeader].sort(([, first], [, second]) => second - first)[0]?.[0];
   }
 
-  /** Who led under an epoch. */
+  /** Returns the leader of an epoch. */
   leaderOf(epoch: number): string | undefined {
-    return this.epochs.get(epoch);
+    return this.leaderByEpoch.get(epoch);
   }
 
-  get leaderships(): number {
-    return this.epochs.size;
+  /** The number of leaderships so far. */
+  get leadershipCount(): number {
+    return this.leaderByEpoch.size;
   }
 
+  /** Kills all controllers and closes the relays. */
   async close(): Promise<void> {
     const all = [...this.running.values()];
     this.running.clear();
@@ -167,7 +172,7 @@
   }
 }
 
-/** Where a controller answers users and workers. */
-export function frontOf({ host }: Place): string {
+/** Returns the address at which a controller serves users and workers. */
+export function frontOf({ host }: ControllerPlace): string {
   return `${host}:${FRONT_PORT}`;
 }
--- a/test/soak/loopback-site.ts
+++ b/test/soak/loopback-site.ts
@@ -1,4 +1,4 @@
-/** A whole site on loopback: controllers as processes, and the stand-ins of all that is around them over HTTP. */
+/** A whole site on loopback: controllers as processes, and fakes of their environment over HTTP. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import type { MachineId, ImageId, JobId, MachineTypeId } from '../../src/model/ids.js';
@@ -18,11 +18,11 @@
 } from '../simulation/site-setup.js';
 import { FakeKeyValueStore } from '../simulation/fake-key-value-store.js';
 import type { JobBehavior, FakeWorker } from '../simulation/fake-worker.js';
-import { frontOf, LoopbackControllers, type Place } from './loopback-controllers.js';
+import { frontOf, LoopbackControllers, type ControllerPlace } from './loopback-controllers.js';
 import { LoopbackMachines } from './loopback-workers.js';
 import { ScaledClock } from './scaled-clock.js';
 
-/** Users, troubles, leases and limits go twice as fast as on the virtual site. */
+/** Users, faults, leases and limits run twice as fast as on a simulated site. */
 const SCALE = 0.5;
 const STATE_PORT = 21_001;
 const CLOUD_PORT = 21_002;
@@ -32,26 +32,26 @@
 const FETCH_MS = 500;
 const BOOT_MS = 700;
 const LIST_LAG_S = 4;
-const USERS_SOCKETS = 100;
-const SUBMIT_MS = 5000;
-const QUERY_MS = 2000;
-/** Troubles over, a job about which no question is answered for so long is forgotten (PROTOCOL). */
-const FORGOTTEN_MS = 75_000;
-const ASK_AGAIN_MS = 1000;
-
-/** How a site is set up. */
+const MAX_USER_SOCKETS = 100;
+const SUBMIT_TIMEOUT_MS = 5000;
+const QUERY_TIMEOUT_MS = 2000;
+/** After all faults, a job about which no query is answered for this time is forgotten (PROTOCOL). */
+const MAX_UNANSWERED_MS = 75_000;
+const QUERY_RETRY_MS = 1000;
+
+/** The options of a site. */
 export interface LoopbackOptions {
   readonly seed: number;
   readonly controllers: number;
-  /** Machines that there are from the beginning. */
+  /** The number of machines at the beginning. */
   readonly machines: number;
-  /** CPUs that each team may use. */
+  /** The CPU limit of each team. */
   readonly limit: number;
   readonly program: string;
   readonly folder: string;
 }
 
-/** The same interface as the virtual site's, so that the same days and troubles are played. */
+/** Has the same interface as a simulated site, so that the same scenarios and faults run on it. */
 export class LoopbackSite implements ScenarioSite {
   readonly clock = new ScaledClock(SCALE);
   readonly nodes: readonly string[];
@@ -64,8 +64,8 @@
   private readonly jobs = new Map<JobId, JobBehavior>();
   private readonly lines: string[] = [];
   private readonly users: ReadonlyMap<string, HttpTarget>;
-  private readonly places: readonly Place[];
-  private readonly began = systemClock.now();
+  private readonly places: readonly ControllerPlace[];
+  private readonly startedAt = systemClock.now();
 
   private constructor(
     private readonly options: LoopbackOptions,
@@ -74,14 +74,14 @@
     const generator = xoroshiro128plus(options.seed);
     this.random = () => uniformFloat64(generator);
     this.store.random = this.random;
-    this.nodes = Array.from({ length: options.controllers }, (_, n) => `node-${n}`);
-    this.places = this.nodes.map((member, n) => ({
+    this.nodes = Array.from({ length: options.controllers }, (_, index) => `node-${index}`);
+    this.places = this.nodes.map((member, index) => ({
       member,
-      zone: MIXED_ZONES[n % MIXED_ZONES.length] as string,
-      host: `${network}.0.${10 + n}`,
+      zone: MIXED_ZONES[index % MIXED_ZONES.length] as string,
+      host: `${network}.0.${10 + index}`,
     }));
     this.users = new Map(
-      this.places.map((place) => [place.member, new HttpTarget(frontOf(place), USERS_SOCKETS)]),
+      this.places.map((place) => [place.member, new HttpTarget(frontOf(place), MAX_USER_SOCKETS)]),
     );
     this.machines = this.createMachines();
     this.controllers = this.createControllers();
@@ -94,18 +94,18 @@
       nodes: this.nodes,
       fronts: this.places.map(frontOf),
       leaseMs: LEASE_REAL_S * 1000,
-      reportMs: 1500,
+      heartbeatIntervalMs: 1500,
       random: this.random,
       leader: () => this.leader,
       leaderOf: (epoch) => this.controllers.leaderOf(epoch),
-      job: (id) => this.jobs.get(id),
-      started: (task, attemptNumber, machine) => {
+      behaviorOf: (id) => this.jobs.get(id),
+      onTaskStarted: (task, attemptNumber, machine) => {
         this.trace(`${machine.id} runs ${task} try ${attemptNumber}`);
         this.rules.recordStart(task, machine, this.clock.now());
       },
-      left: (task, machine, why) => {
-        this.trace(`${machine.id} ends ${task}: ${why}`);
-        this.rules.recordEnd(task, machine.id, why === 'done');
+      onTaskEnded: (task, machine, cause) => {
+        this.trace(`${machine.id} ends ${task}: ${cause}`);
+        this.rules.recordEnd(task, machine.id, cause === 'done');
       },
       trace: (text) => this.trace(text),
     });
@@ -117,7 +117,10 @@
       places: this.places,
       program,
       folder,
-      listener: { trace: (text) => this.trace(text), breach: (text) => this.rules.recordViolation(text) },
+      listener: {
+        trace: (text) => this.trace(text),
+        recordViolation: (text) => this.rules.recordViolation(text),
+      },
       common: ({ host }) => ({
         cloud: `${host}:${CLOUD_PORT}`,
         state: `${host}:${STATE_PORT}`,
@@ -138,8 +141,8 @@
     const cloud = new FakeCloud(
       systemClock,
       MIXED_MACHINE_TYPES,
-      (machine) => this.machines.begin(machine),
-      (id) => this.machines.gone(id),
+      (machine) => this.machines.start(machine),
+      (id) => this.machines.remove(id),
       (text) => this.trace(text),
     );
     cloud.bootMs = BOOT_MS;
@@ -147,10 +150,10 @@
     return cloud;
   }
 
-  /** A site whose addresses nobody else on this machine uses. */
+  /** Opens a site on a network whose addresses are free on this machine. */
   static async open(options: LoopbackOptions): Promise<LoopbackSite> {
-    for (let i = 0; i < NETWORKS.count; i++) {
-      const part = NETWORKS.first + ((process.pid + i) % NETWORKS.count);
+    for (let attempt = 0; attempt < NETWORKS.count; attempt++) {
+      const part = NETWORKS.first + ((process.pid + attempt) % NETWORKS.count);
       const site = new LoopbackSite(options, `127.${part}`);
       if (!(await site.listen())) continue;
       await site.controllers.prepare();
@@ -160,7 +163,7 @@
     throw new Error('no addresses are free');
   }
 
-  /** False: somebody else listens there. */
+  /** Listens on all addresses; resolves to false if one of them is in use. */
   private async listen(): Promise<boolean> {
     try {
       for (const { member, host } of this.places) {
@@ -177,26 +180,27 @@
   }
 
   private adoptMachines(): void {
-    for (let n = 0; n < this.options.machines; n++)
+    for (let number = 0; number < this.options.machines; number++) {
       this.cloud.adopt({
-        id: `host-${String(n).padStart(6, '0')}` as MachineId,
-        type: MIXED_MACHINE_TYPES[n % 4 === 0 ? 1 : 0]?.id as MachineTypeId,
-        zone: MIXED_ZONES[n % MIXED_ZONES.length] as (typeof MIXED_ZONES)[0],
-        spot: n % 2 === 0,
+        id: `host-${String(number).padStart(6, '0')}` as MachineId,
+        type: MIXED_MACHINE_TYPES[number % 4 === 0 ? 1 : 0]?.id as MachineTypeId,
+        zone: MIXED_ZONES[number % MIXED_ZONES.length] as (typeof MIXED_ZONES)[0],
+        spot: number % 2 === 0,
       });
+    }
   }
 
   trace(text: string): void {
-    this.lines.push(`${((systemClock.now() - this.began) / 1000).toFixed(3).padStart(8)}  ${text}`);
+    this.lines.push(`${((systemClock.now() - this.startedAt) / 1000).toFixed(3).padStart(8)}  ${text}`);
   }
 
-  get text(): string {
+  get traceText(): string {
     return `${this.lines.join('\n')}\n`;
   }
 
-  /** `s` seconds of the day's time. */
-  run(s: number): Promise<void> {
-    return this.clock.sleep(s * 1000);
+  /** Waits for seconds of the scenario's clock. */
+  run(seconds: number): Promise<void> {
+    return this.clock.sleep(seconds * 1000);
   }
 
   // Controllers
@@ -213,12 +217,12 @@
     this.controllers.crash(node);
   }
 
-  pause(node: string, s: number): void {
+  pause(node: string, seconds: number): void {
     this.trace(`${node}     stands still`);
-    const goOn = this.controllers.pause(node);
-    this.clock.after(s * 1000, () => {
+    const resume = this.controllers.pause(node);
+    this.clock.after(seconds * 1000, () => {
       this.trace(`${node}     goes on`);
-      goOn();
+      resume();
     });
   }
 
@@ -235,7 +239,7 @@
   }
 
   get isolatedNodes(): Set<string> {
-    return this.controllers.alone;
+    return this.controllers.isolatedMembers;
   }
 
   // Machines
@@ -251,105 +255,105 @@
   }
 
   get cutLinks(): Set<string> {
-    return this.machines.cuts;
+    return this.machines.cutLinks;
   }
 
   get inboundPartitioned(): Set<MachineId> {
-    return this.machines.oneWay;
+    return this.machines.inboundPartitioned;
   }
 
   get outboundPartitioned(): Set<MachineId> {
-    return this.machines.mute;
+    return this.machines.outboundPartitioned;
   }
 
   get duplicateHeartbeatRate(): number {
-    return this.machines.copyShare;
+    return this.machines.duplicateRate;
   }
 
-  set duplicateHeartbeatRate(share: number) {
-    this.machines.copyShare = share;
+  set duplicateHeartbeatRate(rate: number) {
+    this.machines.duplicateRate = rate;
   }
 
-  holdCommands(_node: string, host: MachineId): void {
-    this.machines.hold(host);
+  holdCommands(_node: string, machine: MachineId): void {
+    this.machines.holdCommands(machine);
   }
 
   releaseCommands(): void {
-    this.machines.release();
+    this.machines.releaseCommands();
   }
 
   killMachine(id: MachineId): void {
     this.trace(`${id} dies`);
-    this.machines.gone(id);
+    this.machines.remove(id);
     this.cloud.machines.delete(id);
   }
 
   // Users
 
-  private async ask(
+  private async request(
     node: string,
     method: string,
     path: string,
     body: unknown,
-    ms: number,
+    timeoutMs: number,
   ): Promise<HttpReply | null> {
     try {
-      return (await this.users.get(node)?.call(method, path, body, ms)) ?? null;
+      return (await this.users.get(node)?.call(method, path, body, timeoutMs)) ?? null;
     } catch {
       return null;
     }
   }
 
-  /** From now on the job may be accepted, and its tasks may start. */
-  private describe(wish: JobRequest): ReturnType<typeof submissionBody> {
-    const body = submissionBody(wish);
-    const id = wish.ref as JobId;
+  /** Returns the body of a submission, and registers the job with the workers and the checker. */
+  private registerJob(request: JobRequest): ReturnType<typeof submissionBody> {
+    const body = submissionBody(request);
+    const id = request.ref as JobId;
     this.jobs.set(id, {
       image: 'img-1' as ImageId,
       fetchMs: FETCH_MS,
-      runMs: body.shape === 'array' ? (wish.runS ?? 5) * 1000 * SCALE : null,
+      runMs: body.shape === 'array' ? (request.runS ?? 5) * 1000 * SCALE : null,
       failsAlways: false,
     });
     this.rules.recordSubmission(id, body, this.options.limit);
     return body;
   }
 
-  async submitConcurrently(wish: JobRequest, node: string): Promise<number> {
-    const body = this.describe(wish);
-    const reply = await this.ask(node, 'POST', '/v2/runs', body, SUBMIT_MS);
+  async submitConcurrently(request: JobRequest, node: string): Promise<number> {
+    const body = this.registerJob(request);
+    const reply = await this.request(node, 'POST', '/v2/runs', body, SUBMIT_TIMEOUT_MS);
     if (reply?.status === 200 || reply?.status === 201)
-      this.rules.recordAcceptance(wish.ref as JobId, this.clock.now());
+      this.rules.recordAcceptance(request.ref as JobId, this.clock.now());
     return reply?.status ?? 503;
   }
 
-  async expectRejected(wish: JobRequest, node: string, lacks?: string): Promise<void> {
-    const body: Record<string, unknown> = { ...submissionBody(wish) };
-    if (lacks !== undefined) delete body[lacks];
-    const reply = await this.ask(node, 'POST', '/v2/runs', body, SUBMIT_MS);
-    const expected = lacks === undefined ? 422 : 400;
+  async expectRejected(request: JobRequest, node: string, missingField?: string): Promise<void> {
+    const body: Record<string, unknown> = { ...submissionBody(request) };
+    if (missingField !== undefined) delete body[missingField];
+    const reply = await this.request(node, 'POST', '/v2/runs', body, SUBMIT_TIMEOUT_MS);
+    const expected = missingField === undefined ? 422 : 400;
     if (reply && reply.status !== expected && reply.status !== 503 && reply.status !== 429)
-      this.rules.recordViolation(`accepted: ${wish.ref} got ${reply.status} instead of ${expected}`);
+      this.rules.recordViolation(`accepted: ${request.ref} got ${reply.status} instead of ${expected}`);
   }
 
   async queryConcurrently(ref: string, node: string): Promise<string | null> {
     const askedAt = this.clock.now();
-    const reply = await this.ask(node, 'GET', `/v2/runs/${ref}`, undefined, QUERY_MS);
+    const reply = await this.request(node, 'GET', `/v2/runs/${ref}`, undefined, QUERY_TIMEOUT_MS);
     if (!reply || (reply.status !== 200 && reply.status !== 404)) return null;
-    return this.heard(ref, reply, askedAt);
+    return this.recordState(ref, reply, askedAt);
   }
 
   async cancelConcurrently(ref: string, node: string): Promise<string | null> {
     const askedAt = this.clock.now();
     this.rules.recordCancelRequest(ref);
-    const reply = await this.ask(node, 'POST', `/v2/runs/${ref}/cancel`, {}, SUBMIT_MS);
+    const reply = await this.request(node, 'POST', `/v2/runs/${ref}/cancel`, {}, SUBMIT_TIMEOUT_MS);
     if (reply?.status !== 200) return null;
-    const state = this.heard(ref, reply, askedAt);
+    const state = this.recordState(ref, reply, askedAt);
     if (state === 'cancelled')
       this.rules.recordCancellation(ref as JobId, this.clock.now() + CANCEL_S * 1000);
     return state;
   }
 
-  private heard(ref: string, reply: HttpReply, askedAt: number): string {
+  private recordState(ref: string, reply: HttpReply, askedAt: number): string {
     const state = reply.status === 404 ? '404' : (reply.body as { status: string }).status;
     this.rules.recordReportedState(ref as JobId, state, this.clock.now(), askedAt);
     return state;
@@ -359,23 +363,24 @@
     return this.rules.countRunning((task) => task.startsWith(`${ref}/`));
   }
 
-  /** Cancelled work is gone, and every node tells of every accepted job. */
+  /** Checks that cancelled jobs have no running task, and that every node answers for every accepted job. */
   async finish(): Promise<void> {
     this.rules.checkCancelled(this.clock.now());
-    const until = systemClock.now() + FORGOTTEN_MS;
-    const open = new Set(
+    const deadline = systemClock.now() + MAX_UNANSWERED_MS;
+    const unanswered = new Set(
       [...this.rules.acceptedJobs()].flatMap((ref) => this.nodes.map((node) => `${ref} ${node}`)),
     );
-    while (open.size > 0 && systemClock.now() < until) {
-      for (const question of open) {
-        const [ref, node] = question.split(' ') as [string, string];
-        if ((await this.queryConcurrently(ref, node)) !== null) open.delete(question);
+    while (unanswered.size > 0 && systemClock.now() < deadline) {
+      for (const query of unanswered) {
+        const [ref, node] = query.split(' ') as [string, string];
+        if ((await this.queryConcurrently(ref, node)) !== null) unanswered.delete(query);
       }
-      if (open.size > 0) await this.clock.sleep(ASK_AGAIN_MS);
+      if (unanswered.size > 0) await this.clock.sleep(QUERY_RETRY_MS);
     }
-    for (const question of open) this.rules.recordViolation(`forgotten: no answer for ${question}`);
+    for (const query of unanswered) this.rules.recordViolation(`forgotten: no answer for ${query}`);
   }
 
+  /** Kills all controllers. */
   async close(): Promise<void> {
     await this.controllers.close();
   }
--- a/test/soak/loopback-workers.ts
+++ b/test/soak/loopback-workers.ts
@@ -1,4 +1,4 @@
-/** The machines of a site on loopback: each worker serves its own address and reports over real sockets. */
+/** The machines of a site on loopback: each worker serves its own address and sends heartbeats over real sockets. */
 import type { Server } from 'node:http';
 import type { MachineId, JobId, TaskId, FencingToken, AttemptNumber } from '../../src/model/ids.js';
 import { epochOfFencingToken } from '../../src/model/ids.js';
@@ -22,53 +22,54 @@
 } from '../simulation/fake-worker.js';
 
 const WORKER_PORT = 9000;
-const ANSWER_MS = 4000;
-const COPY_LEAST_MS = 1000;
-const COPY_SPREAD_MS = 19_000;
+const ANSWER_TIMEOUT_MS = 4000;
+const MIN_DUPLICATE_DELAY_MS = 1000;
+const DUPLICATE_DELAY_SPREAD_MS = 19_000;
 
-/** What the machines need of the site. */
+/** The options of the machines, and callbacks into the site. */
 export interface MachinesOptions {
-  /** The first two parts of all addresses of this site. */
+  /** The first two bytes of all addresses of this site. */
   readonly network: string;
   readonly nodes: readonly string[];
   readonly fronts: readonly string[];
   readonly leaseMs: number;
-  readonly reportMs: number;
+  readonly heartbeatIntervalMs: number;
   readonly random: () => number;
   readonly leader: () => string | undefined;
   readonly leaderOf: (epoch: number) => string | undefined;
-  readonly job: (id: JobId) => JobBehavior | undefined;
-  readonly started: (task: TaskId, attemptNumber: AttemptNumber, machine: Machine) => void;
-  readonly left: (task: TaskId, machine: Machine, why: string) => void;
+  readonly behaviorOf: (id: JobId) => JobBehavior | undefined;
+  readonly onTaskStarted: (task: TaskId, attemptNumber: AttemptNumber, machine: Machine) => void;
+  readonly onTaskEnded: (task: TaskId, machine: Machine, cause: string) => void;
   readonly trace: (text: string) => void;
 }
 
-interface Up {
+interface RunningMachine {
   readonly worker: FakeWorker;
   readonly server: Promise<Server | null>;
   readonly links: readonly HttpTarget[];
 }
 
-/** Workers, and what the network does to them. */
+/** Workers, and the faults of their network. */
 export class LoopbackMachines implements WorkerEnvironment {
   readonly workers = new Map<MachineId, FakeWorker>();
-  /** `node host`: nothing passes between them. */
-  readonly cuts = new Set<string>();
-  /** Their reports arrive; no answer and no command reaches them. */
-  readonly oneWay = new Set<MachineId>();
-  /** They reach no controller; commands sent straight reach them. */
-  readonly mute = new Set<MachineId>();
-  copyShare = 0;
-  /** Of this share of the reports the answer is lost, or the report itself. */
-  lostShare = 0;
-  /** Commands arrive once more, so many ms later. */
-  repeatAfterMs: number | null = null;
-  /** The first order to start something has come to a machine. */
-  onFirstWork: (id: MachineId) => void = () => {};
-  private readonly worked = new Set<MachineId>();
-  private readonly holding = new Set<MachineId>();
-  private held: (() => void)[] = [];
-  private readonly up = new Map<MachineId, Up>();
+  /** Pairs `node machine` between which no message passes. */
+  readonly cutLinks = new Set<string>();
+  /** Machines that receive nothing: their heartbeats arrive, but no answer and no command reaches them. */
+  readonly inboundPartitioned = new Set<MachineId>();
+  /** Machines whose heartbeats reach no controller, while direct commands reach them. */
+  readonly outboundPartitioned = new Set<MachineId>();
+  /** The fraction of heartbeats of which a duplicate arrives later. */
+  duplicateRate = 0;
+  /** The fraction of heartbeats that are lost, or whose answer is lost. */
+  lossRate = 0;
+  /** Commands are delivered a second time after this delay; null: they are not. */
+  commandRepeatDelayMs: number | null = null;
+  /** Called when the first command to start a task arrives at a machine. */
+  onFirstStart: (id: MachineId) => void = () => {};
+  private readonly startedMachines = new Set<MachineId>();
+  private readonly heldMachines = new Set<MachineId>();
+  private heldRequests: (() => void)[] = [];
+  private readonly runningMachines = new Map<MachineId, RunningMachine>();
 
   constructor(private readonly options: MachinesOptions) {}
 
@@ -81,26 +82,31 @@
   }
 
   private ipOf(id: MachineId): string {
-    const n = Number(id.slice('host-'.length));
-    return `${this.options.network}.${1 + (n >> 8)}.${n & 255}`;
+    const number = Number(id.slice('host-'.length));
+    return `${this.options.network}.${1 + (number >> 8)}.${number & 255}`;
   }
 
-  /** The machine has booted: its worker begins. */
-  begin(machine: Machine): void {
-    const { leaseMs, reportMs, fronts, trace } = this.options;
+  /** Starts the worker of a machine that has booted. */
+  start(machine: Machine): void {
+    const { leaseMs, heartbeatIntervalMs, fronts, trace } = this.options;
     trace(`${machine.id} is up (${machine.type}, ${machine.zone}${machine.spot ? ', spot' : ''})`);
-    const worker = new FakeWorker(machine, systemClock, this, leaseMs, reportMs);
+    const worker = new FakeWorker(machine, systemClock, this, leaseMs, heartbeatIntervalMs);
     const server = serve(WORKER_PORT, this.ipOf(machine.id), this.handlerOf(worker)).catch(() => null);
     this.workers.set(machine.id, worker);
-    this.up.set(machine.id, { worker, server, links: fronts.map((front) => new HttpTarget(front, 1)) });
+    this.runningMachines.set(machine.id, {
+      worker,
+      server,
+      links: fronts.map((front) => new HttpTarget(front, 1)),
+    });
   }
 
-  gone(id: MachineId): void {
+  /** Removes a machine with its tasks, and closes its address. */
+  remove(id: MachineId): void {
     this.workers.get(id)?.terminate();
     this.workers.delete(id);
-    const up = this.up.get(id);
-    this.up.delete(id);
-    void up?.server.then((server) => {
+    const running = this.runningMachines.get(id);
+    this.runningMachines.delete(id);
+    void running?.server.then((server) => {
       server?.close();
       server?.closeAllConnections();
     });
@@ -109,100 +115,104 @@
   // Commands
 
   private handlerOf(worker: FakeWorker): Handler {
-    const act = workersHandler(
+    const handle = workersHandler(
       () => worker,
       (id) => this.addressOf(id),
     );
     return async (request) => {
       const { id } = worker.machine;
       const { epoch } = (request.body ?? {}) as { epoch?: FencingToken };
-      if (this.oneWay.has(id) || this.cutFrom(id, epoch)) throw new AnswerLostError();
-      if (this.holding.has(id)) await new Promise<void>((resolve) => this.held.push(resolve));
-      // A machine that hangs carries it out when it goes on.
+      if (this.inboundPartitioned.has(id) || this.isCutFrom(id, epoch)) throw new AnswerLostError();
+      if (this.heldMachines.has(id)) await new Promise<void>((resolve) => this.heldRequests.push(resolve));
+      // A hanging machine handles the request once it resumes.
       await new Promise<void>((resolve) => worker.runWhenResponsive(resolve));
       const { orders } = (request.body ?? {}) as { orders?: readonly { verb: string }[] };
-      this.noteWork(id, orders?.some(({ verb }) => verb === 'run') ?? false);
-      const after = this.repeatAfterMs;
-      if (after !== null) systemClock.after(after, () => worker.runWhenResponsive(() => void act(request)));
-      return act(request);
+      this.recordStart(id, orders?.some(({ verb }) => verb === 'run') ?? false);
+      const after = this.commandRepeatDelayMs;
+      if (after !== null)
+        systemClock.after(after, () => worker.runWhenResponsive(() => void handle(request)));
+      return handle(request);
     };
   }
 
-  /** Only a leader calls workers: an order tells which by its epoch, a question is taken for the present one's. */
-  private cutFrom(id: MachineId, token: FencingToken | undefined): boolean {
+  /** Only leaders call workers: the epoch of a command names the caller, a query is attributed to the current leader. */
+  private isCutFrom(id: MachineId, token: FencingToken | undefined): boolean {
     const { leader, leaderOf } = this.options;
     const caller = token === undefined ? leader() : leaderOf(epochOfFencingToken(token));
-    return caller !== undefined && this.cuts.has(`${caller} ${id}`);
+    return caller !== undefined && this.cutLinks.has(`${caller} ${id}`);
   }
 
-  hold(host: MachineId): void {
-    this.holding.add(host);
+  /** Holds the commands to a machine until they are released. */
+  holdCommands(machine: MachineId): void {
+    this.heldMachines.add(machine);
   }
 
-  release(): void {
-    this.holding.clear();
-    const held = this.held;
-    this.held = [];
+  /** Delivers all held commands. */
+  releaseCommands(): void {
+    this.heldMachines.clear();
+    const held = this.heldRequests;
+    this.heldRequests = [];
     for (const run of held) run();
   }
 
-  // Reports
+  // Heartbeats
 
-  async heartbeat(worker: FakeWorker, node: string, report: Heartbeat): Promise<HeartbeatAnswer | null> {
+  async heartbeat(worker: FakeWorker, node: string, heartbeat: Heartbeat): Promise<HeartbeatAnswer | null> {
     const { id } = worker.machine;
-    if (this.mute.has(id) || this.cuts.has(`${node} ${id}`)) {
+    if (this.outboundPartitioned.has(id) || this.cutLinks.has(`${node} ${id}`)) {
       await sleep(systemClock, 2);
       return null;
     }
-    const body = heartbeatBody(report, (host) => this.addressOf(host));
-    if (this.options.random() < this.copyShare) this.copyLater(body);
-    if (this.options.random() < this.lostShare / 2) return this.lost();
-    const answer = await this.call(this.up.get(id)?.links[this.nodes.indexOf(node)], body);
-    if (this.oneWay.has(id) || this.options.random() < this.lostShare / 2) return this.lost();
-    this.noteWork(id, answer?.orders.some(({ kind }) => kind === 'start') ?? false);
+    const body = heartbeatBody(heartbeat, (host) => this.addressOf(host));
+    if (this.options.random() < this.duplicateRate) this.scheduleDuplicate(body);
+    if (this.options.random() < this.lossRate / 2) return this.loseAnswer();
+    const answer = await this.call(this.runningMachines.get(id)?.links[this.nodes.indexOf(node)], body);
+    if (this.inboundPartitioned.has(id) || this.options.random() < this.lossRate / 2)
+      return this.loseAnswer();
+    this.recordStart(id, answer?.orders.some(({ kind }) => kind === 'start') ?? false);
     return answer;
   }
 
-  private noteWork(id: MachineId, hasStart: boolean): void {
-    if (this.worked.has(id) || !hasStart) return;
-    this.worked.add(id);
-    this.onFirstWork(id);
+  private recordStart(id: MachineId, hasStart: boolean): void {
+    if (this.startedMachines.has(id) || !hasStart) return;
+    this.startedMachines.add(id);
+    this.onFirstStart(id);
   }
 
-  private async lost(): Promise<null> {
-    await sleep(systemClock, ANSWER_MS);
+  private async loseAnswer(): Promise<null> {
+    await sleep(systemClock, ANSWER_TIMEOUT_MS);
     return null;
   }
 
   private async call(link: HttpTarget | undefined, body: object): Promise<HeartbeatAnswer | null> {
     try {
-      const reply = await link?.call('POST', '/agent/beat', body, ANSWER_MS);
+      const reply = await link?.call('POST', '/agent/beat', body, ANSWER_TIMEOUT_MS);
       return reply ? heartbeatAnswer(reply.status, reply.body) : null;
     } catch {
       return null;
     }
   }
 
-  /** At whoever leads then. */
-  private copyLater(body: object): void {
+  /** Delivers a duplicate later, to the leader of that time. */
+  private scheduleDuplicate(body: object): void {
     const { fronts, random, leader } = this.options;
-    systemClock.after(COPY_LEAST_MS + COPY_SPREAD_MS * random(), () => {
+    systemClock.after(MIN_DUPLICATE_DELAY_MS + DUPLICATE_DELAY_SPREAD_MS * random(), () => {
       const front = fronts[Math.max(0, this.nodes.indexOf(leader() ?? ''))];
       if (front) void this.call(new HttpTarget(front, 1), body);
     });
   }
 
-  // What its tasks do
+  // Tasks
 
   behaviorOf(id: JobId): JobBehavior | undefined {
-    return this.options.job(id);
+    return this.options.behaviorOf(id);
   }
 
   onTaskStarted(worker: FakeWorker, task: TaskId, attemptNumber: AttemptNumber): void {
-    this.options.started(task, attemptNumber, worker.machine);
+    this.options.onTaskStarted(task, attemptNumber, worker.machine);
   }
 
-  onTaskEnded(worker: FakeWorker, task: TaskId, why: string): void {
-    this.options.left(task, worker.machine, why);
+  onTaskEnded(worker: FakeWorker, task: TaskId, cause: string): void {
+    this.options.onTaskEnded(task, worker.machine, cause);
   }
 }
--- a/test/soak/observed-set.ts
+++ b/test/soak/observed-set.ts
@@ -1,7 +1,7 @@
-/** A set that tells of every change. */
+/** A set that reports every change. */
 export class ObservedSet<T> extends Set<T> {
-  /** Called after the value came (`present`) or went. */
-  onChange: (value: T, present: boolean) => void = () => {};
+  /** Called after a value was added (`isPresent`) or deleted. */
+  onChange: (value: T, isPresent: boolean) => void = () => {};
 
   override add(value: T): this {
     const isNew = !this.has(value);
@@ -11,9 +11,9 @@
   }
 
   override delete(value: T): boolean {
-    const was = super.delete(value);
-    if (was) this.onChange(value, false);
-    return was;
+    const wasPresent = super.delete(value);
+    if (wasPresent) this.onChange(value, false);
+    return wasPresent;
   }
 
   override clear(): void {
--- a/test/soak/scaled-clock.ts
+++ b/test/soak/scaled-clock.ts
@@ -1,24 +1,25 @@
+/** The clock of scenarios on real processes. */
 import { type Clock, systemClock, type MonotonicTime } from '../../src/model/time.js';
 
 /**
- * The time of users and troubles on real processes: faster than the wall's, as leases and limits in the controllers'
- * settings are shorter than those of the virtual site.
+ * The time of users and faults: faster than real time, since leases and limits in the controllers' settings are shorter
+ * than those of a simulated site.
  */
 export class ScaledClock implements Pick<Clock, 'now' | 'after'> {
-  /** `scale`: real milliseconds that one of ours lasts. */
+  /** `scale`: the real duration of one millisecond of this clock. */
   constructor(readonly scale: number) {}
 
   now(): MonotonicTime {
     return (systemClock.now() / this.scale) as MonotonicTime;
   }
 
-  after(d: number, run: () => void): () => void {
-    return systemClock.after(d * this.scale, run);
+  after(delayMs: number, run: () => void): () => void {
+    return systemClock.after(delayMs * this.scale, run);
   }
 
-  sleep(d: number): Promise<void> {
+  sleep(durationMs: number): Promise<void> {
     return new Promise((resolve) => {
-      this.after(d, resolve);
+      this.after(durationMs, resolve);
     });
   }
 }
--- a/test/soak/soak-faults.ts
+++ b/test/soak/soak-faults.ts
@@ -1,23 +1,23 @@
-/** Troubles that only real processes and sockets have, beside those of the virtual site. */
+/** Faults of real processes and sockets, in addition to those of simulated sites. */
 import { isolateNode, type Fault } from '../simulation/faults.js';
 import type { LoopbackSite } from './loopback-site.js';
 
-const LOST_SHARE = 0.15;
-const REPEAT_AFTER_MS = 2500;
-const MUTE_MS = 9000;
-const BETWEEN_ENDS_MS = 3000;
-const SOON_MS = 150;
-const BACK_MS = 300;
+const LOSS_RATE = 0.15;
+const COMMAND_REPEAT_DELAY_MS = 2500;
+const PARTITION_MS = 9000;
+const MIN_CRASH_INTERVAL_MS = 3000;
+const CRASH_DELAY_MS = 150;
+const RESTART_DELAY_MS = 300;
 
 function pick(nodes: readonly string[], random: () => number): string {
   return nodes[Math.floor(random() * nodes.length)] as string;
 }
 
-/** Of one site. */
-export function soakTroubles(site: LoopbackSite): readonly Fault[] {
+/** Returns the faults of a site. */
+export function soakFaults(site: LoopbackSite): readonly Fault[] {
   return [
     {
-      name: 'one controller is not heard by another',
+      name: 'a link between controllers is cut in one direction',
       durationS: 30,
       inject(_site, _users, random) {
         const from = pick(site.nodes, random);
@@ -26,62 +26,62 @@
       },
     },
     {
-      name: 'reports and answers are lost',
+      name: 'heartbeats and answers are lost',
       durationS: 40,
       inject() {
-        site.machines.lostShare = LOST_SHARE;
+        site.machines.lossRate = LOSS_RATE;
         return () => {
-          site.machines.lostShare = 0;
+          site.machines.lossRate = 0;
         };
       },
     },
     {
-      name: 'commands arrive once more, late',
+      name: 'commands are duplicated late',
       durationS: 40,
       inject() {
-        site.machines.repeatAfterMs = REPEAT_AFTER_MS;
+        site.machines.commandRepeatDelayMs = COMMAND_REPEAT_DELAY_MS;
         return () => {
-          site.machines.repeatAfterMs = null;
+          site.machines.commandRepeatDelayMs = null;
         };
       },
     },
     {
-      // Their records may not be written yet, and until they are heard nothing else names them.
-      name: 'leaders end as new machines get their first work',
+      // The machines' records may not be written yet, and until their heartbeats arrive nothing else names them.
+      name: 'leaders crash as new machines get their first tasks',
       durationS: 40,
       inject() {
-        let next = 0;
-        site.machines.onFirstWork = (id) => {
+        let nextCrashAt = 0;
+        site.machines.onFirstStart = (id) => {
           site.outboundPartitioned.add(id);
-          site.clock.after(MUTE_MS, () => site.outboundPartitioned.delete(id));
+          site.clock.after(PARTITION_MS, () => site.outboundPartitioned.delete(id));
           const { leader } = site;
-          if (leader === undefined || site.clock.now() < next) return;
-          next = site.clock.now() + BETWEEN_ENDS_MS;
-          site.clock.after(SOON_MS, () => site.crash(leader));
-          site.clock.after(SOON_MS + BACK_MS, () => site.start(leader));
+          if (leader === undefined || site.clock.now() < nextCrashAt) return;
+          nextCrashAt = site.clock.now() + MIN_CRASH_INTERVAL_MS;
+          site.clock.after(CRASH_DELAY_MS, () => site.crash(leader));
+          site.clock.after(CRASH_DELAY_MS + RESTART_DELAY_MS, () => site.start(leader));
         };
         return () => {
-          site.machines.onFirstWork = () => {};
+          site.machines.onFirstStart = () => {};
         };
       },
     },
     {
-      name: 'a zone is cut off, with its controller',
+      name: 'a zone is partitioned together with its controller',
       durationS: 28,
       inject(_site, _users, random) {
         const node = pick(site.nodes, random);
         const zone = site.zoneOf(node);
-        return isolateNode(site, node, (host) => site.worker(host).machine.zone === zone);
+        return isolateNode(site, node, (machine) => site.worker(machine).machine.zone === zone);
       },
     },
     {
-      name: 'controllers end one after the other, and the last leader hangs',
+      name: 'controllers crash one after the other, and the last leader is paused',
       durationS: 30,
       inject() {
         const nodes = [...site.nodes];
-        nodes.forEach((node, n) => {
-          site.clock.after(n * 4000, () => site.crash(node));
-          site.clock.after(n * 4000 + 900, () => site.start(node));
+        nodes.forEach((node, index) => {
+          site.clock.after(index * 4000, () => site.crash(node));
+          site.clock.after(index * 4000 + 900, () => site.start(node));
         });
         site.clock.after(18_000, () => {
           if (site.leader !== undefined) site.pause(site.leader, 8);
--- a/test/soak/soak.test.ts
+++ b/test/soak/soak.test.ts
@@ -9,7 +9,7 @@
 // Below the project's folder, so that its libraries are found.
 const folder = mkdtempSync('target/soak-test-');
 const script = join(folder, 'soak.mjs');
-const LIMIT_MS = 400_000;
+const TIMEOUT_MS = 400_000;
 
 interface Outcome {
   readonly status: number;
@@ -39,8 +39,8 @@
 
 afterAll(() => rmSync(folder, { recursive: true, force: true }));
 
-// Asserts rules, not times: how long processes take depends on what else the machine does.
-describe('real controllers over loopback, with troubles that overlap', () => {
+// Asserts rules, not times: how long processes take depends on the load of the machine.
+describe('real controllers over loopback with overlapping faults', () => {
   it(
     'break no rule, and whatever was accepted is served',
     async () => {
@@ -48,17 +48,17 @@
       expect(text).toContain('3 seeds run, 0 failed');
       expect(status).toBe(0);
     },
-    LIMIT_MS,
+    TIMEOUT_MS,
   );
 
   it.each(RULE_PARTS)(
-    'are caught without the part "%s" of the placement rule',
+    'are detected when they lack the part "%s" of the placement rule',
     async (part) => {
       const { status, text } = await soak('--seeds', '1', '--broken', part);
       expect(text).toContain('1 seeds run, 0 failed');
       expect(status).toBe(0);
     },
-    LIMIT_MS,
+    TIMEOUT_MS,
   );
 
   it.each([
@@ -67,7 +67,7 @@
     ['an unknown part', ['--broken', 'colour']],
     ['an unknown option', ['--speed', '3']],
     ['too many at once', ['--parallel', '99']],
-  ])('say in one line what is wrong with the arguments: %s', async (_name, args) => {
+  ])('report invalid arguments in one line: %s', async (_name, args) => {
     const { status, text } = await soak(...args);
     expect(status).toBe(2);
     expect(text.trim().split('\n')).toHaveLength(1);
