--- a/test/traces/failover.test.ts
+++ b/test/traces/failover.test.ts
@@ -154,17 +154,17 @@
   });
 });
 
-describe('the meetings of troubles, with failure detection on', () => {
-  it.each(FAULTS.map((trouble, n) => [trouble.name, trouble, n] as const))(
+describe('combinations of faults with failure detection', () => {
+  it.each(FAULTS.map((fault, n) => [fault.name, fault, n] as const))(
     '%s',
-    async (_, trouble, n) => {
+    async (_, fault, n) => {
       const other = FAULTS[(n + 5) % FAULTS.length] as (typeof FAULTS)[number];
-      const day = new Scenario(900 + n, new SimulatedSite());
-      day.site.failover = FEATURE;
-      await day.run([trouble, other]);
-      expect(day.site.rules.violations, `${trouble.name}; ${other.name}`).toEqual([]);
-      expect(day.site.store.rejectedTransactions).toEqual([]);
-      expect(day.acceptedCount).toBeGreaterThan(day.submittedCount / 2);
+      const scenario = new Scenario(900 + n, new SimulatedSite());
+      scenario.site.failover = FEATURE;
+      await scenario.run([fault, other]);
+      expect(scenario.site.rules.violations, `${fault.name}; ${other.name}`).toEqual([]);
+      expect(scenario.site.store.rejectedTransactions).toEqual([]);
+      expect(scenario.acceptedCount).toBeGreaterThan(scenario.submittedCount / 2);
     },
     60_000,
   );
--- a/test/traces/faults.test.ts
+++ b/test/traces/faults.test.ts
@@ -3,8 +3,8 @@
 import { startedSite, runUntil } from './steps.js';
 import { expectTrace } from './trace.js';
 
-describe('a machine that is heard and not reached', () => {
-  it('takes nothing new, and its replicas move before its lease kills them', async () => {
+describe('a machine with an inbound partition', () => {
+  it('gets no new tasks, and its replicas move before its lease expires', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 2 });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 2);
@@ -23,7 +23,7 @@
     await expectTrace('one-way-replicas', site);
   });
 
-  it('is found by its own reports when only an array runs on it', async () => {
+  it('is detected by its own heartbeats when only an array runs on it', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', tasks: 2, cpus: 2, runS: 90 });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 2);
@@ -45,7 +45,7 @@
     await expectTrace('one-way-array', site);
   });
 
-  it('lets a cancellation through by its fence', async () => {
+  it('lets a cancellation take effect by fencing', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', tasks: 2, runS: 300 });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 2);
@@ -57,7 +57,7 @@
     await expectTrace('one-way-cancel', site);
   });
 
-  it('is met by no new leader either', async () => {
+  it('is detected by a new leader, too', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service' });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
@@ -72,8 +72,8 @@
   });
 });
 
-describe('late copies of reports', () => {
-  it('bring no machine back, prove nothing and extend nothing, under any leader', async () => {
+describe('late duplicates of heartbeats', () => {
+  it('restore no machine, confirm nothing and extend no lease, under any leader', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 6 });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 6);
@@ -93,8 +93,8 @@
   });
 });
 
-describe('repeats of requests that were carried out', () => {
-  it('of commands start nothing again, however late, before and after a clear', async () => {
+describe('duplicates of requests that were carried out', () => {
+  it('start no task again, however late they are, before and after a forget command', async () => {
     const site = await startedSite();
     site.repeatCommands(9);
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 2 });
@@ -118,8 +118,8 @@
   });
 });
 
-describe('repeats of what the state service, the cloud and the users were asked', () => {
-  it('change nothing: no older record comes back, nothing is rented or accepted twice', async () => {
+describe('duplicates of requests to the key-value store, the cloud and the users’ interface', () => {
+  it('change nothing: no older record returns, nothing is rented or accepted twice', async () => {
     const site = await startedSite();
     site.trace('network    delivers every commit, rental and deletion once more, 45 s later');
     site.store.duplicateDelayMs = 45_000;
@@ -147,8 +147,8 @@
   });
 });
 
-describe('a controller with its workers and nobody else', () => {
-  it('as leader gives them up to the one that follows', async () => {
+describe('a controller that reaches its workers only', () => {
+  it('hands them over to its successor if it leads', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 2 });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 2);
@@ -171,7 +171,7 @@
     await expectTrace('leader-alone', site);
   });
 
-  it('as follower sends them on within their lease, and users find another node', async () => {
+  it('redirects them within their lease if it follows, and users find another node', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 6 });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 6);
@@ -189,7 +189,7 @@
     await expectTrace('follower-alone', site);
   });
 
-  it('has no machine deleted while it cannot know that it leads', async () => {
+  it('deletes no machine while its lease is not valid', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 6 });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 6);
@@ -212,8 +212,8 @@
   });
 });
 
-describe('a controller that stands still while its clocks run on', () => {
-  it('as leader, with decisions, orders and deletions under way, finds that another leads', async () => {
+describe('a paused controller whose clocks continue', () => {
+  it('detects that another leads, with decisions, commands and deletions under way', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 4 });
     await site.submit({ ref: 'j-000002', tasks: 4, runS: 25, team: 'blue' });
@@ -243,7 +243,7 @@
     await expectTrace('standing-still', site);
   });
 
-  it('gives no answer that was read before it stood still', async () => {
+  it('gives no answer that was read before the pause', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service' });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
@@ -255,8 +255,8 @@
   });
 });
 
-describe('controllers that are back at once', () => {
-  it('a leader, within a fraction of a second, and again during its own election', async () => {
+describe('immediate restarts', () => {
+  it('of a leader within a fraction of a second, and again during its own election', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', tasks: 4, runS: 20 });
     await site.submit({ ref: 'j-000002', kind: 'service', team: 'blue' });
@@ -280,7 +280,7 @@
     await expectTrace('back-in-election', site);
   });
 
-  it('all of them, and the job accepted just before', async () => {
+  it('of all controllers keep a job that was accepted just before', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', tasks: 2, runS: 5 });
     for (const name of site.nodes) site.crash(name);
@@ -291,7 +291,7 @@
     await expectTrace('all-back-at-once', site);
   });
 
-  it('a worker’s machine, in a new session', async () => {
+  it('of a worker’s machine begin a new incarnation', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 2 });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 2);
@@ -301,8 +301,8 @@
   });
 });
 
-describe('a crowd of submissions', () => {
-  it('takes neither the leadership nor the starts their requests, and all are accepted in time', async () => {
+describe('many submissions at once', () => {
+  it('leave enough requests for the leadership and for starts, and all are accepted in time', async () => {
     const site = await startedSite();
     // What the sites' settings say: 200 requests and 60 changes a second.
     site.store.rateLimits = {
@@ -329,7 +329,7 @@
 });
 
 describe('a full cluster', () => {
-  it('lets low work begin within four minutes, however much goes before it', async () => {
+  it('starts low-priority work within four minutes, however much has precedence', async () => {
     const site = await startedSite();
     for (const zone of ['north', 'south']) site.cloud.remainingCapacity.set(`small|${zone}|ordinary`, 1);
     const low = { ref: 'j-900000', rank: 'idle', team: 'blue', tasks: 8, cpus: 2, runS: 20 };
--- a/test/traces/gap.test.ts
+++ b/test/traces/gap.test.ts
@@ -3,7 +3,7 @@
 import { startedSite, runUntil } from './steps.js';
 import { expectTrace } from './trace.js';
 
-/** Longer than a cancellation has (40 s on the stand-ins), and than a lease (20 s). */
+/** Longer than a cancellation has (40 s on simulated sites), and than a lease (20 s). */
 const OUTAGE_S = 60;
 
 interface Gap {
@@ -44,8 +44,8 @@
   await site.run(30);
 }
 
-describe('state refuses the leader alone, a cancellation is confirmed elsewhere, and state is out for all', () => {
-  it('the leader is told by the confirming controller and kills, unsure as it is; the rest goes on', async () => {
+describe('the store refuses the leader alone, a cancellation is confirmed elsewhere, and the store fails for all', () => {
+  it('the leader learns of it from the confirming controller and stops the tasks without a valid lease; the rest continues', async () => {
     const gap = await running();
     const { site, other } = gap;
     await cancelInGap(gap);
@@ -60,7 +60,7 @@
     await expectTrace('gap', site);
   });
 
-  it('a leader that is cut from the others as well stops answering: leases end within the limit', async () => {
+  it('a leader that is cut off from its peers as well stops answering: worker leases expire within the limit', async () => {
     const gap = await running();
     const { site, old } = gap;
     site.isolatedNodes.add(old);
@@ -73,7 +73,7 @@
     await expectTrace('gap-alone', site);
   });
 
-  it('beside controllers of an older version, which tell nothing, time does it', async () => {
+  it('beside controllers of an older version, which report nothing, leases expire in time', async () => {
     const gap = await running();
     const { site, old } = gap;
     for (const name of site.nodes) if (name !== old) site.earlierVersionNodes.add(name);
@@ -85,7 +85,7 @@
     await expectTrace('gap-old-siblings', site);
   });
 
-  it('one of the others started again meanwhile: what it may have confirmed is not known, and time does it', async () => {
+  it('if a peer has restarted meanwhile, what it may have confirmed is unknown, and leases expire in time', async () => {
     const gap = await running();
     const { site, old, other } = gap;
     const third = site.nodes.find((n) => n !== old && n !== other) as string;
@@ -103,7 +103,7 @@
     await expectTrace('gap-restarted-sibling', site);
   });
 
-  it('a machine that hangs with the task is deleted, although nobody is sure to lead', async () => {
+  it('a machine that hangs with the task is deleted, although no leader has a valid lease', async () => {
     const gap = await running();
     const { site } = gap;
     const host = site.machineOf('j-000002/0');
@@ -117,7 +117,7 @@
     await expectTrace('gap-hung-machine', site);
   });
 
-  it('a start that is held up on its way is refused when it arrives: the token was raised', async () => {
+  it('a delayed start is refused when it arrives, because the fencing token was raised', async () => {
     const gap = await running();
     const { site, old, other } = gap;
     // The machine where it will be placed has the image: a start is a start at once.
@@ -150,7 +150,7 @@
     await expectTrace('gap-held-start', site);
   });
 
-  it('a successor that could read nothing yet kills what it was told is cancelled', async () => {
+  it('a successor that has read nothing yet stops the tasks that peers report as cancelled', async () => {
     const gap = await running();
     const { site, old, other } = gap;
     site.store.refusedClients.add(old);
@@ -170,8 +170,8 @@
   });
 });
 
-describe('a successor that is elected just before an outage that all share', () => {
-  it('keeps the work alive though it knows no job, kills what is cancelled, and starts nothing anew', async () => {
+describe('a successor that is elected just before a store outage', () => {
+  it('keeps the work running though it knows no job, stops what is cancelled, and starts nothing', async () => {
     const gap = await running();
     const { site, old, other } = gap;
     // Everybody has been up for longer than a cancellation has.
@@ -194,8 +194,8 @@
   });
 });
 
-describe('an outage of the state service that all share', () => {
-  it('ends no work while every controller says that it confirmed nothing, however long it lasts', async () => {
+describe('a store outage for all controllers', () => {
+  it('ends no work while every controller reports that it confirmed nothing, however long it lasts', async () => {
     const gap = await running();
     const { site } = gap;
     site.store.isUnavailable = true;
--- a/test/traces/late-writes.test.ts
+++ b/test/traces/late-writes.test.ts
@@ -11,7 +11,7 @@
   site.trace(`state      holds a commit of ${leader} for ${ms / 1000} s`);
 }
 
-describe('a transaction that gets no answer and is carried out late', () => {
+describe('a transaction that is not answered and is carried out late', () => {
   it('does not undo a newer one of the same controller, also when a successor reads right after it', async () => {
     const site = await startedSite();
     // Two machines, so that a lost task finds room at once.
--- a/test/traces/pipeline-faults.test.ts
+++ b/test/traces/pipeline-faults.test.ts
@@ -18,7 +18,7 @@
   return { site, leader };
 }
 
-describe('a dependency whose end is written in trouble', () => {
+describe('a dependency whose final write meets a fault', () => {
   it('releases nothing while its final write is late, and the leader changes before it arrives', async () => {
     const { site, leader } = await aboutToEnd();
     site.store.nextCommitDelayMs.set(leader, 8000);
@@ -77,7 +77,7 @@
     return { site, all: Array.from({ length: 34 }, (_, n) => ref(n + 1)) };
   }
 
-  it('falls as a whole, asked at every node from the first moment on', async () => {
+  it('is cancelled as a whole, at every node from the first moment on', async () => {
     const { site, all } = await diamond();
     expect(await site.cancel(ref(1), 'node-2')).toBe('cancelled');
     for (const one of [...all].reverse()) for (const node of site.nodes) await site.query(one, node);
@@ -87,7 +87,7 @@
     expect(site.rules.violations).toEqual([]);
   });
 
-  it('is called cancelled after an outage beyond the limit that began as the leader was cut off', async () => {
+  it('is reported as cancelled after an outage beyond the limit that began as the leader was cut off', async () => {
     const { site, all } = await diamond();
     const leader = site.leader as string;
     const other = site.nodes.find((node) => node !== leader) as string;
@@ -108,7 +108,7 @@
   });
 });
 
-describe('a roll while pipelines run', () => {
+describe('a rolling restart while pipelines run', () => {
   it('keeps every stage, with several processes killed at once, the leader among them each time', async () => {
     const site = await startedSite();
     for (let p = 0; p < 4; p++) {
--- a/test/traces/pipelines.test.ts
+++ b/test/traces/pipelines.test.ts
@@ -66,7 +66,7 @@
     expect(await site.query(ref(2))).toBe('done');
   });
 
-  it('is never called pending once a cancellation’s limit is over, though no leader could write it', async () => {
+  it('is never reported as pending once a cancellation’s limit has passed, though no leader could write it', async () => {
     const site = await startedSite();
     await chain(site, 200);
     await runUntil(site, () => site.runningTaskCount(ref(1)) === 2);
@@ -93,7 +93,7 @@
     await expectTrace('pipeline-orphans', site);
   });
 
-  it('is cancelled with a job whose cancellation the accepting node had not heard of', async () => {
+  it('is cancelled with a job whose cancellation the accepting node did not know', async () => {
     const site = await startedSite();
     await site.submit({ ref: ref(1), runS: 200 });
     await runUntil(site, () => site.runningTaskCount(ref(1)) === 1);
--- a/test/traces/placement-guard.test.ts
+++ b/test/traces/placement-guard.test.ts
@@ -41,21 +41,21 @@
 
 async function brokenOn(part: Part, guarded: boolean): Promise<readonly string[]> {
   Object.assign(fault, { part, guarded });
-  const day = new Scenario(5, new SimulatedSite(MIXED_SITE), PLACEMENT_PLAN);
-  day.site.cloud.bootMs = 1200;
-  await day.run([]);
-  return day.site.rules.violations;
+  const scenario = new Scenario(5, new SimulatedSite(MIXED_SITE), PLACEMENT_PLAN);
+  scenario.site.cloud.bootMs = 1200;
+  await scenario.run([]);
+  return scenario.site.rules.violations;
 }
 
 beforeEach(() => Object.assign(fault, { part: null, guarded: true }));
 
 describe.each(Object.keys(PARTS) as Part[])('a scheduler that forgets the part "%s"', (part) => {
-  it('is caught by the stand-ins’ checker', async () => {
+  it('is detected by the rule checker', async () => {
     const broken = await brokenOn(part, false);
     expect(broken.some((text) => text.startsWith('wrong_place'))).toBe(true);
   });
 
-  it('starts nothing where it is forbidden: the orders are withheld, and no other rule breaks', async () => {
+  it('starts nothing where it is forbidden: the commands are withheld, and no other rule is violated', async () => {
     const broken = await brokenOn(part, true);
     expect(broken.some((text) => text.startsWith('withheld'))).toBe(true);
     // Jobs that it never places anywhere else wait; none is forgotten, stopped or run twice.
--- a/test/traces/placement.test.ts
+++ b/test/traces/placement.test.ts
@@ -48,7 +48,7 @@
 };
 
 // Guards against issue 30: what a new leader guesses of a machine that no record names must place nothing.
-describe('a machine that only its tasks’ records name', () => {
+describe('a machine that is known only from its tasks’ records', () => {
   it('lends its guessed zone to no job: tasks that have to be together wait until it is known', async () => {
     const site = await siteWithLateList();
     offers(site, ['small|south|ordinary'], 1);
--- a/test/traces/scenarios.test.ts
+++ b/test/traces/scenarios.test.ts
@@ -63,7 +63,7 @@
     await expectTrace('all-restart', site);
   });
 
-  it('a leader refused by the state service alone gives way; its late commit changes nothing', async () => {
+  it('a leader that the store refuses alone gives way; its late transaction changes nothing', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service' });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
@@ -105,7 +105,7 @@
     expect(await site.query('j-000001', 'node-2')).toBe('done');
   });
 
-  it('neutralises a run order that is held back by the network', async () => {
+  it('neutralises a start command that the network delays', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service' });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
@@ -138,7 +138,7 @@
 });
 
 describe('machines that fail', () => {
-  it('a dead one is fenced and its replica starts elsewhere, once', async () => {
+  it('a dead machine is fenced and its replica starts elsewhere, once', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 6 });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 6);
@@ -147,7 +147,7 @@
     await expectTrace('dead-machine', site);
   });
 
-  it('a hung one that goes on later does not run its task twice', async () => {
+  it('a hung machine that resumes later does not run its task twice', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 2 });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 2);
@@ -165,7 +165,7 @@
     await expectTrace('hung-machine', site);
   });
 
-  it('one that fails every task is closed, and a job that fails everywhere waits', async () => {
+  it('a machine that fails every task is quarantined, and a job that fails everywhere waits', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service' });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
@@ -179,7 +179,7 @@
     await expectTrace('sick-machine', site);
   });
 
-  it('ones that never come up are replaced, and a stockout is asked around', async () => {
+  it('machines that never come up are replaced, and other pools are tried during a stockout', async () => {
     const site = await startedSite();
     site.cloud.failingBoots = 1;
     site.cloud.remainingCapacity.set('small|north|ordinary', 1);
@@ -190,8 +190,8 @@
   });
 });
 
-describe('outages and cuts', () => {
-  it('a state outage stops decisions, not the work', async () => {
+describe('outages and partitions', () => {
+  it('a store outage stops decisions, not the work', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 2 });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 2);
@@ -208,7 +208,7 @@
     await expectTrace('state-outage', site);
   });
 
-  it('a run order delivered late, after its task has ended and gone elsewhere, starts nothing', async () => {
+  it('a start command delivered late, after its task has ended and moved, starts nothing', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service' });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
@@ -224,7 +224,7 @@
     await expectTrace('late-run-order', site);
   });
 
-  it('a leader that hears no worker gives way', async () => {
+  it('a leader that receives no heartbeats resigns', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 6 });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 6);
@@ -239,7 +239,7 @@
     await expectTrace('deaf-leader', site);
   });
 
-  it('a silent machine whose lease has run out is believed only after the answers of an old leader', async () => {
+  it('an unresponsive machine’s lease counts as expired only after the answers of a former leader', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 3, cpus: 4 });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 3);
--- a/test/traces/state-limits.test.ts
+++ b/test/traces/state-limits.test.ts
@@ -46,7 +46,7 @@
 const longest = (site: SimulatedSite): number =>
   Math.max(...[...site.store.keys.values()].map((e) => JSON.stringify(e.value).length));
 
-describe('limits of the state service that are announced', () => {
+describe('announced limits of the key-value store', () => {
   it('are kept to from the first write on, while the old ones still hold', async () => {
     const site = large(NEXT);
     site.startAll();
@@ -138,7 +138,7 @@
     expect(site.rules.violations).toEqual([]);
   });
 
-  it('are asked for once rates are refused: a crowd lowers nothing, the fall is known for good', async () => {
+  it('are probed once requests are rate-limited: load lowers nothing, a lowered limit is remembered', async () => {
     const clock = new VirtualClock();
     const settings = { storeLimits: limitsOf(60, 16), announcedStoreLimits: limitsOf(30, 5) };
     const state = new FakeKeyValueStore(clock);
--- a/test/traces/steps.ts
+++ b/test/traces/steps.ts
@@ -1,7 +1,8 @@
+/** Steps that scenarios share. */
 import { expect } from 'vitest';
 import { SimulatedSite } from '../simulation/simulated-site.js';
 
-/** A site with a leader and nothing to do yet. */
+/** Returns a site with a leader and no jobs. */
 export async function startedSite(): Promise<SimulatedSite> {
   const site = new SimulatedSite();
   site.startAll();
@@ -9,11 +10,12 @@
   return site;
 }
 
+/** Runs the site until the condition holds; fails if it does not within `maxSeconds`. */
 export async function runUntil(
   site: SimulatedSite,
   condition: () => boolean,
   maxSeconds = 120,
 ): Promise<void> {
-  for (let s = 0; s < maxSeconds && !condition(); s += 0.25) await site.run(0.25);
+  for (let seconds = 0; seconds < maxSeconds && !condition(); seconds += 0.25) await site.run(0.25);
   expect(condition()).toBe(true);
 }
--- a/test/traces/takeovers.test.ts
+++ b/test/traces/takeovers.test.ts
@@ -3,7 +3,7 @@
 import { expectTrace } from './trace.js';
 
 describe('a change of leader', () => {
-  it('while a team is at its limit, some of its machines cannot be asked, and a job is cancelled', async () => {
+  it('while a team is at its limit, some of its machines are unreachable, and a job is cancelled', async () => {
     const site = await startedSite();
     // 24 CPUs for the team: twelve tasks run, and four wait.
     await site.submit({ ref: 'j-000001', tasks: 16, runS: 90 });
@@ -106,8 +106,8 @@
   });
 });
 
-describe('machines that reach no controller, while direct commands reach them', () => {
-  it('keep what they were given in a new session until that session’s own lease has ended', async () => {
+describe('machines with an outbound partition, which direct commands reach', () => {
+  it('keep tasks of a new incarnation until the lease of that incarnation has expired', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 4, cpus: 4, team: 'blue' });
     await site.submit({ ref: 'j-000002', tasks: 10, runS: 90 });
--- a/test/traces/trace.ts
+++ b/test/traces/trace.ts
@@ -1,8 +1,9 @@
+/** Golden traces. */
 import { existsSync, readFileSync, writeFileSync } from 'node:fs';
 import { expect } from 'vitest';
 import type { SimulatedSite } from '../simulation/simulated-site.js';
 
-/** Compares a scenario's event log with the kept one; a first run, or ACCEPT_TRACES, writes it. */
+/** Checks the site's final state, and compares its trace with the golden one. ACCEPT_TRACES writes it instead. */
 export async function expectTrace(name: string, site: SimulatedSite): Promise<void> {
   await site.finish();
   expect(site.rules.violations).toEqual([]);
--- a/test/traces/upgrade.test.ts
+++ b/test/traces/upgrade.test.ts
@@ -30,7 +30,7 @@
 import type { JobRequest } from '../simulation/site-setup.js';
 import { startedSite, runUntil } from './steps.js';
 
-/** Made by the production version itself, on its stand-ins (docs/upgrade.md says how). */
+/** Made by the production version itself, on its own fakes (docs/upgrade.md says how). */
 const production = JSON.parse(
   readFileSync(new URL('../fixtures/production.json', import.meta.url), 'utf8'),
 ) as {
