--- a/packages/membership/test/membership.test.ts
+++ b/packages/membership/test/membership.test.ts
@@ -87,7 +87,7 @@
   it('answers a peer, and counts rejected messages by reason, logging each reason at a bounded rate', async () => {
     const { membership, clock, lines } = isolatedMember();
     expect(await membership.handle(probe('b'))).not.toBeNull();
-    for (let i = 0; i < 50; i++) {
+    for (let round = 0; round < 50; round++) {
       expect(await membership.handle(probe('stranger'))).toBeNull();
       expect(await membership.handle(Buffer.from('{'))).toBeNull();
       expect(await membership.handle(Buffer.from('{"kind":"poke"}'))).toBeNull();
@@ -104,7 +104,9 @@
   it('answers no more requests per second than the settings allow', async () => {
     const { membership } = isolatedMember();
     let answered = 0;
-    for (let i = 0; i < 1000; i++) if (await membership.handle(probe('b', i + 1))) answered++;
+    for (let sequence = 1; sequence <= 1000; sequence++) {
+      if (await membership.handle(probe('b', sequence))) answered++;
+    }
     expect(answered).toBe(SETTINGS.maxMessagesPerSecond);
     expect(membership.rejected.get(RejectReason.RateLimited)).toBe(1000 - answered);
   });
--- a/packages/takeover/test/random-schedules.test.ts
+++ b/packages/takeover/test/random-schedules.test.ts
@@ -71,8 +71,8 @@
     onOne('resume', (cluster, on) => cluster.resume(on)),
     onOne('leave', (cluster, on) => void cluster.leave(on)),
     onOne('store refuses', (cluster, on) => cluster.store.refusedClients.add(on)),
-    onPair('cut one way', (cluster, a, b) => cluster.network.cut(a, b)),
-    onPair('heal', (cluster, a, b) => cluster.network.heal(a, b)),
+    onPair('cut one way', (cluster, from, to) => cluster.network.cut(from, to)),
+    onPair('heal', (cluster, from, to) => cluster.network.heal(from, to)),
     onOne('cut off', (cluster, on) => {
       for (const other of cluster.members) {
         cluster.network.cut(on, other);
--- a/packages/takeover/test/takeover.test.ts
+++ b/packages/takeover/test/takeover.test.ts
@@ -58,54 +58,58 @@
 describe('OwnershipRegistry', () => {
   it('grants one of two claims that are made at the same time', async () => {
     const { registry, get } = createFixture();
-    const a = registry('a');
-    const found = claimable(await get(a.read(UNIT)));
-    const claims = [a.claim(UNIT, owner('a'), found), registry('b').claim(UNIT, owner('b'), found)];
+    const registryA = registry('a');
+    const found = claimable(await get(registryA.read(UNIT)));
+    const claims = [registryA.claim(UNIT, owner('a'), found), registry('b').claim(UNIT, owner('b'), found)];
     const results = await get(Promise.all(claims));
     expect(results.map(({ kind }) => kind).sort()).toEqual(['superseded', 'won']);
-    const reading = claimable(await get(a.read(UNIT)));
+    const reading = claimable(await get(registryA.read(UNIT)));
     expect(reading.epoch).toBe(1);
   });
 
   it('refuses every write of an owner whose successor has claimed, and reports it to the owner', async () => {
     const { registry, get } = createFixture();
-    const a = registry('a');
-    const first = await get(a.claim(UNIT, owner('a'), claimable(await get(a.read(UNIT)))));
+    const registryA = registry('a');
+    const first = await get(registryA.claim(UNIT, owner('a'), claimable(await get(registryA.read(UNIT)))));
     if (first.kind !== 'won') throw new Error('not won');
-    expect(await get(a.confirm(first.ownership))).toBe(Confirmation.Held);
-    await get(a.writeHeartbeat(first.ownership));
-    expect(await get(a.confirm(first.ownership))).toBe(Confirmation.Held);
-    const b = registry('b');
-    const second = await get(b.claim(UNIT, owner('b'), claimable(await get(b.read(UNIT)))));
+    expect(await get(registryA.confirm(first.ownership))).toBe(Confirmation.Held);
+    await get(registryA.writeHeartbeat(first.ownership));
+    expect(await get(registryA.confirm(first.ownership))).toBe(Confirmation.Held);
+    const registryB = registry('b');
+    const second = await get(registryB.claim(UNIT, owner('b'), claimable(await get(registryB.read(UNIT)))));
     expect(second.kind).toBe('won');
-    expect(await get(a.commitAs(first.ownership, [], [{ key: 'job/1', value: 1 }]))).toEqual({
+    expect(await get(registryA.commitAs(first.ownership, [], [{ key: 'job/1', value: 1 }]))).toEqual({
       committed: false,
     });
     // A sign of life or a release of the former owner must not touch its successor's record.
-    await get(a.writeHeartbeat(first.ownership));
-    await get(a.release(first.ownership, null));
-    expect(claimable(await get(b.read(UNIT)))).toMatchObject({ kind: 'owned', owner: owner('b'), epoch: 2 });
-    expect(await get(a.confirm(first.ownership))).toBe(Confirmation.Superseded);
+    await get(registryA.writeHeartbeat(first.ownership));
+    await get(registryA.release(first.ownership, null));
+    expect(claimable(await get(registryB.read(UNIT)))).toMatchObject({
+      kind: 'owned',
+      owner: owner('b'),
+      epoch: 2,
+    });
+    expect(await get(registryA.confirm(first.ownership))).toBe(Confirmation.Superseded);
   });
 
   it('reports an unanswered claim as uncertain, and reading again settles it', async () => {
     const { registry, get, store, clock } = createFixture();
-    const a = registry('a');
-    const found = claimable(await get(a.read(UNIT)));
+    const registryA = registry('a');
+    const found = claimable(await get(registryA.read(UNIT)));
     store.lateCommitRate = 1;
-    const result = await get(a.claim(UNIT, owner('a'), found));
+    const result = await get(registryA.claim(UNIT, owner('a'), found));
     expect(result.kind).toBe('uncertain');
     await clock.advance(8000);
-    expect(claimable(await get(a.read(UNIT)))).toMatchObject({ kind: 'owned', owner: owner('a') });
+    expect(claimable(await get(registryA.read(UNIT)))).toMatchObject({ kind: 'owned', owner: owner('a') });
   });
 
   it('reports a store outage without throwing', async () => {
     const { registry, get, store } = createFixture();
-    const a = registry('a');
-    const found = claimable(await get(a.read(UNIT)));
+    const registryA = registry('a');
+    const found = claimable(await get(registryA.read(UNIT)));
     store.isUnavailable = true;
-    expect(await get(a.read(UNIT))).toBeNull();
-    expect(await get(a.claim(UNIT, owner('a'), found))).toEqual({ kind: 'unavailable' });
+    expect(await get(registryA.read(UNIT))).toBeNull();
+    expect(await get(registryA.claim(UNIT, owner('a'), found))).toEqual({ kind: 'unavailable' });
   });
 
   it.each([
--- a/test/traces/failover.test.ts
+++ b/test/traces/failover.test.ts
@@ -16,7 +16,7 @@
   maxMessagesPerSecond: 100,
 };
 /** A grant's life: without failure detection nobody replaces a leader sooner. */
-const GRANT_S = 2.5;
+const LEASE_S = 2.5;
 const STEP_S = 0.05;
 
 async function site(feature: FailoverFeature | null = FEATURE): Promise<SimulatedSite> {
@@ -34,9 +34,9 @@
 
 /** Seconds until another node leads. */
 async function replacedAfter(site: SimulatedSite, former: string, withinS = 20): Promise<number> {
-  for (let s = 0; s < withinS; s += STEP_S) {
+  for (let seconds = 0; seconds < withinS; seconds += STEP_S) {
     await site.run(STEP_S);
-    if (site.nodes.some((name) => name !== former && site.isLeading(name))) return s;
+    if (site.nodes.some((name) => name !== former && site.isLeading(name))) return seconds;
   }
   return Infinity;
 }
@@ -55,7 +55,7 @@
     const running = await site();
     const former = running.leader as string;
     running.crash(former);
-    expect(await replacedAfter(running, former)).toBeLessThan(GRANT_S);
+    expect(await replacedAfter(running, former)).toBeLessThan(LEASE_S);
     await finishes(running);
   });
 
@@ -63,9 +63,9 @@
     const running = await site({ ...FEATURE, earlyTakeover: false });
     const former = running.leader as string;
     running.crash(former);
-    const s = await replacedAfter(running, former);
-    expect(s).toBeGreaterThan(GRANT_S * 0.7);
-    expect(s).toBeLessThan(GRANT_S + 1);
+    const replacedS = await replacedAfter(running, former);
+    expect(replacedS).toBeGreaterThan(LEASE_S * 0.7);
+    expect(replacedS).toBeLessThan(LEASE_S + 1);
     await finishes(running);
   });
 
@@ -127,7 +127,7 @@
     const other = running.nodes.find((name) => name !== former) as string;
     running.earlierVersionNodes.add(other);
     running.crash(former);
-    expect(await replacedAfter(running, former)).toBeGreaterThan(GRANT_S * 0.7);
+    expect(await replacedAfter(running, former)).toBeGreaterThan(LEASE_S * 0.7);
     await running.run(30);
     expect(running.rules.violations).toEqual([]);
   });
@@ -143,7 +143,7 @@
     const former = running.leader as string;
     running.isolatedNodes.add(former);
     running.store.refusedClients.add(former);
-    expect(await replacedAfter(running, former)).toBeLessThan(GRANT_S);
+    expect(await replacedAfter(running, former)).toBeLessThan(LEASE_S);
     await running.run(3);
     await running.cancel('j-000009');
     await running.run(CANCEL_S + 10);
@@ -155,11 +155,11 @@
 });
 
 describe('combinations of faults with failure detection', () => {
-  it.each(FAULTS.map((fault, n) => [fault.name, fault, n] as const))(
+  it.each(FAULTS.map((fault, index) => [fault.name, fault, index] as const))(
     '%s',
-    async (_, fault, n) => {
-      const other = FAULTS[(n + 5) % FAULTS.length] as (typeof FAULTS)[number];
-      const scenario = new Scenario(900 + n, new SimulatedSite());
+    async (_, fault, index) => {
+      const other = FAULTS[(index + 5) % FAULTS.length] as (typeof FAULTS)[number];
+      const scenario = new Scenario(900 + index, new SimulatedSite());
       scenario.site.failover = FEATURE;
       await scenario.run([fault, other]);
       expect(scenario.site.rules.violations, `${fault.name}; ${other.name}`).toEqual([]);
--- a/test/traces/faults.test.ts
+++ b/test/traces/faults.test.ts
@@ -78,7 +78,7 @@
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 6 });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 6);
     const host = site.machineOf('j-000001/0');
-    for (const s of [2, 9, 30, 75]) site.duplicateHeartbeatLater(host, s);
+    for (const delayS of [2, 9, 30, 75]) site.duplicateHeartbeatLater(host, delayS);
     await site.run(1);
     site.killMachine(host);
     await site.run(25);
@@ -153,7 +153,7 @@
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 2 });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 2);
     const old = site.leader as string;
-    const other = site.nodes.find((n) => n !== old) as string;
+    const other = site.nodes.find((node) => node !== old) as string;
     site.trace(`network    leaves ${old} its workers only`);
     site.store.refusedClients.add(old);
     site.isolatedNodes.add(old);
@@ -179,7 +179,7 @@
     site.crash('node-0');
     await site.run(6);
     site.start('node-0');
-    const follower = site.nodes.find((n) => n !== site.leader && n !== 'node-0') as string;
+    const follower = site.nodes.find((node) => node !== site.leader && node !== 'node-0') as string;
     site.trace(`network    leaves ${follower} its workers only`);
     site.store.refusedClients.add(follower);
     site.isolatedNodes.add(follower);
@@ -222,7 +222,7 @@
       () => site.runningTaskCount('j-000001') === 4 && site.runningTaskCount('j-000002') === 4,
     );
     const old = site.leader as string;
-    const other = site.nodes.find((n) => n !== old) as string;
+    const other = site.nodes.find((node) => node !== old) as string;
     // A start is being committed, a machine has just died, a report is about to be answered.
     await site.submit({ ref: 'j-000003', kind: 'service', tasks: 2, team: 'blue' }, other);
     site.killMachine(site.machineOf('j-000001/0'));
@@ -231,7 +231,7 @@
     await site.run(1);
     expect(await site.cancel('j-000002', other)).toBe('cancelled');
     await site.run(12);
-    const follows = site.nodes.filter((n) => n !== old && site.isLeading(n));
+    const follows = site.nodes.filter((node) => node !== old && site.isLeading(node));
     expect(follows.length).toBe(1);
     await site.run(20);
     // No flap: the one that has followed still leads.
@@ -247,7 +247,7 @@
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service' });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
-    const slow = site.nodes.find((n) => n !== site.leader) as string;
+    const slow = site.nodes.find((node) => node !== site.leader) as string;
     const asked = site.query('j-000001', slow);
     // What the state service answers lies unread meanwhile.
     site.clock.after(3, () => site.pause(slow, 1.9));
--- a/test/traces/gap.test.ts
+++ b/test/traces/gap.test.ts
@@ -22,7 +22,7 @@
     () => site.runningTaskCount('j-000001') === 1 && site.runningTaskCount('j-000002') === 3,
   );
   const old = site.leader as string;
-  const other = site.nodes.find((n) => n !== old) as string;
+  const other = site.nodes.find((node) => node !== old) as string;
   return { site, old, other };
 }
 
@@ -88,7 +88,7 @@
   it('if a peer has restarted meanwhile, what it may have confirmed is unknown, and leases expire in time', async () => {
     const gap = await running();
     const { site, old, other } = gap;
-    const third = site.nodes.find((n) => n !== old && n !== other) as string;
+    const third = site.nodes.find((node) => node !== old && node !== other) as string;
     // What the confirming controller tells is lost, and so is its memory.
     site.isolatedNodes.add(other);
     await cancelInGap(gap);
--- a/test/traces/late-writes.test.ts
+++ b/test/traces/late-writes.test.ts
@@ -36,7 +36,7 @@
     await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
     while (site.runningTaskCount('j-000001') === 1) await site.run(0.01);
     await delayNext(site, 400);
-    const other = site.nodes.find((n) => n !== site.leader) as string;
+    const other = site.nodes.find((node) => node !== site.leader) as string;
     expect(await site.cancel('j-000001', other)).toBe('cancelled');
     await site.run(20);
     expect(await site.query('j-000001')).toBe('cancelled');
--- a/test/traces/pipelines.test.ts
+++ b/test/traces/pipelines.test.ts
@@ -72,7 +72,7 @@
     await runUntil(site, () => site.runningTaskCount(ref(1)) === 2);
     // The leader is away before it hears of it, and state is out for longer than a cancellation has.
     const old = site.leader as string;
-    const other = site.nodes.find((n) => n !== old) as string;
+    const other = site.nodes.find((node) => node !== old) as string;
     site.store.refusedClients.add(old);
     site.isolatedNodes.add(old);
     expect(await site.cancel(ref(1), other)).toBe('cancelled');
--- a/test/traces/scenarios.test.ts
+++ b/test/traces/scenarios.test.ts
@@ -68,7 +68,7 @@
     await site.submit({ ref: 'j-000001', kind: 'service' });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
     const old = site.leader as string;
-    const other = site.nodes.find((n) => n !== old) as string;
+    const other = site.nodes.find((node) => node !== old) as string;
     // The old leader's next decision is applied half a minute late, long after the takeover.
     site.store.nextCommitDelayMs.set(old, 30_000);
     await site.submit({ ref: 'j-000002', runS: 10 }, other);
@@ -86,7 +86,7 @@
     await site.submit({ ref: 'j-000001', kind: 'service' });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
     // The start of j-000002 is committed only after its cancellation: it must fail.
-    const other = site.nodes.find((n) => n !== site.leader) as string;
+    const other = site.nodes.find((node) => node !== site.leader) as string;
     site.store.nextCommitDelayMs.set(site.leader as string, 400);
     await site.submit({ ref: 'j-000002', runS: 60 }, other);
     await site.run(0.1);
--- a/test/traces/size.test.ts
+++ b/test/traces/size.test.ts
@@ -37,7 +37,7 @@
     expect(site.store.requestCount - before.requests).toBeLessThan(150);
     expect(site.maxConcurrentCalls).toBeLessThanOrEqual(64);
     // It decides within seconds, on machines that it has met by then.
-    const alive = site.nodes.find((n) => n === site.leader) as string;
+    const alive = site.nodes.find((node) => node === site.leader) as string;
     await site.submit({ ref: 'j-900000', tasks: 8, team: 'blue', spot: true, runS: 1 }, alive);
     await site.run(6);
     expect(await site.query('j-900000', alive)).toBe('done');
--- a/test/traces/state-limits.test.ts
+++ b/test/traces/state-limits.test.ts
@@ -44,7 +44,7 @@
 }
 
 const longest = (site: SimulatedSite): number =>
-  Math.max(...[...site.store.keys.values()].map((e) => JSON.stringify(e.value).length));
+  Math.max(...[...site.store.keys.values()].map((entry) => JSON.stringify(entry.value).length));
 
 describe('announced limits of the key-value store', () => {
   it('are kept to from the first write on, while the old ones still hold', async () => {
--- a/test/traces/takeovers.test.ts
+++ b/test/traces/takeovers.test.ts
@@ -13,7 +13,7 @@
     site.cloud.isUnavailable = true;
     site.worker(host).hang();
     const old = site.leader as string;
-    const other = site.nodes.find((n) => n !== old) as string;
+    const other = site.nodes.find((node) => node !== old) as string;
     site.crash(old);
     // What the machine that hangs may still run counts, cancelled or not, until it is proven gone.
     expect(await site.cancel('j-000001', other)).toBe('cancelled');
@@ -91,7 +91,7 @@
     await site.submit({ ref: 'j-000001', runS: 2 });
     await runUntil(site, () => site.store.value('open/j-000001') === undefined);
     const old = site.leader as string;
-    const other = site.nodes.find((n) => n !== old) as string;
+    const other = site.nodes.find((node) => node !== old) as string;
     await check(other);
     site.crash(old);
     await check(other);
--- a/test/traces/upgrade.test.ts
+++ b/test/traces/upgrade.test.ts
@@ -60,7 +60,7 @@
     ...(next ? { next } : {}),
   });
   site.restore(
-    records.filter((r) => r.key !== 'leader'),
+    records.filter((record) => record.key !== 'leader'),
     WISHES,
     fencingTokenOf(1 as Epoch, 0 as FenceGeneration),
   );
@@ -137,7 +137,7 @@
   });
 
   it('name no leader that could serve what is new', () => {
-    const row = records.find((r) => r.key === 'leader');
+    const row = records.find((record) => record.key === 'leader');
     expect(leaderRecord(row?.value)).toMatchObject({ version: 0, member: 'node-0' });
   });
 });
