--- a/packages/takeover/test/takeover.test.ts
+++ b/packages/takeover/test/takeover.test.ts
@@ -42,7 +42,7 @@
   return {
     clock,
     store,
-    registry: (name) => new OwnershipRegistry(store.for(name, clock)),
+    registry: (name) => new OwnershipRegistry(store.clientFor(name, clock)),
     async get(promise) {
       await clock.advance(1500);
       return promise;
@@ -58,54 +58,58 @@
 describe('OwnershipRegistry', () => {
   it('grants one of two claims that are made at the same time', async () => {
     const { registry, get } = createFixture();
-    const a = registry('a');
-    const found = claimable(await get(a.read(UNIT)));
-    const claims = [a.claim(UNIT, owner('a'), found), registry('b').claim(UNIT, owner('b'), found)];
+    const registryA = registry('a');
+    const found = claimable(await get(registryA.read(UNIT)));
+    const claims = [registryA.claim(UNIT, owner('a'), found), registry('b').claim(UNIT, owner('b'), found)];
     const results = await get(Promise.all(claims));
     expect(results.map(({ kind }) => kind).sort()).toEqual(['superseded', 'won']);
-    const reading = claimable(await get(a.read(UNIT)));
+    const reading = claimable(await get(registryA.read(UNIT)));
     expect(reading.epoch).toBe(1);
   });
 
   it('refuses every write of an owner whose successor has claimed, and reports it to the owner', async () => {
     const { registry, get } = createFixture();
-    const a = registry('a');
-    const first = await get(a.claim(UNIT, owner('a'), claimable(await get(a.read(UNIT)))));
+    const registryA = registry('a');
+    const first = await get(registryA.claim(UNIT, owner('a'), claimable(await get(registryA.read(UNIT)))));
     if (first.kind !== 'won') throw new Error('not won');
-    expect(await get(a.confirm(first.ownership))).toBe(Confirmation.Held);
-    await get(a.writeHeartbeat(first.ownership));
-    expect(await get(a.confirm(first.ownership))).toBe(Confirmation.Held);
-    const b = registry('b');
-    const second = await get(b.claim(UNIT, owner('b'), claimable(await get(b.read(UNIT)))));
+    expect(await get(registryA.confirm(first.ownership))).toBe(Confirmation.Held);
+    await get(registryA.writeHeartbeat(first.ownership));
+    expect(await get(registryA.confirm(first.ownership))).toBe(Confirmation.Held);
+    const registryB = registry('b');
+    const second = await get(registryB.claim(UNIT, owner('b'), claimable(await get(registryB.read(UNIT)))));
     expect(second.kind).toBe('won');
-    expect(await get(a.commitAs(first.ownership, [], [{ key: 'job/1', value: 1 }]))).toEqual({
+    expect(await get(registryA.commitAs(first.ownership, [], [{ key: 'job/1', value: 1 }]))).toEqual({
       committed: false,
     });
     // A sign of life or a release of the former owner must not touch its successor's record.
-    await get(a.writeHeartbeat(first.ownership));
-    await get(a.release(first.ownership, null));
-    expect(claimable(await get(b.read(UNIT)))).toMatchObject({ kind: 'owned', owner: owner('b'), epoch: 2 });
-    expect(await get(a.confirm(first.ownership))).toBe(Confirmation.Superseded);
+    await get(registryA.writeHeartbeat(first.ownership));
+    await get(registryA.release(first.ownership, null));
+    expect(claimable(await get(registryB.read(UNIT)))).toMatchObject({
+      kind: 'owned',
+      owner: owner('b'),
+      epoch: 2,
+    });
+    expect(await get(registryA.confirm(first.ownership))).toBe(Confirmation.Superseded);
   });
 
   it('reports an unanswered claim as uncertain, and reading again settles it', async () => {
     const { registry, get, store, clock } = createFixture();
-    const a = registry('a');
-    const found = claimable(await get(a.read(UNIT)));
-    store.lateShare = 1;
-    const result = await get(a.claim(UNIT, owner('a'), found));
+    const registryA = registry('a');
+    const found = claimable(await get(registryA.read(UNIT)));
+    store.lateCommitRate = 1;
+    const result = await get(registryA.claim(UNIT, owner('a'), found));
     expect(result.kind).toBe('uncertain');
     await clock.advance(8000);
-    expect(claimable(await get(a.read(UNIT)))).toMatchObject({ kind: 'owned', owner: owner('a') });
+    expect(claimable(await get(registryA.read(UNIT)))).toMatchObject({ kind: 'owned', owner: owner('a') });
   });
 
   it('reports a store outage without throwing', async () => {
     const { registry, get, store } = createFixture();
-    const a = registry('a');
-    const found = claimable(await get(a.read(UNIT)));
-    store.outage = true;
-    expect(await get(a.read(UNIT))).toBeNull();
-    expect(await get(a.claim(UNIT, owner('a'), found))).toEqual({ kind: 'unavailable' });
+    const registryA = registry('a');
+    const found = claimable(await get(registryA.read(UNIT)));
+    store.isUnavailable = true;
+    expect(await get(registryA.read(UNIT))).toBeNull();
+    expect(await get(registryA.claim(UNIT, owner('a'), found))).toEqual({ kind: 'unavailable' });
   });
 
   it.each([
@@ -119,7 +123,7 @@
     ['epoch', { format: 1, epoch: -1 }, 'field epoch cannot be read'],
   ])('names a damaged %s record', async (key, value, problem) => {
     const { registry, get, store } = createFixture();
-    store.damage(`ownership/${UNIT}/${key}`, value);
+    store.overwrite(`ownership/${UNIT}/${key}`, value);
     expect(await get(registry('a').read(UNIT))).toEqual({
       kind: 'damaged',
       key: `ownership/${UNIT}/${key}`,
@@ -234,13 +238,13 @@
     const former = soleOwner(simulated);
     simulated.pause(former);
     await simulated.run(6000);
-    const refused = simulated.history.refused;
+    const refused = simulated.history.refusedCount;
     simulated.resume(former);
     await simulated.run(3000);
     expect(soleOwner(simulated)).not.toBe(former);
     expect(simulated.stageOf(former, UNIT)).toBe('watching');
     // Effects that it had sent before the pause may still arrive, and are refused; it must not send new ones.
-    expect(simulated.history.refused).toBe(refused);
+    expect(simulated.history.refusedCount).toBe(refused);
     const replacedWarnings = simulated.warnings.filter((line) =>
       line.startsWith(`${former}: another controller took over`),
     );
@@ -259,7 +263,7 @@
     const other = simulated.members.find((member) => member !== owner) as MemberId;
     expect(simulated.state(other, owner)).toBe(MemberState.Failed);
     // Once the store refuses it as well, it cannot write heartbeats any more.
-    simulated.store.refused.add(owner);
+    simulated.store.refusedClients.add(owner);
     await simulated.run(5000);
     expect(simulated.ownersOf(UNIT).filter((member) => member !== owner)).toHaveLength(1);
   });
@@ -283,16 +287,16 @@
   it('waits for the store, and passes to the next survivor when the store refuses the first', async () => {
     const simulated = await cluster();
     const former = soleOwner(simulated);
-    simulated.store.outage = true;
+    simulated.store.isUnavailable = true;
     simulated.kill(former);
     await simulated.run(6000);
     expect(simulated.ownersOf(UNIT)).toEqual([]);
-    simulated.store.outage = false;
+    simulated.store.isUnavailable = false;
     await simulated.run(4000);
     const second = soleOwner(simulated);
     simulated.start(former);
     await simulated.run(4000);
-    simulated.store.refused.add(former);
+    simulated.store.refusedClients.add(former);
     simulated.kill(second);
     await simulated.run(8000);
     expect([former, second]).not.toContain(soleOwner(simulated));
@@ -324,7 +328,7 @@
   it('is blocked by a damaged record, names the key and the remedy, and continues once it is repaired', async () => {
     const simulated = await cluster();
     const former = soleOwner(simulated);
-    simulated.store.damage(`ownership/${UNIT}/holder`, 'scribble');
+    simulated.store.overwrite(`ownership/${UNIT}/holder`, 'scribble');
     simulated.kill(former);
     await simulated.run(10_000);
     expect(simulated.ownersOf(UNIT)).toEqual([]);
--- a/test/simulation/fake-cloud.ts
+++ b/test/simulation/fake-cloud.ts
@@ -1,3 +1,4 @@
+/** A fake of the cloud. */
 import { type Cloud, CloudRequestRefusedError, type ScaleOutResult } from '../../src/cloud/client.js';
 import type { MachineId, MachineTypeId, ZoneId } from '../../src/model/ids.js';
 import type { ListedMachine, Machine, MachineType } from '../../src/model/machine.js';
@@ -9,32 +10,33 @@
 }
 
 const LATENCY_MS = 80;
-/** Machines in one answer. */
-const PAGE = 500;
+/** The maximum of machines in one answer. */
+const PAGE_SIZE = 500;
 
-interface Rented1 extends Machine {
-  readonly at: number;
-  up: boolean;
+interface FakeMachine extends Machine {
+  readonly createdAt: number;
+  isUp: boolean;
 }
 
-/** A cloud in memory, by the published protocol. */
+/** A cloud in memory that behaves as the published protocol says. */
 export class FakeCloud {
-  readonly machines = new Map<MachineId, Rented1>();
-  private readonly answers = new Map<string, MachineId[]>();
-  /** Digits of a machine's number. */
-  idLength = 6;
-  private next = 0;
-  outage = false;
-  /** Every rental and deletion comes once more, so many ms after it was carried out. */
-  repeatAfter: number | null = null;
-  /** How long a boot takes; null: as long as the type's usually does. */
+  readonly machines = new Map<MachineId, FakeMachine>();
+  private readonly createdByRequest = new Map<string, MachineId[]>();
+  /** The number of digits in a machine's id. */
+  idDigits = 6;
+  private nextNumber = 0;
+  /** Whether every request is refused. */
+  isUnavailable = false;
+  /** Every creation and deletion is carried out a second time after this delay; null: it is not. */
+  duplicateDelayMs: number | null = null;
+  /** The duration of a boot; null: that of the machine type. */
   bootMs: number | null = null;
-  /** Machines appear in the list only so long after they were rented. */
+  /** The delay after which a new machine appears in the list. */
   listLagMs = 0;
-  /** The next so many machines never come up. */
-  deadBoots = 0;
-  /** Machines left to give, by pool; a pool not named here has enough. */
-  readonly room = new Map<string, number>();
+  /** The number of machines, from the next one on, that never come up. */
+  failingBoots = 0;
+  /** The number of machines that a pool can still provide; a pool that is not named has no limit. */
+  readonly remainingCapacity = new Map<string, number>();
 
   constructor(
     private readonly clock: Clock,
@@ -45,81 +47,85 @@
   ) {}
 
   private create(type: MachineTypeId, zone: ZoneId, spot: boolean): MachineId {
-    const id = `host-${String(this.next++).padStart(this.idLength, '0')}` as MachineId;
-    const machine: Rented1 = { id, type, zone, spot, at: this.clock.now(), up: false };
+    const id = `host-${String(this.nextNumber++).padStart(this.idDigits, '0')}` as MachineId;
+    const machine: FakeMachine = { id, type, zone, spot, createdAt: this.clock.now(), isUp: false };
     this.machines.set(id, machine);
-    if (this.deadBoots > 0) {
-      this.deadBoots--;
+    if (this.failingBoots > 0) {
+      this.failingBoots--;
       return id;
     }
-    const boot = this.bootMs ?? this.types.find((t) => t.id === type)?.bootTime ?? 0;
+    const boot = this.bootMs ?? this.types.find((machineType) => machineType.id === type)?.bootTime ?? 0;
     this.clock.after(boot, () => {
       if (!this.machines.has(id)) return;
-      machine.up = true;
+      machine.isUp = true;
       this.onUp(machine);
     });
     return id;
   }
 
-  /** A machine that was rented before the day begins. */
+  /** Adds a machine that is up already. */
   adopt(machine: Machine): void {
-    this.machines.set(machine.id, { ...machine, at: this.clock.now(), up: true });
-    this.next = Math.max(this.next, Number(machine.id.slice('host-'.length)) + 1);
+    this.machines.set(machine.id, { ...machine, createdAt: this.clock.now(), isUp: true });
+    this.nextNumber = Math.max(this.nextNumber, Number(machine.id.slice('host-'.length)) + 1);
     this.onUp(machine);
   }
 
-  for(clock: Clock): Cloud {
-    const ask = <T>(act: () => T): Promise<T> =>
+  /** Returns the cloud's interface for one process, whose timers run on `clock`. */
+  clientFor(clock: Clock): Cloud {
+    const request = <T>(operation: () => T): Promise<T> =>
       new Promise((resolve, reject) => {
         clock.after(LATENCY_MS, () => {
-          if (this.outage) reject(new CloudRequestRefusedError(503));
-          else resolve(act());
+          if (this.isUnavailable) reject(new CloudRequestRefusedError(503));
+          else resolve(operation());
         });
       });
-    const twice = <T>(act: () => T): Promise<T> =>
-      ask(() => {
-        if (this.repeatAfter !== null) this.clock.after(this.repeatAfter, act);
-        return act();
+    const requestWithDuplicate = <T>(operation: () => T): Promise<T> =>
+      request(() => {
+        if (this.duplicateDelayMs !== null) this.clock.after(this.duplicateDelayMs, operation);
+        return operation();
       });
     return {
-      listMachineTypes: () => ask(() => [...this.types]),
-      createMachines: (r) =>
-        twice((): ScaleOutResult => {
-          const known = this.answers.get(r.name);
-          if (known) return { machines: known };
-          const key = poolName(r);
-          const room = this.room.get(key) ?? Infinity;
-          const count = Math.min(r.count, room);
+      listMachineTypes: () => request(() => [...this.types]),
+      createMachines: (scaleOut) =>
+        requestWithDuplicate((): ScaleOutResult => {
+          const existing = this.createdByRequest.get(scaleOut.name);
+          if (existing) return { machines: existing };
+          const key = poolName(scaleOut);
+          const capacity = this.remainingCapacity.get(key) ?? Infinity;
+          const count = Math.min(scaleOut.count, capacity);
           if (count === 0) return 'no capacity';
-          if (room !== Infinity) this.room.set(key, room - count);
-          const hosts = Array.from({ length: count }, () => this.create(r.type, r.zone, r.spot));
-          this.answers.set(r.name, hosts);
+          if (capacity !== Infinity) this.remainingCapacity.set(key, capacity - count);
+          const created = Array.from({ length: count }, () =>
+            this.create(scaleOut.type, scaleOut.zone, scaleOut.spot),
+          );
+          this.createdByRequest.set(scaleOut.name, created);
           this.trace(`cloud      rents ${count} ${key}`);
-          return { machines: hosts };
+          return { machines: created };
         }),
-      deleteMachines: (hosts) =>
-        twice(() => {
-          for (const id of hosts) {
+      deleteMachines: (ids) =>
+        requestWithDuplicate(() => {
+          for (const id of ids) {
             if (!this.machines.delete(id)) continue;
             this.trace(`cloud      deletes ${id}`);
             this.onGone(id);
           }
         }),
       listMachines: (after) =>
-        ask(() => {
-          const rest = [...this.machines.values()].filter(
-            (m) => m.id > after && this.clock.now() - m.at >= this.listLagMs,
+        request(() => {
+          const listed = [...this.machines.values()].filter(
+            (machine) => machine.id > after && this.clock.now() - machine.createdAt >= this.listLagMs,
           );
-          const machines = rest.slice(0, PAGE).map((m): ListedMachine => ({
-            ...m,
-            address: address(m.id),
-            status: m.up ? 'running' : 'starting',
-            age: ms(this.clock.now() - m.at),
+          const machines = listed.slice(0, PAGE_SIZE).map((machine): ListedMachine => ({
+            ...machine,
+            address: address(machine.id),
+            status: machine.isUp ? 'running' : 'starting',
+            age: ms(this.clock.now() - machine.createdAt),
           }));
-          return { more: rest.length > PAGE, machines };
+          return { more: listed.length > PAGE_SIZE, machines };
         }),
     };
   }
 }
 
+/** Returns the address of a machine's worker. */
 export const address = (id: MachineId): string => `${id}:9000`;
--- a/test/simulation/fake-key-value-store.ts
+++ b/test/simulation/fake-key-value-store.ts
@@ -1,3 +1,4 @@
+/** A fake of the key-value store. */
 import type { LeaseId, Revision } from '../../src/model/ids.js';
 import type { Clock } from '../../src/model/time.js';
 import type { TokenBucket } from '../../src/net/token-bucket.js';
@@ -18,211 +19,224 @@
 interface Entry {
   value: unknown;
   revision: Revision;
-  grant: LeaseId | null;
+  lease: LeaseId | null;
 }
 
 const LATENCY_MS = 5;
-/** Rows in one answer. */
-const PAGE = 500;
+/** The maximum of rows in one answer. */
+const PAGE_SIZE = 500;
 const DEADLINE_MS = 1000;
-const TXN_BYTES = 64 * 1024;
+const MAX_TXN_BYTES = 64 * 1024;
 
-export interface Sizes {
+/** The limits of a transaction's operations and of a value's bytes. */
+export interface SizeLimits {
   readonly txnOps: number;
   readonly valueBytes: number;
 }
 
-/** What the service answers 400. */
-function malformed(
-  { txnOps, valueBytes }: Sizes,
+/** Returns why the service would answer 400; null if it would not. */
+function sizeViolation(
+  { txnOps, valueBytes }: SizeLimits,
   conditions: readonly Compare[],
   writes: readonly WriteOperation[],
 ): string | null {
   if (writes.length > txnOps) return 'too many writes';
   if (conditions.length > txnOps * 4) return 'too many conditions';
-  if (writes.some((w) => 'set' in w && Buffer.byteLength(JSON.stringify(w.value)) > valueBytes))
+  if (writes.some((write) => 'set' in write && Buffer.byteLength(JSON.stringify(write.value)) > valueBytes))
     return 'a value too long';
-  return Buffer.byteLength(JSON.stringify({ conditions, writes })) > TXN_BYTES ? 'too long' : null;
+  return Buffer.byteLength(JSON.stringify({ conditions, writes })) > MAX_TXN_BYTES ? 'too long' : null;
 }
 
-/** Compares nothing but keys that nobody writes, to learn the limits. */
-function isProbe(conditions: readonly Compare[], writes: readonly WriteOperation[]): boolean {
+/** Returns whether a transaction only compares keys that nobody writes, to learn the limits. */
+function isLimitProbe(conditions: readonly Compare[], writes: readonly WriteOperation[]): boolean {
   return writes.length === 0 && conditions.every(({ key }) => key.startsWith('unused/'));
 }
 
-/** A state service in memory, by the published protocol. */
+/** A key-value store in memory that behaves as the published protocol says. */
 export class FakeKeyValueStore {
   readonly keys = new Map<string, Entry>();
-  private readonly log: WatchEvent[] = [];
-  private readonly grants = new Map<LeaseId, { ttl: number; until: number }>();
+  private readonly history: WatchEvent[] = [];
+  private readonly leases = new Map<LeaseId, { ttl: number; validUntil: number }>();
   private readonly watchers = new Set<() => void>();
   private revision = 0;
-  private nextGrant = 1;
-  /** Puts and deletes that were asked for, carried out or not. */
-  writes = 0;
-  requests = 0;
-  /** What one value and one transaction may hold. */
-  sizes: Sizes = { txnOps: 16, valueBytes: 16 * 1024 };
-  /** What it would not even look at. */
-  readonly malformed: string[] = [];
-  /** Comparisons that were refused because the limits have fallen, and that asked just that. */
-  probes = 0;
-  outage = false;
-  /** Requests and changes a second; more are answered 429, bursts of a second's worth aside. */
-  limits: { readonly requests: TokenBucket; readonly writes: TokenBucket } | null = null;
-  /** Every commit comes once more, so many ms after it was carried out. */
-  repeatAfter: number | null = null;
-  /** Nodes that are refused while the others are served. */
-  readonly refused = new Set<string>();
-  /** Of this share of commits none is answered, and each is carried out 2 to 12 s later, after newer ones. */
-  lateShare = 0;
-  /** Between 0 and 1. */
+  private nextLeaseId = 1;
+  /** The number of requested puts and deletes, carried out or not. */
+  writeCount = 0;
+  /** The number of requests. */
+  requestCount = 0;
+  /** The limits of transactions and values. */
+  sizeLimits: SizeLimits = { txnOps: 16, valueBytes: 16 * 1024 };
+  /** Transactions that were rejected for their size, by reason. */
+  readonly rejectedTransactions: string[] = [];
+  /** The number of probes for the limits that were rejected because the limits have fallen. */
+  limitProbeCount = 0;
+  /** Whether every request is refused. */
+  isUnavailable = false;
+  /** Rate limits, beyond which requests are answered 429; null: none. */
+  rateLimits: { readonly requests: TokenBucket; readonly writes: TokenBucket } | null = null;
+  /** Every transaction is carried out a second time after this delay; null: it is not. */
+  duplicateDelayMs: number | null = null;
+  /** Nodes whose requests are refused while the others are served. */
+  readonly refusedClients = new Set<string>();
+  /** The fraction of transactions that are not answered and are carried out 2 to 12 s later, after newer ones. */
+  lateCommitRate = 0;
+  /** A random number from 0 up to 1. */
   random: () => number = () => 0;
-  /** The next commit of such a node brings no answer and is applied after this many ms. */
-  readonly delayCommit = new Map<string, number>();
+  /** By node: its next transaction is not answered, and is carried out after this delay. */
+  readonly nextCommitDelayMs = new Map<string, number>();
 
   constructor(private readonly clock: Clock) {
-    this.expire();
+    this.scheduleLeaseExpiry();
   }
 
-  private expire(): void {
+  private scheduleLeaseExpiry(): void {
     this.clock.after(50, () => {
       const now = this.clock.now();
-      for (const [id, grant] of this.grants) {
-        // During an outage no lease ends; after it every lease has its full time again.
-        if (this.outage) grant.until = now + grant.ttl;
-        else if (grant.until <= now) this.endGrant(id);
+      for (const [id, lease] of this.leases) {
+        // During an outage no lease expires; after it every lease has its full time to live again.
+        if (this.isUnavailable) lease.validUntil = now + lease.ttl;
+        else if (lease.validUntil <= now) this.endLease(id);
       }
-      this.expire();
+      this.scheduleLeaseExpiry();
     });
   }
 
-  private endGrant(id: LeaseId): void {
-    this.grants.delete(id);
-    const drops = [...this.keys].filter(([, e]) => e.grant === id).map(([key]) => ({ drop: key }));
+  private endLease(id: LeaseId): void {
+    this.leases.delete(id);
+    const drops = [...this.keys].filter(([, entry]) => entry.lease === id).map(([key]) => ({ drop: key }));
     if (drops.length > 0) this.apply(drops);
   }
 
   private apply(writes: readonly WriteOperation[]): Revision {
     this.revision++;
     const revision = this.revision as Revision;
-    for (const w of writes) {
-      if ('set' in w) {
-        const value: unknown = JSON.parse(JSON.stringify(w.value));
-        this.keys.set(w.set, { value, revision, grant: w.grant ?? null });
-        this.log.push({ key: w.set, value, revision });
-      } else if (this.keys.delete(w.drop)) this.log.push({ key: w.drop, value: undefined, revision });
+    for (const write of writes) {
+      if ('set' in write) {
+        const value: unknown = JSON.parse(JSON.stringify(write.value));
+        this.keys.set(write.set, { value, revision, lease: write.grant ?? null });
+        this.history.push({ key: write.set, value, revision });
+      } else if (this.keys.delete(write.drop)) {
+        this.history.push({ key: write.drop, value: undefined, revision });
+      }
     }
-    for (const wake of [...this.watchers]) wake();
+    for (const notify of [...this.watchers]) notify();
     return revision;
   }
 
-  private decide(conditions: readonly Compare[], writes: readonly WriteOperation[]): TxnResult {
-    this.writes += writes.length;
+  private execute(conditions: readonly Compare[], writes: readonly WriteOperation[]): TxnResult {
+    this.writeCount += writes.length;
     const failed = conditions
-      .filter((c) => (this.keys.get(c.key)?.revision ?? 0) !== c.revision)
-      .map((c) => c.key);
+      .filter(({ key, revision }) => (this.keys.get(key)?.revision ?? 0) !== revision)
+      .map(({ key }) => key);
     if (failed.length > 0) return { ok: false, failed };
     return { ok: true, revision: writes.length > 0 ? this.apply(writes) : (this.revision as Revision) };
   }
 
-  private tooMany(writes: number): boolean {
-    if (!this.limits) return false;
-    return !this.limits.requests.tryTake() || (writes > 0 && !this.limits.writes.tryTake(writes));
+  private isRateLimited(writes: number): boolean {
+    if (!this.rateLimits) return false;
+    return !this.rateLimits.requests.tryTake() || (writes > 0 && !this.rateLimits.writes.tryTake(writes));
   }
 
+  /** Returns the value of a key without latency or faults. */
   value(key: string): unknown {
     return this.keys.get(key)?.value;
   }
 
-  /** What an earlier day has left. */
+  /** Restores records of an earlier run. */
   restore(records: readonly KeyValue[]): void {
     for (const { key, value, revision } of records) {
-      this.keys.set(key, { value, revision, grant: null });
+      this.keys.set(key, { value, revision, lease: null });
       this.revision = Math.max(this.revision, revision);
     }
   }
 
-  /** The service as one process sees it. */
-  for(node: string, clock: Clock): KeyValueStore {
-    const ask = <T>(act: () => T, writes = 0): Promise<T> =>
+  /** Returns the store's interface for one node, whose timers run on `clock`. */
+  clientFor(node: string, clock: Clock): KeyValueStore {
+    const request = <T>(operation: () => T, writes = 0): Promise<T> =>
       new Promise((resolve, reject) => {
-        this.requests++;
+        this.requestCount++;
         clock.after(LATENCY_MS, () => {
-          if (this.outage || this.refused.has(node)) reject(new StoreRefusedError('state answered 503'));
-          else if (this.tooMany(writes))
+          if (this.isUnavailable || this.refusedClients.has(node))
+            reject(new StoreRefusedError('state answered 503'));
+          else if (this.isRateLimited(writes))
             reject(new StoreRefusedError('state answered 429', { isRateLimited: true }));
-          else resolve(act());
+          else resolve(operation());
         });
       });
     return {
       get: (key) =>
-        ask((): KeyValue | null => {
-          const e = this.keys.get(key);
-          if (!e) return null;
-          const row = { key, value: e.value, revision: e.revision };
-          return e.grant === null ? row : { ...row, lease: e.grant };
+        request((): KeyValue | null => {
+          const entry = this.keys.get(key);
+          if (!entry) return null;
+          const row = { key, value: entry.value, revision: entry.revision };
+          return entry.lease === null ? row : { ...row, lease: entry.lease };
         }),
       range: (prefix, after) =>
-        ask((): KeyValuePage => {
+        request((): KeyValuePage => {
           const rows = [...this.keys]
             .filter(([key]) => key.startsWith(prefix) && (after === undefined || key > after))
-            .sort(([a], [b]) => (a < b ? -1 : 1))
-            .map(([key, e]) => ({ key, value: e.value, revision: e.revision }));
-          return { rows: rows.slice(0, PAGE), more: rows.length > PAGE, revision: this.revision as Revision };
+            .sort(([first], [second]) => (first < second ? -1 : 1))
+            .map(([key, { value, revision }]) => ({ key, value, revision }));
+          return {
+            rows: rows.slice(0, PAGE_SIZE),
+            more: rows.length > PAGE_SIZE,
+            revision: this.revision as Revision,
+          };
         }),
       txn: (conditions, writes) => {
-        const error = malformed(this.sizes, conditions, writes);
+        const error = sizeViolation(this.sizeLimits, conditions, writes);
         if (error) {
-          if (isProbe(conditions, writes)) this.probes++;
-          else this.malformed.push(error);
+          if (isLimitProbe(conditions, writes)) this.limitProbeCount++;
+          else this.rejectedTransactions.push(error);
           return Promise.reject(new StoreRequestTooLargeError(`state: commit refused ${error}`));
         }
-        const late = writes.length > 0 && this.lateShare > 0 && this.random() < this.lateShare;
-        const delay = late ? 2000 + 10_000 * this.random() : this.delayCommit.get(node);
+        const isLate = writes.length > 0 && this.lateCommitRate > 0 && this.random() < this.lateCommitRate;
+        const delay = isLate ? 2000 + 10_000 * this.random() : this.nextCommitDelayMs.get(node);
         if (delay === undefined)
-          return ask(() => {
-            if (this.repeatAfter !== null)
-              this.clock.after(this.repeatAfter, () => this.decide(conditions, writes));
-            return this.decide(conditions, writes);
+          return request(() => {
+            if (this.duplicateDelayMs !== null)
+              this.clock.after(this.duplicateDelayMs, () => this.execute(conditions, writes));
+            return this.execute(conditions, writes);
           }, writes.length);
-        this.delayCommit.delete(node);
-        this.clock.after(delay, () => this.decide(conditions, writes));
+        this.nextCommitDelayMs.delete(node);
+        this.clock.after(delay, () => this.execute(conditions, writes));
         return new Promise((_, reject) => {
           clock.after(DEADLINE_MS, () => reject(new StoreOutcomeUnknownError('state: deadline passed')));
         });
       },
       grantLease: (ttl) =>
-        ask(() => {
-          const id = this.nextGrant++ as LeaseId;
-          this.grants.set(id, { ttl, until: this.clock.now() + ttl });
+        request(() => {
+          const id = this.nextLeaseId++ as LeaseId;
+          this.leases.set(id, { ttl, validUntil: this.clock.now() + ttl });
           return id;
         }),
       keepLeaseAlive: (id) =>
-        ask(() => {
-          const grant = this.grants.get(id);
-          if (grant) grant.until = this.clock.now() + grant.ttl;
-          return grant !== undefined;
+        request(() => {
+          const lease = this.leases.get(id);
+          if (lease) lease.validUntil = this.clock.now() + lease.ttl;
+          return lease !== undefined;
         }),
-      revokeLease: (id) => ask(() => this.endGrant(id)),
+      revokeLease: (id) => request(() => this.endLease(id)),
       watch: (prefix, after, waitMs) =>
         new Promise((resolve, reject) => {
-          if (this.refused.has(node) || this.outage) {
+          if (this.refusedClients.has(node) || this.isUnavailable) {
             clock.after(LATENCY_MS, () => reject(new StoreRefusedError('state: watch answered 503')));
             return;
           }
-          const news = (): WatchEvent[] =>
-            this.log.filter((c) => c.revision > after && c.key.startsWith(prefix));
-          const answer = (): void => {
-            if (this.outage || this.refused.has(node)) return;
-            if (news().length === 0 && this.clock.now() < end) return;
-            this.watchers.delete(answer);
-            clock.after(LATENCY_MS, () => resolve({ revision: this.revision as Revision, changes: news() }));
+          const newEvents = (): WatchEvent[] =>
+            this.history.filter(({ key, revision }) => revision > after && key.startsWith(prefix));
+          const answerIfDue = (): void => {
+            if (this.isUnavailable || this.refusedClients.has(node)) return;
+            if (newEvents().length === 0 && this.clock.now() < deadline) return;
+            this.watchers.delete(answerIfDue);
+            clock.after(LATENCY_MS, () =>
+              resolve({ revision: this.revision as Revision, changes: newEvents() }),
+            );
           };
-          const end = this.clock.now() + waitMs;
-          this.watchers.add(answer);
-          this.clock.after(waitMs, answer);
-          answer();
+          const deadline = this.clock.now() + waitMs;
+          this.watchers.add(answerIfDue);
+          this.clock.after(waitMs, answerIfDue);
+          answerIfDue();
         }),
     };
   }
--- a/test/simulation/fake-worker.ts
+++ b/test/simulation/fake-worker.ts
@@ -1,3 +1,4 @@
+/** A fake of the agent on a machine. */
 import type {
   HeartbeatSequence,
   ImageId,
@@ -13,111 +14,118 @@
 import type { Clock } from '../../src/model/time.js';
 import { address } from './fake-cloud.js';
 
-export interface JobFacts {
+/** How the tasks of a job behave. */
+export interface JobBehavior {
   readonly image: ImageId;
   readonly fetchMs: number;
-  /** Null: runs until it is killed. */
+  /** Null: runs until it is stopped. */
   readonly runMs: number | null;
   /** Every attempt fails. */
-  readonly broken: boolean;
+  readonly failsAlways: boolean;
 }
 
+/** A controller's answer to a heartbeat. */
 export interface HeartbeatAnswer {
   readonly status: number;
   readonly token: FencingToken;
   readonly orders: readonly WorkerCommand[];
-  /** The controller that the worker is sent to. */
+  /** The controller to which the worker is redirected. */
   readonly foreman?: string;
 }
 
-export interface WorkerWorld {
+/** What a worker needs of the site: the network, its jobs, and callbacks for its tasks. */
+export interface WorkerEnvironment {
   readonly nodes: readonly string[];
-  job(id: JobId): JobFacts | undefined;
-  started(worker: FakeWorker, task: TaskId, attemptNumber: AttemptNumber): void;
-  left(worker: FakeWorker, task: TaskId, why: string): void;
-  /** Null: no answer. */
+  behaviorOf(id: JobId): JobBehavior | undefined;
+  onTaskStarted(worker: FakeWorker, task: TaskId, attemptNumber: AttemptNumber): void;
+  onTaskEnded(worker: FakeWorker, task: TaskId, cause: string): void;
+  /** Sends a heartbeat; resolves to null for no answer. */
   heartbeat(worker: FakeWorker, node: string, heartbeat: Heartbeat): Promise<HeartbeatAnswer | null>;
 }
 
-const SENT_ELSEWHERE = 421;
-/** By then a worker that was sent elsewhere reports there. */
-const REDIRECTED_MS = 250;
+const MISDIRECTED_STATUS = 421;
+/** A redirected worker sends its next heartbeat within this time. */
+const REDIRECT_DELAY_MS = 250;
 
-interface Here {
+interface LocalAttempt {
   attemptNumber: AttemptNumber;
   state: AttemptState;
   cause: string | null;
 }
 
-/** One machine's worker, by the published protocol. */
+/** A worker that behaves as the published protocol says. */
 export class FakeWorker {
-  private session = 1;
-  private counter = 0;
+  private incarnation = 1;
+  private sequence = 0;
   private token = 0;
-  private node = 0;
-  private lastAnsweredSent: number;
-  private readonly here = new Map<TaskId, Here>();
-  private readonly images = new Set<ImageId>();
-  private reporting = false;
-  private dirty = false;
-  private lastSent = -Infinity;
-  /** Does nothing; messages to it wait. */
-  hung = false;
-  /** Its machine fails whatever it starts. */
-  sick = false;
-  gone = false;
-  notice: number | null = null;
-  private readonly held: (() => void)[] = [];
+  private nodeIndex = 0;
+  private leaseRenewedAt: number;
+  private readonly attempts = new Map<TaskId, LocalAttempt>();
+  private readonly fetchedImages = new Set<ImageId>();
+  private isHeartbeatInFlight = false;
+  private hasChanges = false;
+  private lastHeartbeatAt = -Infinity;
+  /** Whether the machine hangs: it does nothing, and messages to it wait. */
+  isHung = false;
+  /** Whether every task fails on this machine. */
+  failsTasks = false;
+  isGone = false;
+  interruptionNoticeS: number | null = null;
+  private readonly heldCallbacks: (() => void)[] = [];
 
   constructor(
     readonly machine: Machine,
     private readonly clock: Clock,
-    private readonly world: WorkerWorld,
+    private readonly environment: WorkerEnvironment,
     private readonly leaseMs: number,
-    private readonly reportMs: number,
+    private readonly heartbeatIntervalMs: number,
   ) {
-    this.lastAnsweredSent = clock.now();
-    this.tick();
+    this.leaseRenewedAt = clock.now();
+    this.scheduleTick();
   }
 
+  /** Makes the machine hang. */
   hang(): void {
-    this.hung = true;
+    this.isHung = true;
   }
 
-  goOn(): void {
-    this.hung = false;
+  /** Lets the machine resume: it checks its lease, then handles what has waited. */
+  resume(): void {
+    this.isHung = false;
     this.checkLease();
-    for (const run of this.held.splice(0)) run();
+    for (const run of this.heldCallbacks.splice(0)) run();
   }
 
-  private tick(): void {
-    if (this.gone) return;
+  private scheduleTick(): void {
+    if (this.isGone) return;
     this.clock.after(250, () => {
-      if (!this.hung) {
+      if (!this.isHung) {
         this.checkLease();
-        const wait = this.dirty ? 500 : this.reportMs;
-        if (!this.reporting && this.clock.now() - this.lastSent >= wait) void this.heartbeat();
+        const intervalMs = this.hasChanges ? 500 : this.heartbeatIntervalMs;
+        if (!this.isHeartbeatInFlight && this.clock.now() - this.lastHeartbeatAt >= intervalMs)
+          void this.heartbeat();
       }
-      this.tick();
+      this.scheduleTick();
     });
   }
 
   private checkLease(): void {
-    if (this.gone || this.clock.now() - this.lastAnsweredSent <= this.leaseMs) return;
-    for (const [task, t] of this.here) if (t.state !== 'exited') this.world.left(this, task, 'lease over');
-    this.here.clear();
-    this.session++;
-    this.lastAnsweredSent = this.clock.now();
-    this.dirty = true;
+    if (this.isGone || this.clock.now() - this.leaseRenewedAt <= this.leaseMs) return;
+    for (const [task, attempt] of this.attempts)
+      if (attempt.state !== 'exited') this.environment.onTaskEnded(this, task, 'lease over');
+    this.attempts.clear();
+    this.incarnation++;
+    this.leaseRenewedAt = this.clock.now();
+    this.hasChanges = true;
   }
 
   private snapshot(): Heartbeat {
-    this.counter++;
-    const attempts: Attempt[] = [...this.here].map(([task, t]) => ({
+    this.sequence++;
+    const attempts: Attempt[] = [...this.attempts].map(([task, { attemptNumber, state, cause }]) => ({
       task,
-      attemptNumber: t.attemptNumber,
-      state: t.state,
-      cause: t.cause,
+      attemptNumber,
+      state,
+      cause,
     }));
     return {
       machine: this.machine.id,
@@ -125,141 +133,149 @@
       type: this.machine.type,
       zone: this.machine.zone,
       spot: this.machine.spot,
-      incarnation: this.session as AgentIncarnation,
-      sequence: this.counter as HeartbeatSequence,
+      incarnation: this.incarnation as AgentIncarnation,
+      sequence: this.sequence as HeartbeatSequence,
       token: this.token as FencingToken,
-      interruptionNotice: this.notice as Heartbeat['interruptionNotice'],
+      interruptionNotice: this.interruptionNoticeS as Heartbeat['interruptionNotice'],
       attempts,
     };
   }
 
   private async heartbeat(): Promise<void> {
-    this.reporting = true;
-    this.dirty = false;
-    const sent = this.clock.now();
-    this.lastSent = sent;
-    const session = this.session;
-    const node = this.world.nodes[this.node % this.world.nodes.length] as string;
-    const answer = await this.world.heartbeat(this, node, this.snapshot());
-    this.reporting = false;
-    if (this.gone || this.hung) return;
-    const named = answer?.status === SENT_ELSEWHERE ? this.world.nodes.indexOf(answer.foreman ?? '') : -1;
-    if (named >= 0 && this.world.nodes[named] !== node) {
-      this.node = named;
-      this.lastSent = this.clock.now() - this.reportMs + REDIRECTED_MS;
+    this.isHeartbeatInFlight = true;
+    this.hasChanges = false;
+    const sentAt = this.clock.now();
+    this.lastHeartbeatAt = sentAt;
+    const { incarnation } = this;
+    const node = this.environment.nodes[this.nodeIndex % this.environment.nodes.length] as string;
+    const answer = await this.environment.heartbeat(this, node, this.snapshot());
+    this.isHeartbeatInFlight = false;
+    if (this.isGone || this.isHung) return;
+    const redirectIndex =
+      answer?.status === MISDIRECTED_STATUS ? this.environment.nodes.indexOf(answer.foreman ?? '') : -1;
+    if (redirectIndex >= 0 && this.environment.nodes[redirectIndex] !== node) {
+      this.nodeIndex = redirectIndex;
+      this.lastHeartbeatAt = this.clock.now() - this.heartbeatIntervalMs + REDIRECT_DELAY_MS;
       return;
     }
     if (!answer || answer.status !== 200) {
-      this.node++;
-      this.lastSent = this.clock.now() - this.reportMs + 1000;
+      this.nodeIndex++;
+      this.lastHeartbeatAt = this.clock.now() - this.heartbeatIntervalMs + 1000;
       return;
     }
-    if (this.clock.now() - sent > 4000 || session !== this.session || answer.token < this.token) return;
-    if (answer.token > this.token) this.dirty = true;
+    if (this.clock.now() - sentAt > 4000 || incarnation !== this.incarnation || answer.token < this.token)
+      return;
+    if (answer.token > this.token) this.hasChanges = true;
     this.token = answer.token;
-    this.lastAnsweredSent = sent;
+    this.leaseRenewedAt = sentAt;
     this.execute(answer.orders);
   }
 
-  /** POST /commands; a hanging machine carries it out when it goes on. */
+  /** Handles POST /commands. A hanging machine handles it once it resumes. */
   command(
     token: FencingToken,
-    session: AgentIncarnation,
-    orders: readonly WorkerCommand[],
+    incarnation: AgentIncarnation,
+    commands: readonly WorkerCommand[],
   ): { executed: boolean; heartbeat: Heartbeat } {
-    if (token < this.token || session !== this.session)
+    if (token < this.token || incarnation !== this.incarnation)
       return { executed: false, heartbeat: this.snapshot() };
-    if (token > this.token) this.dirty = true;
+    if (token > this.token) this.hasChanges = true;
     this.token = token;
-    this.execute(orders);
+    this.execute(commands);
     return { executed: true, heartbeat: this.snapshot() };
   }
 
-  /** Runs now, or once the machine goes on. */
-  whenAwake(run: () => void): void {
-    if (this.hung) this.held.push(run);
-    else if (!this.gone) run();
+  /** Runs the callback now, or once the hanging machine resumes. */
+  runWhenResponsive(run: () => void): void {
+    if (this.isHung) this.heldCallbacks.push(run);
+    else if (!this.isGone) run();
   }
 
-  /** What it says now, without its counter moving on. */
-  copy(): Heartbeat {
+  /** Returns the current heartbeat without using up a sequence number. */
+  repeatedHeartbeat(): Heartbeat {
     const heartbeat = this.snapshot();
-    this.counter--;
+    this.sequence--;
     return heartbeat;
   }
 
-  show(): Heartbeat {
+  /** Returns the current heartbeat under a new sequence number. */
+  currentHeartbeat(): Heartbeat {
     return this.snapshot();
   }
 
-  private execute(orders: readonly WorkerCommand[]): void {
-    for (const order of orders) {
-      const known = this.here.get(order.task);
-      if (order.kind === 'start') {
-        if (known && known.attemptNumber === order.attemptNumber) continue;
-        if (known && known.state !== 'exited') continue;
-        this.start(order.task, order.attemptNumber);
-      } else if (order.kind === 'stop') {
-        if (known && known.attemptNumber === order.attemptNumber && known.state !== 'exited')
-          this.exit(order.task, known, 'stopped');
-      } else if (known && known.attemptNumber === order.attemptNumber && known.state === 'exited')
-        this.here.delete(order.task);
+  private execute(commands: readonly WorkerCommand[]): void {
+    for (const command of commands) {
+      const attempt = this.attempts.get(command.task);
+      if (command.kind === 'start') {
+        if (attempt && attempt.attemptNumber === command.attemptNumber) continue;
+        if (attempt && attempt.state !== 'exited') continue;
+        this.start(command.task, command.attemptNumber);
+      } else if (command.kind === 'stop') {
+        if (attempt && attempt.attemptNumber === command.attemptNumber && attempt.state !== 'exited')
+          this.exit(command.task, attempt, 'stopped');
+      } else if (attempt && attempt.attemptNumber === command.attemptNumber && attempt.state === 'exited')
+        this.attempts.delete(command.task);
     }
   }
 
-  private exit(task: TaskId, t: Here, cause: string): void {
-    const was = t.state;
-    t.state = 'exited';
-    t.cause = cause;
-    this.dirty = true;
-    if (was === 'running') this.world.left(this, task, cause);
+  private exit(task: TaskId, attempt: LocalAttempt, cause: string): void {
+    const previousState = attempt.state;
+    attempt.state = 'exited';
+    attempt.cause = cause;
+    this.hasChanges = true;
+    if (previousState === 'running') this.environment.onTaskEnded(this, task, cause);
   }
 
   private start(task: TaskId, attemptNumber: AttemptNumber): void {
-    const job = this.world.job(parseTaskId(task)?.job as JobId);
-    const t: Here = { attemptNumber, state: 'fetching', cause: null };
-    this.here.set(task, t);
-    this.dirty = true;
+    const job = this.environment.behaviorOf(parseTaskId(task)?.job as JobId);
+    const attempt: LocalAttempt = { attemptNumber, state: 'fetching', cause: null };
+    this.attempts.set(task, attempt);
+    this.hasChanges = true;
     if (!job) {
-      this.exit(task, t, 'no_such');
+      this.exit(task, attempt, 'no_such');
       return;
     }
-    this.clock.after(this.images.has(job.image) ? 1 : job.fetchMs, () => this.ready(task, t, job));
+    this.clock.after(this.fetchedImages.has(job.image) ? 1 : job.fetchMs, () =>
+      this.startRunning(task, attempt, job),
+    );
   }
 
-  private ready(task: TaskId, t: Here, job: JobFacts): void {
-    if (this.gone || t.state !== 'fetching' || this.here.get(task) !== t) return;
-    this.images.add(job.image);
-    t.state = 'running';
-    this.dirty = true;
-    this.world.started(this, task, t.attemptNumber);
-    if (this.sick || job.broken) this.finishAfter(task, t, 800, 'error');
-    else if (job.runMs !== null) this.finishAfter(task, t, job.runMs, 'done');
+  private startRunning(task: TaskId, attempt: LocalAttempt, job: JobBehavior): void {
+    if (this.isGone || attempt.state !== 'fetching' || this.attempts.get(task) !== attempt) return;
+    this.fetchedImages.add(job.image);
+    attempt.state = 'running';
+    this.hasChanges = true;
+    this.environment.onTaskStarted(this, task, attempt.attemptNumber);
+    if (this.failsTasks || job.failsAlways) this.finishAfter(task, attempt, 800, 'error');
+    else if (job.runMs !== null) this.finishAfter(task, attempt, job.runMs, 'done');
   }
 
-  private finishAfter(task: TaskId, t: Here, ms: number, cause: string): void {
+  private finishAfter(task: TaskId, attempt: LocalAttempt, ms: number, cause: string): void {
     this.clock.after(ms, () => {
       const finish = (): void => {
-        if (!this.gone && t.state === 'running' && this.here.get(task) === t) this.exit(task, t, cause);
+        if (!this.isGone && attempt.state === 'running' && this.attempts.get(task) === attempt)
+          this.exit(task, attempt, cause);
       };
-      this.whenAwake(finish);
+      this.runWhenResponsive(finish);
     });
   }
 
-  /** The machine ends and is back at once: a new session, and nothing on it. */
+  /** Restarts the machine at once: a new incarnation without tasks. */
   restart(): void {
-    for (const [task, t] of this.here) if (t.state !== 'exited') this.world.left(this, task, 'restarted');
-    this.here.clear();
-    this.images.clear();
-    this.session++;
-    this.lastAnsweredSent = this.clock.now();
-    this.dirty = true;
+    for (const [task, attempt] of this.attempts)
+      if (attempt.state !== 'exited') this.environment.onTaskEnded(this, task, 'restarted');
+    this.attempts.clear();
+    this.fetchedImages.clear();
+    this.incarnation++;
+    this.leaseRenewedAt = this.clock.now();
+    this.hasChanges = true;
   }
 
-  /** The machine is gone, with everything on it. */
-  vanish(): void {
-    this.gone = true;
-    for (const [task, t] of this.here) if (t.state === 'running') this.world.left(this, task, 'machine gone');
-    this.here.clear();
+  /** Removes the machine with all its tasks. */
+  terminate(): void {
+    this.isGone = true;
+    for (const [task, attempt] of this.attempts)
+      if (attempt.state === 'running') this.environment.onTaskEnded(this, task, 'machine gone');
+    this.attempts.clear();
   }
 }
--- a/test/simulation/faults.ts
+++ b/test/simulation/faults.ts
@@ -1,216 +1,223 @@
+/** The faults that scenarios inject. */
 import type { MachineId } from '../../src/model/ids.js';
-import type { DaySite } from './day-site.js';
+import type { ScenarioSite } from './scenario-site.js';
 
-/** Users of a day, as far as troubles need them. */
-export interface Users {
-  /** Calls off so many of the jobs that run. */
+/** The users of a scenario, as far as faults control them. */
+export interface ScenarioUsers {
+  /** Cancels up to `count` of the running jobs. */
   cancelSome(count: number): void;
-  /** From now on jobs are called off at about the moment of their end. */
-  cancelAtEnd: boolean;
-  /** Repeats of submissions, cancels of ended jobs, jobs that can't run or lack a field. */
-  odd: boolean;
+  /** Whether jobs are cancelled at about the time of their end. */
+  cancelNearEnd: boolean;
+  /** Whether users repeat submissions, cancel ended jobs, and submit jobs that cannot run or lack a field. */
+  sendOddRequests: boolean;
 }
 
-/** One trouble: it begins, and it ends so many seconds later. */
-export interface Trouble {
+/** A fault that is injected, and ended after `durationS` seconds. */
+export interface Fault {
   readonly name: string;
-  readonly forS: number;
-  begin(site: DaySite, users: Users, random: () => number): () => void;
+  readonly durationS: number;
+  /** Injects the fault; the result ends it. */
+  inject(site: ScenarioSite, users: ScenarioUsers, random: () => number): () => void;
 }
 
-const BACK_S = 3;
+const RESTART_DELAY_S = 3;
 
-function some(site: DaySite, share: number, random: () => number): MachineId[] {
-  return [...site.workers.keys()].filter(() => random() < share);
+function randomMachines(site: ScenarioSite, fraction: number, random: () => number): MachineId[] {
+  return [...site.workers.keys()].filter(() => random() < fraction);
 }
 
-function crashLeader(site: DaySite, backS: number): void {
+function crashLeader(site: ScenarioSite, restartDelayS: number): void {
   const name = site.leader;
   if (!name) return;
   site.crash(name);
-  site.clock.after(backS * 1000, () => {
+  site.clock.after(restartDelayS * 1000, () => {
     if (!site.isRunning(name)) site.start(name);
   });
 }
 
-function every(site: DaySite, s: number, times: number, act: () => void): void {
-  for (let i = 0; i < times; i++) site.clock.after(i * s * 1000, act);
+function repeatEvery(site: ScenarioSite, intervalS: number, times: number, action: () => void): void {
+  for (let index = 0; index < times; index++) site.clock.after(index * intervalS * 1000, action);
 }
 
-const nothing = (): void => {};
+const noop = (): void => {};
 
-/** A controller and some machines reach each other, and nothing else. */
-export function cutOff(site: DaySite, node: string, isInside: (host: MachineId) => boolean): () => void {
-  site.state.refused.add(node);
-  site.alone.add(node);
-  for (const host of site.workers.keys()) {
-    for (const name of site.nodes) if ((name === node) !== isInside(host)) site.cuts.add(`${name} ${host}`);
+/** Partitions a controller and some machines from everything else; the result ends the partition. */
+export function isolateNode(
+  site: ScenarioSite,
+  node: string,
+  isInside: (machine: MachineId) => boolean,
+): () => void {
+  site.store.refusedClients.add(node);
+  site.isolatedNodes.add(node);
+  for (const machine of site.workers.keys()) {
+    for (const name of site.nodes)
+      if ((name === node) !== isInside(machine)) site.cutLinks.add(`${name} ${machine}`);
   }
   return () => {
-    site.state.refused.delete(node);
-    site.alone.delete(node);
-    site.cuts.clear();
+    site.store.refusedClients.delete(node);
+    site.isolatedNodes.delete(node);
+    site.cutLinks.clear();
   };
 }
 
-/** Those of the protocol and of the meetings that the users have seen rules break in. */
-export const TROUBLES: readonly Trouble[] = [
+/** The faults of the protocol, and those in which users have seen rules broken. */
+export const FAULTS: readonly Fault[] = [
   {
     name: 'leaders change, some within a fraction of a second',
-    forS: 50,
-    begin(site, _users, random) {
-      every(site, 10, 5, () => crashLeader(site, random() < 0.4 ? 0.2 : BACK_S));
-      return nothing;
+    durationS: 50,
+    inject(site, _users, random) {
+      repeatEvery(site, 10, 5, () => crashLeader(site, random() < 0.4 ? 0.2 : RESTART_DELAY_S));
+      return noop;
     },
   },
   {
-    name: 'state refuses the leader alone, then all',
-    forS: 48,
-    begin(site) {
-      const old = site.leader;
-      if (old) site.state.refused.add(old);
+    name: 'the key-value store refuses the leader alone, then all',
+    durationS: 48,
+    inject(site) {
+      const leader = site.leader;
+      if (leader) site.store.refusedClients.add(leader);
       site.clock.after(1500, () => {
-        site.state.outage = true;
+        site.store.isUnavailable = true;
       });
       return () => {
-        site.state.refused.clear();
-        site.state.outage = false;
+        site.store.refusedClients.clear();
+        site.store.isUnavailable = false;
       };
     },
   },
   {
-    name: 'the leader loses state and the others, not workers and users',
-    forS: 30,
-    begin(site) {
-      const old = site.leader;
-      if (!old) return nothing;
-      site.state.refused.add(old);
-      site.alone.add(old);
+    name: 'the leader loses the store and its peers, not workers and users',
+    durationS: 30,
+    inject(site) {
+      const leader = site.leader;
+      if (!leader) return noop;
+      site.store.refusedClients.add(leader);
+      site.isolatedNodes.add(leader);
       return () => {
-        site.state.refused.delete(old);
-        site.alone.delete(old);
+        site.store.refusedClients.delete(leader);
+        site.isolatedNodes.delete(leader);
       };
     },
   },
   {
-    name: 'all controllers are away for longer than a lease',
-    forS: 26,
-    begin(site) {
+    name: 'all controllers are down for longer than a lease',
+    durationS: 26,
+    inject(site) {
       for (const name of site.nodes) site.crash(name);
       return () => site.startAll();
     },
   },
   {
-    name: 'transactions come late, after newer ones',
-    forS: 40,
-    begin(site) {
-      site.state.lateShare = 0.25;
+    name: 'transactions are applied late, after newer ones',
+    durationS: 40,
+    inject(site) {
+      site.store.lateCommitRate = 0.25;
       return () => {
-        site.state.lateShare = 0;
+        site.store.lateCommitRate = 0;
       };
     },
   },
   {
-    name: 'reports come again, late',
-    forS: 40,
-    begin(site) {
-      site.copyShare = 0.4;
+    name: 'heartbeats are duplicated late',
+    durationS: 40,
+    inject(site) {
+      site.duplicateHeartbeatRate = 0.4;
       return () => {
-        site.copyShare = 0;
+        site.duplicateHeartbeatRate = 0;
       };
     },
   },
   {
-    name: 'machines are deaf',
-    forS: 35,
-    begin(site, _users, random) {
-      const hosts = some(site, 0.5, random);
-      for (const host of hosts) site.oneWay.add(host);
-      return () => site.oneWay.clear();
+    name: 'machines receive nothing (inbound partition)',
+    durationS: 35,
+    inject(site, _users, random) {
+      const machines = randomMachines(site, 0.5, random);
+      for (const machine of machines) site.inboundPartitioned.add(machine);
+      return () => site.inboundPartitioned.clear();
     },
   },
   {
-    name: 'machines are mute',
-    forS: 35,
-    begin(site, _users, random) {
-      const hosts = some(site, 0.5, random);
-      for (const host of hosts) site.mute.add(host);
-      return () => site.mute.clear();
+    name: 'heartbeats of machines are lost (outbound partition)',
+    durationS: 35,
+    inject(site, _users, random) {
+      const machines = randomMachines(site, 0.5, random);
+      for (const machine of machines) site.outboundPartitioned.add(machine);
+      return () => site.outboundPartitioned.clear();
     },
   },
   {
-    name: 'machines hang and go on',
-    forS: 30,
-    begin(site, _users, random) {
-      const hosts = some(site, 0.5, random);
-      for (const host of hosts) site.worker(host).hang();
+    name: 'machines hang and resume',
+    durationS: 30,
+    inject(site, _users, random) {
+      const machines = randomMachines(site, 0.5, random);
+      for (const machine of machines) site.worker(machine).hang();
       return () => {
-        for (const host of hosts) site.workers.get(host)?.goOn();
+        for (const machine of machines) site.workers.get(machine)?.resume();
       };
     },
   },
   {
-    name: 'commands are held up and arrive late',
-    forS: 25,
-    begin(site, _users, random) {
-      const hosts = some(site, 0.5, random);
-      for (const host of hosts) for (const node of site.nodes) site.hold(node, host);
-      return () => site.release();
+    name: 'commands are delayed',
+    durationS: 25,
+    inject(site, _users, random) {
+      const machines = randomMachines(site, 0.5, random);
+      for (const machine of machines) for (const node of site.nodes) site.holdCommands(node, machine);
+      return () => site.releaseCommands();
     },
   },
   {
-    name: 'many cancel in one instant',
-    forS: 20,
-    begin(site, users) {
+    name: 'many jobs are cancelled at once',
+    durationS: 20,
+    inject(site, users) {
       users.cancelSome(4);
       site.clock.after(2000, () => users.cancelSome(2));
-      return nothing;
+      return noop;
     },
   },
   {
-    name: 'jobs are called off as they end',
-    forS: 40,
-    begin(_site, users) {
-      users.cancelAtEnd = true;
+    name: 'jobs are cancelled as they end',
+    durationS: 40,
+    inject(_site, users) {
+      users.cancelNearEnd = true;
       return () => {
-        users.cancelAtEnd = false;
+        users.cancelNearEnd = false;
       };
     },
   },
   {
-    name: 'odd requests',
-    forS: 40,
-    begin(_site, users) {
-      users.odd = true;
+    name: 'repeated and invalid requests',
+    durationS: 40,
+    inject(_site, users) {
+      users.sendOddRequests = true;
       return () => {
-        users.odd = false;
+        users.sendOddRequests = false;
       };
     },
   },
   {
     name: 'machines die',
-    forS: 20,
-    begin(site, _users, random) {
-      for (const host of some(site, 0.4, random)) site.takeAway(host);
-      return nothing;
+    durationS: 20,
+    inject(site, _users, random) {
+      for (const machine of randomMachines(site, 0.4, random)) site.killMachine(machine);
+      return noop;
     },
   },
   {
-    name: 'the leader stands still',
-    forS: 12,
-    begin(site) {
-      const old = site.leader;
-      if (old) site.standStill(old, 9);
-      return nothing;
+    name: 'the leader is paused',
+    durationS: 12,
+    inject(site) {
+      const leader = site.leader;
+      if (leader) site.pause(leader, 9);
+      return noop;
     },
   },
   {
-    name: 'workers and a controller are cut off from the rest',
-    forS: 28,
-    begin(site, _users, random) {
+    name: 'workers and a controller are partitioned from the rest',
+    durationS: 28,
+    inject(site, _users, random) {
       const node = site.nodes[Math.floor(random() * site.nodes.length)] as string;
-      const inside = new Set(some(site, 0.5, random));
-      return cutOff(site, node, (host) => inside.has(host));
+      const inside = new Set(randomMachines(site, 0.5, random));
+      return isolateNode(site, node, (machine) => inside.has(machine));
     },
   },
 ];
--- /dev/null
+++ b/test/simulation/simulated-machines.ts
@@ -0,0 +1,203 @@
+/** The machines of a simulated site, and the network between them and the controllers. */
+import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
+import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
+import type { WorkerClient } from '../../src/core/context.js';
+import type {
+  MachineId,
+  JobId,
+  TaskId,
+  AgentIncarnation,
+  FencingToken,
+  AttemptNumber,
+} from '../../src/model/ids.js';
+import type { Machine } from '../../src/model/machine.js';
+import type { WorkerCommand, Heartbeat } from '../../src/model/heartbeat.js';
+import { NoAnswerError } from '../../src/net/http-client.js';
+import { type ProcessClock, VirtualClock } from './clock.js';
+import { FakeCloud } from './fake-cloud.js';
+import { RuleChecker } from './rule-checker.js';
+import { LEASE_S, SMALL_SITE, MACHINE_TYPES } from './site-setup.js';
+import { FakeKeyValueStore } from './fake-key-value-store.js';
+import { type HeartbeatAnswer, type JobBehavior, FakeWorker, type WorkerEnvironment } from './fake-worker.js';
+
+/** Key-value store, cloud, workers and rule checker on one virtual clock. */
+export abstract class SimulatedMachines implements WorkerEnvironment {
+  readonly clock = new VirtualClock();
+  readonly store = new FakeKeyValueStore(this.clock);
+  readonly cloud: FakeCloud;
+  readonly nodes: readonly string[];
+  readonly workers = new Map<MachineId, FakeWorker>();
+  readonly rules = new RuleChecker((text) => this.trace(`BROKEN     ${text}`));
+  protected readonly jobs = new Map<JobId, JobBehavior>();
+  protected readonly lines: string[] = [];
+  protected readonly random: () => number;
+  /** Pairs `node machine` between which no message passes. */
+  readonly cutLinks = new Set<string>();
+  /** Pairs `node machine` whose direct commands are held until released. */
+  readonly heldLinks = new Set<string>();
+  /** Machines that receive nothing: their heartbeats arrive, but no answer and no command reaches them. */
+  readonly inboundPartitioned = new Set<MachineId>();
+  /** Machines whose heartbeats reach no controller, while direct commands reach them. */
+  readonly outboundPartitioned = new Set<MachineId>();
+  protected commandRepeatDelayS: number | null = null;
+  protected readonly heldCommands: { pair: string; run: () => void }[] = [];
+  /** The maximum of concurrent direct calls to workers so far. */
+  maxConcurrentCalls = 0;
+  protected openCalls = 0;
+
+  constructor(protected readonly size = SMALL_SITE) {
+    this.nodes = Array.from({ length: size.nodes }, (_, index) => `node-${index}`);
+    const generator = xoroshiro128plus(7);
+    this.random = () => uniformFloat64(generator);
+    this.store.random = this.random;
+    this.cloud = new FakeCloud(
+      this.clock,
+      size.types ?? MACHINE_TYPES,
+      (machine) => this.onMachineUp(machine),
+      (id) => this.onMachineGone(id),
+      (text) => this.trace(text),
+    );
+  }
+
+  /** Delivers a worker's heartbeat to a node. */
+  abstract heartbeat(worker: FakeWorker, node: string, heartbeat: Heartbeat): Promise<HeartbeatAnswer | null>;
+
+  /** Adds a line to the trace, with the time. */
+  trace(text: string): void {
+    this.lines.push(`${(this.clock.now() / 1000).toFixed(2).padStart(7)}  ${text}`);
+  }
+
+  /** The trace as text. */
+  get traceText(): string {
+    return `${this.lines.join('\n')}\n`;
+  }
+
+  /** Advances the time. */
+  async run(seconds: number): Promise<void> {
+    await this.clock.advance(seconds * 1000);
+  }
+
+  protected workerClientFor(node: string, clock: ProcessClock): WorkerClient {
+    const call = <T>(
+      workerAddress: string,
+      deadlineMs: number,
+      operation: (worker: FakeWorker) => T,
+    ): Promise<T> =>
+      new Promise((resolve, reject) => {
+        const machine = workerAddress.slice(0, workerAddress.indexOf(':')) as MachineId;
+        const pair = `${node} ${machine}`;
+        const worker = this.workers.get(machine);
+        this.maxConcurrentCalls = Math.max(this.maxConcurrentCalls, ++this.openCalls);
+        let isOpen = true;
+        const close = (): void => {
+          if (isOpen) this.openCalls--;
+          isOpen = false;
+        };
+        clock.after(deadlineMs, () => {
+          close();
+          reject(new NoAnswerError('deadline passed'));
+        });
+        if (!worker || this.cutLinks.has(pair) || this.inboundPartitioned.has(machine)) return;
+        const deliver = (): void =>
+          worker.runWhenResponsive(() => {
+            const answer = operation(worker);
+            clock.after(2, () => {
+              close();
+              resolve(answer);
+            });
+          });
+        if (this.heldLinks.has(pair)) this.heldCommands.push({ pair, run: deliver });
+        else this.clock.after(2, deliver);
+      });
+    return {
+      sendCommands: (workerAddress, token, incarnation, commands, deadlineMs) =>
+        call(workerAddress, deadlineMs, (worker) => {
+          const delayS = this.commandRepeatDelayS;
+          if (delayS !== null && commands.length > 0)
+            this.clock.after(delayS * 1000, () => this.repeatCommand(worker, token, incarnation, commands));
+          return worker.command(token, incarnation, commands);
+        }),
+      fetchHeartbeat: (workerAddress, deadlineMs) =>
+        call(workerAddress, deadlineMs, (worker) => worker.currentHeartbeat()),
+    };
+  }
+
+  /** Holds the direct commands of a node to a machine until they are released. */
+  holdCommands(node: string, machine: MachineId): void {
+    this.heldLinks.add(`${node} ${machine}`);
+    this.trace(`network    holds orders from ${node} to ${machine}`);
+  }
+
+  /** Delivers all held commands, in order. */
+  releaseCommands(): void {
+    this.trace(`network    delivers ${this.heldCommands.length} held`);
+    this.heldLinks.clear();
+    for (const { run } of this.heldCommands.splice(0)) run();
+  }
+
+  /** Delivers every later command to a worker a second time after a delay. */
+  repeatCommands(delayS: number): void {
+    this.commandRepeatDelayS = delayS;
+    this.trace(`network    delivers commands once more, ${delayS} s later`);
+  }
+
+  protected repeatCommand(
+    worker: FakeWorker,
+    token: FencingToken,
+    incarnation: AgentIncarnation,
+    commands: readonly WorkerCommand[],
+  ): void {
+    worker.runWhenResponsive(() => {
+      const { executed } = worker.command(token, incarnation, commands);
+      this.trace(`${worker.machine.id} ${executed ? 'carries out' : 'refuses'} a copy of ${commands.length}`);
+    });
+  }
+
+  protected onMachineUp(machine: Machine): void {
+    this.trace(`${machine.id} is up (${machine.zone}${machine.spot ? ', spot' : ''})`);
+    this.workers.set(
+      machine.id,
+      new FakeWorker(machine, this.clock, this, LEASE_S * 1000, this.size.reportS * 1000),
+    );
+  }
+
+  protected onMachineGone(id: MachineId): void {
+    this.workers.get(id)?.terminate();
+    this.workers.delete(id);
+  }
+
+  /** Removes a machine without an interruption notice. */
+  killMachine(id: MachineId): void {
+    this.trace(`${id} dies`);
+    this.onMachineGone(id);
+    this.cloud.machines.delete(id);
+  }
+
+  /** Returns the machine on which a task runs; throws if it runs on none. */
+  machineOf(task: string): MachineId {
+    const machine = this.rules.machineOf(task as TaskId);
+    if (!machine) throw new Error(`${task} is on no machine`);
+    return machine;
+  }
+
+  /** Returns the worker of a machine; throws if it is not up. */
+  worker(id: MachineId): FakeWorker {
+    const worker = this.workers.get(id);
+    if (!worker) throw new Error(`${id} is not up`);
+    return worker;
+  }
+
+  behaviorOf(id: JobId): JobBehavior | undefined {
+    return this.jobs.get(id);
+  }
+
+  onTaskStarted(worker: FakeWorker, task: TaskId, attemptNumber: AttemptNumber): void {
+    this.trace(`${worker.machine.id} runs ${task} try ${attemptNumber}`);
+    this.rules.recordStart(task, worker.machine, this.clock.now());
+  }
+
+  onTaskEnded(worker: FakeWorker, task: TaskId, cause: string): void {
+    this.trace(`${worker.machine.id} ends ${task}: ${cause}`);
+    this.rules.recordEnd(task, worker.machine.id, cause === 'done');
+  }
+}
--- a/test/simulation/site-setup.ts
+++ b/test/simulation/site-setup.ts
@@ -1,11 +1,11 @@
-/** What a stand-in site is set up with: its settings, machine types, and jobs as tests ask for them. */
+/** The setup of simulated sites: settings, machine types, and jobs as tests request them. */
 import type { MachineTypeId, ZoneId } from '../../src/model/ids.js';
 import type { MachineType } from '../../src/model/machine.js';
 import { seconds } from '../../src/model/time.js';
 import { readSettings, type Settings } from '../../src/wire/settings.js';
 
-/** A job as a test asks for it; what it leaves open is filled in. */
-export interface JobWish {
+/** A job as a test requests it; omitted fields get defaults. Fields ending in `S` are seconds. */
+export interface JobRequest {
   ref: string;
   team?: string;
   kind?: 'array' | 'service';
@@ -25,10 +25,10 @@
   dueS?: number;
 }
 
-/** What a wish leaves open. */
-const DEFAULT_WISH = {
+/** The defaults of a request. */
+const DEFAULT_JOB_REQUEST = {
   team: 'red',
-  kind: 'array' as NonNullable<JobWish['kind']>,
+  kind: 'array' as NonNullable<JobRequest['kind']>,
   tasks: 1,
   cpus: 2,
   spot: false,
@@ -37,10 +37,10 @@
   runS: 5,
   image: 'img-1',
   awaits: [] as readonly string[],
-} satisfies Partial<JobWish>;
+} satisfies Partial<JobRequest>;
 
 /** The machine types that the cloud offers. */
-export const TYPES: MachineType[] = [
+export const MACHINE_TYPES: MachineType[] = [
   {
     id: 'small' as MachineTypeId,
     cpus: 8,
@@ -55,12 +55,12 @@
   },
 ];
 
-/** Three zones, two types: what a site needs where every part of a placement rule is to bind. */
+/** Three zones and two machine types, so that every part of a placement rule matters. */
 export const MIXED_ZONES = ['north', 'south', 'west'] as ZoneId[];
-export const MIXED_TYPES: MachineType[] = [
-  { ...(TYPES[0] as MachineType), bootTime: seconds(2), zones: MIXED_ZONES },
+export const MIXED_MACHINE_TYPES: MachineType[] = [
+  { ...(MACHINE_TYPES[0] as MachineType), bootTime: seconds(2), zones: MIXED_ZONES },
   {
-    ...(TYPES[0] as MachineType),
+    ...(MACHINE_TYPES[0] as MachineType),
     id: 'large' as MachineTypeId,
     cpus: 16,
     memoryGb: 64,
@@ -71,34 +71,42 @@
   },
 ];
 
+/** The duration of a worker's lease. */
 export const LEASE_S = 20;
+/** The time within which a cancelled job must have ended. */
 export const CANCEL_S = 40;
-/** How large a site is, and what its state service will take. */
-export interface Size {
+
+/** The size of a site, and the limits of its key-value store. */
+export interface SiteSize {
   /** CPUs that each team may use. */
   readonly limit: { red: number; blue: number };
   readonly reportS: number;
   readonly nodes: number;
-  /** The machine types that the cloud offers; one type in two zones where nothing is said. */
+  /** The machine types that the cloud offers; by default one type in two zones. */
   readonly types?: readonly MachineType[];
-  /** The zones of the controllers, in turn; all are in the north where nothing is said. */
+  /** The zones of the controllers, in turn; by default all are in the north. */
   readonly zones?: readonly ZoneId[];
-  /** The state service's limits from some moment on, as the settings announce them. */
+  /** Later limits of the key-value store, as the settings announce them. */
   readonly next?: object;
 }
 
 /** Two teams on a few machines. */
-export const SMALL: Size = { limit: { red: 24, blue: 40 }, reportS: 3, nodes: 3 };
+export const SMALL_SITE: SiteSize = { limit: { red: 24, blue: 40 }, reportS: 3, nodes: 3 };
 
 /** Room for many jobs of all placement kinds in three zones. */
-export const MIXED: Size = { ...SMALL, limit: { red: 96, blue: 96 }, types: MIXED_TYPES, zones: MIXED_ZONES };
+export const MIXED_SITE: SiteSize = {
+  ...SMALL_SITE,
+  limit: { red: 96, blue: 96 },
+  types: MIXED_MACHINE_TYPES,
+  zones: MIXED_ZONES,
+};
 
 function zoneOf(member: string, zones: readonly ZoneId[] = ['north' as ZoneId]): ZoneId {
   return zones[Number(member.slice('node-'.length)) % zones.length] ?? (zones[0] as ZoneId);
 }
 
-/** What the platform hands to one controller. */
-export function settingsOf(member: string, size: Size): Settings {
+/** Returns the settings of one controller. */
+export function siteSettings(member: string, size: SiteSize): Settings {
   return readSettings({
     member,
     site: zoneOf(member, size.zones),
@@ -118,16 +126,16 @@
   });
 }
 
-/** The job as its user submits it. */
-export function submissionBody({ ref, ...wish }: JobWish) {
-  const { tasks, runS, zone, types, team, rank, spot, ...more } = { ...DEFAULT_WISH, ...wish };
-  const array = more.kind === 'array';
+/** Returns the body with which a user submits the job. */
+export function submissionBody({ ref, ...request }: JobRequest) {
+  const { tasks, runS, zone, types, team, rank, spot, ...more } = { ...DEFAULT_JOB_REQUEST, ...request };
+  const isArray = more.kind === 'array';
   return {
     ref,
-    jobclass: more.jobClass ?? (array ? 'batch' : 'live'),
+    jobclass: more.jobClass ?? (isArray ? 'batch' : 'live'),
     owner: team,
     shape: more.kind,
-    rank: rank ?? (array ? 'standard' : 'production'),
+    rank: rank ?? (isArray ? 'standard' : 'production'),
     shards: tasks,
     cpus: more.cpus,
     gpus: 0,
@@ -139,7 +147,7 @@
     samePlace: more.samePlace,
     apart: more.apart,
     reclaimable: spot,
-    expectedS: array ? runS : 0,
+    expectedS: isArray ? runS : 0,
     savepointS: 0,
     flushS: 0,
     awaits: more.awaits,
--- /dev/null
+++ b/test/traces/fault-combinations.test.ts
@@ -0,0 +1,46 @@
+import { describe, expect, it } from 'vitest';
+import { Scenario } from '../simulation/scenario.js';
+import { SimulatedSite } from '../simulation/simulated-site.js';
+import { type Fault, FAULTS } from '../simulation/faults.js';
+
+/**
+ * Every combination of two faults (docs/safety.md has the table). The rule checker verifies the protocol's rules from
+ * what the fakes observe, and that afterwards every accepted job is done, runs, or is cancelled without tasks.
+ */
+async function runScenario(faults: readonly Fault[], seed: number): Promise<void> {
+  const scenario = new Scenario(seed, new SimulatedSite());
+  await scenario.run(faults);
+  if (scenario.site.rules.violations.length > 0 && process.env['SHOW_DAY'])
+    process.stderr.write(scenario.site.traceText);
+  const names = faults.map((fault) => fault.name).join('; ');
+  expect(scenario.site.rules.violations, names).toEqual([]);
+  expect(scenario.site.store.rejectedTransactions).toEqual([]);
+  expect(scenario.acceptedCount).toBeGreaterThan(scenario.submittedCount / 2);
+}
+
+describe('a single fault', () => {
+  it.each(FAULTS.map((fault) => [fault.name, fault] as const))('%s', async (_name, fault) => {
+    await runScenario([fault], 1);
+  });
+});
+
+/** To look for more: `MEETING_SEEDS=10 npx vitest run test/traces/fault-combinations.test.ts` runs that many more scenarios of each. */
+const MORE = Number(process.env['MEETING_SEEDS'] ?? 0);
+
+describe('two faults at once', () => {
+  for (const [firstIndex, first] of FAULTS.entries()) {
+    it(`${first.name}, and every other fault`, async () => {
+      for (const [secondIndex, second] of FAULTS.entries()) {
+        // Which of the two comes first is drawn by the pair, so that both orders occur.
+        if (secondIndex < firstIndex)
+          await runScenario(
+            (firstIndex + secondIndex) % 2 === 0 ? [first, second] : [second, first],
+            100 * firstIndex + secondIndex,
+          );
+        if (secondIndex !== firstIndex)
+          for (let more = 1; more <= MORE; more++)
+            await runScenario([first, second], 10_000 * more + 100 * firstIndex + secondIndex);
+      }
+    }, 600_000);
+  }
+});
--- a/test/traces/steps.ts
+++ b/test/traces/steps.ts
@@ -1,15 +1,21 @@
+/** Steps that scenarios share. */
 import { expect } from 'vitest';
-import { Site } from '../simulation/site.js';
+import { SimulatedSite } from '../simulation/simulated-site.js';
 
-/** A site with a leader and nothing to do yet. */
-export async function begun(): Promise<Site> {
-  const site = new Site();
+/** Returns a site with a leader and no jobs. */
+export async function startedSite(): Promise<SimulatedSite> {
+  const site = new SimulatedSite();
   site.startAll();
   await site.run(1);
   return site;
 }
 
-export async function until(site: Site, what: () => boolean, most = 120): Promise<void> {
-  for (let s = 0; s < most && !what(); s += 0.25) await site.run(0.25);
-  expect(what()).toBe(true);
+/** Runs the site until the condition holds; fails if it does not within `maxSeconds`. */
+export async function runUntil(
+  site: SimulatedSite,
+  condition: () => boolean,
+  maxSeconds = 120,
+): Promise<void> {
+  for (let seconds = 0; seconds < maxSeconds && !condition(); seconds += 0.25) await site.run(0.25);
+  expect(condition()).toBe(true);
 }
--- a/test/unit/failure-detector.test.ts
+++ b/test/unit/failure-detector.test.ts
@@ -13,14 +13,14 @@
 import { WorkerRegistry } from '../../src/workers/state/worker-registry.js';
 import { VirtualClock } from '../simulation/clock.js';
 import { submission } from '../simulation/submission.js';
-import { workerOf } from '../simulation/worker-state.js';
+import { confirmedWorker } from '../simulation/worker-state.js';
 
 const ZONE = 'north' as ZoneId;
 
 /** A worker that is up and can be called. */
 function runningWorker(name: string, now: MonotonicTime): Worker {
   const machine = { id: name as MachineId, type: 'small' as MachineTypeId, zone: ZONE, spot: false };
-  const worker = workerOf(machine, now);
+  const worker = confirmedWorker(machine, now);
   worker.isUp = true;
   worker.hasReported = true;
   worker.address = `${name}:1`;
--- a/test/unit/placement.test.ts
+++ b/test/unit/placement.test.ts
@@ -27,7 +27,7 @@
 import type { TeamUsage } from '../../src/scheduler/team-usage.js';
 import { copySnapshot, referencePlacement } from './reference-placement.js';
 import { isStarving } from '../../src/scheduler/starvation.js';
-import { TYPES } from '../simulation/site-setup.js';
+import { MACHINE_TYPES } from '../simulation/site-setup.js';
 
 const spec = (overrides: Partial<JobSpec>): JobSpec => ({
   id: 'j-000001' as JobId,
@@ -294,8 +294,8 @@
 
 describe('scaling out', () => {
   const pools = [
-    { type: TYPES[0] as (typeof TYPES)[0], zone: 'north' as ZoneId, spot: true },
-    { type: TYPES[0] as (typeof TYPES)[0], zone: 'north' as ZoneId, spot: false },
+    { type: MACHINE_TYPES[0] as (typeof MACHINE_TYPES)[0], zone: 'north' as ZoneId, spot: true },
+    { type: MACHINE_TYPES[0] as (typeof MACHINE_TYPES)[0], zone: 'north' as ZoneId, spot: false },
   ];
 
   it('takes the cheapest pool and counts pending machines', () => {
--- a/test/unit/worker-state.test.ts
+++ b/test/unit/worker-state.test.ts
@@ -9,7 +9,7 @@
 import { HeartbeatCursor } from '../../src/workers/state/heartbeat-cursor.js';
 import { WorkerContact } from '../../src/workers/state/worker-contact.js';
 import { WorkerFence } from '../../src/workers/state/worker-fence.js';
-import { workerOf } from '../simulation/worker-state.js';
+import { confirmedWorker } from '../simulation/worker-state.js';
 
 const at = (ms: number): MonotonicTime => ms as MonotonicTime;
 const node0 = 'node-0' as MemberId;
@@ -121,7 +121,7 @@
   function isPartitioned(up: number, suspected: number): boolean {
     const snapshot = emptySnapshot();
     const workers = Array.from({ length: up }, (_, index) =>
-      workerOf(
+      confirmedWorker(
         {
           id: `host-${index}` as MachineId,
           type: 'small' as MachineTypeId,
