--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -35,7 +35,7 @@
 import { StoreConnectivityMonitor } from './store-connectivity.js';
 import type { ControllerContext } from '../core/context.js';
 import type { Failover } from '../leadership/failover/failover.js';
-import { DETECTION_OFF_STATUS } from '../leadership/failover/detection-status.js';
+import { FAILURE_DETECTION_OFF_STATUS } from '../leadership/failover/detection-status.js';
 import { HeartbeatRouter } from './heartbeat-router.js';
 import { Leadership } from './leadership.js';
 import { LoadMonitor } from './load-monitor.js';
@@ -114,7 +114,7 @@
       cancellations,
       allPeersSupport: (version) => this.peers.allSupport(version),
       peers: this.peers,
-      prefetchedRecords: (prefix) => this.failover?.readAhead(prefix) ?? Promise.resolve(null),
+      prefetchedRecords: (prefix) => this.failover?.takePrefetchedRecords(prefix) ?? Promise.resolve(null),
     };
     this.machineTypes = new MachineTypeCatalog(this.ctx);
     this.users = new UserService(
@@ -145,7 +145,7 @@
     );
     this.peers.start();
     await this.startFailover();
-    this.leadership.run();
+    this.leadership.start();
     void this.users.watch();
     this.machineTypes.run();
     const { clock } = this.ctx;
@@ -166,9 +166,9 @@
       context: this.ctx,
       feature,
       transport: new PeerTransport(this.peers.links, this.ctx.clock),
-      allHaveSpoken: (version) => this.peers.allHaveShownSupport(version),
+      everyPeerHasSupported: (version) => this.peers.allHaveShownSupport(version),
       leadership: this.leadership,
-      stateOk: () => this.connectivity.isStoreReachable,
+      isStoreReachable: () => this.connectivity.isStoreReachable,
     });
     this.failover.start();
   }
@@ -201,7 +201,7 @@
     return {
       ping: () => this.ping(),
       leading: () => this.leadership.leader?.epoch ?? null,
-      leaderRecord: () => this.leadership.election.leader,
+      leaderRecord: () => this.leadership.election.observedLeader,
     };
   }
 
@@ -259,8 +259,8 @@
   }
 
   private async answerFailureDetector(payload: Buffer): Promise<AnswerFrame> {
-    if (!this.failover) return { status: DETECTION_OFF_STATUS, body: Buffer.alloc(0) };
-    const answer = await this.failover.handle(payload);
+    if (!this.failover) return { status: FAILURE_DETECTION_OFF_STATUS, body: Buffer.alloc(0) };
+    const answer = await this.failover.handleMessage(payload);
     return answer ? { status: 200, body: Buffer.from(answer) } : { status: 503, body: Buffer.alloc(0) };
   }
 
@@ -270,8 +270,8 @@
       observer: this.ctx.member,
       version: PROTOCOL_VERSION,
       failureDetection: this.failover !== null,
-      members: this.failover?.lines() ?? this.peers.lines(this.ctx.member),
-      dropped: this.failover?.dropped() ?? {},
+      members: this.failover?.memberLines() ?? this.peers.lines(this.ctx.member),
+      dropped: this.failover?.droppedMessages() ?? {},
     };
   }
 
--- a/src/controller/heartbeat-router.ts
+++ b/src/controller/heartbeat-router.ts
@@ -114,7 +114,7 @@
       return passedBack(await link.request(FrameKind.Heartbeat, body, RELAY_MS));
     }
     // The leader's zone may be cut off from ours, but not from a third one.
-    if (this.leadership.leader || !this.leadership.election.leader) return null;
+    if (this.leadership.leader || !this.leadership.election.observedLeader) return null;
     for (const other of this.peers.connected) {
       const answer = passedBack(await other.request(FrameKind.PassOn, body, RELAY_MS / 2));
       if (answer) return answer;
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -1,64 +1,86 @@
-import type { Epoch, MemberId } from '../model/ids.js';
-import type { Millis } from '../model/time.js';
-import type { Heartbeat } from '../model/heartbeat.js';
-import { maxRenewalWithoutQuorum } from '../leader/worker-lease-policy.js';
+/** A controller's part in leadership: stands for election and, while elected, runs the leader. */
 import type { ControllerContext } from '../core/context.js';
-import { Election, type LeadershipTerm } from '../leadership/election.js';
-import { Leader } from '../leader/leader.js';
 import type { HeartbeatOutcome } from '../leader/heartbeat-handler.js';
+import { Leader } from '../leader/leader.js';
+import { maxRenewalWithoutQuorum } from '../leader/worker-lease-policy.js';
+import { Election } from '../leadership/election.js';
+import type { LeadershipHandle } from '../leadership/leadership-handle.js';
+import type { LeadershipTerm } from '../leadership/term.js';
+import type { Heartbeat } from '../model/heartbeat.js';
+import type { Epoch, MemberId } from '../model/ids.js';
+import type { TermEndReason } from '../model/term-end-reason.js';
+import type { Millis } from '../model/time.js';
 
-/** After hearing no worker, a node leaves the leadership to others for this long. */
-const DEAF_PAUSE_MS = 15_000;
+/** A leader that hears no worker leaves the leadership to other controllers for this long. */
+const PARTITIONED_CANDIDACY_PAUSE_MS = 15_000;
 
-/** A node's part in leadership: it stands for election and, while elected, leads. */
-export class Leadership {
+/** Holds the current leader, if this controller is elected, and ends it when the term is over. */
+export class Leadership implements LeadershipHandle {
   readonly election: Election;
-  leader: Leader | null = null;
-  /** How long a leader that lost its grant may go on answering reports, without orders. */
+  /** How long a leader that lost its lease may go on answering heartbeats, without commands. */
   readonly maxRenewalWithoutQuorum: Millis;
+  private currentLeader: Leader | null = null;
 
   constructor(
     private readonly ctx: ControllerContext,
-    /** Resolves once the node knows what a leader needs. */
+    /** Resolves once this controller knows what a leader needs. */
     private readonly prepared: () => Promise<void>,
   ) {
     // A worker that an old leader still answers must lose its tasks within a cancellation's limit.
     this.maxRenewalWithoutQuorum = maxRenewalWithoutQuorum(ctx);
-    this.election = new Election(
-      ctx,
-      (won) => this.lead(won),
-      (why) => this.leader?.end(why),
-    );
+    this.election = new Election(ctx, {
+      onElected: (term) => this.startTerm(term),
+      onLost: (reason) => this.endTerm(reason),
+    });
   }
 
-  run(): void {
-    this.election.run();
+  /** The leader that runs in this process; null: this controller does not lead. */
+  get leader(): Leader | null {
+    return this.currentLeader;
   }
 
-  private lead(won: LeadershipTerm): void {
-    const leader = new Leader(this.ctx, won, this.election, (why) => {
-      if (this.leader === leader) this.leader = null;
-      void this.election.resign(why === 'no worker is heard' ? DEAF_PAUSE_MS : 0);
-    });
-    this.leader = leader;
-    this.ctx.log.info({ epoch: won.epoch }, 'elected');
-    void this.prepared().then(() => leader.start());
+  get leadingEpoch(): Epoch | null {
+    return this.currentLeader?.epoch ?? null;
+  }
+
+  start(): void {
+    this.election.start();
+  }
+
+  endTerm(reason: TermEndReason): void {
+    this.currentLeader?.end(reason);
   }
 
-  /** Gives the leadership up for good: another node takes over at once. */
   resignPermanently(): void {
-    this.election.retire();
-    this.leader?.end('this controller leaves');
+    this.election.stopCampaigning();
+    this.endTerm('controller shutting down');
   }
 
-  /** Another node says that it leads: the newer epoch is right. */
+  /** Another controller says that it leads: the newer epoch is right. */
   onPeerLeading(epoch: Epoch): void {
-    if (this.leader && epoch > this.leader.epoch) this.leader.end('another node leads a newer epoch');
+    const { leader } = this;
+    if (leader && epoch > leader.epoch) leader.end('another node leads a newer epoch');
   }
 
-  /** The leader's answer to a report; null: this node does not lead. */
+  /** The leader's answer to a heartbeat; null: this controller does not lead. */
   async handleHeartbeat(heartbeat: Heartbeat, via: MemberId): Promise<HeartbeatOutcome | null> {
-    if (!this.leader) return null;
-    return this.leader.handleHeartbeat(heartbeat, via);
+    if (!this.currentLeader) return null;
+    return this.currentLeader.handleHeartbeat(heartbeat, via);
+  }
+
+  private startTerm(term: LeadershipTerm): void {
+    const leader = new Leader(this.ctx, term, this.election.lease, (reason) => {
+      if (this.currentLeader === leader) this.currentLeader = null;
+      this.resign(reason);
+    });
+    this.currentLeader = leader;
+    this.ctx.log.info({ epoch: term.epoch }, 'elected');
+    void this.prepared().then(() => leader.start());
+  }
+
+  private resign(reason: TermEndReason): void {
+    const candidacyPauseMs = reason === 'no worker is heard' ? PARTITIONED_CANDIDACY_PAUSE_MS : 0;
+    // Never rejects: a lease that cannot be revoked expires by itself.
+    void this.election.resign(candidacyPauseMs);
   }
 }
--- a/src/core/context.ts
+++ b/src/core/context.ts
@@ -14,6 +14,7 @@
 } from '../model/ids.js';
 import type { MachineType } from '../model/machine.js';
 import type { WorkerCommand, Heartbeat } from '../model/heartbeat.js';
+import type { TermEndReason } from '../model/term-end-reason.js';
 import type { Clock, MonotonicTime } from '../model/time.js';
 import type { JobStore } from '../scheduler/job-store.js';
 import type { PeerStatus } from '../peer/frames.js';
@@ -86,7 +87,7 @@
    */
   isLeaseValid(): boolean;
   /** Another leadership exists: ours ends at once. */
-  stepDown(why: string): void;
+  stepDown(reason: TermEndReason): void;
   isEnded(): boolean;
   /** Something changed that decisions depend on. */
   requestDecision(): void;
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -22,15 +22,13 @@
 import { type Worker } from '../workers/state/worker.js';
 import { WorkerRegistry } from '../workers/state/worker-registry.js';
 import { releaseAllTasks } from '../workers/reconciliation.js';
-import {
-  maxRenewalWithoutQuorum,
-  WorkerLeasePolicy,
-  type LeaderLease,
-} from '../leader/worker-lease-policy.js';
+import { maxRenewalWithoutQuorum, WorkerLeasePolicy } from '../leader/worker-lease-policy.js';
 import type { LeaderContext, ControllerContext } from '../core/context.js';
 import { DecisionLoop } from '../leader/decision-loop.js';
 import { DependencyTracker } from '../leader/dependency-tracker.js';
-import type { LeadershipTerm } from '../leadership/election.js';
+import type { LeaseValidity } from '../leadership/lease.js';
+import type { LeadershipTerm } from '../leadership/term.js';
+import type { TermEndReason } from '../model/term-end-reason.js';
 import { FleetRecordWriter } from '../leader/fleet-record-writer.js';
 import { WorkerDrainer } from '../leader/worker-drainer.js';
 import { JobCanceller } from '../leader/job-canceller.js';
@@ -82,8 +80,8 @@
   constructor(
     node: ControllerContext,
     won: LeadershipTerm,
-    lease: LeaderLease,
-    private readonly onOver: (why: string) => void,
+    lease: LeaseValidity,
+    private readonly onOver: (reason: TermEndReason) => void,
   ) {
     const { clock, settings } = node;
     this.ctx = this.contextOf(node, won, lease);
@@ -162,7 +160,7 @@
     });
   }
 
-  private contextOf(node: ControllerContext, won: LeadershipTerm, lease: LeaderLease): LeaderContext {
+  private contextOf(node: ControllerContext, won: LeadershipTerm, lease: LeaseValidity): LeaderContext {
     return {
       ...node,
       epoch: won.epoch,
@@ -171,7 +169,7 @@
       jobs: this.jobs,
       workers: this.workers,
       isLeaseValid: () => lease.isLeaseValid(),
-      stepDown: (why) => this.end(why),
+      stepDown: (reason) => this.end(reason),
       isEnded: () => this.over,
       requestDecision: () => this.decisions.request(),
       cancelJob: (id) => this.canceller.cancel(id),
@@ -185,13 +183,13 @@
   }
 
   /** Nothing is decided or answered from now on. */
-  end(why: string): void {
+  end(reason: TermEndReason): void {
     if (this.over) return;
     this.over = true;
     this.stopTick?.();
     this.stopRating();
-    this.ctx.log.info({ epoch: this.ctx.epoch, why }, 'leadership ended');
-    this.onOver(why);
+    this.ctx.log.info({ epoch: this.ctx.epoch, reason }, 'leadership ended');
+    this.onOver(reason);
   }
 
   /** Reads what the earlier leader left, and begins. */
--- a/src/leader/worker-lease-policy.ts
+++ b/src/leader/worker-lease-policy.ts
@@ -1,6 +1,7 @@
 import { errorMessage } from '../log/logger.js';
 import { maxLocalDuration, type Millis, type MonotonicTime, plus, since } from '../model/time.js';
 import type { ControllerContext } from '../core/context.js';
+import type { LeaseValidity } from '../leadership/lease.js';
 
 /** Between the end of a worker's lease and the limit of a cancellation. */
 const CANCEL_MARGIN_MS = 5000;
@@ -11,13 +12,6 @@
 const ASK_EVERY_MS = 1000;
 const ASK_MS = 800;
 
-/** The leader's grant, as far as this node knows. */
-export interface LeaderLease {
-  isLeaseValid(): boolean;
-  /** How long ago the grant stopped being sure. */
-  timeSinceLeaseExpiry(): Millis;
-}
-
 /** How long a leader that lost its grant may go on answering reports, by the settings. */
 export function maxRenewalWithoutQuorum({
   settings,
@@ -57,7 +51,7 @@
 
   constructor(
     private readonly ctx: ControllerContext,
-    private readonly lease: LeaderLease,
+    private readonly lease: LeaseValidity,
     private readonly newer: (epoch: number) => void,
   ) {}
 
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -1,19 +1,10 @@
+/** Leader election: campaigns for the leader's record, and raises the durable epoch with each takeover. */
+import type { ControllerContext } from '../core/context.js';
 import { errorMessage } from '../log/logger.js';
-import type { Epoch, LeaseId, Revision } from '../model/ids.js';
-import { NO_REVISION } from '../model/ids.js';
+import { type Epoch, NO_REVISION, type Revision } from '../model/ids.js';
 import { PROTOCOL_VERSION } from '../model/protocol.js';
-import {
-  minLocalDuration,
-  maxLocalDuration,
-  type Cancel,
-  type Millis,
-  ms,
-  type MonotonicTime,
-  plus,
-  since,
-  sleep,
-} from '../model/time.js';
-import { StoreRefusedError } from '../store/client.js';
+import type { TermEndReason } from '../model/term-end-reason.js';
+import { maxLocalDuration, type MonotonicTime, ms, plus, sleep } from '../model/time.js';
 import { keys } from '../store/keys.js';
 import {
   encodeEpoch,
@@ -22,155 +13,162 @@
   type LeaderRecord,
   leaderRecord,
 } from '../store/leader-record.js';
-import type { ControllerContext } from '../core/context.js';
-
-/** A leadership that this node has taken. */
-export interface LeadershipTerm {
-  readonly epoch: Epoch;
-  readonly epochRevision: Revision;
-  /** For how long after our takeover the former leader may still have been sure of its grant. */
-  readonly previousLeaseRemaining: Millis;
-}
-
-/** Whether this process has run without a pause since its grant was last renewed. */
-interface PauseGuard {
-  readonly open: boolean;
-  /** A number that changes with every pause. */
-  readonly generation: number;
-  /** The grant was renewed by a request that was sent in this generation. */
-  reopen(generation: number): void;
-}
+import { LeaderLease, type PauseGuard } from './lease.js';
+import type { LeadershipTerm } from './term.js';
 
 /** What failure detection adds to the election. */
 export interface ElectionFailureDetection {
-  /** The start of this process, for the leader's record. */
-  readonly process: string;
-  readonly guard: PauseGuard;
-  /** For how long this node leaves a leadership that became free to others that are better prepared. */
-  standbyMs(): number;
+  /** Identifies this start of the process in the leader's record. */
+  readonly processId: string;
+  readonly pauseGuard: PauseGuard;
+  /** For how long this controller leaves a free leadership to others that are better prepared. */
+  candidacyDelayMs(): number;
   /** The leader's record, or what is known of it, has changed. */
-  leaderChanged(): void;
-  /** This node leads no more. */
-  leadershipEnded(): void;
+  onLeaderChanged(): void;
+  /** This controller does not lead any more. */
+  onLeadershipEnded(): void;
 }
 
-const WATCH_MS = 15_000;
-/** A renewal that was refused is tried again after this. */
-const RENEW_AGAIN_MS = 100;
+/** Whom the election notifies. */
+export interface ElectionListener {
+  onElected(term: LeadershipTerm): void;
+  /** The term was lost without this controller's doing. */
+  onLost(reason: TermEndReason): void;
+}
+
+/** How long one watch of the leader's record waits for a change. */
+const WATCH_TIMEOUT_MS = 15_000;
+/** After a failure the campaign goes on after this, and up to the jitter more. */
+const CAMPAIGN_RETRY_MS = 100;
+const CAMPAIGN_RETRY_JITTER_MS = 150;
+/** A lost takeover waits up to this before the next one. */
+const TAKEOVER_RETRY_JITTER_MS = 50;
+/** A free leadership is looked at again after this by a controller that may not stand yet. */
+const CANDIDACY_CHECK_INTERVAL_MS = 300;
 
 /**
- * Leadership: a key bound to a grant, and a durable epoch raised in the same transaction.
- * What a deposed leader still tries fails on the epoch's revision, so safety never rests on clocks
- * here; the clock only says how long the leader may still answer workers.
+ * Leadership is a key bound to a lease, and a durable epoch that is raised in the same transaction. What a deposed
+ * leader still tries fails on the epoch's revision, so safety never rests on clocks here.
  */
 export class Election {
-  private leaseId: LeaseId | null = null;
-  /** Our grant surely lives until then. */
-  private leaseValidUntil: MonotonicTime | null = null;
+  readonly lease: LeaderLease;
   private term: LeadershipTerm | null = null;
-  private notBefore: MonotonicTime | null = null;
+  /** This controller does not stand for election before this. */
+  private candidateFrom: MonotonicTime | null = null;
+  private isCampaignStopped = false;
   private failureDetection: ElectionFailureDetection | null = null;
-  private signs = 0;
-  private retired = false;
-  private renewal: { readonly cancel: Cancel; readonly run: () => void } | null = null;
-  leader: LeaderRecord | null = null;
+  private leaderRecordRefreshes = 0;
+  private lastObservedLeader: LeaderRecord | null = null;
 
   constructor(
     private readonly ctx: ControllerContext,
-    private readonly onElected: (won: LeadershipTerm) => void,
-    private readonly onLost: (why: string) => void,
-  ) {}
-
-  private get ttl(): number {
-    return this.ctx.operators.leadership.leaseTtl;
+    private readonly listener: ElectionListener,
+  ) {
+    this.lease = new LeaderLease(ctx, () => this.lose('leader lease expired'));
   }
 
-  /** The leadership that this node holds; null: none. */
+  /** The term that this controller holds; null: it does not lead. */
   get currentTerm(): LeadershipTerm | null {
     return this.term;
   }
 
-  /** Failure detection is running from now on. */
-  useFailureDetection(aid: ElectionFailureDetection): void {
-    this.failureDetection = aid;
+  /** The leader's record as this controller last read it; null: nobody leads, or it was not read yet. */
+  get observedLeader(): LeaderRecord | null {
+    return this.lastObservedLeader;
   }
 
-  /** Whether the grant surely lives, and nobody can have replaced us while this process stood still. */
-  isLeaseValid(): boolean {
-    if (this.leaseValidUntil === null || this.ctx.clock.now() >= this.leaseValidUntil) return false;
-    return this.failureDetection?.guard.open ?? true;
+  /** Failure detection is running from now on. */
+  useFailureDetection(failureDetection: ElectionFailureDetection): void {
+    this.failureDetection = failureDetection;
+    this.lease.usePauseGuard(failureDetection.pauseGuard);
   }
 
-  /** How long ago the grant stopped being sure. */
-  timeSinceLeaseExpiry(): Millis {
-    return ms(
-      this.leaseValidUntil === null ? Infinity : Math.max(0, this.ctx.clock.now() - this.leaseValidUntil),
-    );
+  /** Campaigns until `stopCampaigning`, and keeps the lease renewed until the process ends. */
+  start(): void {
+    // Never rejects: failures are logged and retried.
+    void this.campaign();
+    this.lease.startRenewal();
   }
 
-  run(): void {
-    void this.campaign();
-    this.scheduleRenewal(this.ttl / 4);
+  /** This controller never stands again: its process is about to end. */
+  stopCampaigning(): void {
+    this.isCampaignStopped = true;
   }
 
-  /** Gives the leadership up; another node may take it at once. */
-  async resign(pauseMs: number): Promise<void> {
+  /** Gives the leadership up, and does not stand again for so long; another controller may take over at once. */
+  async resign(candidacyPauseMs: number): Promise<void> {
     this.term = null;
-    this.failureDetection?.leadershipEnded();
-    this.notBefore = plus(this.ctx.clock.now(), pauseMs);
-    const grant = this.leaseId;
-    this.leaseId = null;
-    this.leaseValidUntil = null;
-    if (grant !== null) {
-      try {
-        await this.ctx.store.revokeLease(grant);
-      } catch {
-        // It ends by itself.
-      }
+    this.failureDetection?.onLeadershipEnded();
+    this.candidateFrom = plus(this.ctx.clock.now(), candidacyPauseMs);
+    const lease = this.lease.release();
+    if (lease === null) return;
+    try {
+      await this.ctx.store.revokeLease(lease);
+    } catch {
+      // It expires by itself.
     }
   }
 
-  /** This node never stands again: its process is about to end. */
-  retire(): void {
-    this.retired = true;
+  /**
+   * Rewrites the leader's record under the same lease, so that its revision changes: a leader that its peers cannot
+   * hear shows through the key-value store that it is alive.
+   */
+  async refreshLeaderRecord(): Promise<void> {
+    const { term } = this;
+    const { id: lease } = this.lease;
+    if (lease === null || term === null) return;
+    const row = await this.ctx.store.get(keys.leader);
+    if (row?.lease !== lease) return;
+    this.leaderRecordRefreshes++;
+    const value = encodeLeader(this.recordFor(term.epoch), this.leaderRecordRefreshes);
+    await this.ctx.store.txn(
+      [
+        { key: keys.leader, revision: row.revision },
+        { key: keys.epoch, revision: term.epochRevision },
+      ],
+      [{ set: keys.leader, value, grant: lease }],
+    );
   }
 
   private async campaign(): Promise<void> {
-    const { clock, store } = this.ctx;
-    while (!this.retired) {
+    const { clock, log, random } = this.ctx;
+    while (!this.isCampaignStopped) {
       try {
-        const page = await store.range(keys.leader);
-        const row = page.rows.find((r) => r.key === keys.leader);
-        this.noteLeader(row ? leaderRecord(row.value) : null);
-        const paused = this.notBefore !== null && clock.now() < this.notBefore;
-        if (this.retired) return;
-        if (!this.term && !paused && (!row || this.leader?.member === this.ctx.member)) {
-          await this.takeOver(row?.revision ?? NO_REVISION);
-          continue;
-        }
-        if (paused && !row) {
-          await sleep(clock, 300);
-          continue;
-        }
-        await store.watch(keys.leader, page.revision, WATCH_MS);
+        await this.campaignOnce();
       } catch (error) {
-        this.ctx.log.debug({ error: errorMessage(error) }, 'election waits');
-        await sleep(clock, 100 + this.ctx.random() * 150);
+        log.debug({ error: errorMessage(error) }, 'campaign interrupted');
+        await sleep(clock, CAMPAIGN_RETRY_MS + random() * CAMPAIGN_RETRY_JITTER_MS);
       }
     }
   }
 
-  private noteLeader(leader: LeaderRecord | null): void {
-    const changed = leader?.epoch !== this.leader?.epoch;
-    this.leader = leader;
-    if (changed) this.failureDetection?.leaderChanged();
+  /** Reads the leader's record; then takes over, or waits for the record to change. */
+  private async campaignOnce(): Promise<void> {
+    const { clock, store, member } = this.ctx;
+    const page = await store.range(keys.leader);
+    const row = page.rows.find(({ key }) => key === keys.leader);
+    this.observeLeader(row ? leaderRecord(row.value) : null);
+    if (this.isCampaignStopped) return;
+    const mayStand = this.candidateFrom === null || clock.now() >= this.candidateFrom;
+    // A record with our own name is one of an earlier term, or of an earlier start of this process.
+    const isVacant = !row || this.observedLeader?.member === member;
+    if (!this.term && mayStand && isVacant) await this.takeOver(row?.revision ?? NO_REVISION);
+    else if (!mayStand && !row) await sleep(clock, CANDIDACY_CHECK_INTERVAL_MS);
+    else await store.watch(keys.leader, page.revision, WATCH_TIMEOUT_MS);
+  }
+
+  private observeLeader(leader: LeaderRecord | null): void {
+    const hasChanged = leader?.epoch !== this.lastObservedLeader?.epoch;
+    this.lastObservedLeader = leader;
+    if (hasChanged) this.failureDetection?.onLeaderChanged();
   }
 
-  /** A node that is no first choice leaves it to others for a moment, and stands if nobody took it. */
+  /** A controller that is not the first choice leaves a free leadership to others for a moment, then stands itself. */
   private async takeOver(leaderRevision: Revision): Promise<void> {
-    const standbyMs = leaderRevision === NO_REVISION ? (this.failureDetection?.standbyMs() ?? 0) : 0;
-    if (standbyMs > 0) {
-      await sleep(this.ctx.clock, standbyMs);
+    const isFree = leaderRevision === NO_REVISION;
+    const delayMs = isFree ? (this.failureDetection?.candidacyDelayMs() ?? 0) : 0;
+    if (delayMs > 0) {
+      await sleep(this.ctx.clock, delayMs);
       const row = await this.ctx.store.get(keys.leader);
       if (row) return;
     }
@@ -178,14 +176,12 @@
   }
 
   private async tryTakeover(leaderRevision: Revision): Promise<void> {
-    const { store, clock } = this.ctx;
+    const { store, clock, random } = this.ctx;
     const epochRow = await store.get(keys.epoch);
     const former = epochRecord(epochRow?.value);
     const epoch = (former.epoch + 1) as Epoch;
-    const sentAt = clock.now();
-    const { failureDetection } = this;
-    const generation = failureDetection?.guard.generation ?? 0;
-    const grant = await store.grantLease(this.ttl);
+    const leaseRequest = this.lease.beginRequest();
+    const lease = await store.grantLease(this.lease.ttl);
     const record = this.recordFor(epoch);
     const result = await store.txn(
       [
@@ -193,95 +189,33 @@
         { key: keys.epoch, revision: epochRow?.revision ?? NO_REVISION },
       ],
       [
-        { set: keys.leader, value: encodeLeader(record), grant },
+        { set: keys.leader, value: encodeLeader(record), grant: lease },
         { set: keys.epoch, value: encodeEpoch({ epoch, early: former.early }) },
       ],
     );
     if (!result.ok) {
-      await store.revokeLease(grant);
-      await sleep(clock, this.ctx.random() * 50);
+      await store.revokeLease(lease);
+      await sleep(clock, random() * TAKEOVER_RETRY_JITTER_MS);
       return;
     }
-    this.leaseId = grant;
-    this.leaseValidUntil = plus(sentAt, minLocalDuration(this.ttl));
-    failureDetection?.guard.reopen(generation);
+    this.lease.confirm(lease, leaseRequest);
     this.term = {
       epoch,
       epochRevision: result.revision,
-      previousLeaseRemaining: former.early ? maxLocalDuration(this.ttl) : ms(0),
+      previousLeaseRemaining: former.early ? maxLocalDuration(this.lease.ttl) : ms(0),
     };
-    this.noteLeader(record);
-    this.onElected(this.term);
+    this.observeLeader(record);
+    this.listener.onElected(this.term);
   }
 
   private recordFor(epoch: Epoch): LeaderRecord {
     const record = { member: this.ctx.member, epoch, version: PROTOCOL_VERSION };
-    return this.failureDetection ? { ...record, process: this.failureDetection.process } : record;
-  }
-
-  /**
-   * Rewrites the leader's record under the same grant, so that its revision changes: a leader that its peers cannot
-   * hear shows through the state service that it lives.
-   */
-  async refreshLeaderRecord(): Promise<void> {
-    const { leaseId, term } = this;
-    if (leaseId === null || term === null) return;
-    const row = await this.ctx.store.get(keys.leader);
-    if (row?.lease !== leaseId) return;
-    this.signs++;
-    await this.ctx.store.txn(
-      [
-        { key: keys.leader, revision: row.revision },
-        { key: keys.epoch, revision: term.epochRevision },
-      ],
-      [{ set: keys.leader, value: encodeLeader(this.recordFor(term.epoch), this.signs), grant: leaseId }],
-    );
-  }
-
-  /** Renews the grant at once: this process stood still, and may have been replaced. */
-  renewNow(): void {
-    const { renewal } = this;
-    if (renewal === null) return;
-    renewal.cancel();
-    renewal.run();
-  }
-
-  private scheduleRenewal(waitMs: number): void {
-    const run = (): void => {
-      this.renewal = null;
-      void this.renew().then((nextMs) => this.scheduleRenewal(nextMs));
-    };
-    this.renewal = { cancel: this.ctx.clock.after(waitMs, run), run };
-  }
-
-  /** Resolves with the time until the next renewal. */
-  private async renew(): Promise<number> {
-    const { clock, store } = this.ctx;
-    const grant = this.leaseId;
-    if (grant === null || !this.term) return this.ttl / 4;
-    const sentAt = clock.now();
-    const generation = this.failureDetection?.guard.generation ?? 0;
-    try {
-      const alive = await store.keepLeaseAlive(grant);
-      if (this.leaseId !== grant) return this.ttl / 4;
-      if (alive) {
-        this.leaseValidUntil = plus(sentAt, minLocalDuration(this.ttl));
-        this.failureDetection?.guard.reopen(generation);
-      } else this.lose('the grant has ended');
-    } catch (error) {
-      this.ctx.log.info({ error: errorMessage(error), ms: since(clock.now(), sentAt) }, 'grant not renewed');
-      // Users may have asked too much of the state service; leadership must not be lost to that.
-      if (error instanceof StoreRefusedError) return RENEW_AGAIN_MS;
-    }
-    // The process stood still while the renewal was under way: that one confirmed nothing.
-    return this.term && this.failureDetection?.guard.open === false ? RENEW_AGAIN_MS : this.ttl / 4;
+    return this.failureDetection ? { ...record, process: this.failureDetection.processId } : record;
   }
 
-  private lose(why: string): void {
+  private lose(reason: TermEndReason): void {
     this.term = null;
-    this.leaseId = null;
-    this.leaseValidUntil = null;
-    this.failureDetection?.leadershipEnded();
-    this.onLost(why);
+    this.failureDetection?.onLeadershipEnded();
+    this.listener.onLost(reason);
   }
 }
--- a/src/leadership/failover/detection-status.ts
+++ b/src/leadership/failover/detection-status.ts
@@ -1,2 +1,2 @@
-/** A controller that runs without failure detection answers its messages with this status. */
-export const DETECTION_OFF_STATUS = 404;
+/** The status with which a controller without failure detection answers the messages of one that has it. */
+export const FAILURE_DETECTION_OFF_STATUS = 404;
--- a/src/leadership/failover/failover-settings.ts
+++ b/src/leadership/failover/failover-settings.ts
@@ -1,4 +1,4 @@
-/** The failure detector's settings: its feature file, and the controllers of the platform's file. */
+/** Builds and checks the failure detector's settings, from its feature file and the controllers of the platform's file. */
 import {
   checkSettings,
   DEFAULT_TUNING,
@@ -11,14 +11,14 @@
 import { InvalidSettingsError } from '../../config/operators.js';
 import type { Settings } from '../../wire/settings.js';
 
-type Controllers = Pick<Settings, 'member' | 'peers'>;
+type ControllerSettings = Pick<Settings, 'member' | 'peers'>;
 
-/** Every controller of the platform's settings is a member. */
+/** Settings of the membership protocol; every controller of the platform's settings is a member. */
 export function membershipSettings(
-  { member, peers }: Controllers,
+  { member, peers }: ControllerSettings,
   feature: FailoverFeature,
 ): MembershipSettings {
-  const members: readonly string[] = [member, ...peers.map((sibling) => sibling.member)];
+  const members: readonly string[] = [member, ...peers.map((peer) => peer.member)];
   return {
     ...DEFAULT_TUNING,
     self: member as string as MemberId,
@@ -32,8 +32,8 @@
   };
 }
 
-/** Throws `BadSettings` where the two files cannot be used together. */
-export function checkFailover(settings: Controllers, feature: FailoverFeature): void {
+/** Throws `InvalidSettingsError` where the two files cannot be used together. */
+export function checkFailover(settings: ControllerSettings, feature: FailoverFeature): void {
   try {
     checkSettings(membershipSettings(settings, feature));
   } catch (error) {
--- a/src/leadership/failover/failover.ts
+++ b/src/leadership/failover/failover.ts
@@ -1,6 +1,6 @@
 /**
  * Failure detection in a controller: watches the other controllers, prepares this one to succeed a suspected leader and,
- * where that is switched on, replaces a leader that a majority has found silent before its grant ends.
+ * where that is switched on, replaces a leader before its lease expires once a majority has found it unresponsive.
  */
 import {
   describeEvidence,
@@ -16,183 +16,191 @@
 import { MEMBERSHIP_VERSION } from '../../model/protocol.js';
 import type { MemberLine } from '../../wire/members.js';
 import type { ControllerContext } from '../../core/context.js';
-import type { ElectionFailureDetection } from '../../leadership/election.js';
-import type { Leadership } from '../../controller/leadership.js';
-import { membershipSettings } from './failover-settings.js';
-import { CLUSTER, LeaderClaims } from './leader-claims.js';
 import type { RecordSet } from '../../store/records.js';
-import { RecordPrefetch } from './record-prefetch.js';
+import type { ElectionFailureDetection } from '../election.js';
+import type { LeadershipHandle } from '../leadership-handle.js';
+import { membershipSettings } from './failover-settings.js';
+import { CLUSTER_UNIT, LeaderClaims } from './leader-claims.js';
+import { RecordPrefetcher } from './record-prefetcher.js';
 
-/** The leader's record is read this often where nothing tells of a change. */
-const READ_EVERY_MS = 10_000;
+/** The leader's record is read this often where nothing announces a change. */
+const LEADER_READ_INTERVAL_MS = 10_000;
 /** The second choice for a free leadership waits so long, the third twice as long. */
-const STANDBY_STEP_MS = 100;
+const CANDIDACY_DELAY_STEP_MS = 100;
 /** And nobody longer than this: the better ones may be gone. */
-const STANDBY_MOST_MS = 300;
+const MAX_CANDIDACY_DELAY_MS = 300;
 
 /** What failure detection works with. */
-export interface FailoverEnvironment {
+export interface FailoverDependencies {
   readonly context: ControllerContext;
   readonly feature: FailoverFeature;
   readonly transport: Transport;
-  /** Whether every other controller has shown this protocol version. */
-  readonly allHaveSpoken: (version: number) => boolean;
-  readonly leadership: Leadership;
-  /** Whether this node reaches the state service. */
-  readonly stateOk: () => boolean;
+  /** Whether every other controller last showed at least this protocol version, be it connected now or not. */
+  readonly everyPeerHasSupported: (version: number) => boolean;
+  readonly leadership: LeadershipHandle;
+  /** Whether this controller reaches the key-value store. */
+  readonly isStoreReachable: () => boolean;
 }
 
-/** Everything that a node with failure detection does beside what one without does. */
+/** Everything that a controller with failure detection does beyond what one without does. */
 export class Failover implements ElectionFailureDetection {
   private readonly membership: Membership;
   private readonly coordinator: TakeoverCoordinator<void>;
-  private readonly prefetch: RecordPrefetch;
-  readonly guard: EffectGate;
+  private readonly prefetcher: RecordPrefetcher;
+  readonly pauseGuard: EffectGate;
 
   /** Throws `MembershipSettingsError`. */
-  constructor(private readonly environment: FailoverEnvironment) {
-    const { context, feature, transport, leadership } = environment;
-    const { clock, log, store, random } = context;
-    this.membership = new Membership(membershipSettings(context.settings, feature), {
+  constructor(private readonly dependencies: FailoverDependencies) {
+    const { clock, log, store } = dependencies.context;
+    this.membership = this.createMembership();
+    this.prefetcher = new RecordPrefetcher(store, clock, log);
+    this.pauseGuard = new EffectGate(this.membership, (pausedMs) => this.onPaused(pausedMs));
+    this.coordinator = this.createCoordinator();
+    this.membership.listen((event) => this.logEvent(event));
+  }
+
+  private createMembership(): Membership {
+    const { context, feature, transport, isStoreReachable } = this.dependencies;
+    const { clock, log, random } = context;
+    return new Membership(membershipSettings(context.settings, feature), {
       clock,
       random,
       log,
       transport,
       selfReport: () => ({
         load: context.load(),
-        ready: environment.stateOk() && context.machineTypes.size > 0,
+        ready: isStoreReachable() && context.machineTypes.size > 0,
       }),
     });
-    this.prefetch = new RecordPrefetch(store, clock, log);
-    this.guard = new EffectGate(this.membership, (pausedMs) => this.woke(pausedMs));
+  }
+
+  private createCoordinator(): TakeoverCoordinator<void> {
+    const { context, feature, leadership, everyPeerHasSupported } = this.dependencies;
+    const { clock, log, store } = context;
     const claims = new LeaderClaims({
       store,
       clock,
       election: leadership.election,
-      mayReplaceEarly: () => feature.earlyTakeover && environment.allHaveSpoken(MEMBERSHIP_VERSION),
+      mayReplaceEarly: () => feature.earlyTakeover && everyPeerHasSupported(MEMBERSHIP_VERSION),
     });
     const settings = {
       ...DEFAULT_TAKEOVER,
-      readEveryMs: READ_EVERY_MS,
+      readEveryMs: LEADER_READ_INTERVAL_MS,
       claimOnFailure: feature.earlyTakeover,
     };
-    this.coordinator = new TakeoverCoordinator<void>(
-      [CLUSTER],
+    return new TakeoverCoordinator<void>(
+      [CLUSTER_UNIT],
       { clock, log, membership: this.membership, claims, settings },
       {
-        prepare: () => this.prefetch.begin(),
-        discard: () => this.prefetch.discard(),
-        // The election has begun the leadership already.
+        prepare: () => this.prefetcher.start(),
+        discard: () => this.prefetcher.discard(),
+        // The election has begun the term already.
         adopt: () => Promise.resolve(),
-        stop: ({ epoch }, why) => this.replaced(epoch, why),
+        stop: ({ epoch }) => this.onReplaced(epoch),
       },
     );
-    this.membership.listen((event) => this.tell(event));
   }
 
   start(): void {
-    this.environment.leadership.election.useFailureDetection(this);
+    this.dependencies.leadership.election.useFailureDetection(this);
     this.membership.start();
     this.coordinator.start();
   }
 
   /** Hands the leadership over and says goodbye, so that nobody has to suspect this controller. */
   async leave(): Promise<void> {
-    this.environment.leadership.resignPermanently();
+    this.dependencies.leadership.resignPermanently();
     await this.membership.leave();
     this.coordinator.stop();
     this.membership.stop();
   }
 
-  /** A peer's message; null: dropped. */
-  handle(payload: Buffer): Promise<Uint8Array | null> {
+  /** Answers a peer's message; null: it was dropped. */
+  handleMessage(payload: Buffer): Promise<Uint8Array | null> {
     return this.membership.handle(payload);
   }
 
-  /** Records that were read ahead; null: none. */
-  readAhead(prefix: string): Promise<RecordSet | null> {
-    return this.prefetch.take(prefix);
+  /** The records under a prefix that were prefetched, brought up to date; null: none. Each is handed out once. */
+  takePrefetchedRecords(prefix: string): Promise<RecordSet | null> {
+    return this.prefetcher.take(prefix);
   }
 
-  // For the election (`ElectionAid`)
+  // For the election (`ElectionFailureDetection`)
 
-  get process(): string {
+  get processId(): string {
     return this.membership.identity.process;
   }
 
-  leaderChanged(): void {
-    this.coordinator.refresh(CLUSTER);
+  onLeaderChanged(): void {
+    this.coordinator.refresh(CLUSTER_UNIT);
   }
 
-  leadershipEnded(): void {
-    this.coordinator.relinquished(CLUSTER);
+  onLeadershipEnded(): void {
+    this.coordinator.relinquished(CLUSTER_UNIT);
   }
 
-  /** By its place among the possible successors; one that has prepared does not wait. */
-  standbyMs(): number {
-    const ranking = rankSuccessors(CLUSTER, this.membership.members());
-    const rank = ranking.indexOf(this.environment.context.member as string as MemberId);
-    return rank < 0 ? 0 : Math.min(STANDBY_MOST_MS, rank * STANDBY_STEP_MS);
+  /** By this controller's rank among the possible successors; the first one does not wait. */
+  candidacyDelayMs(): number {
+    const ranking = rankSuccessors(CLUSTER_UNIT, this.membership.members());
+    const rank = ranking.indexOf(this.dependencies.context.member as string as MemberId);
+    return rank < 0 ? 0 : Math.min(MAX_CANDIDACY_DELAY_MS, rank * CANDIDACY_DELAY_STEP_MS);
   }
 
-  private woke(pausedMs: number): void {
-    const { leadership, context } = this.environment;
-    if (leadership.leader === null) return;
+  /** The process was paused: a leader confirms its lease before it acts again. */
+  private onPaused(pausedMs: number): void {
+    const { leadership, context } = this.dependencies;
+    if (leadership.leadingEpoch === null) return;
     context.log.info(
       { pausedMs: Math.round(pausedMs) },
-      'stood still while leading: the grant is confirmed first',
+      'process paused while leading: confirming the lease first',
     );
-    leadership.election.renewNow();
+    leadership.election.lease.renewNow();
   }
 
-  private replaced(epoch: number, why: string): void {
-    const { leadership } = this.environment;
-    if (leadership.leader?.epoch === epoch) leadership.leader.end(why);
+  /** The coordinator has logged on which evidence. */
+  private onReplaced(epoch: number): void {
+    const { leadership } = this.dependencies;
+    if (leadership.leadingEpoch === epoch) leadership.endTerm('replaced by another controller');
   }
 
-  /** Lines for the log: what changed, and on which evidence. */
-  private tell(event: MembershipEvent): void {
-    const { log } = this.environment.context;
+  /** Logs what changed, and on which evidence. */
+  private logEvent(event: MembershipEvent): void {
+    const { log } = this.dependencies.context;
     switch (event.kind) {
       case 'state-changed': {
         const { member, from, to, evidence } = event;
-        log.info(
-          { member, from, to, evidence: evidence.map(describeEvidence) },
-          'a controller changed its state',
-        );
+        log.info({ member, from, to, evidence: evidence.map(describeEvidence) }, 'controller state changed');
         break;
       }
       case 'contact-changed':
-        log.info({ withMajority: event.withMajority }, 'contact with the other controllers changed');
+        log.info({ withMajority: event.withMajority }, 'contact with majority changed');
         break;
       case 'self-suspected':
-        log.info(
-          { incarnation: event.incarnation },
-          'the others suspected this controller, which has refuted it',
-        );
+        log.info({ incarnation: event.incarnation }, 'suspicion of this controller refuted');
         break;
       default:
-        log.debug({ event }, 'membership');
+        log.debug({ event }, 'membership event');
     }
   }
 
   // For operators
 
   /** All controllers as this one sees them. */
-  lines(): MemberLine[] {
-    const leader = this.environment.leadership.election.leader;
+  memberLines(): MemberLine[] {
+    const leader = this.dependencies.leadership.election.observedLeader;
     return this.membership.members().map((view) => memberLine(view, leader));
   }
 
-  dropped(): Record<string, number> {
+  /** How many messages of other controllers were dropped since the start, by reason. */
+  droppedMessages(): Record<string, number> {
     return Object.fromEntries(this.membership.rejected);
   }
 
-  /** For the log. */
+  /** Fields for the summary in the log. */
   summary(): object {
     const states = this.membership.members().map(({ member, state }) => [member, state]);
-    const unwell = Object.fromEntries(states.filter(([, state]) => state !== MemberState.Alive)) as object;
-    return { controllers: unwell, takeover: this.coordinator.stage(CLUSTER).kind };
+    const notAlive = Object.fromEntries(states.filter(([, state]) => state !== MemberState.Alive)) as object;
+    return { controllers: notAlive, takeover: this.coordinator.stage(CLUSTER_UNIT).kind };
   }
 }
 
--- a/src/leadership/failover/leader-claims.ts
+++ b/src/leadership/failover/leader-claims.ts
@@ -1,6 +1,6 @@
 /**
  * The leadership of the cluster as one unit of ownership: its records are `leader` and `epoch`. A claim fences the
- * former leader and ends its grant; who leads then is decided by the election.
+ * former leader and revokes its lease; who leads then is decided by the election.
  */
 import {
   type ClaimResult,
@@ -24,26 +24,26 @@
 import { keys } from '../../store/keys.js';
 import { encodeEpoch, epochRecord, leaderRecord } from '../../store/leader-record.js';
 import type { KeyValue } from '../../wire/key-value-store.js';
-import type { Election } from '../../leadership/election.js';
+import type { Election } from '../election.js';
 
 /** All machines and jobs: one unit today. */
-export const CLUSTER = 'cluster' as UnitId;
+export const CLUSTER_UNIT = 'cluster' as UnitId;
 
-/** After the former leader's grant was ended, the election is given this long. */
-const ELECTION_MS = 1000;
-const ELECTION_LOOK_MS = 20;
+/** After the former leader's lease was revoked, the election is given this long. */
+const ELECTION_TIMEOUT_MS = 1000;
+const ELECTION_POLL_INTERVAL_MS = 20;
 
-/** What the claims need of the node. */
-export interface LeaderClaimsEnvironment {
+/** What the claims need of the controller. */
+export interface LeaderClaimsDependencies {
   readonly store: KeyValueStore;
   readonly clock: Clock;
   readonly election: Election;
-  /** Whether every controller reckons with a leader that is replaced before its grant ends. */
+  /** Whether every controller reckons with a leader that is replaced before its lease expires. */
   mayReplaceEarly(): boolean;
 }
 
-/** Whether the error tells that the state service could not be asked, and nothing else. */
-function stateFailed(error: unknown): boolean {
+/** Whether the error only says that the key-value store could not be asked. */
+function isStoreFailure(error: unknown): boolean {
   return error instanceof StoreRefusedError || error instanceof StoreOutcomeUnknownError;
 }
 
@@ -67,26 +67,26 @@
   return { kind: 'owned', owner, epoch, revisions };
 }
 
-/** The election's records by the takeover package's interface. */
+/** Presents the election's records by the takeover package's interface. */
 export class LeaderClaims implements OwnershipClaims {
-  constructor(private readonly environment: LeaderClaimsEnvironment) {}
+  constructor(private readonly dependencies: LeaderClaimsDependencies) {}
 
   async read(): Promise<OwnershipReading | null> {
-    const { store } = this.environment;
+    const { store } = this.dependencies;
     try {
       const leader = await store.get(keys.leader);
       return interpret(leader, await store.get(keys.epoch));
     } catch (error) {
-      if (stateFailed(error)) return null;
+      if (isStoreFailure(error)) return null;
       throw error;
     }
   }
 
   async claim(_unit: UnitId, claimant: Owner, found: Unowned | Owned | Released): Promise<ClaimResult> {
     // What nobody holds, the election takes by itself.
-    if (found.kind !== 'owned' || !this.environment.mayReplaceEarly()) return { kind: 'superseded' };
+    if (found.kind !== 'owned' || !this.dependencies.mayReplaceEarly()) return { kind: 'superseded' };
     try {
-      if (!(await this.endFormerLeadership(found))) return { kind: 'superseded' };
+      if (!(await this.fenceFormerLeader(found))) return { kind: 'superseded' };
     } catch (error) {
       if (error instanceof StoreRefusedError) return { kind: 'unavailable' };
       if (error instanceof StoreOutcomeUnknownError) return { kind: 'uncertain' };
@@ -96,12 +96,12 @@
   }
 
   /**
-   * Two steps. First the epoch's record is marked, if the leader has shown no life: its revision changes, so that every
-   * write of the former leader fails, and whoever leads next reckons with a predecessor that still feels sure of its
-   * grant. Then its grant is ended, which frees the leader's key.
+   * Two steps. First the epoch's record is marked, unless the leader has refreshed its own: the epoch's revision changes,
+   * so that every write of the former leader fails, and whoever leads next reckons with a predecessor that still
+   * considers its lease valid. Then that lease is revoked, which frees the leader's key.
    */
-  private async endFormerLeadership({ epoch, revisions }: Owned): Promise<boolean> {
-    const { store } = this.environment;
+  private async fenceFormerLeader({ epoch, revisions }: Owned): Promise<boolean> {
+    const { store } = this.dependencies;
     const leader = await store.get(keys.leader);
     const holder = revisions.holder as number as Revision;
     if (leader?.revision !== holder || leader.lease === undefined) return false;
@@ -119,21 +119,21 @@
   }
 
   private async awaitElection(owner: Owner): Promise<ClaimResult> {
-    const { clock } = this.environment;
-    // Another node may win: then its record is found at the next look.
-    for (let waitedMs = 0; waitedMs < ELECTION_MS; waitedMs += ELECTION_LOOK_MS) {
-      const ownership = this.held(owner);
+    const { clock } = this.dependencies;
+    // Another controller may win: then its record is found by the next read.
+    for (let waitedMs = 0; waitedMs < ELECTION_TIMEOUT_MS; waitedMs += ELECTION_POLL_INTERVAL_MS) {
+      const ownership = this.currentOwnership(owner);
       if (ownership) return { kind: 'won', ownership };
-      await sleep(clock, ELECTION_LOOK_MS);
+      await sleep(clock, ELECTION_POLL_INTERVAL_MS);
     }
     return { kind: 'superseded' };
   }
 
-  private held(owner: Owner): Ownership | null {
-    const { currentTerm } = this.environment.election;
+  private currentOwnership(owner: Owner): Ownership | null {
+    const { currentTerm } = this.dependencies.election;
     if (currentTerm === null) return null;
     return {
-      unit: CLUSTER,
+      unit: CLUSTER_UNIT,
       owner,
       epoch: currentTerm.epoch as number as FencingEpoch,
       epochRevision: currentTerm.epochRevision as number as StoreRevision,
@@ -142,24 +142,25 @@
 
   async confirm({ epochRevision }: Ownership): Promise<Confirmation> {
     try {
-      const epoch = await this.environment.store.get(keys.epoch);
-      const held = epoch?.revision === (epochRevision as number as Revision);
-      return held ? Confirmation.Held : Confirmation.Superseded;
+      const epoch = await this.dependencies.store.get(keys.epoch);
+      const isHeld = epoch?.revision === (epochRevision as number as Revision);
+      return isHeld ? Confirmation.Held : Confirmation.Superseded;
     } catch (error) {
-      if (stateFailed(error)) return Confirmation.Unknown;
+      if (isStoreFailure(error)) return Confirmation.Unknown;
       throw error;
     }
   }
 
+  /** Refreshes the leader's record, as a sign of life for peers that cannot hear this controller. */
   async showLife(): Promise<void> {
     try {
-      await this.environment.election.refreshLeaderRecord();
+      await this.dependencies.election.refreshLeaderRecord();
     } catch (error) {
-      if (!stateFailed(error)) throw error;
+      if (!isStoreFailure(error)) throw error;
     }
   }
 
-  /** A leader that leaves resigns by the election's own way. */
+  /** Does nothing: a leader that leaves resigns through the election. */
   release(): Promise<void> {
     return Promise.resolve();
   }
--- a/src/leadership/failover/peer-transport.ts
+++ b/src/leadership/failover/peer-transport.ts
@@ -1,19 +1,19 @@
-/** Brings the failure detector's messages over the links between controllers. */
+/** Carries the failure detector's messages over the links between controllers. */
 import { type MemberId, PeerSupport, type Transport } from '@plumyoke/membership';
 import { MEMBERSHIP_VERSION } from '../../model/protocol.js';
 import { type Clock, type MonotonicTime, since } from '../../model/time.js';
 import { FrameKind } from '../../peer/frames.js';
 import type { PeerLink } from '../../peer/link.js';
-import { DETECTION_OFF_STATUS } from '../../leadership/failover/detection-status.js';
+import { FAILURE_DETECTION_OFF_STATUS } from './detection-status.js';
 
 const OK_STATUS = 200;
-/** Such a peer is asked again after this: it may have been started anew. */
-const ASK_AGAIN_MS = 5000;
+/** A peer without failure detection is asked again after this: it may have been restarted. */
+const UNSUPPORTED_RETRY_MS = 5000;
 
-/** A transport on the peer links; an answer comes over the connection that the request left by. */
+/** A transport on the peer links; a response comes over the connection that carried the request. */
 export class PeerTransport implements Transport {
   private readonly links: ReadonlyMap<string, PeerLink>;
-  private readonly switchedOff = new Map<MemberId, MonotonicTime>();
+  private readonly disabledSince = new Map<MemberId, MonotonicTime>();
 
   constructor(
     links: readonly PeerLink[],
@@ -24,19 +24,19 @@
 
   async request(to: MemberId, payload: Uint8Array, deadlineMs: number): Promise<Uint8Array | null> {
     const link = this.links.get(to);
-    // Earlier versions close the connection on a kind that they do not know.
+    // Earlier versions close the connection on a frame kind that they do not know.
     if (!link?.supports(MEMBERSHIP_VERSION)) return null;
-    const answer = await link.request(FrameKind.Membership, Buffer.from(payload), deadlineMs);
-    if (answer?.status === DETECTION_OFF_STATUS) this.switchedOff.set(to, this.clock.now());
-    return answer?.status === OK_STATUS ? answer.body : null;
+    const response = await link.request(FrameKind.Membership, Buffer.from(payload), deadlineMs);
+    if (response?.status === FAILURE_DETECTION_OFF_STATUS) this.disabledSince.set(to, this.clock.now());
+    return response?.status === OK_STATUS ? response.body : null;
   }
 
   support(peer: MemberId): PeerSupport {
     const link = this.links.get(peer);
     if (!link?.isConnected) return PeerSupport.Unknown;
     if (!link.supports(MEMBERSHIP_VERSION)) return PeerSupport.Unsupported;
-    const offSince = this.switchedOff.get(peer);
-    const off = offSince !== undefined && since(this.clock.now(), offSince) < ASK_AGAIN_MS;
-    return off ? PeerSupport.Unsupported : PeerSupport.Supported;
+    const disabledAt = this.disabledSince.get(peer);
+    const isDisabled = disabledAt !== undefined && since(this.clock.now(), disabledAt) < UNSUPPORTED_RETRY_MS;
+    return isDisabled ? PeerSupport.Unsupported : PeerSupport.Supported;
   }
 }
--- /dev/null
+++ b/src/model/term-end-reason.ts
@@ -0,0 +1,15 @@
+/** Why a leadership term ends on this controller, as the log shows it (field `reason`). */
+export type TermEndReason =
+  /** The leader's lease ended in the key-value store. */
+  | 'leader lease expired'
+  /** This process is shutting down. */
+  | 'controller shutting down'
+  /** Failure detection found that another controller has fenced this term. */
+  | 'replaced by another controller'
+  /** No worker's heartbeat arrives: the leader is partitioned from its workers. */
+  | 'no worker is heard'
+  /** Evidence of a newer epoch, by where it was met. */
+  | 'another node leads a newer epoch'
+  | 'a worker knows a newer epoch'
+  | 'the fleet record found a newer epoch'
+  | 'a commit found a newer epoch';
--- a/test/simulation/site-controllers.ts
+++ b/test/simulation/site-controllers.ts
@@ -94,7 +94,7 @@
         version <= this.version && !this.nodes.some((other) => this.old.has(other)),
       peers: this.siblingsOf(name, clock),
       prefetchedRecords: (prefix) =>
-        this.running.get(name)?.failover?.readAhead(prefix) ?? Promise.resolve(null),
+        this.running.get(name)?.failover?.takePrefetchedRecords(prefix) ?? Promise.resolve(null),
     };
     const leadership = new Leadership(ctx, () => Promise.resolve());
     const failover = this.failoverOf(name, ctx, leadership, clock);
@@ -122,7 +122,7 @@
     });
     this.trace(`${name}     starts`);
     failover?.start();
-    leadership.run();
+    leadership.start();
   }
 
   protected settingsWithSiblings(name: string): Settings {
@@ -142,8 +142,8 @@
       context,
       feature: this.failover,
       leadership,
-      stateOk: () => !this.state.outage && !this.state.refused.has(name),
-      allHaveSpoken: () => this.old.size === 0,
+      isStoreReachable: () => !this.state.outage && !this.state.refused.has(name),
+      everyPeerHasSupported: () => this.old.size === 0,
       transport: {
         support: (peer) => (this.old.has(peer) ? PeerSupport.Unsupported : PeerSupport.Supported),
         request: (to, payload, deadlineMs) =>
@@ -156,7 +156,7 @@
           ),
       },
     });
-    this.peerNetwork.attach(name, { clock, handler: (payload) => failover.handle(Buffer.from(payload)) });
+    this.peerNetwork.attach(name, { clock, handler: (payload) => failover.handleMessage(Buffer.from(payload)) });
     return failover;
   }
 
@@ -171,7 +171,7 @@
 
   /** What a node's operator is shown. */
   members(name: string): MemberLine[] {
-    return this.running.get(name)?.failover?.lines() ?? [];
+    return this.running.get(name)?.failover?.memberLines() ?? [];
   }
 
   /** Whether cancellations pass between two controllers: both know of them and nothing cuts them off. */
--- a/test/unit/failover.test.ts
+++ b/test/unit/failover.test.ts
@@ -5,9 +5,9 @@
 import { afterEach, describe, expect, it } from 'vitest';
 import { adviceFor, renderMembers } from '../../src/cli/members.js';
 import { main } from '../../src/cli/program.js';
-import { DETECTION_OFF_STATUS } from '../../src/leadership/failover/detection-status.js';
+import { FAILURE_DETECTION_OFF_STATUS } from '../../src/leadership/failover/detection-status.js';
 import { PeerTransport } from '../../src/leadership/failover/peer-transport.js';
-import { RecordPrefetch } from '../../src/leadership/failover/record-prefetch.js';
+import { RecordPrefetcher } from '../../src/leadership/failover/record-prefetcher.js';
 import { readRecords } from '../../src/store/records.js';
 import { checkFailover } from '../../src/leadership/failover/failover-settings.js';
 import { loadFeatures } from '../../src/config/features.js';
@@ -188,7 +188,7 @@
 
   it('tell a peer without failure detection from one that is silent', async () => {
     const clock = new VirtualClock();
-    const off = { status: DETECTION_OFF_STATUS, body: Buffer.alloc(0) };
+    const off = { status: FAILURE_DETECTION_OFF_STATUS, body: Buffer.alloc(0) };
     const { link: switchedOff } = link({ request: () => Promise.resolve(off) });
     const transport = new PeerTransport([switchedOff], clock);
     expect(transport.support(B)).toBe(PeerSupport.Supported);
@@ -209,7 +209,7 @@
   async function filled(): Promise<{
     clock: VirtualClock;
     state: FakeKeyValueStore;
-    prefetch: RecordPrefetch;
+    prefetch: RecordPrefetcher;
   }> {
     const clock = new VirtualClock();
     const state = new FakeKeyValueStore(clock);
@@ -222,12 +222,12 @@
     }
     void store.txn([], [set('fleet/0000', { m: [] })]);
     await clock.advance(1000);
-    return { clock, state, prefetch: new RecordPrefetch(store, clock, silentLogger) };
+    return { clock, state, prefetch: new RecordPrefetcher(store, clock, silentLogger) };
   }
 
   it('are what a reading would bring at the moment at which they are taken', async () => {
     const { clock, state, prefetch } = await filled();
-    void prefetch.begin();
+    void prefetch.start();
     await clock.advance(100);
     const store = state.for('a', clock);
     void store.txn([], [{ drop: 'open/j-3/1' }, set('open/j-3/2', { n: 33 }), set('open/j-9/1', { n: 9 })]);
@@ -242,11 +242,11 @@
 
   it('are dropped when the suspicion is refuted, and after a while', async () => {
     const { clock, prefetch } = await filled();
-    void prefetch.begin();
+    void prefetch.start();
     await clock.advance(100);
     prefetch.discard();
     expect(await prefetch.take('open/')).toBeNull();
-    void prefetch.begin();
+    void prefetch.start();
     await clock.advance(61_000);
     expect(await prefetch.take('fleet/')).toBeNull();
   });
@@ -254,7 +254,7 @@
   it('are missing, not wrong, where the state service was out', async () => {
     const { clock, state, prefetch } = await filled();
     state.outage = true;
-    void prefetch.begin();
+    void prefetch.start();
     await clock.advance(1000);
     state.outage = false;
     expect(await prefetch.take('open/')).toBeNull();
