--- a/src/api/http-router.ts
+++ b/src/api/http-router.ts
@@ -1,7 +1,7 @@
 /** Routes of the front address: users, workers' heartbeats and health checks. */
 import type { IncomingMessage, RequestListener, ServerResponse } from 'node:http';
 import { LinearRouter } from 'hono/router/linear-router';
-import type { UserVerb } from '../peer/frames.js';
+import type { UserVerb } from '../peer/user-request.js';
 import type { UserAnswer } from './user-service.js';
 
 /** Largest request body (PROTOCOL). */
--- a/src/cli/members.ts
+++ b/src/cli/members.ts
@@ -1,7 +1,7 @@
 /** `plumyoke members`: the controllers as a running one sees them, and what to do about them. */
 import { loadSettings } from '../config/operators.js';
 import { FrameKind } from '../peer/frames.js';
-import { sendSingleRequest, NoReplyError } from '../peer/single-request.js';
+import { sendSingleRequest, SingleRequestError } from '../peer/single-request.js';
 import { type MemberLine, type MembersReport, readMembersReport } from '../wire/members.js';
 import { renderTable } from './table.js';
 
@@ -80,13 +80,13 @@
   const unavailable = (problem: string, next: string): MembersUnavailableError =>
     new MembersUnavailableError(`the controller at ${address} cannot be asked: ${problem}; ${next}`);
   try {
-    const answer = await sendSingleRequest(address, FrameKind.Members, Buffer.alloc(0), ASK_MS);
+    const answer = await sendSingleRequest(address, FrameKind.ListMembers, Buffer.alloc(0), ASK_MS);
     if (answer.status !== OK_STATUS)
       throw unavailable(`it answered ${answer.status}`, 'try another controller');
     return readMembersReport(JSON.parse(answer.body.toString('utf8')));
   } catch (error) {
     if (error instanceof MembersUnavailableError) throw error;
-    if (error instanceof NoReplyError) {
+    if (error instanceof SingleRequestError) {
       const next =
         'see whether its process runs (an earlier version does not know the question), or name another with --address';
       throw unavailable(error.message, next);
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -79,7 +79,7 @@
     log.error({ error: errorMessage(error) }, 'unhandled rejection'),
   );
   process.on('uncaughtException', (error) => log.error({ error: error.stack }, 'uncaught exception'));
-  const node = new Controller(settings, operators, features, log, random);
+  const node = new Controller({ settings, operators, features, log, random });
   if (features.failover) {
     process.once('SIGTERM', () => void node.leave().finally(() => process.exit(0)));
   }
--- /dev/null
+++ b/src/controller/controller-summary.ts
@@ -0,0 +1,38 @@
+/** The periodic summary of a controller in its log. */
+import type { Admission } from '../api/admission.js';
+import type { Failover } from '../leadership/failover/failover.js';
+import type { Leadership } from './leadership.js';
+import type { PeerGroup } from './peer-group.js';
+import type { StoreConnectivityMonitor } from './store-connectivity-monitor.js';
+import type { UserRouter } from './user-router.js';
+
+/** What the summary is read from. */
+export interface ControllerSummarySources {
+  readonly leadership: Leadership;
+  /** Null: failure detection is off. */
+  readonly failover: Failover | null;
+  readonly connectivity: StoreConnectivityMonitor;
+  readonly peers: PeerGroup;
+  readonly admission: Admission;
+  readonly userRouter: UserRouter;
+  /** The share of its processor time that this process uses, between 0 and 1. */
+  readonly load: number;
+}
+
+/** The summary's fields. Counts of refusals start again with each summary. */
+export function controllerSummary(sources: ControllerSummarySources): object {
+  const { leadership, failover, connectivity, peers, admission, userRouter, load } = sources;
+  const cpu = process.cpuUsage();
+  return {
+    ...leadership.leader?.summary(),
+    ...failover?.summary(),
+    leads: leadership.leadingEpoch,
+    stateOk: connectivity.isStoreReachable,
+    peers: peers.connected.length,
+    lateMs: admission.lateMs,
+    load: Math.round(load * 100) / 100,
+    refusals: userRouter.takeRefusals(),
+    rssMb: Math.round(process.memoryUsage.rss() / 1e6),
+    cpuMs: Math.round((cpu.user + cpu.system) / 1000),
+  };
+}
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -43,6 +43,17 @@
     return this.currentLeader?.epoch ?? null;
   }
 
+  /** Whether this controller leads. */
+  get isLeader(): boolean {
+    return this.currentLeader !== null;
+  }
+
+  /** Whether this controller last saw any leader, itself included. */
+  get isLeaderObserved(): boolean {
+    return this.election.observedLeader !== null;
+  }
+
+  /** Stands for election until `resignPermanently`. */
   start(): void {
     this.election.start();
   }
--- a/src/controller/load-monitor.ts
+++ b/src/controller/load-monitor.ts
@@ -1,9 +1,9 @@
-/** How much of the processor time that this process gets it uses. */
+/** Measures how much of the processor time that it gets this process uses. */
 import { type Clock, runPeriodically } from '../model/time.js';
 
-const SAMPLE_MS = 500;
-/** The part of the last value that stays at each sample. */
-const KEPT = 0.5;
+const SAMPLE_INTERVAL_MS = 500;
+/** The weight of the former value at each sample. */
+const SMOOTHING = 0.5;
 
 /** A reading of the event loop, as `performance.eventLoopUtilization` gives it. */
 interface LoopReading {
@@ -24,7 +24,7 @@
     private readonly read: () => LoopReading = () => performance.eventLoopUtilization(),
   ) {
     this.last = read();
-    runPeriodically(clock, SAMPLE_MS, () => this.sample());
+    runPeriodically(clock, SAMPLE_INTERVAL_MS, () => this.sample());
   }
 
   /** Between 0 and 1. */
@@ -37,6 +37,6 @@
     const active = now.active - this.last.active;
     const elapsed = active + now.idle - this.last.idle;
     this.last = now;
-    if (elapsed > 0) this.smoothed = this.smoothed * KEPT + (active / elapsed) * (1 - KEPT);
+    if (elapsed > 0) this.smoothed = this.smoothed * SMOOTHING + (active / elapsed) * (1 - SMOOTHING);
   }
 }
--- a/src/controller/machine-type-catalog.ts
+++ b/src/controller/machine-type-catalog.ts
@@ -1,3 +1,4 @@
+/** Keeps the list of machine types up to date. */
 import { errorMessage } from '../log/logger.js';
 import type { MachineType } from '../model/machine.js';
 import { sleep } from '../model/time.js';
@@ -5,59 +6,65 @@
 import { decodeMachineTypes, encodeMachineTypes } from '../store/machine-type-record.js';
 import type { ControllerContext } from '../core/context.js';
 
-const REFRESH_MS = 60_000;
+const REFRESH_INTERVAL_MS = 60_000;
+const STORE_READ_INTERVAL_MS = 500;
+/** After a failure the cloud is asked again after this, and up to as much more. */
+const CLOUD_RETRY_MS = 600;
 
 /**
- * The machine types: from the cloud, or, while its interface is down, as they were last written.
- * Prices move, so they are read again now and then.
+ * Reads the machine types from the cloud or, while its API is down, as they were last written to the store. Prices
+ * change, so they are read again now and then.
  */
 export class MachineTypeCatalog {
-  private readonly waiting: (() => void)[] = [];
+  private readonly waiters: (() => void)[] = [];
 
   constructor(private readonly ctx: ControllerContext) {}
 
-  run(): void {
-    void this.fromStore();
-    void this.refresh();
+  /** Reads the types from the store until they are known, and from the cloud until the process ends. */
+  start(): void {
+    // Neither rejects: failures are logged and retried.
+    void this.loadFromStore();
+    void this.refreshFromCloud();
   }
 
-  known(): Promise<void> {
+  /** Resolves once machine types are known. */
+  whenAvailable(): Promise<void> {
     if (this.ctx.machineTypes.size > 0) return Promise.resolve();
-    return new Promise((resolve) => this.waiting.push(resolve));
+    return new Promise((resolve) => this.waiters.push(resolve));
   }
 
-  private learn(types: readonly MachineType[]): void {
+  private update(types: readonly MachineType[]): void {
     for (const type of types) this.ctx.machineTypes.set(type.id, type);
-    if (types.length > 0) for (const go of this.waiting.splice(0)) go();
+    if (types.length > 0) for (const resolve of this.waiters.splice(0)) resolve();
   }
 
-  private async fromStore(): Promise<void> {
+  private async loadFromStore(): Promise<void> {
     while (this.ctx.machineTypes.size === 0) {
       try {
         const row = await this.ctx.store.get(keys.types);
-        if (row) this.learn(decodeMachineTypes(row.value));
+        if (row) this.update(decodeMachineTypes(row.value));
       } catch (error) {
-        this.ctx.log.debug({ error: errorMessage(error) }, 'types not read from the state service');
+        this.ctx.log.debug({ error: errorMessage(error) }, 'reading machine types from store failed');
       }
-      await sleep(this.ctx.clock, 500);
+      await sleep(this.ctx.clock, STORE_READ_INTERVAL_MS);
     }
   }
 
-  private async refresh(): Promise<void> {
-    let written = '';
+  private async refreshFromCloud(): Promise<void> {
+    let writtenShapes = '';
     for (;;) {
       try {
         const types = await this.ctx.cloud.listMachineTypes();
-        this.learn(types);
-        const shape = JSON.stringify(types.map((t) => [t.id, t.cpus, t.memoryGb, t.zones]));
-        if (shape !== written) {
+        this.update(types);
+        const shapes = JSON.stringify(types.map((type) => [type.id, type.cpus, type.memoryGb, type.zones]));
+        if (shapes !== writtenShapes) {
           await this.ctx.store.txn([], [{ set: keys.types, value: encodeMachineTypes(types) }]);
-          written = shape;
+          writtenShapes = shapes;
         }
-        await sleep(this.ctx.clock, REFRESH_MS * (0.8 + 0.4 * this.ctx.random()));
+        await sleep(this.ctx.clock, REFRESH_INTERVAL_MS * (0.8 + 0.4 * this.ctx.random()));
       } catch (error) {
-        this.ctx.log.debug({ error: errorMessage(error) }, 'types not read from the cloud');
-        await sleep(this.ctx.clock, 600 + this.ctx.random() * 600);
+        this.ctx.log.debug({ error: errorMessage(error) }, 'machine type refresh failed');
+        await sleep(this.ctx.clock, CLOUD_RETRY_MS + this.ctx.random() * CLOUD_RETRY_MS);
       }
     }
   }
--- a/src/controller/memory-monitor.ts
+++ b/src/controller/memory-monitor.ts
@@ -1,10 +1,10 @@
-/** How near this process is to the end of its memory. */
+/** Watches how near this process is to its heap limit. */
 import { getHeapStatistics } from 'node:v8';
 import { type Clock, runPeriodically } from '../model/time.js';
 
-const SAMPLE_MS = 1000;
-/** From this part of the heap's limit on caches are dropped and no new work is taken. */
-const SCARCE = 0.9;
+const SAMPLE_INTERVAL_MS = 1000;
+/** From this part of the heap's limit on, caches are dropped and no new work is taken. */
+const SCARCE_FRACTION = 0.9;
 
 /** A reading of the heap, as V8 gives it. */
 interface HeapReading {
@@ -13,29 +13,29 @@
 }
 
 /**
- * Watches the heap. A process that reaches its heap's limit ends, and with it all that it was about to answer: what
- * can be read again goes first, then submissions are refused.
+ * Samples the heap. A process that reaches its heap's limit ends, and with it all that it was about to answer: so
+ * caches are dropped first, then submissions are refused.
  */
 export class MemoryMonitor {
-  private isScarce = false;
+  private scarce = false;
 
   constructor(
     clock: Clock,
-    /** Drops what can be read again. */
-    private readonly shed: () => void,
+    /** Drops what can be read again; called at each sample while memory is scarce. */
+    private readonly dropCaches: () => void,
     private readonly read: () => HeapReading = getHeapStatistics,
   ) {
-    runPeriodically(clock, SAMPLE_MS, () => this.sample());
+    runPeriodically(clock, SAMPLE_INTERVAL_MS, () => this.sample());
   }
 
   /** Whether no new work should be taken. */
-  get scarce(): boolean {
-    return this.isScarce;
+  get isScarce(): boolean {
+    return this.scarce;
   }
 
   private sample(): void {
     const { used_heap_size: used, heap_size_limit: limit } = this.read();
-    this.isScarce = used > limit * SCARCE;
-    if (this.isScarce) this.shed();
+    this.scarce = used > limit * SCARCE_FRACTION;
+    if (this.scarce) this.dropCaches();
   }
 }
--- a/src/controller/peer-group.ts
+++ b/src/controller/peer-group.ts
@@ -1,75 +1,84 @@
-/** The links to all other controllers, and what is said and asked over them. */
-import { type Logger, errorMessage } from '../log/logger.js';
-import type { Epoch, JobId } from '../model/ids.js';
+/** The links to all other controllers, and what is sent and requested over them. */
+import type { ConfirmedCancellations } from '../core/confirmed-cancellations.js';
+import type { PeerStatusSource } from '../core/context.js';
+import { errorMessage, type Logger } from '../log/logger.js';
+import type { Epoch, JobId, MemberId } from '../model/ids.js';
 import { UNVERSIONED } from '../model/protocol.js';
 import type { Clock } from '../model/time.js';
-import {
-  type PeerStatus,
-  decodeCancellations,
-  encodeCancellations,
-  FrameKind,
-  type Ping,
-} from '../peer/frames.js';
+import { FrameKind } from '../peer/frames.js';
 import { PeerLink } from '../peer/link.js';
+import { decodePeerStatus, encodePeerStatus, type PeerStatus } from '../peer/peer-status.js';
+import type { Ping } from '../peer/ping.js';
 import type { LeaderRecord } from '../store/leader-record.js';
 import type { MemberLine } from '../wire/members.js';
 import type { PeerAddress } from '../wire/settings.js';
-import type { ConfirmedCancellations } from '../core/confirmed-cancellations.js';
-import type { PeerStatusSource } from '../core/context.js';
 
 /** States for operators where no failure detection runs: whether there is a link. */
 const LINKED = 'linked';
 const NOT_LINKED = 'no link';
+const OK_STATUS = 200;
 
-/** What this node says of itself. */
-export interface OwnState {
+/** What this controller says of itself. */
+export interface LocalState {
   ping(): Ping;
-  /** The epoch that this node leads; null: it does not lead. */
-  leading(): Epoch | null;
-  /** The last record of a leader that this node saw. */
-  leaderRecord(): LeaderRecord | null;
+  /** The epoch that this controller leads; null: it does not lead. */
+  leadingEpoch(): Epoch | null;
+  /** The leader's record as this controller last read it. */
+  observedLeader(): LeaderRecord | null;
 }
 
-/** Is told what the others say. */
+/** Whom the group notifies of what the others say. */
 export interface PeerListener {
-  /** Another node says that it leads. */
-  heardOfLeader(epoch: Epoch): void;
-  /** Every other controller has shown that it takes confirmed cancellations and split records of progress. */
-  allUpgraded(): void;
+  /** Another controller says that it leads. */
+  onPeerLeading(epoch: Epoch): void;
+  /** Every other controller has shown that it accepts confirmed cancellations and split records of progress. */
+  onAllUpgraded(): void;
+}
+
+/** What a group of peers is made of. */
+export interface PeerGroupOptions {
+  readonly peers: readonly PeerAddress[];
+  readonly clock: Clock;
+  readonly log: Logger;
+  readonly cancellations: ConfirmedCancellations;
+  readonly localState: LocalState;
+  readonly listener: PeerListener;
 }
 
 /** All other controllers. */
 export class PeerGroup implements PeerStatusSource {
   readonly links: readonly PeerLink[];
-  private readonly upgraded = new Set<string>();
+  private readonly log: Logger;
+  private readonly cancellations: ConfirmedCancellations;
+  private readonly localState: LocalState;
+  private readonly listener: PeerListener;
+  private readonly upgraded = new Set<MemberId>();
   /** The protocol version that each controller last showed; it stays while there is no link. */
-  private readonly shown = new Map<string, number>();
-
-  constructor(
-    siblings: readonly PeerAddress[],
-    clock: Clock,
-    private readonly log: Logger,
-    private readonly confirmed: ConfirmedCancellations,
-    private readonly own: OwnState,
-    private readonly listener: PeerListener,
-  ) {
-    this.links = siblings.map(
+  private readonly lastVersions = new Map<MemberId, number>();
+
+  constructor({ peers, clock, log, cancellations, localState, listener }: PeerGroupOptions) {
+    this.log = log;
+    this.cancellations = cancellations;
+    this.localState = localState;
+    this.listener = listener;
+    this.links = peers.map(
       ({ member, address }) =>
-        new PeerLink(
+        new PeerLink({
           member,
           address,
           clock,
           log,
-          () => own.ping(),
-          (ping) => {
-            if (ping.leadingEpoch !== null) listener.heardOfLeader(ping.leadingEpoch);
+          localPing: () => localState.ping(),
+          onPing: ({ leadingEpoch }) => {
+            if (leadingEpoch !== null) listener.onPeerLeading(leadingEpoch);
           },
-          (link) => this.versionTold(link),
-        ),
+          onVersion: (link) => this.onVersion(link),
+        }),
     );
-    confirmed.onLearned((ids) => this.broadcastCancellations(this.links, ids));
+    cancellations.onLearned((ids) => this.broadcastCancellations(this.links, ids));
   }
 
+  /** Connects to all of them. */
   start(): void {
     for (const link of this.links) link.start();
   }
@@ -79,38 +88,39 @@
     return this.links.filter((link) => link.isConnected);
   }
 
-  /** Whether the leader, as far as we know, and everybody around who could become one have this version. */
+  /** Whether the leader, as far as known, and every connected controller, which could become leader, have this version. */
   allSupport(version: number): boolean {
-    const leader = this.own.leaderRecord();
+    const leader = this.localState.observedLeader();
     if (leader !== null && leader.version < version) return false;
     return this.connected.every((link) => link.supports(version));
   }
 
-  /** Whether every other controller last showed at least this version, be it heard now or not. */
-  allHaveShownSupport(version: number): boolean {
-    return this.links.every(({ member }) => (this.shown.get(member) ?? UNVERSIONED) >= version);
+  /** Whether every other controller last showed at least this version, be it connected now or not. */
+  everyPeerHasSupported(version: number): boolean {
+    return this.links.every(({ member }) => (this.lastVersions.get(member) ?? UNVERSIONED) >= version);
   }
 
-  /** The node that leads, by its own word or by the last record that we saw. */
-  leader(): PeerLink | undefined {
-    const leading = this.connected.filter((link) => link.ping?.leadingEpoch != null);
-    leading.sort((a, b) => (b.ping?.leadingEpoch ?? 0) - (a.ping?.leadingEpoch ?? 0));
-    return leading[0] ?? this.connected.find((link) => link.member === this.own.leaderRecord()?.member);
+  /** The link to the leader, by the leader's own pings or by the record that was last read. */
+  leaderLink(): PeerLink | undefined {
+    const leading = this.connected.filter((link) => link.lastPing?.leadingEpoch != null);
+    leading.sort((left, right) => (right.lastPing?.leadingEpoch ?? 0) - (left.lastPing?.leadingEpoch ?? 0));
+    const observedLeader = this.localState.observedLeader()?.member;
+    return leading[0] ?? this.connected.find((link) => link.member === observedLeader);
   }
 
-  /** What this node knows of confirmed cancellations: all of them, or those of these jobs. */
-  status(which?: readonly JobId[]): PeerStatus {
+  /** What this controller knows of confirmed cancellations: all of them, or those of these jobs. */
+  status(jobs?: readonly JobId[]): PeerStatus {
     return {
-      uptime: this.confirmed.uptime,
-      leadingEpoch: this.own.leading(),
-      cancellations: this.confirmed.list(which),
+      uptime: this.cancellations.uptime,
+      leadingEpoch: this.localState.leadingEpoch(),
+      cancellations: this.cancellations.list(jobs),
     };
   }
 
-  /** All controllers for an operator, where nobody watches them but by their links. */
-  lines(self: string): MemberLine[] {
-    const leader = this.own.leaderRecord();
-    const line = (member: string, state: string, load: number | null): MemberLine => ({
+  /** All controllers for an operator, where nothing but their links is known of them. */
+  memberLines(self: MemberId): MemberLine[] {
+    const leader = this.localState.observedLeader();
+    const lineOf = (member: MemberId, state: string, load: number | null): MemberLine => ({
       member,
       state,
       forMs: 0,
@@ -121,35 +131,37 @@
       owns: leader?.member === member ? [`cluster (epoch ${leader.epoch})`] : [],
     });
     const others = this.links.map((link) =>
-      line(link.member, link.isConnected ? LINKED : NOT_LINKED, link.ping?.load ?? null),
+      lineOf(link.member, link.isConnected ? LINKED : NOT_LINKED, link.lastPing?.load ?? null),
     );
-    return [line(self, LINKED, this.own.ping().load), ...others];
+    return [lineOf(self, LINKED, this.localState.ping().load), ...others];
   }
 
-  /** Asks each of the others what it knows; null for one that doesn't answer or can't say. */
+  /** Asks each of the others for its status; null for one that doesn't respond or doesn't support that. */
   collectStatus(deadlineMs: number): Promise<(PeerStatus | null)[]> {
-    const payload = encodeCancellations(this.status());
-    return Promise.all(this.links.map((link) => this.askOne(link, payload, deadlineMs)));
+    const payload = encodePeerStatus(this.status());
+    return Promise.all(this.links.map((link) => this.requestStatus(link, payload, deadlineMs)));
   }
 
-  private async askOne(link: PeerLink, payload: Buffer, deadlineMs: number): Promise<PeerStatus | null> {
-    const answer = link.supportsCancellations
-      ? await link.request(FrameKind.Cancelled, payload, deadlineMs)
+  private async requestStatus(
+    link: PeerLink,
+    payload: Buffer,
+    deadlineMs: number,
+  ): Promise<PeerStatus | null> {
+    const response = link.supportsCancellations
+      ? await link.request(FrameKind.ConfirmedCancellations, payload, deadlineMs)
       : null;
-    if (answer?.status !== 200) return null;
+    if (response?.status !== OK_STATUS) return null;
     try {
-      return decodeCancellations(answer.body);
+      return decodePeerStatus(response.body);
     } catch (error) {
-      this.log.debug(
-        { member: link.member, error: errorMessage(error) },
-        'a list of cancellations cannot be read',
-      );
+      this.log.debug({ member: link.member, error: errorMessage(error) }, 'peer status unreadable');
       return null;
     }
   }
 
-  private versionTold(link: PeerLink): void {
-    this.shown.set(link.member, link.ping?.version ?? UNVERSIONED);
+  /** A controller has shown its version on a new connection. */
+  private onVersion(link: PeerLink): void {
+    this.lastVersions.set(link.member, link.lastPing?.version ?? UNVERSIONED);
     if (!link.supportsCancellations) {
       this.warnOfDowngrade(link);
       return;
@@ -157,8 +169,8 @@
     // Whatever it missed while there was no connection.
     this.broadcastCancellations([link]);
     this.upgraded.add(link.member);
-    // Who has once shown its version comes back with no earlier one.
-    if (this.upgraded.size === this.links.length) this.listener.allUpgraded();
+    // One that has once shown its version comes back with no earlier one.
+    if (this.upgraded.size === this.links.length) this.listener.onAllUpgraded();
   }
 
   /** Going back is not supported once dependent jobs or split records exist (docs/upgrade.md). */
@@ -166,14 +178,14 @@
     if (!this.upgraded.has(link.member)) return;
     this.log.warn(
       { member: link.member },
-      'a controller came back with an earlier version: dependent jobs are refused while it is there, and it must not lead while any is open',
+      'controller downgraded: dependent jobs are refused while it is connected, and it must not lead while any is open',
     );
   }
 
-  private broadcastCancellations(to: readonly PeerLink[], which?: readonly JobId[]): void {
-    const takers = to.filter((link) => link.supportsCancellations);
-    if (takers.length === 0) return;
-    const payload = encodeCancellations(this.status(which));
-    for (const link of takers) link.send(FrameKind.Cancelled, 0, payload);
+  private broadcastCancellations(links: readonly PeerLink[], jobs?: readonly JobId[]): void {
+    const receivers = links.filter((link) => link.supportsCancellations);
+    if (receivers.length === 0) return;
+    const payload = encodePeerStatus(this.status(jobs));
+    for (const link of receivers) link.send(FrameKind.ConfirmedCancellations, 0, payload);
   }
 }
--- a/src/controller/user-router.ts
+++ b/src/controller/user-router.ts
@@ -1,38 +1,43 @@
-/** Answers users' requests here or, where this node can't, at another one. */
+/** Answers users' requests here or, where this controller can't, through another one. */
 import type { Admission } from '../api/admission.js';
 import { BusyError, unavailable, type UserAnswer, type UserService } from '../api/user-service.js';
 import { parseJson } from '../net/http-client.js';
-import { encodeUser, FrameKind, type UserVerb } from '../peer/frames.js';
-import { StoreRefusedError, StoreOutcomeUnknownError } from '../store/client.js';
-import type { StoreConnectivityMonitor } from '../controller/store-connectivity.js';
-import type { PeerGroup } from '../controller/peer-group.js';
+import { FrameKind } from '../peer/frames.js';
+import { encodeUserRequest, type UserVerb } from '../peer/user-request.js';
+import { StoreOutcomeUnknownError, StoreRefusedError } from '../store/client.js';
+import type { PeerGroup } from './peer-group.js';
+import type { StoreConnectivityMonitor } from './store-connectivity-monitor.js';
 
-const FORWARD_MS = 1500;
-/** How many other nodes are asked to take what this one has no part of the changes left for. */
-const MOST_ASKED = 4;
+const FORWARD_TIMEOUT_MS = 1500;
+/** How many other controllers are tried when this one has used up its share of the store's writes. */
+const MAX_BUSY_FORWARDS = 4;
 /** Seconds after which it is worth asking again. */
 const BUSY_RETRY_S = 2;
+const UNAVAILABLE_STATUS = 503;
 
-/** Users' requests that were refused, by why. */
+/** Users' requests that were refused, by reason. */
 export interface Refusals {
-  /** This node had no part of the changes left. */
+  /** This controller had used up its share of the store's writes. */
   busy: number;
-  /** The state service refused, or did not answer. */
+  /** The key-value store refused, or did not answer. */
   state: number;
 }
 
-/** Every request is answered at once, if only by when to come back. */
+/** What the router is made of. */
+export interface UserRouterDependencies {
+  readonly users: UserService;
+  readonly admission: Admission;
+  readonly connectivity: StoreConnectivityMonitor;
+  readonly peers: Pick<PeerGroup, 'connected'>;
+  /** Between 0 and 1. */
+  readonly random: () => number;
+}
+
+/** Answers every request at once, if only with when to come back. */
 export class UserRouter {
   private refusals: Refusals = { busy: 0, state: 0 };
 
-  constructor(
-    private readonly users: UserService,
-    private readonly admission: Admission,
-    private readonly connectivity: StoreConnectivityMonitor,
-    private readonly peers: PeerGroup,
-    /** Between 0 and 1. */
-    private readonly random: () => number,
-  ) {}
+  constructor(private readonly dependencies: UserRouterDependencies) {}
 
   /** The refusals since the last call. */
   takeRefusals(): Refusals {
@@ -41,29 +46,31 @@
     return taken;
   }
 
-  /** `mayForward`: it comes from a user, and not from another controller. */
-  async take(verb: UserVerb, body: Buffer, mayForward: boolean): Promise<UserAnswer> {
+  /** Answers a request. `mayForward`: it comes from a user, and not from another controller. */
+  async handle(verb: UserVerb, body: Buffer, mayForward: boolean): Promise<UserAnswer> {
+    const { admission, connectivity } = this.dependencies;
     const rank = verb === 'submit' ? 'submission' : 'query';
-    if (!this.admission.enter(rank)) return unavailable('overloaded', BUSY_RETRY_S);
+    if (!admission.enter(rank)) return unavailable('overloaded', BUSY_RETRY_S);
     try {
-      const elsewhere =
-        mayForward && !this.connectivity.isStoreReachable ? await this.forward(verb, body, 1) : null;
-      return elsewhere ?? (await this.answer(verb, body));
+      const forwarded =
+        mayForward && !connectivity.isStoreReachable ? await this.forward(verb, body, 1) : null;
+      return forwarded ?? (await this.answer(verb, body));
     } catch (error) {
       return await this.afterRefusal(error, verb, body, mayForward);
     } finally {
-      this.admission.leave(rank);
+      admission.leave(rank);
     }
   }
 
   private answer(verb: UserVerb, body: Buffer): Promise<UserAnswer> {
+    const { users } = this.dependencies;
     switch (verb) {
       case 'submit':
-        return this.users.submit(parseJson(body));
+        return users.submit(parseJson(body));
       case 'query':
-        return this.users.query(body.toString('utf8'));
+        return users.query(body.toString('utf8'));
       case 'cancel':
-        return this.users.cancel(body.toString('utf8'));
+        return users.cancel(body.toString('utf8'));
     }
   }
 
@@ -75,29 +82,33 @@
   ): Promise<UserAnswer> {
     if (error instanceof BusyError) {
       this.refusals.busy++;
-      // Each node has its part of what users may write: of several one mostly has some left.
-      const forwarded = mayForward ? await this.forward(verb, body, MOST_ASKED) : null;
+      // Each controller has its share of what users may write: of several one mostly has some left.
+      const forwarded = mayForward ? await this.forward(verb, body, MAX_BUSY_FORWARDS) : null;
       return forwarded ?? unavailable('asked too often', BUSY_RETRY_S);
     }
     if (!(error instanceof StoreRefusedError || error instanceof StoreOutcomeUnknownError)) throw error;
     this.refusals.state++;
-    // Asked too often is meant for all nodes: another one would only ask once more.
+    // A rate limit is meant for all controllers: another one would only ask once more.
     if (error instanceof StoreRefusedError && error.isRateLimited)
       return unavailable('asked too often', BUSY_RETRY_S);
     const forwarded = mayForward ? await this.forward(verb, body, 1) : null;
     return forwarded ?? unavailable('state service not reached');
   }
 
-  /** The state service may refuse this node alone: another one can then answer. */
-  private async forward(verb: UserVerb, body: Buffer, most: number): Promise<UserAnswer | null> {
-    const able = this.peers.connected.filter((link) => link.ping?.isStoreReachable);
-    const first = Math.floor(this.random() * able.length);
-    const payload = encodeUser(verb, body);
-    for (let i = 0; i < Math.min(most, able.length); i++) {
-      const answer = await able[(first + i) % able.length]?.request(FrameKind.User, payload, FORWARD_MS);
-      // Without an answer it may have been taken, and the user has waited long enough to be told.
-      if (!answer) return null;
-      if (answer.status !== 503) return parseJson(Buffer.from(answer.body)) as UserAnswer;
+  /** The store may refuse this controller alone: another one that reaches it can then answer. Null: none did. */
+  private async forward(verb: UserVerb, body: Buffer, maxPeers: number): Promise<UserAnswer | null> {
+    const { peers, random } = this.dependencies;
+    const candidates = peers.connected.filter((peer) => peer.lastPing?.isStoreReachable);
+    const first = Math.floor(random() * candidates.length);
+    const payload = encodeUserRequest(verb, body);
+    for (let index = 0; index < Math.min(maxPeers, candidates.length); index++) {
+      const peer = candidates[(first + index) % candidates.length];
+      const response = await peer?.request(FrameKind.UserRequest, payload, FORWARD_TIMEOUT_MS);
+      // Without a response it may have been carried out, and the user has waited long enough for an answer.
+      if (!response) return null;
+      if (response.status !== UNAVAILABLE_STATUS) {
+        return parseJson(Buffer.from(response.body)) as UserAnswer;
+      }
     }
     return null;
   }
--- a/src/core/confirmed-cancellations.ts
+++ b/src/core/confirmed-cancellations.ts
@@ -1,12 +1,7 @@
+import type { ConfirmedCancellation } from '../model/confirmed-cancellation.js';
 import type { JobId } from '../model/ids.js';
 import { type Clock, type Millis, type MonotonicTime, since } from '../model/time.js';
 
-/** A cancellation that was told to a user, and how long ago the teller learned of it. */
-export interface ConfirmedCancellation {
-  readonly id: JobId;
-  readonly age: Millis;
-}
-
 /** Those older than so many times their limit have been carried out or broken. */
 const KEPT_LIMITS = 3;
 const MOST_KEPT = 20_000;
--- a/src/core/context.ts
+++ b/src/core/context.ts
@@ -2,42 +2,19 @@
 import type { Cloud } from '../cloud/client.js';
 import type { OperatorSettings } from '../config/operators.js';
 import type { Logger } from '../log/logger.js';
-import type {
-  Epoch,
-  MachineId,
-  JobId,
-  MemberId,
-  Revision,
-  AgentIncarnation,
-  FencingToken,
-  MachineTypeId,
-} from '../model/ids.js';
+import type { Epoch, MachineId, JobId, MemberId, Revision, MachineTypeId } from '../model/ids.js';
 import type { MachineType } from '../model/machine.js';
-import type { WorkerCommand, Heartbeat } from '../model/heartbeat.js';
 import type { TermEndReason } from '../model/term-end-reason.js';
 import type { Clock, MonotonicTime } from '../model/time.js';
 import type { JobStore } from '../scheduler/job-store.js';
-import type { PeerStatus } from '../peer/frames.js';
+import type { PeerStatus } from '../peer/peer-status.js';
+import type { WorkerClient } from '../peer/worker-client.js';
 import type { RecordSet } from '../store/records.js';
 import type { StoreLimits } from '../store/store-limits.js';
 import type { KeyValueStore } from '../store/client.js';
 import type { Settings } from '../wire/settings.js';
-import type { CommandReply } from '../wire/workers.js';
 import type { WorkerRegistry } from '../workers/state/worker-registry.js';
 
-/** Direct calls to a worker's own address. */
-export interface WorkerClient {
-  sendCommands(
-    address: string,
-    token: FencingToken,
-    session: AgentIncarnation,
-    commands: readonly WorkerCommand[],
-    deadlineMs: number,
-  ): Promise<CommandReply>;
-  /** `everyWay`: through the other controllers as well. */
-  fetchHeartbeat(address: string, deadlineMs: number, everyWay: boolean): Promise<Heartbeat | null>;
-}
-
 /** What the other controllers say of confirmed cancellations. */
 export interface PeerStatusSource {
   /**
--- a/src/leadership/failover/peer-transport.ts
+++ b/src/leadership/failover/peer-transport.ts
@@ -3,7 +3,7 @@
 import { MEMBERSHIP_VERSION } from '../../model/protocol.js';
 import { type Clock, type MonotonicTime, since } from '../../model/time.js';
 import { FrameKind } from '../../peer/frames.js';
-import type { PeerLink } from '../../peer/link.js';
+import type { Peer } from '../../peer/peer.js';
 import { FAILURE_DETECTION_OFF_STATUS } from './detection-status.js';
 
 const OK_STATUS = 200;
@@ -12,30 +12,30 @@
 
 /** A transport on the peer links; a response comes over the connection that carried the request. */
 export class PeerTransport implements Transport {
-  private readonly links: ReadonlyMap<string, PeerLink>;
+  private readonly peers: ReadonlyMap<string, Peer>;
   private readonly disabledSince = new Map<MemberId, MonotonicTime>();
 
   constructor(
-    links: readonly PeerLink[],
+    peers: readonly Peer[],
     private readonly clock: Clock,
   ) {
-    this.links = new Map(links.map((link) => [link.member, link]));
+    this.peers = new Map(peers.map((peer) => [peer.member, peer]));
   }
 
   async request(to: MemberId, payload: Uint8Array, deadlineMs: number): Promise<Uint8Array | null> {
-    const link = this.links.get(to);
+    const peer = this.peers.get(to);
     // Earlier versions close the connection on a frame kind that they do not know.
-    if (!link?.supports(MEMBERSHIP_VERSION)) return null;
-    const response = await link.request(FrameKind.Membership, Buffer.from(payload), deadlineMs);
+    if (!peer?.supports(MEMBERSHIP_VERSION)) return null;
+    const response = await peer.request(FrameKind.FailureDetection, Buffer.from(payload), deadlineMs);
     if (response?.status === FAILURE_DETECTION_OFF_STATUS) this.disabledSince.set(to, this.clock.now());
     return response?.status === OK_STATUS ? response.body : null;
   }
 
-  support(peer: MemberId): PeerSupport {
-    const link = this.links.get(peer);
-    if (!link?.isConnected) return PeerSupport.Unknown;
-    if (!link.supports(MEMBERSHIP_VERSION)) return PeerSupport.Unsupported;
-    const disabledAt = this.disabledSince.get(peer);
+  support(member: MemberId): PeerSupport {
+    const peer = this.peers.get(member);
+    if (!peer?.isConnected) return PeerSupport.Unknown;
+    if (!peer.supports(MEMBERSHIP_VERSION)) return PeerSupport.Unsupported;
+    const disabledAt = this.disabledSince.get(member);
     const isDisabled = disabledAt !== undefined && since(this.clock.now(), disabledAt) < UNSUPPORTED_RETRY_MS;
     return isDisabled ? PeerSupport.Unsupported : PeerSupport.Supported;
   }
--- /dev/null
+++ b/src/peer/job-progress.ts
@@ -0,0 +1,68 @@
+/** The payload of `FrameKind.Progress`. */
+import { isJobId, type JobId } from '../model/ids.js';
+import { MalformedFrameError, MAX_PAYLOAD_BYTES } from './frames.js';
+
+/** Task counts of one job, for display to users. */
+export interface JobProgress {
+  readonly id: JobId;
+  readonly done: number;
+  readonly running: number;
+}
+
+/** Bytes per job beside its name. */
+const FIXED_BYTES = 9;
+
+/**
+ * Encodes per job: u8 name length, name, u32 done, u32 running. A list too long for one frame becomes several
+ * payloads.
+ */
+export function encodeProgress(jobs: readonly JobProgress[], maxBytes = MAX_PAYLOAD_BYTES): Buffer[] {
+  const payloads: Buffer[] = [];
+  let start = 0;
+  do {
+    let size = 0;
+    let end = start;
+    for (; end < jobs.length; end++) {
+      const length = FIXED_BYTES + (jobs[end] as JobProgress).id.length;
+      if (size + length > maxBytes) break;
+      size += length;
+    }
+    payloads.push(encodePart(jobs.slice(start, end), size));
+    start = end;
+  } while (start < jobs.length);
+  return payloads;
+}
+
+function encodePart(jobs: readonly JobProgress[], size: number): Buffer {
+  const payload = Buffer.allocUnsafe(size);
+  let offset = 0;
+  for (const { id, done, running } of jobs) {
+    payload.writeUInt8(id.length, offset);
+    payload.write(id, offset + 1, 'ascii');
+    payload.writeUInt32BE(done, offset + 1 + id.length);
+    payload.writeUInt32BE(running, offset + 5 + id.length);
+    offset += FIXED_BYTES + id.length;
+  }
+  return payload;
+}
+
+/** Decodes one payload. Throws `MalformedFrameError`. */
+export function decodeProgress(payload: Buffer): JobProgress[] {
+  const jobs: JobProgress[] = [];
+  for (let offset = 0; offset < payload.length;) {
+    const length = payload.readUInt8(offset);
+    if (offset + FIXED_BYTES + length > payload.length) {
+      throw new MalformedFrameError('truncated-payload', 'a truncated progress list');
+    }
+    const id = payload.toString('ascii', offset + 1, offset + 1 + length);
+    if (!isJobId(id))
+      throw new MalformedFrameError('invalid-payload', 'a progress list with an invalid job name');
+    jobs.push({
+      id,
+      done: payload.readUInt32BE(offset + 1 + length),
+      running: payload.readUInt32BE(offset + 5 + length),
+    });
+    offset += FIXED_BYTES + length;
+  }
+  return jobs;
+}
--- a/src/peer/link.ts
+++ b/src/peer/link.ts
@@ -1,233 +1,164 @@
-import { connect, createServer, type Server, type Socket } from 'node:net';
+import { connect, type Socket } from 'node:net';
 import type { Logger } from '../log/logger.js';
 import type { MemberId } from '../model/ids.js';
 import { MAX_LOAD_FOR_DELEGATED_WORK } from '../model/load.js';
-import { type Cancel, type Clock, runPeriodically, type MonotonicTime, since } from '../model/time.js';
 import { DEPENDENCIES_VERSION, UNVERSIONED } from '../model/protocol.js';
+import { type Clock, type MonotonicTime, runPeriodically, since } from '../model/time.js';
 import { splitAddress } from '../net/address.js';
-import {
-  type AnswerFrame,
-  decodeAnswer,
-  decodePing,
-  encodeAnswer,
-  encodeFrame,
-  encodePing,
-  type Frame,
-  FrameReader,
-  FrameKind,
-  type Ping,
-} from './frames.js';
-
-const PING_MS = 500;
-const SILENT_MS = 2500;
-const REDIAL_MS = 400;
-const DIAL_MS = 1500;
-const MOST_UNSENT = 4 << 20;
-
-/** Frames of one turn of the loop leave in one write: each write costs a system call. */
-function writeFrame(socket: Socket, frame: Buffer): void {
-  if (socket.writableCorked === 0) {
-    socket.cork();
-    setImmediate(() => socket.uncork());
-  }
-  socket.write(frame);
-}
-
-function readFrames(socket: Socket, log: Logger, take: (frame: Frame) => void): void {
-  const reader = new FrameReader();
-  socket.on('data', (bytes) => {
-    try {
-      for (const frame of reader.push(bytes)) take(frame);
-    } catch (error) {
-      log.info({ error: (error as Error).message }, 'peer connection closed');
-      socket.destroy();
-    }
-  });
-  socket.on('error', () => socket.destroy());
+import { readFrames, writeFrame } from './frame-socket.js';
+import { decodeResponse, encodeFrame, type Frame, FrameKind, type PeerResponse } from './frames.js';
+import type { Peer } from './peer.js';
+import { decodePing, encodePing, type Ping } from './ping.js';
+
+const PING_INTERVAL_MS = 500;
+/** A connection on which nothing arrives for this long is closed. */
+const SILENCE_TIMEOUT_MS = 2500;
+const RECONNECT_DELAY_MS = 400;
+const CONNECT_TIMEOUT_MS = 1500;
+/** With more than this waiting to be written nothing further is sent. */
+const MAX_UNSENT_BYTES = 4 << 20;
+/** Request ids start again at 1 after this; 0 means that no response is expected. */
+const MAX_REQUEST_ID = 0xffff_fffe;
+
+/** What a link to another controller is made of. */
+export interface PeerLinkOptions {
+  readonly member: MemberId;
+  readonly address: string;
+  readonly clock: Clock;
+  readonly log: Logger;
+  /** What this controller says of itself. */
+  readonly localPing: () => Ping;
+  readonly onPing: (ping: Ping) => void;
+  /** The other side has shown its version, on this connection for the first time. */
+  readonly onVersion?: (link: PeerLink) => void;
 }
 
-/** Our side of the connection to one other controller: we ask, it answers. */
-export class PeerLink {
+/** This controller's side of the connection to one other: this one sends requests, the other responds. */
+export class PeerLink implements Peer {
+  readonly member: MemberId;
+  private readonly clock: Clock;
+  private readonly pendingRequests = new Map<number, (response: PeerResponse | null) => void>();
   private socket: Socket | null = null;
-  private open = false;
-  private next = 1;
-  private readonly waiting = new Map<number, (answer: AnswerFrame | null) => void>();
-  private lastHeard: MonotonicTime | null = null;
-  /** What the other side last said of itself. */
-  ping: Ping | null = null;
-
-  constructor(
-    readonly member: string,
-    private readonly address: string,
-    private readonly clock: Clock,
-    private readonly log: Logger,
-    private readonly myPing: () => Ping,
-    private readonly onPing: (ping: Ping) => void,
-    /** The other side has told its version: on this connection for the first time. */
-    private readonly onVersion: (link: PeerLink) => void = () => {},
-  ) {}
-
-  start(): void {
-    this.dial();
-    runPeriodically(this.clock, PING_MS, () => this.keepAlive());
-  }
+  private isSocketOpen = false;
+  private nextRequestId = 1;
+  private lastHeardAt: MonotonicTime | null = null;
+  private latestPing: Ping | null = null;
 
-  private keepAlive(): void {
-    if (!this.open) return;
-    const silent = this.lastHeard !== null && since(this.clock.now(), this.lastHeard) > SILENT_MS;
-    if (silent) this.socket?.destroy();
-    else this.send(FrameKind.Ping, 0, encodePing(this.myPing()));
-  }
-
-  private dial(): void {
-    const { host, port } = splitAddress(this.address);
-    const socket = connect({ host, port, noDelay: true });
-    this.socket = socket;
-    const late: Cancel = this.clock.after(DIAL_MS, () => {
-      if (socket.connecting) socket.destroy();
-    });
-    socket.on('connect', () => {
-      late();
-      this.open = true;
-      this.lastHeard = this.clock.now();
-      this.send(FrameKind.Ping, 0, encodePing(this.myPing()));
-    });
-    readFrames(socket, this.log, (frame) => this.take(frame));
-    socket.on('close', () => {
-      late();
-      this.open = false;
-      this.ping = null;
-      for (const done of this.waiting.values()) done(null);
-      this.waiting.clear();
-      this.clock.after(REDIAL_MS, () => this.dial());
-    });
+  constructor(private readonly options: PeerLinkOptions) {
+    this.member = options.member;
+    this.clock = options.clock;
   }
 
-  private take(frame: Frame): void {
-    this.lastHeard = this.clock.now();
-    if (frame.kind === FrameKind.Ping) {
-      const before = this.ping;
-      this.ping = decodePing(frame.payload);
-      this.onPing(this.ping);
-      if (before === null) this.onVersion(this);
-    } else if (frame.kind === FrameKind.Answer) {
-      const done = this.waiting.get(frame.request);
-      this.waiting.delete(frame.request);
-      done?.(decodeAnswer(frame.payload));
-    }
+  /** Connects, and connects anew whenever the connection is lost, until the process ends. */
+  start(): void {
+    this.connect();
+    runPeriodically(this.clock, PING_INTERVAL_MS, () => this.keepAlive());
   }
 
-  send(kind: FrameKind, request: number, payload: Buffer): boolean {
-    if (!this.open || !this.socket || this.socket.writableLength > MOST_UNSENT) return false;
-    writeFrame(this.socket, encodeFrame(kind, request, payload));
-    return true;
+  get lastPing(): Ping | null {
+    return this.latestPing;
   }
 
-  /** Whether the other side is heard and has at least this protocol version. */
-  supports(version: number): boolean {
-    return this.isConnected && (this.ping?.version ?? UNVERSIONED) >= version;
+  get isConnected(): boolean {
+    return this.isSocketOpen && this.latestPing !== null;
   }
 
-  /** Heard, and with time to spare for work that is handed to it. */
   get hasSpareCapacity(): boolean {
-    return this.isConnected && (this.ping?.load ?? 0) < MAX_LOAD_FOR_DELEGATED_WORK;
+    return this.isConnected && (this.latestPing?.load ?? 0) < MAX_LOAD_FOR_DELEGATED_WORK;
   }
 
-  /** It takes confirmed cancellations. */
+  /** Whether it accepts confirmed cancellations. */
   get supportsCancellations(): boolean {
     return this.supports(DEPENDENCIES_VERSION);
   }
 
-  /** Heard within the last moments. */
-  get isConnected(): boolean {
-    return this.open && this.ping !== null;
+  supports(version: number): boolean {
+    return this.isConnected && (this.latestPing?.version ?? UNVERSIONED) >= version;
   }
 
-  /** Null: the other side cannot be reached or did not answer in time. */
-  request(kind: FrameKind, payload: Buffer, deadlineMs: number): Promise<AnswerFrame | null> {
-    const request = this.next;
-    this.next = this.next >= 0xffff_fffe ? 1 : this.next + 1;
+  /** Sends a frame; false: it was not sent. */
+  send(kind: FrameKind, requestId: number, payload: Buffer): boolean {
+    if (!this.isSocketOpen || !this.socket || this.socket.writableLength > MAX_UNSENT_BYTES) return false;
+    writeFrame(this.socket, encodeFrame(kind, requestId, payload));
+    return true;
+  }
+
+  request(kind: FrameKind, payload: Buffer, deadlineMs: number): Promise<PeerResponse | null> {
+    const requestId = this.nextRequestId;
+    this.nextRequestId = requestId >= MAX_REQUEST_ID ? 1 : requestId + 1;
     return new Promise((resolve) => {
-      if (!this.send(kind, request, payload)) {
+      if (!this.send(kind, requestId, payload)) {
         resolve(null);
         return;
       }
       const giveUp = (): void => {
-        if (this.waiting.delete(request)) resolve(null);
+        if (this.pendingRequests.delete(requestId)) resolve(null);
       };
-      // A process that is behind has its timers first: an answer that lies unread in the socket still counts.
-      const late = this.clock.after(deadlineMs, () => setImmediate(giveUp));
-      this.waiting.set(request, (answer) => {
-        late();
-        resolve(answer);
+      // A process that is behind runs its timers first: a response that lies unread in the socket still counts.
+      const cancelDeadline = this.clock.after(deadlineMs, () => setImmediate(giveUp));
+      this.pendingRequests.set(requestId, (response) => {
+        cancelDeadline();
+        resolve(response);
       });
     });
   }
-}
-
-/** Kinds that are answered. */
-export type RequestKind = Exclude<FrameKind, FrameKind.Ping | FrameKind.Answer | FrameKind.Progress>;
-const UNASKED: ReadonlySet<FrameKind> = new Set([FrameKind.Ping, FrameKind.Answer, FrameKind.Progress]);
-
-function isAsked(kind: FrameKind): kind is RequestKind {
-  return !UNASKED.has(kind);
-}
 
-/** What other controllers are answered by. */
-export interface PeerHandler {
-  ping(): Ping;
-  progress(payload: Buffer): void;
-  /** `from`: who asks, by its own last ping. */
-  ask(kind: RequestKind, payload: Buffer, from: MemberId): Promise<AnswerFrame>;
-}
+  private connect(): void {
+    const { address, log } = this.options;
+    const { host, port } = splitAddress(address);
+    const socket = connect({ host, port, noDelay: true });
+    this.socket = socket;
+    const cancelTimeout = this.clock.after(CONNECT_TIMEOUT_MS, () => {
+      if (socket.connecting) socket.destroy();
+    });
+    socket.on('connect', () => {
+      cancelTimeout();
+      this.isSocketOpen = true;
+      this.lastHeardAt = this.clock.now();
+      this.sendPing();
+    });
+    readFrames(socket, log, (frame) => this.receive(frame));
+    socket.on('close', () => {
+      cancelTimeout();
+      this.onDisconnected();
+    });
+  }
 
-/** Listens for the other controllers and answers what they ask. */
-export class PeerServer {
-  private readonly server: Server;
-
-  constructor(
-    private readonly handler: PeerHandler,
-    maxSockets: number,
-    private readonly log: Logger,
-  ) {
-    this.server = createServer({ noDelay: true }, (socket) => this.accept(socket));
-    this.server.maxConnections = maxSockets;
-    this.server.on('error', (error) => log.error({ error: error.message }, 'peer server failed'));
+  private onDisconnected(): void {
+    this.isSocketOpen = false;
+    this.latestPing = null;
+    for (const settle of this.pendingRequests.values()) settle(null);
+    this.pendingRequests.clear();
+    this.clock.after(RECONNECT_DELAY_MS, () => this.connect());
   }
 
-  private accept(socket: Socket): void {
-    socket.setTimeout(15_000, () => socket.destroy());
-    const peer = { member: '' as MemberId };
-    readFrames(socket, this.log, (frame) => this.take(socket, peer, frame));
+  private keepAlive(): void {
+    if (!this.isSocketOpen) return;
+    const isSilent =
+      this.lastHeardAt !== null && since(this.clock.now(), this.lastHeardAt) > SILENCE_TIMEOUT_MS;
+    if (isSilent) this.socket?.destroy();
+    else this.sendPing();
   }
 
-  private take(socket: Socket, peer: { member: MemberId }, frame: Frame): void {
-    const { kind, request } = frame;
-    if (kind === FrameKind.Ping) {
-      peer.member = decodePing(frame.payload).member as MemberId;
-      writeFrame(socket, encodeFrame(FrameKind.Ping, 0, encodePing(this.handler.ping())));
-    } else if (kind === FrameKind.Progress) this.handler.progress(frame.payload);
-    else if (isAsked(kind)) {
-      void this.handler.ask(kind, frame.payload, peer.member).then((answer) => {
-        // What is only told (request 0) needs no answer.
-        if (request === 0 || !socket.writable) return;
-        writeFrame(socket, encodeFrame(FrameKind.Answer, request, encodeAnswer(answer.status, answer.body)));
-      });
-    }
+  private sendPing(): void {
+    this.send(FrameKind.Ping, 0, encodePing(this.options.localPing()));
   }
 
-  listen(address: string): Promise<void> {
-    const { host, port } = splitAddress(address);
-    return new Promise((resolve, reject) => {
-      this.server.once('error', reject);
-      this.server.listen({ host, port }, () => {
-        this.server.removeListener('error', reject);
-        resolve();
-      });
-    });
+  private receive(frame: Frame): void {
+    this.lastHeardAt = this.clock.now();
+    if (frame.kind === FrameKind.Ping) {
+      this.receivePing(decodePing(frame.payload));
+    } else if (frame.kind === FrameKind.Response) {
+      const settle = this.pendingRequests.get(frame.requestId);
+      this.pendingRequests.delete(frame.requestId);
+      settle?.(decodeResponse(frame.payload));
+    }
   }
 
-  close(): void {
-    this.server.close();
+  private receivePing(ping: Ping): void {
+    const isFirst = this.latestPing === null;
+    this.latestPing = ping;
+    this.options.onPing(ping);
+    if (isFirst) this.options.onVersion?.(this);
   }
 }
--- a/src/workers/worker-connections.ts
+++ b/src/workers/worker-connections.ts
@@ -1,5 +1,5 @@
 /** Calls to the workers' own addresses. */
-import type { CallVerb } from '../peer/frames.js';
+import type { CallVerb } from '../peer/worker-call.js';
 import { HttpTarget, NoSocketError, type HttpReply, SocketCount } from '../net/http-client.js';
 
 interface Target {
--- a/test/simulation/site-controllers.ts
+++ b/test/simulation/site-controllers.ts
@@ -13,7 +13,7 @@
 import type { Heartbeat } from '../../src/model/heartbeat.js';
 import { PROTOCOL_VERSION } from '../../src/model/protocol.js';
 import { seconds } from '../../src/model/time.js';
-import type { PeerStatus } from '../../src/peer/frames.js';
+import type { PeerStatus } from '../../src/peer/peer-status.js';
 import { limitProbe } from '../../src/store/limit-probe.js';
 import { StoreLimits } from '../../src/store/store-limits.js';
 import { START_WITHHELD } from '../../src/workers/command-issuer.js';
--- a/test/traces/upgrade.test.ts
+++ b/test/traces/upgrade.test.ts
@@ -8,17 +8,12 @@
   type FenceGeneration,
   fencingTokenOf,
 } from '../../src/model/ids.js';
-import {
-  decodeCancellations,
-  decodePing,
-  encodeCall,
-  encodeFrame,
-  encodePing,
-  encodeProgress,
-  encodeUser,
-  FrameReader,
-  FrameKind,
-} from '../../src/peer/frames.js';
+import { encodeFrame, FrameKind, FrameReader } from '../../src/peer/frames.js';
+import { encodeProgress } from '../../src/peer/job-progress.js';
+import { decodePeerStatus } from '../../src/peer/peer-status.js';
+import { decodePing, encodePing } from '../../src/peer/ping.js';
+import { encodeUserRequest } from '../../src/peer/user-request.js';
+import { encodeWorkerCall } from '../../src/peer/worker-call.js';
 import {
   DEPENDENCIES_VERSION,
   PROTOCOL_VERSION,
@@ -195,11 +190,11 @@
   it('and its frames are read; what is new since is kept from it', () => {
     const bytes = Object.values(landed.frames).map((hex) => Buffer.from(hex, 'hex'));
     const frames = new FrameReader().push(Buffer.concat(bytes));
-    expect(frames.map((frame) => frame.kind)).toEqual([FrameKind.Ping, FrameKind.Cancelled]);
+    expect(frames.map((frame) => frame.kind)).toEqual([FrameKind.Ping, FrameKind.ConfirmedCancellations]);
     const ping = decodePing(frames[0]?.payload as Buffer);
     expect(ping).toMatchObject({ version: DEPENDENCIES_VERSION, leadingEpoch: 5 });
     expect(ping.version).toBeLessThan(SPLIT_DESCRIPTIONS_VERSION);
-    expect(decodeCancellations(frames[1]?.payload as Buffer)).toEqual({
+    expect(decodePeerStatus(frames[1]?.payload as Buffer)).toEqual({
       uptime: 61_000,
       leadingEpoch: 5,
       cancellations: [{ id: 'j-000412', age: 1500 }],
@@ -214,8 +209,8 @@
     expect(frames.map((f) => f.kind)).toEqual([
       FrameKind.Ping,
       FrameKind.Progress,
-      FrameKind.User,
-      FrameKind.Call,
+      FrameKind.UserRequest,
+      FrameKind.WorkerCall,
     ]);
     expect(decodePing(frames[0]?.payload as Buffer)).toEqual({
       member: 'node-0',
@@ -230,8 +225,10 @@
     expect(encodeProgress([job]).map((payload) => hex(FrameKind.Progress, 0, payload))).toEqual([
       production.frames.progress,
     ]);
-    expect(hex(FrameKind.User, 7, encodeUser('cancel', Buffer.from(job.id)))).toBe(production.frames.user);
-    expect(hex(FrameKind.Call, 8, encodeCall('show', '10.1.0.1:9000', 800, undefined))).toBe(
+    expect(hex(FrameKind.UserRequest, 7, encodeUserRequest('cancel', Buffer.from(job.id)))).toBe(
+      production.frames.user,
+    );
+    expect(hex(FrameKind.WorkerCall, 8, encodeWorkerCall('show', '10.1.0.1:9000', 800, undefined))).toBe(
       production.frames.call,
     );
   });
--- a/test/unit/failover.test.ts
+++ b/test/unit/failover.test.ts
@@ -13,10 +13,10 @@
 import { loadFeatures } from '../../src/config/features.js';
 import { InvalidSettingsError } from '../../src/config/operators.js';
 import { silentLogger } from '../../src/log/logger.js';
-import type { MemberId as MemberIdOfNode } from '../../src/model/ids.js';
+import type { MemberId as ControllerId } from '../../src/model/ids.js';
 import { MEMBERSHIP_VERSION } from '../../src/model/protocol.js';
-import type { AnswerFrame } from '../../src/peer/frames.js';
-import type { PeerLink } from '../../src/peer/link.js';
+import type { FrameKind } from '../../src/peer/frames.js';
+import type { Peer } from '../../src/peer/peer.js';
 import { epochRecord, encodeEpoch, encodeLeader, leaderRecord } from '../../src/store/leader-record.js';
 import type { MembersReport } from '../../src/wire/members.js';
 import { VirtualClock } from '../simulation/clock.js';
@@ -58,7 +58,7 @@
 describe('check-config', () => {
   it('refuses failure detection with a controller that is named twice, with exit code 2', async () => {
     const settings = settingsOf('a', SMALL);
-    const sibling = { member: 'b' as MemberIdOfNode, address: '127.0.0.1:2' };
+    const sibling = { member: 'b' as ControllerId, address: '127.0.0.1:2' };
     const feature = loadFeatures(folderWith('enabled = true')).failover;
     if (feature === null) throw new Error('off');
     expect(() => checkFailover({ ...settings, peers: [sibling, sibling] }, feature)).toThrow(
@@ -158,52 +158,55 @@
   });
 });
 
-function link(changes: Partial<PeerLink>): { link: PeerLink; asked: number[] } {
-  const asked: number[] = [];
-  const whole = {
-    member: 'b',
+/** A peer that responds to everything, and the kinds of frames that it was sent. */
+function respondingPeer(overrides: Partial<Peer>): { peer: Peer; requested: FrameKind[] } {
+  const requested: FrameKind[] = [];
+  const peer: Peer = {
+    member: 'b' as ControllerId,
+    lastPing: null,
     isConnected: true,
+    hasSpareCapacity: true,
     supports: () => true,
-    request: (kind: number) => {
-      asked.push(kind);
-      return Promise.resolve({ status: 200, body: Buffer.from('answer') } satisfies AnswerFrame);
+    request: (kind) => {
+      requested.push(kind);
+      return Promise.resolve({ status: 200, body: Buffer.from('answer') });
     },
-    ...changes,
+    ...overrides,
   };
-  return { link: whole as unknown as PeerLink, asked };
+  return { peer, requested };
 }
 
-describe('membership messages on the peer links', () => {
+describe('PeerTransport', () => {
   const B = 'b' as MemberId;
   const nothing = new Uint8Array();
 
   // An earlier version closes the connection on a kind that it does not know, and with it everything else that is said there.
-  it('never go to a peer of an earlier version', async () => {
-    const { link: old, asked } = link({ supports: () => false });
+  it('never sends to a peer of an earlier version', async () => {
+    const { peer: old, requested } = respondingPeer({ supports: () => false });
     const transport = new PeerTransport([old], new VirtualClock());
     expect(transport.support(B)).toBe(PeerSupport.Unsupported);
     expect(await transport.request(B, nothing, 100)).toBeNull();
-    expect(asked).toEqual([]);
+    expect(requested).toEqual([]);
   });
 
-  it('tell a peer without failure detection from one that is silent', async () => {
+  it('tells a peer without failure detection from one that is unresponsive', async () => {
     const clock = new VirtualClock();
     const off = { status: FAILURE_DETECTION_OFF_STATUS, body: Buffer.alloc(0) };
-    const { link: switchedOff } = link({ request: () => Promise.resolve(off) });
-    const transport = new PeerTransport([switchedOff], clock);
+    const { peer: disabled } = respondingPeer({ request: () => Promise.resolve(off) });
+    const transport = new PeerTransport([disabled], clock);
     expect(transport.support(B)).toBe(PeerSupport.Supported);
     expect(await transport.request(B, nothing, 100)).toBeNull();
     expect(transport.support(B)).toBe(PeerSupport.Unsupported);
     await clock.advance(6000);
     expect(transport.support(B)).toBe(PeerSupport.Supported);
-    const { link: silent } = link({ request: () => Promise.resolve(null) });
-    const other = new PeerTransport([silent], clock);
+    const { peer: unresponsive } = respondingPeer({ request: () => Promise.resolve(null) });
+    const other = new PeerTransport([unresponsive], clock);
     expect(await other.request(B, nothing, 100)).toBeNull();
     expect(other.support(B)).toBe(PeerSupport.Supported);
   });
 });
 
-describe('records read ahead', () => {
+describe('RecordPrefetcher', () => {
   const set = (key: string, value: unknown) => ({ set: key, value });
 
   async function filled(): Promise<{
@@ -225,7 +228,7 @@
     return { clock, state, prefetch: new RecordPrefetcher(store, clock, silentLogger) };
   }
 
-  it('are what a reading would bring at the moment at which they are taken', async () => {
+  it('hands out what a read would bring at that moment', async () => {
     const { clock, state, prefetch } = await filled();
     void prefetch.start();
     await clock.advance(100);
@@ -240,7 +243,7 @@
     expect(await prefetch.take('open/')).toBeNull();
   });
 
-  it('are dropped when the suspicion is refuted, and after a while', async () => {
+  it('drops the records when the suspicion is refuted, and after a while', async () => {
     const { clock, prefetch } = await filled();
     void prefetch.start();
     await clock.advance(100);
@@ -251,7 +254,7 @@
     expect(await prefetch.take('fleet/')).toBeNull();
   });
 
-  it('are missing, not wrong, where the state service was out', async () => {
+  it('hands out nothing, rather than something wrong, where the store was out', async () => {
     const { clock, state, prefetch } = await filled();
     state.outage = true;
     void prefetch.start();
--- a/test/unit/load.test.ts
+++ b/test/unit/load.test.ts
@@ -19,7 +19,7 @@
 import { seconds } from '../../src/model/time.js';
 import { NoAnswerError, NoSocketError } from '../../src/net/http-client.js';
 import { YieldingWorkQueue } from '../../src/net/work-queue.js';
-import type { PeerLink } from '../../src/peer/link.js';
+import type { Peer } from '../../src/peer/peer.js';
 import { NO_SOCKET_STATUS, RoutedCaller } from '../../src/peer/routed-caller.js';
 import type { Task } from '../../src/scheduler/task.js';
 import { WorkerFailureDetector } from '../../src/workers/failure-detector.js';
@@ -28,7 +28,7 @@
 import { VirtualClock } from '../simulation/clock.js';
 import { workerOf } from '../simulation/worker-state.js';
 
-describe('the load monitor', () => {
+describe('LoadMonitor', () => {
   it('tells a process that has used up its share from one that waits', async () => {
     const clock = new VirtualClock();
     const loop = { idle: 0, active: 0 };
@@ -46,30 +46,30 @@
   });
 });
 
-describe('a busy leader', () => {
+describe('WorkerRedirects', () => {
   const others = ['b', 'c'] as MemberId[];
-  const host = (n: number): MachineId => `host-${n}` as MachineId;
+  const worker = (index: number): MachineId => `host-${index}` as MachineId;
 
-  it('sends its workers to the other controllers in turn, and a leader with time to spare none', () => {
+  it("redirects a busy leader's workers to the other controllers in turn, and no worker of an idle one", () => {
     const clock = new VirtualClock();
     let load = 0.9;
     const redirects = new WorkerRedirects(clock, () => load);
-    const targets = [1, 2, 3, 4].map((n) => redirects.target(host(n), others));
+    const targets = [1, 2, 3, 4].map((index) => redirects.targetFor(worker(index), others));
     expect(new Set(targets)).toEqual(new Set(others));
-    expect(redirects.target(host(5), [])).toBeNull();
+    expect(redirects.targetFor(worker(5), [])).toBeNull();
     load = 0.3;
-    expect(redirects.target(host(6), others)).toBeNull();
+    expect(redirects.targetFor(worker(6), others)).toBeNull();
   });
 
   // A follower that cannot pass reports on would send the worker back, and its lease would run out between the two.
   it('keeps a worker that comes back soon', async () => {
     const clock = new VirtualClock();
     const redirects = new WorkerRedirects(clock, () => 1);
-    expect(redirects.target(host(1), others)).not.toBeNull();
+    expect(redirects.targetFor(worker(1), others)).not.toBeNull();
     await clock.advance(2000);
-    expect(redirects.target(host(1), others)).toBeNull();
+    expect(redirects.targetFor(worker(1), others)).toBeNull();
     await clock.advance(200_000);
-    expect(redirects.target(host(1), others)).not.toBeNull();
+    expect(redirects.targetFor(worker(1), others)).not.toBeNull();
   });
 });
 
@@ -171,17 +171,17 @@
   });
 });
 
-describe('a process that runs out of memory', () => {
-  it('drops its caches and refuses submissions, and takes them again afterwards', async () => {
+describe('MemoryMonitor', () => {
+  it('drops caches and refuses submissions while memory is scarce, and admits them again afterwards', async () => {
     const clock = new VirtualClock();
     const heap = { used_heap_size: 50, heap_size_limit: 100 };
-    let shed = 0;
+    let drops = 0;
     const memory = new MemoryMonitor(
       clock,
-      () => shed++,
+      () => drops++,
       () => ({ ...heap }),
     );
-    const admission = new Admission(clock, { submission: 1, query: 1 }, () => memory.scarce);
+    const admission = new Admission(clock, { submission: 1, query: 1 }, () => memory.isScarce);
     const taken = async (): Promise<boolean[]> => {
       await clock.advance(1000);
       return (['submission', 'query'] as const).map((rank) => {
@@ -193,25 +193,27 @@
     expect(await taken()).toEqual([true, true]);
     heap.used_heap_size = 95;
     expect(await taken()).toEqual([false, true]);
-    expect(shed).toBe(1);
+    expect(drops).toBe(1);
     heap.used_heap_size = 50;
     expect(await taken()).toEqual([true, true]);
   });
 });
 
-describe('calls to workers from a busy leader', () => {
+describe('RoutedCaller', () => {
   const reply = { status: 200, body: Buffer.from('{}') };
-  const link = (asked: string[], name: string, hasTime: boolean, status = 200): PeerLink =>
-    ({
-      isConnected: true,
-      hasSpareCapacity: hasTime,
-      request: () => {
-        asked.push(name);
-        return Promise.resolve({ ...reply, status });
-      },
-    }) as unknown as PeerLink;
+  const peer = (asked: string[], name: string, hasSpareCapacity: boolean, status = 200): Peer => ({
+    member: name as MemberId,
+    lastPing: null,
+    isConnected: true,
+    hasSpareCapacity,
+    supports: () => true,
+    request: () => {
+      asked.push(name);
+      return Promise.resolve({ ...reply, status });
+    },
+  });
 
-  function caller(load: number, links: (asked: string[]) => PeerLink[]) {
+  function caller(load: number, peers: (asked: string[]) => Peer[]) {
     const asked: string[] = [];
     const direct = {
       call: () => {
@@ -219,31 +221,31 @@
         return Promise.resolve({ executed: true, heartbeat: null });
       },
     };
-    const routed = new RoutedCaller(direct, links(asked), new VirtualClock(), () => load);
+    const routed = new RoutedCaller(direct, peers(asked), new VirtualClock(), () => load);
     const command = () =>
       routed.sendCommands('10.1.0.1:9000', 1 as FencingToken, 1 as AgentIncarnation, [], 1500);
     return { asked, command };
   }
 
-  it('go through another controller that has time, and through none that has not', async () => {
-    const idle = caller(0.2, (asked) => [link(asked, 'b', true)]);
+  it('calls through a peer with spare capacity while this controller is busy, and through no other', async () => {
+    const idle = caller(0.2, (asked) => [peer(asked, 'b', true)]);
     await idle.command();
     expect(idle.asked).toEqual(['direct']);
-    const busy = caller(0.9, (asked) => [link(asked, 'b', true)]);
+    const busy = caller(0.9, (asked) => [peer(asked, 'b', true)]);
     await busy.command();
     expect(busy.asked).toEqual(['b']);
-    const allBusy = caller(0.9, (asked) => [link(asked, 'b', false)]);
+    const allBusy = caller(0.9, (asked) => [peer(asked, 'b', false)]);
     await allBusy.command();
     expect(allBusy.asked).toEqual(['direct']);
   });
 
-  it('are made directly after they failed there: that a controller reaches no worker says nothing of the worker', async () => {
-    const failing = caller(0.9, (asked) => [link(asked, 'b', true, 503)]);
+  it('calls directly after a call through a peer failed: that a controller reaches no worker says nothing of the worker', async () => {
+    const failing = caller(0.9, (asked) => [peer(asked, 'b', true, 503)]);
     await expect(failing.command()).rejects.toThrow(NoAnswerError);
     await failing.command();
     expect(failing.asked).toEqual(['b', 'direct']);
     // Nothing was sent: the host is under no suspicion.
-    const full = caller(0.9, (asked) => [link(asked, 'b', true, NO_SOCKET_STATUS)]);
+    const full = caller(0.9, (asked) => [peer(asked, 'b', true, NO_SOCKET_STATUS)]);
     await expect(full.command()).rejects.toThrow(NoSocketError);
   });
 });
--- a/test/unit/share.test.ts
+++ b/test/unit/share.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import { RevisionConfirmations } from '../../src/api/job-cache.js';
-import { StoreConnectivityMonitor } from '../../src/controller/store-connectivity.js';
+import { StoreConnectivityMonitor } from '../../src/controller/store-connectivity-monitor.js';
 import { machinesToEmpty, type PartlyUsed } from '../../src/fleet/consolidation.js';
 import type { MachineId, Revision } from '../../src/model/ids.js';
 import { shareSockets } from '../../src/net/sockets.js';
@@ -47,34 +47,33 @@
   });
 });
 
-describe('a node’s sockets', () => {
+describe('shareSockets', () => {
   it.each([
     [2500, 2],
     [1200, 4],
     [300, 2],
-  ])('are never shared out twice (%i, %i peers)', (sockets, peers) => {
-    const s = shareSockets(sockets, peers);
-    expect(s.front + s.peers + peers + s.state + s.watches + s.cloud + s.workers).toBeLessThanOrEqual(
-      sockets,
-    );
-    expect(s.front).toBeGreaterThan(sockets * 0.4);
+  ])('never shares a socket out twice (%i, %i peers)', (sockets, peers) => {
+    const shares = shareSockets(sockets, peers);
+    const { front, state, watches, cloud, workers } = shares;
+    expect(front + shares.peers + peers + state + watches + cloud + workers).toBeLessThanOrEqual(sockets);
+    expect(front).toBeGreaterThan(sockets * 0.4);
   });
 });
 
-describe('a node’s place behind the load balancer', () => {
-  it('is given up only when it alone reaches nobody', async () => {
+describe('StoreConnectivityMonitor', () => {
+  it('counts as partitioned only when this controller alone reaches nobody', async () => {
     const clock = new VirtualClock();
-    const reach = new StoreConnectivityMonitor(clock);
-    reach.recordCall(true);
+    const connectivity = new StoreConnectivityMonitor(clock);
+    connectivity.recordCall(true);
     await clock.advance(10_000);
-    reach.recordCall(false);
+    connectivity.recordCall(false);
     // an outage that the others share
-    expect(reach.isPartitioned([{ isConnected: true }, { isConnected: false }])).toBe(false);
-    expect(reach.isPartitioned([{ isConnected: false }, { isConnected: false }])).toBe(true);
-    reach.recordCall(true);
-    expect(reach.isPartitioned([{ isConnected: false }])).toBe(false);
+    expect(connectivity.isPartitioned([{ isConnected: true }, { isConnected: false }])).toBe(false);
+    expect(connectivity.isPartitioned([{ isConnected: false }, { isConnected: false }])).toBe(true);
+    connectivity.recordCall(true);
+    expect(connectivity.isPartitioned([{ isConnected: false }])).toBe(false);
     // a site of one node has nobody to hand over to
-    expect(reach.isPartitioned([])).toBe(false);
+    expect(connectivity.isPartitioned([])).toBe(false);
   });
 });
 
--- a/test/unit/sockets.test.ts
+++ b/test/unit/sockets.test.ts
@@ -10,8 +10,10 @@
 import { HttpTarget } from '../../src/net/http-client.js';
 import { FrontServer } from '../../src/net/server.js';
 import { splitAddress } from '../../src/net/address.js';
-import { encodeFrame, encodePing, FrameKind, type Ping } from '../../src/peer/frames.js';
-import { PeerLink, PeerServer } from '../../src/peer/link.js';
+import { encodeFrame, FrameKind } from '../../src/peer/frames.js';
+import { PeerLink } from '../../src/peer/link.js';
+import { encodePing, type Ping } from '../../src/peer/ping.js';
+import { PeerServer } from '../../src/peer/server.js';
 
 /** Real sockets on loopback; every wait is for an event. */
 const closing: (() => void)[] = [];
@@ -121,50 +123,48 @@
   });
 });
 
-describe('the peer link', () => {
-  it('carries questions and pings between two nodes', async () => {
-    const ping = (member: string): Ping => ({
-      member,
-      isStoreReachable: true,
-      leadingEpoch: null,
-      version: 0,
-      load: 0,
-    });
-    const server = new PeerServer(
-      {
-        ping: () => ping('b'),
-        progress: () => {},
-        ask: (_kind, payload) => Promise.resolve({ status: 200, body: payload }),
+function pingOf(member: string, version: number): Ping {
+  return { member, isStoreReachable: true, leadingEpoch: null, version, load: 0 };
+}
+
+describe('PeerLink and PeerServer', () => {
+  it('exchange pings, requests and responses between two controllers', async () => {
+    const server = new PeerServer({
+      handler: {
+        ping: () => pingOf('b', UNVERSIONED),
+        onProgress: () => {},
+        handleRequest: (_kind, payload) => Promise.resolve({ status: 200, body: payload }),
       },
-      4,
-      silentLogger,
-    );
+      maxSockets: 4,
+      log: silentLogger,
+    });
     const address = await freeAddress();
     await server.listen(address);
     closing.push(() => server.close());
     const heard = await new Promise<{ link: PeerLink; from: Ping }>((resolve) => {
-      const link: PeerLink = new PeerLink(
-        'b',
+      const link: PeerLink = new PeerLink({
+        member: 'b' as MemberId,
         address,
-        systemClock,
-        silentLogger,
-        () => ping('a'),
-        (from) => resolve({ link, from }),
-      );
+        clock: systemClock,
+        log: silentLogger,
+        localPing: () => pingOf('a', UNVERSIONED),
+        onPing: (from) => resolve({ link, from }),
+      });
       link.start();
     });
     expect(heard.from.member).toBe('b');
-    const answer = await heard.link.request(FrameKind.Heartbeat, Buffer.from('{}'), 5000);
-    expect(answer).toMatchObject({ status: 200 });
-    expect(answer?.body.toString()).toBe('{}');
+    const response = await heard.link.request(FrameKind.Heartbeat, Buffer.from('{}'), 5000);
+    expect(response).toMatchObject({ status: 200 });
+    expect(response?.body.toString()).toBe('{}');
   });
+});
 
+describe('PeerGroup', () => {
   it('warns where a controller comes back with an earlier version', async () => {
-    const told = [PROTOCOL_VERSION, UNVERSIONED];
+    const versions = [PROTOCOL_VERSION, UNVERSIONED];
     const server = createServer((socket) => {
-      const version = told.shift() ?? UNVERSIONED;
-      const ping: Ping = { member: 'b', isStoreReachable: true, leadingEpoch: null, version, load: 0 };
-      socket.write(encodeFrame(FrameKind.Ping, 0, encodePing(ping)));
+      const version = versions.shift() ?? UNVERSIONED;
+      socket.write(encodeFrame(FrameKind.Ping, 0, encodePing(pingOf('b', version))));
       // The first process ends, and another one takes its place.
       if (version > UNVERSIONED) setTimeout(() => socket.destroy(), 50);
     });
@@ -174,24 +174,18 @@
     closing.push(() => server.close());
     const upgraded: string[] = [];
     const warning = await new Promise<object>((resolve) => {
-      const group = new PeerGroup(
-        [{ member: 'b' as MemberId, address }],
-        systemClock,
-        { ...silentLogger, warn: resolve },
-        new ConfirmedCancellations(systemClock, ms(1000)),
-        {
-          ping: () => ({
-            member: 'a',
-            isStoreReachable: true,
-            leadingEpoch: null,
-            version: PROTOCOL_VERSION,
-            load: 0,
-          }),
-          leading: () => null,
-          leaderRecord: () => null,
+      const group = new PeerGroup({
+        peers: [{ member: 'b' as MemberId, address }],
+        clock: systemClock,
+        log: { ...silentLogger, warn: resolve },
+        cancellations: new ConfirmedCancellations(systemClock, ms(1000)),
+        localState: {
+          ping: () => pingOf('a', PROTOCOL_VERSION),
+          leadingEpoch: () => null,
+          observedLeader: () => null,
         },
-        { heardOfLeader: () => {}, allUpgraded: () => upgraded.push('all') },
-      );
+        listener: { onPeerLeading: () => {}, onAllUpgraded: () => upgraded.push('all') },
+      });
       group.start();
     });
     expect(upgraded).toEqual(['all']);
--- a/test/unit/wire.test.ts
+++ b/test/unit/wire.test.ts
@@ -2,14 +2,8 @@
 import { ProgressCache } from '../../src/controller/progress-cache.js';
 import { readOperators } from '../../src/config/operators.js';
 import type { MachineId, JobId, TaskIndex, AttemptNumber } from '../../src/model/ids.js';
-import {
-  MalformedFrameError,
-  decodeProgress,
-  encodeFrame,
-  encodeProgress,
-  FrameReader,
-  FrameKind,
-} from '../../src/peer/frames.js';
+import { encodeFrame, FrameKind, FrameReader, MalformedFrameError } from '../../src/peer/frames.js';
+import { decodeProgress, encodeProgress } from '../../src/peer/job-progress.js';
 import { decodeChunk, encodeChunk } from '../../src/store/progress-record.js';
 import { findTooSmallSettings } from '../../src/config/limits.js';
 import { readSettings } from '../../src/wire/settings.js';
@@ -122,7 +116,7 @@
     ]);
     const reader = new FrameReader();
     const frames = [...bytes].flatMap((b) => reader.push(Buffer.from([b])));
-    expect(frames.map((f) => [f.kind, f.request, f.payload.length])).toEqual([
+    expect(frames.map((f) => [f.kind, f.requestId, f.payload.length])).toEqual([
       [FrameKind.Heartbeat, 7, 7],
       [FrameKind.Ping, 0, 3],
     ]);
@@ -145,8 +139,8 @@
     expect(payloads.every((payload) => payload.length <= 4096)).toBe(true);
     expect(payloads.flatMap(decodeProgress)).toEqual(jobs);
     const board = new ProgressCache(new VirtualClock());
-    for (const payload of payloads) board.store(payload);
-    expect([board.of('j-0' as JobId)?.done, board.of('j-8999' as JobId)?.done]).toEqual([0, 8999]);
+    for (const payload of payloads) board.update(payload);
+    expect([board.get('j-0' as JobId)?.done, board.get('j-8999' as JobId)?.done]).toEqual([0, 8999]);
   });
 });
 
--- a/test/unit/worker-lease-policy.test.ts
+++ b/test/unit/worker-lease-policy.test.ts
@@ -6,7 +6,7 @@
 import { silentLogger } from '../../src/log/logger.js';
 import type { Epoch, JobId } from '../../src/model/ids.js';
 import { type Millis, ms, seconds } from '../../src/model/time.js';
-import type { PeerStatus } from '../../src/peer/frames.js';
+import type { PeerStatus } from '../../src/peer/peer-status.js';
 import { VirtualClock } from '../simulation/clock.js';
 
 type Word = PeerStatus | null;
