--- a/src/controller/peer-group.ts
+++ b/src/controller/peer-group.ts
@@ -88,7 +88,7 @@
     return this.links.filter((link) => link.isConnected);
   }
 
-  /** Whether the leader, as far as known, and every connected controller, which could become leader, have this version. */
+  /** Whether the last observed leader and every connected controller, each of which could lead next, have this version. */
   allSupport(version: number): boolean {
     const leader = this.localState.observedLeader();
     if (leader !== null && leader.version < version) return false;
--- a/src/controller/user-router.ts
+++ b/src/controller/user-router.ts
@@ -56,7 +56,7 @@
         mayForward && !connectivity.isStoreReachable ? await this.forward(verb, body, 1) : null;
       return forwarded ?? (await this.answer(verb, body));
     } catch (error) {
-      return await this.afterRefusal(error, verb, body, mayForward);
+      return await this.handleRefusal(error, verb, body, mayForward);
     } finally {
       admission.leave(rank);
     }
@@ -74,7 +74,7 @@
     }
   }
 
-  private async afterRefusal(
+  private async handleRefusal(
     error: unknown,
     verb: UserVerb,
     body: Buffer,
--- a/src/leadership/failover/leader-claims.ts
+++ b/src/leadership/failover/leader-claims.ts
@@ -54,7 +54,7 @@
   };
 }
 
-/** What the two records tell; null: the leader runs without failure detection, and only its grant tells of it. */
+/** Interprets the two records; null: the leader runs without failure detection, so only its lease shows whether it is alive. */
 function interpret(leader: KeyValue | null, epochRow: KeyValue | null): OwnershipReading | null {
   const epoch = epochRecord(epochRow?.value).epoch as number as FencingEpoch;
   const revisions = revisionsOf(leader, epochRow);
@@ -82,11 +82,11 @@
     }
   }
 
-  async claim(_unit: UnitId, claimant: Owner, found: Unowned | Owned | Released): Promise<ClaimResult> {
-    // What nobody holds, the election takes by itself.
-    if (found.kind !== 'owned' || !this.dependencies.mayReplaceEarly()) return { kind: 'superseded' };
+  async claim(_unit: UnitId, claimant: Owner, reading: Unowned | Owned | Released): Promise<ClaimResult> {
+    // A free leadership is taken by the election.
+    if (reading.kind !== 'owned' || !this.dependencies.mayReplaceEarly()) return { kind: 'superseded' };
     try {
-      if (!(await this.fenceFormerLeader(found))) return { kind: 'superseded' };
+      if (!(await this.fenceFormerLeader(reading))) return { kind: 'superseded' };
     } catch (error) {
       if (error instanceof StoreRefusedError) return { kind: 'unavailable' };
       if (error instanceof StoreOutcomeUnknownError) return { kind: 'uncertain' };
--- a/src/leadership/lease.ts
+++ b/src/leadership/lease.ts
@@ -150,7 +150,7 @@
     } catch (error) {
       const durationMs = since(clock.now(), request.sentAt);
       log.info({ error: errorMessage(error), durationMs }, 'lease renewal failed');
-      // Users may have asked too much of the state service; leadership must not be lost to that.
+      // Users' requests may have used up the store's rate limit; leadership must not be lost to that.
       if (error instanceof StoreRefusedError) return RENEWAL_RETRY_MS;
     }
     // The process was paused while the renewal was under way: that one confirmed nothing.
--- /dev/null
+++ b/test/unit/leader-record.test.ts
@@ -0,0 +1,15 @@
+import { describe, expect, it } from 'vitest';
+import { encodeEpoch, encodeLeader, epochRecord, leaderRecord } from '../../src/store/leader-record.js';
+
+describe('the records of leadership', () => {
+  it('are read by and from versions without failure detection', () => {
+    const leader = { member: 'a' as never, epoch: 4 as never, version: 3 };
+    expect(leaderRecord(encodeLeader(leader))).toEqual(leader);
+    expect(leaderRecord(encodeLeader({ ...leader, process: 'p' }, 7))).toEqual({ ...leader, process: 'p' });
+    expect(leaderRecord({ member: 'a', epoch: 4 })).toEqual({ ...leader, version: 0 });
+    expect(encodeEpoch({ epoch: 4 as never, early: false })).toEqual({ n: 4 });
+    expect(epochRecord({ n: 4 })).toEqual({ epoch: 4, early: false });
+    expect(epochRecord(encodeEpoch({ epoch: 4 as never, early: true }))).toEqual({ epoch: 4, early: true });
+    expect(epochRecord(undefined)).toEqual({ epoch: 0, early: false });
+  });
+});
--- a/test/unit/share.test.ts
+++ b/test/unit/share.test.ts
@@ -1,9 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import { RevisionConfirmations } from '../../src/api/job-cache.js';
-import { StoreConnectivityMonitor } from '../../src/controller/store-connectivity-monitor.js';
 import { machinesToEmpty, type PartlyUsed } from '../../src/fleet/consolidation.js';
 import type { MachineId, Revision } from '../../src/model/ids.js';
-import { shareSockets } from '../../src/net/sockets.js';
 import { VirtualClock } from '../simulation/clock.js';
 import { FakeKeyValueStore } from '../simulation/fake-key-value-store.js';
 
@@ -47,36 +45,6 @@
   });
 });
 
-describe('shareSockets', () => {
-  it.each([
-    [2500, 2],
-    [1200, 4],
-    [300, 2],
-  ])('never shares a socket out twice (%i, %i peers)', (sockets, peers) => {
-    const shares = shareSockets(sockets, peers);
-    const { front, state, watches, cloud, workers } = shares;
-    expect(front + shares.peers + peers + state + watches + cloud + workers).toBeLessThanOrEqual(sockets);
-    expect(front).toBeGreaterThan(sockets * 0.4);
-  });
-});
-
-describe('StoreConnectivityMonitor', () => {
-  it('counts as partitioned only when this controller alone reaches nobody', async () => {
-    const clock = new VirtualClock();
-    const connectivity = new StoreConnectivityMonitor(clock);
-    connectivity.recordCall(true);
-    await clock.advance(10_000);
-    connectivity.recordCall(false);
-    // an outage that the others share
-    expect(connectivity.isPartitioned([{ isConnected: true }, { isConnected: false }])).toBe(false);
-    expect(connectivity.isPartitioned([{ isConnected: false }, { isConnected: false }])).toBe(true);
-    connectivity.recordCall(true);
-    expect(connectivity.isPartitioned([{ isConnected: false }])).toBe(false);
-    // a site of one node has nobody to hand over to
-    expect(connectivity.isPartitioned([])).toBe(false);
-  });
-});
-
 describe('emptying machines', () => {
   const task = (over = {}) => ({
     cpus: 4,
