--- a/src/config/limits.ts
+++ b/src/config/limits.ts
@@ -1,4 +1,4 @@
-import { shareSockets } from '../net/sockets.js';
+import { shareSockets } from '../net/socket-shares.js';
 import type { Settings } from '../wire/settings.js';
 
 /** Measured: at their most, a follower held 30 to 40 MB, a leader of 450 machines 50 MB (docs/settings.md). */
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -12,8 +12,8 @@
 import { PROTOCOL_VERSION } from '../model/protocol.js';
 import { runPeriodically, systemClock } from '../model/time.js';
 import { HttpTarget } from '../net/http-client.js';
-import { FrontServer } from '../net/server.js';
-import { shareSockets, type SocketShares } from '../net/sockets.js';
+import { FrontServer } from '../net/front-server.js';
+import { shareSockets, type SocketShares } from '../net/socket-shares.js';
 import { FrameKind } from '../peer/frames.js';
 import { encodeProgress } from '../peer/job-progress.js';
 import type { Ping } from '../peer/ping.js';
@@ -193,8 +193,8 @@
   private createStoreClient(sockets: SocketShares): KeyValueStoreClient {
     const { storeAddress } = this.options.settings;
     return new KeyValueStoreClient(
-      new HttpTarget(storeAddress, sockets.state),
-      new HttpTarget(storeAddress, sockets.watches),
+      new HttpTarget(storeAddress, sockets.store),
+      new HttpTarget(storeAddress, sockets.storeWatches),
       STORE_TIMEOUT_MS,
       (answered) => this.connectivity.recordCall(answered),
     );
@@ -247,10 +247,10 @@
       user: (verb, body) => this.userRouter.handle(verb, body, true),
     });
     const limits = {
-      sockets: sockets.front,
-      headersMs: HEADERS_TIMEOUT_MS,
-      requestMs: REQUEST_TIMEOUT_MS,
-      idleMs: IDLE_TIMEOUT_MS,
+      maxSockets: sockets.front,
+      headersTimeoutMs: HEADERS_TIMEOUT_MS,
+      requestTimeoutMs: REQUEST_TIMEOUT_MS,
+      idleTimeoutMs: IDLE_TIMEOUT_MS,
     };
     return new FrontServer(listener, limits, this.options.log);
   }
--- a/src/net/http-client.ts
+++ b/src/net/http-client.ts
@@ -1,26 +1,37 @@
-/** Calls by HTTP/1.1 over kept connections, each with a deadline. */
+/** An HTTP/1.1 client: calls over kept connections, each with a deadline. */
 import { connect, type Socket } from 'node:net';
+import { errorMessage } from '../log/logger.js';
 import { splitAddress } from './address.js';
 import { type HttpResponse, ResponseReader } from './http-response.js';
 
-/** An answer, its JSON body parsed. */
+/** A response, its JSON body parsed; undefined: there is none, or it is no JSON. */
 export interface HttpReply {
   readonly status: number;
   readonly body: unknown;
 }
 
-/** A call that brought no answer. The other side may have carried it out, or may do so later. */
-export class NoAnswerError extends Error {}
+/** What is known of a call that failed: whether it may have been carried out. */
+export type HttpCallErrorCode = 'no-answer' | 'no-socket';
 
-/** Nothing was sent: all of our own sockets for such calls are in use. */
-export class NoSocketError extends NoAnswerError {}
+/** A call that brought no response. The other side may have carried it out, or may do so later. */
+export class NoAnswerError extends Error {
+  override readonly name: string = 'NoAnswerError';
+  readonly code: HttpCallErrorCode = 'no-answer';
+}
+
+/** Nothing was sent: all sockets for such calls are in use. */
+export class NoSocketError extends NoAnswerError {
+  override readonly name = 'NoSocketError';
+  override readonly code = 'no-socket';
+}
 
 /** Makes calls with a deadline to one address. */
 export interface HttpCaller {
+  /** Rejects with `NoAnswerError`. */
   call(method: string, path: string, body: unknown, deadlineMs: number): Promise<HttpReply>;
 }
 
-/** Undefined for what is no JSON. */
+/** Parses JSON; undefined for nothing, and for what is no JSON. */
 export function parseJson(bytes: Buffer): unknown {
   if (bytes.length === 0) return undefined;
   try {
@@ -30,15 +41,15 @@
   }
 }
 
-/** The headers that tell of the body, the empty line, and the body. */
-function withBody(method: string, body: unknown): string {
+/** The headers that describe the body, the empty line, and the body. */
+function encodeBody(method: string, body: unknown): string {
   if (body === undefined) return method === 'POST' ? 'Content-Length: 0\r\n\r\n' : '\r\n';
   const payload = JSON.stringify(body);
   const length = Buffer.byteLength(payload);
   return `Content-Type: application/json\r\nContent-Length: ${length}\r\n\r\n${payload}`;
 }
 
-/** Connections that are open, over all addresses that share it. */
+/** Counts the open connections of all addresses that share it. */
 export class SocketCount {
   open = 0;
 }
@@ -47,7 +58,7 @@
 class Exchange {
   private readonly timer: NodeJS.Timeout;
   private connection: Connection | null = null;
-  settled = false;
+  private settled = false;
 
   constructor(
     readonly request: string,
@@ -58,23 +69,28 @@
     this.timer = setTimeout(() => this.expire(), deadlineMs);
   }
 
+  /** Whether it was answered, failed or timed out. */
+  get isSettled(): boolean {
+    return this.settled;
+  }
+
   sentOn(connection: Connection): void {
     this.connection = connection;
   }
 
-  answered({ status, body }: HttpResponse): void {
+  succeed({ status, body }: HttpResponse): void {
     if (this.settle()) this.resolve({ status, body: parseJson(body) });
   }
 
-  failed(why: string): void {
-    if (this.settle()) this.reject(new NoAnswerError(why));
+  fail(reason: string, options?: ErrorOptions): void {
+    if (this.settle()) this.reject(new NoAnswerError(reason, options));
   }
 
-  /** A process that is behind has its timers first: an answer that lies unread in the socket still counts. */
+  /** A process that is behind runs its timers first: a response that lies unread in the socket still counts. */
   private expire(): void {
     setImmediate(() => {
       if (this.settled) return;
-      this.failed('deadline passed');
+      this.fail('deadline passed');
       this.connection?.destroy();
     });
   }
@@ -100,10 +116,10 @@
     private readonly onClosed: (connection: Connection) => void,
   ) {
     this.socket = connect({ host, port, noDelay: true });
-    let why = 'connection lost';
-    this.socket.on('data', (bytes: Buffer) => this.take(bytes));
-    this.socket.on('error', (error) => (why = error.message));
-    this.socket.on('close', () => this.closed(why));
+    let closeReason = 'connection lost';
+    this.socket.on('data', (bytes: Buffer) => this.receive(bytes));
+    this.socket.on('error', (error) => (closeReason = error.message));
+    this.socket.on('close', () => this.handleClose(closeReason));
   }
 
   send(exchange: Exchange): void {
@@ -116,10 +132,10 @@
     this.socket.destroy();
   }
 
-  private take(bytes: Buffer): void {
+  private receive(bytes: Buffer): void {
     const { exchange } = this;
     if (!exchange) {
-      // Nobody asked for it.
+      // A response to no request.
       this.destroy();
       return;
     }
@@ -127,7 +143,7 @@
     try {
       response = this.reader.push(bytes);
     } catch (error) {
-      exchange.failed((error as Error).message);
+      exchange.fail(errorMessage(error), { cause: error });
       this.destroy();
       return;
     }
@@ -135,36 +151,36 @@
     this.exchange = null;
     if (response.keepAlive) this.onFree(this);
     else this.destroy();
-    exchange.answered(response);
+    exchange.succeed(response);
   }
 
-  private closed(why: string): void {
+  private handleClose(reason: string): void {
     const { exchange } = this;
     this.exchange = null;
     const response = exchange ? this.reader.end() : null;
     this.onClosed(this);
-    if (response) exchange?.answered(response);
-    else exchange?.failed(why);
+    if (response) exchange?.succeed(response);
+    else exchange?.fail(reason);
   }
 }
 
 /**
- * Keep-alive calls to one address, each with a deadline; what finds no connection free waits for one within it.
+ * The connections to one address. A call that finds none idle waits for one, within its deadline.
  * With the runtime's own client all calls of a leader took twice the time in a profile, most of them to workers.
  */
 export class HttpTarget implements HttpCaller {
   private readonly host: string;
   private readonly port: number;
   private readonly hostHeader: string;
-  private readonly open = new Set<Connection>();
-  /** The last one used is used first: the others may end by themselves. */
-  private readonly free: Connection[] = [];
-  private readonly waiting: Exchange[] = [];
+  private readonly connections = new Set<Connection>();
+  /** The last one used is used first: the others may then be closed as idle. */
+  private readonly idle: Connection[] = [];
+  private readonly queue: Exchange[] = [];
 
   constructor(
     address: string,
     private readonly maxSockets: number,
-    private readonly count = new SocketCount(),
+    private readonly socketCount = new SocketCount(),
   ) {
     const { host, port } = splitAddress(address);
     this.host = host;
@@ -173,64 +189,65 @@
   }
 
   call(method: string, path: string, body: unknown, deadlineMs: number): Promise<HttpReply> {
-    const request = `${method} ${path} HTTP/1.1\r\n${this.hostHeader}${withBody(method, body)}`;
+    const request = `${method} ${path} HTTP/1.1\r\n${this.hostHeader}${encodeBody(method, body)}`;
     return new Promise((resolve, reject) => {
       this.send(new Exchange(request, deadlineMs, resolve, reject));
     });
   }
 
-  /** Whether a call would find a connection that is open and idle. */
-  get hasFree(): boolean {
-    return this.free.length > 0;
+  /** Whether a call would find an idle connection. */
+  get hasIdleConnection(): boolean {
+    return this.idle.length > 0;
   }
 
   private send(exchange: Exchange): void {
-    const connection = this.free.pop() ?? this.connect();
+    const connection = this.idle.pop() ?? this.connect();
     if (connection) connection.send(exchange);
-    else this.waiting.push(exchange);
+    else this.queue.push(exchange);
   }
 
   private connect(): Connection | null {
-    if (this.open.size >= this.maxSockets) return null;
+    if (this.connections.size >= this.maxSockets) return null;
     const connection = new Connection(
       this.host,
       this.port,
-      (free) => this.reuse(free),
-      (closed) => this.forget(closed),
+      (idle) => this.reuse(idle),
+      (closed) => this.remove(closed),
     );
-    this.open.add(connection);
-    this.count.open++;
+    this.connections.add(connection);
+    this.socketCount.open++;
     return connection;
   }
 
   private reuse(connection: Connection): void {
-    const next = this.nextWaiting();
+    const next = this.nextQueued();
     if (next) connection.send(next);
-    else this.free.push(connection);
+    else this.idle.push(connection);
   }
 
-  /** Its socket no longer counts from the moment on when it is given up. */
+  /** From now on the connection's socket does not count any more. */
   private release(connection: Connection): void {
-    if (this.open.delete(connection)) this.count.open--;
+    if (this.connections.delete(connection)) this.socketCount.open--;
   }
 
-  private forget(connection: Connection): void {
+  private remove(connection: Connection): void {
     this.release(connection);
-    const at = this.free.indexOf(connection);
-    if (at >= 0) this.free.splice(at, 1);
-    const next = this.nextWaiting();
+    const index = this.idle.indexOf(connection);
+    if (index >= 0) this.idle.splice(index, 1);
+    const next = this.nextQueued();
     if (next) this.send(next);
   }
 
-  /** One whose deadline passed while it waited is not sent any more. */
-  private nextWaiting(): Exchange | undefined {
-    let next = this.waiting.shift();
-    while (next?.settled) next = this.waiting.shift();
+  /** The next exchange to be sent: one whose deadline passed while it was queued is not. */
+  private nextQueued(): Exchange | undefined {
+    let next = this.queue.shift();
+    while (next?.isSettled) next = this.queue.shift();
     return next;
   }
 
+  /** Closes all connections; calls under way fail. */
   close(): void {
-    for (const connection of this.open) {
+    for (const connection of this.connections) {
       this.release(connection);
       connection.destroy();
     }
--- a/src/net/http-response.ts
+++ b/src/net/http-response.ts
@@ -1,9 +1,21 @@
-/** Reads HTTP/1.1 answers from a stream of bytes. */
+/** Reads HTTP/1.1 responses from a stream of bytes. */
 
-/** Bytes that are no HTTP answer, or one that is too long. */
-export class MalformedResponseError extends Error {}
+/** Why bytes cannot be a response that is accepted. */
+export type MalformedResponseCode = 'not-http' | 'head-too-large' | 'body-too-large' | 'invalid-chunk';
 
-/** An answer, complete. */
+/** Bytes that are no HTTP response, or one that is too large. */
+export class MalformedResponseError extends Error {
+  override readonly name = 'MalformedResponseError';
+
+  constructor(
+    readonly code: MalformedResponseCode,
+    message: string,
+  ) {
+    super(message);
+  }
+}
+
+/** A complete response. */
 export interface HttpResponse {
   readonly status: number;
   readonly body: Buffer;
@@ -11,16 +23,17 @@
   readonly keepAlive: boolean;
 }
 
-const MAX_HEAD = 64 * 1024;
-const MAX_BODY = 64 * 1024 * 1024;
+const MAX_HEAD_BYTES = 64 * 1024;
+const MAX_BODY_BYTES = 64 * 1024 * 1024;
+const FIRST_FINAL_STATUS = 200;
 const LINE_END = '\r\n';
 const HEAD_END = '\r\n\r\n';
 const STATUS_LINE = /^HTTP\/1\.(\d) (\d{3})/;
 const CHUNK_SIZE = /^[0-9a-f]+/i;
-/** Answers that have no body, whatever their headers say. */
-const BODILESS = new Set([204, 304]);
+/** Status codes of responses that have no body, whatever their headers say. */
+const BODILESS_STATUSES = new Set([204, 304]);
 
-/** How the end of a body is known. */
+/** What marks the end of a body. */
 type Framing =
   | { readonly kind: 'length'; readonly length: number }
   | { readonly kind: 'chunked' }
@@ -33,19 +46,19 @@
   readonly framing: Framing;
 }
 
-function readHead(text: string): Head {
+function parseHead(text: string): Head {
   const [statusLine = '', ...lines] = text.split(LINE_END);
-  const found = STATUS_LINE.exec(statusLine);
-  if (!found) throw new MalformedResponseError('not an HTTP answer');
-  const status = Number(found[2]);
-  let keepAlive = found[1] === '1';
+  const match = STATUS_LINE.exec(statusLine);
+  if (!match) throw new MalformedResponseError('not-http', 'not an HTTP response');
+  const status = Number(match[2]);
+  let keepAlive = match[1] === '1';
   let framing: Framing = { kind: 'close' };
   for (const line of lines) {
     const colon = line.indexOf(':');
     const value = line.slice(colon + 1).trim();
     switch (line.slice(0, colon).toLowerCase()) {
       case 'content-length':
-        if (framing.kind === 'close') framing = { kind: 'length', length: lengthOf(value) };
+        if (framing.kind === 'close') framing = { kind: 'length', length: parseLength(value) };
         break;
       case 'transfer-encoding':
         framing = { kind: 'chunked' };
@@ -55,103 +68,111 @@
         break;
     }
   }
-  if (BODILESS.has(status)) framing = { kind: 'length', length: 0 };
+  if (BODILESS_STATUSES.has(status)) framing = { kind: 'length', length: 0 };
   return { status, framing, keepAlive: keepAlive && framing.kind !== 'close' };
 }
 
-function lengthOf(value: string): number {
+function parseLength(value: string): number {
   const length = Number(value);
-  if (!Number.isSafeInteger(length) || length < 0 || length > MAX_BODY)
-    throw new MalformedResponseError('answer too long');
+  if (!Number.isSafeInteger(length) || length < 0 || length > MAX_BODY_BYTES)
+    throw new MalformedResponseError('body-too-large', 'response too large');
   return length;
 }
 
-/** One answer at a time. */
+/** Reads the responses of one connection, one after the other. */
 export class ResponseReader {
-  private rest: Buffer = Buffer.alloc(0);
+  private unread: Buffer = Buffer.alloc(0);
   private head: Head | null = null;
-  private parts: Buffer[] = [];
-  private size = 0;
+  private bodyParts: Buffer[] = [];
+  private bodySize = 0;
 
-  /** The answer, once these bytes complete it. Throws `BadResponse`; the connection is then of no further use. */
+  /**
+   * The response, once these bytes complete it; null: it is incomplete. Throws `MalformedResponseError`; the connection
+   * is then of no further use.
+   */
   push(bytes: Buffer): HttpResponse | null {
-    this.rest = this.rest.length === 0 ? bytes : Buffer.concat([this.rest, bytes]);
-    while (!this.head) if (!this.takeHead()) return null;
-    return this.takeBody(this.head) ? this.finish(this.head) : null;
+    this.unread = this.unread.length === 0 ? bytes : Buffer.concat([this.unread, bytes]);
+    while (!this.head) {
+      if (!this.readHead()) return null;
+    }
+    return this.readBody(this.head) ? this.finish(this.head) : null;
   }
 
-  /** The connection has ended. Null: in the middle of an answer. */
+  /** The connection has ended: the response that this completes; null: it is incomplete. */
   end(): HttpResponse | null {
     return this.head?.framing.kind === 'close' ? this.finish(this.head) : null;
   }
 
-  private takeHead(): boolean {
-    const end = this.rest.indexOf(HEAD_END);
+  /** Whether the head is complete. */
+  private readHead(): boolean {
+    const end = this.unread.indexOf(HEAD_END);
     if (end < 0) {
-      if (this.rest.length > MAX_HEAD) throw new MalformedResponseError('head too long');
+      if (this.unread.length > MAX_HEAD_BYTES)
+        throw new MalformedResponseError('head-too-large', 'response head too large');
       return false;
     }
-    const head = readHead(this.rest.toString('latin1', 0, end));
-    this.rest = this.rest.subarray(end + HEAD_END.length);
-    // What comes before the answer proper (1xx) is passed over.
-    if (head.status >= 200) this.head = head;
+    const head = parseHead(this.unread.toString('latin1', 0, end));
+    this.unread = this.unread.subarray(end + HEAD_END.length);
+    // Informational responses (1xx) come before the final one, and are skipped.
+    if (head.status >= FIRST_FINAL_STATUS) this.head = head;
     return true;
   }
 
   /** Whether the body is complete. */
-  private takeBody({ framing }: Head): boolean {
+  private readBody({ framing }: Head): boolean {
     switch (framing.kind) {
       case 'length':
-        this.keep(Math.min(this.rest.length, framing.length - this.size));
-        return this.size === framing.length;
+        this.appendToBody(Math.min(this.unread.length, framing.length - this.bodySize));
+        return this.bodySize === framing.length;
       case 'chunked':
-        return this.takeChunks();
+        return this.readChunks();
       case 'close':
-        this.keep(this.rest.length);
+        this.appendToBody(this.unread.length);
         return false;
     }
   }
 
-  private takeChunks(): boolean {
+  private readChunks(): boolean {
     for (;;) {
-      const lineEnd = this.rest.indexOf(LINE_END);
+      const lineEnd = this.unread.indexOf(LINE_END);
       if (lineEnd < 0) return false;
-      const size = CHUNK_SIZE.exec(this.rest.toString('latin1', 0, lineEnd));
-      if (!size) throw new MalformedResponseError('a chunk without a size');
+      const size = CHUNK_SIZE.exec(this.unread.toString('latin1', 0, lineEnd));
+      if (!size) throw new MalformedResponseError('invalid-chunk', 'a chunk without a size');
       const start = lineEnd + LINE_END.length;
-      const length = lengthOf(`0x${size[0]}`);
-      if (length === 0) return this.takeTrailer(lineEnd);
-      if (this.rest.length < start + length + LINE_END.length) return false;
-      this.rest = this.rest.subarray(start);
-      this.keep(length);
-      this.rest = this.rest.subarray(LINE_END.length);
+      const length = parseLength(`0x${size[0]}`);
+      if (length === 0) return this.readTrailer(lineEnd);
+      if (this.unread.length < start + length + LINE_END.length) return false;
+      this.unread = this.unread.subarray(start);
+      this.appendToBody(length);
+      this.unread = this.unread.subarray(LINE_END.length);
     }
   }
 
-  /** After the last chunk come further headers, mostly none, and an empty line. */
-  private takeTrailer(lineEnd: number): boolean {
-    const end = this.rest.indexOf(HEAD_END, lineEnd);
+  /** Whether the trailer is complete: after the last chunk come further headers, mostly none, and an empty line. */
+  private readTrailer(lineEnd: number): boolean {
+    const end = this.unread.indexOf(HEAD_END, lineEnd);
     if (end < 0) return false;
-    this.rest = this.rest.subarray(end + HEAD_END.length);
+    this.unread = this.unread.subarray(end + HEAD_END.length);
     return true;
   }
 
-  private keep(length: number): void {
+  private appendToBody(length: number): void {
     if (length === 0) return;
-    this.parts.push(this.rest.subarray(0, length));
-    this.rest = this.rest.subarray(length);
-    this.size += length;
-    if (this.size > MAX_BODY) throw new MalformedResponseError('answer too long');
+    this.bodyParts.push(this.unread.subarray(0, length));
+    this.unread = this.unread.subarray(length);
+    this.bodySize += length;
+    if (this.bodySize > MAX_BODY_BYTES)
+      throw new MalformedResponseError('body-too-large', 'response too large');
   }
 
   private finish({ status, keepAlive }: Head): HttpResponse {
-    const body = this.parts.length === 1 ? (this.parts[0] as Buffer) : Buffer.concat(this.parts);
-    // Bytes beyond the answer belong to nothing that was asked.
-    const clean = this.rest.length === 0;
-    this.rest = Buffer.alloc(0);
+    const body = this.bodyParts.length === 1 ? (this.bodyParts[0] as Buffer) : Buffer.concat(this.bodyParts);
+    // Bytes beyond the response answer no request: the connection cannot be trusted further.
+    const isClean = this.unread.length === 0;
+    this.unread = Buffer.alloc(0);
     this.head = null;
-    this.parts = [];
-    this.size = 0;
-    return { status, body, keepAlive: keepAlive && clean };
+    this.bodyParts = [];
+    this.bodySize = 0;
+    return { status, body, keepAlive: keepAlive && isClean };
   }
 }
--- a/src/net/token-bucket.ts
+++ b/src/net/token-bucket.ts
@@ -1,12 +1,12 @@
 import { type Clock, type MonotonicTime, since } from '../model/time.js';
 
 /**
- * A token bucket. `share` of the published rate is ours: the other nodes draw on
- * the same limit, and submissions and cancels must find room.
+ * A token bucket, filled at a steady rate up to its capacity. The caller chooses which share of a published limit the
+ * rate is: other controllers draw on the same limit.
  */
 export class TokenBucket {
   private tokens: number;
-  private last: MonotonicTime;
+  private refilledAt: MonotonicTime;
 
   constructor(
     private readonly clock: Clock,
@@ -14,14 +14,15 @@
     private capacity: number,
   ) {
     this.tokens = capacity;
-    this.last = clock.now();
+    this.refilledAt = clock.now();
   }
 
+  /** The most tokens that the bucket holds. */
   get burst(): number {
     return this.capacity;
   }
 
-  /** From now on at this rate: what was saved up under a higher one is cut. */
+  /** Fills at this rate from now on; tokens above the new capacity are dropped. */
   setRate(perSecond: number, burst: number): void {
     this.refill();
     this.perSecond = perSecond;
@@ -29,34 +30,38 @@
     this.tokens = Math.min(this.tokens, burst);
   }
 
-  private refill(): void {
-    const now = this.clock.now();
-    this.tokens = Math.min(this.capacity, this.tokens + (since(now, this.last) * this.perSecond) / 1000);
-    this.last = now;
-  }
-
-  /** Takes `n` if they are there. */
-  tryTake(n = 1): boolean {
+  /** Takes tokens if there are enough; false: none were taken. */
+  tryTake(count = 1): boolean {
     this.refill();
-    if (this.tokens < n) return false;
-    this.tokens -= n;
+    if (this.tokens < count) return false;
+    this.tokens -= count;
     return true;
   }
 
+  /** The tokens that are there now; below 0 after `forceTake`. */
   available(): number {
     this.refill();
     return this.tokens;
   }
 
-  /** Takes `n` even into debt: for what must not wait. */
-  forceTake(n = 1): void {
+  /** Takes tokens even into debt, for what must not wait. */
+  forceTake(count = 1): void {
     this.refill();
-    this.tokens -= n;
+    this.tokens -= count;
   }
 
-  /** Milliseconds until `n` tokens are there. */
-  waitMs(n = 1): number {
+  /** Milliseconds until there are so many tokens. */
+  waitMs(count = 1): number {
     this.refill();
-    return Math.max(0, ((n - this.tokens) / this.perSecond) * 1000);
+    return Math.max(0, ((count - this.tokens) / this.perSecond) * 1000);
+  }
+
+  private refill(): void {
+    const now = this.clock.now();
+    this.tokens = Math.min(
+      this.capacity,
+      this.tokens + (since(now, this.refilledAt) * this.perSecond) / 1000,
+    );
+    this.refilledAt = now;
   }
 }
--- a/src/net/work-queue.ts
+++ b/src/net/work-queue.ts
@@ -1,46 +1,46 @@
-/** Spreads work that comes in a crowd over turns of the event loop. */
+/** Spreads work that arrives in bursts over turns of the event loop. */
 
-/** How many pieces of work one turn takes. */
-const PER_TURN = 8;
+/** How many callers one turn of the event loop admits. */
+const ADMITTED_PER_TURN = 8;
 
 /**
- * Work waits here for its turn, a few pieces a turn, in the order in which it came. Between two turns timers and
- * answers have theirs: with hundreds of reports read at once from one socket, a leader on a tenth of a core
- * noticed the answer to its grant's renewal a second late, and lost the grant.
+ * Admits callers in the order of their arrival, a few in each turn of the event loop. Between two turns timers and
+ * responses are handled: with hundreds of heartbeats read at once from one socket, a leader on a tenth of a core
+ * noticed the response to its lease renewal a second late, and lost the lease.
  */
 export class YieldingWorkQueue {
-  private readonly waiting: (() => void)[] = [];
-  private next = 0;
-  private scheduled = false;
+  private readonly waiters: (() => void)[] = [];
+  private nextWaiter = 0;
+  private isScheduled = false;
 
   constructor(
     private readonly defer: (run: () => void) => void = (run) => void setImmediate(run),
-    private readonly perTurn = PER_TURN,
+    private readonly admittedPerTurn = ADMITTED_PER_TURN,
   ) {}
 
   /** Resolves when it is the caller's turn. */
   turn(): Promise<void> {
     return new Promise((resolve) => {
-      this.waiting.push(resolve);
+      this.waiters.push(resolve);
       this.schedule();
     });
   }
 
   private schedule(): void {
-    if (this.scheduled) return;
-    this.scheduled = true;
-    this.defer(() => this.take());
+    if (this.isScheduled) return;
+    this.isScheduled = true;
+    this.defer(() => this.admit());
   }
 
-  private take(): void {
-    this.scheduled = false;
-    const until = Math.min(this.waiting.length, this.next + this.perTurn);
-    for (; this.next < until; this.next++) this.waiting[this.next]?.();
-    if (this.next < this.waiting.length) {
+  private admit(): void {
+    this.isScheduled = false;
+    const end = Math.min(this.waiters.length, this.nextWaiter + this.admittedPerTurn);
+    for (; this.nextWaiter < end; this.nextWaiter++) this.waiters[this.nextWaiter]?.();
+    if (this.nextWaiter < this.waiters.length) {
       this.schedule();
       return;
     }
-    this.waiting.length = 0;
-    this.next = 0;
+    this.waiters.length = 0;
+    this.nextWaiter = 0;
   }
 }
--- a/src/workers/worker-connections.ts
+++ b/src/workers/worker-connections.ts
@@ -25,7 +25,7 @@
       http: new HttpTarget(address, SOCKETS_EACH, this.count),
       inFlight: 0,
     };
-    while (!target.http.hasFree && this.count.open >= this.sockets) this.dropIdle();
+    while (!target.http.hasIdleConnection && this.count.open >= this.sockets) this.dropIdle();
     // The last in the map is the most recently used.
     this.targets.delete(address);
     this.targets.set(address, target);
--- a/test/unit/front-server.test.ts
+++ b/test/unit/front-server.test.ts
@@ -3,22 +3,22 @@
 import { type RequestHandler, requestListener, MAX_BODY } from '../../src/api/http-router.js';
 import { silentLogger } from '../../src/log/logger.js';
 import { HttpTarget } from '../../src/net/http-client.js';
-import { FrontServer } from '../../src/net/server.js';
+import { FrontServer } from '../../src/net/front-server.js';
 import { freeAddress } from './free-address.js';
 
 /** Real sockets on loopback; every wait is for an event. */
 const closing: (() => void)[] = [];
 afterEach(() => closing.splice(0).forEach((close) => close()));
 
-async function front(handler: Partial<RequestHandler>, idleMs = 2000): Promise<string> {
-  const whole: RequestHandler = {
+async function front(handler: Partial<RequestHandler>, idleTimeoutMs = 2000): Promise<string> {
+  const completeHandler: RequestHandler = {
     up: () => true,
     heartbeat: () => Promise.resolve({ status: 503, body: null }),
     user: (verb, body) => Promise.resolve({ status: 200, body: { verb, text: body.toString() } }),
     ...handler,
   };
-  const limits = { sockets: 10, headersMs: 2000, requestMs: 2000, idleMs };
-  const server = new FrontServer(requestListener(whole), limits, silentLogger);
+  const limits = { maxSockets: 10, headersTimeoutMs: 2000, requestTimeoutMs: 2000, idleTimeoutMs };
+  const server = new FrontServer(requestListener(completeHandler), limits, silentLogger);
   const address = await freeAddress();
   await server.listen(address);
   closing.push(() => server.close());
@@ -31,7 +31,7 @@
   return http;
 }
 
-describe('the front address', () => {
+describe('FrontServer', () => {
   it('routes health checks, users and workers', async () => {
     const http = target(await front({}));
     expect((await http.call('GET', '/up', undefined, 5000)).status).toBe(200);
@@ -66,12 +66,12 @@
   });
 
   it('answers more workers than it has sockets for, in turns', async () => {
-    let inside = 0;
-    let most = 0;
+    let concurrent = 0;
+    let maxConcurrent = 0;
     const heartbeat = async (): Promise<{ status: number; body: null }> => {
-      most = Math.max(most, ++inside);
+      maxConcurrent = Math.max(maxConcurrent, ++concurrent);
       await new Promise((resolve) => setImmediate(resolve));
-      inside--;
+      concurrent--;
       return { status: 200, body: null };
     };
     const address = await front({ heartbeat }, 60_000);
@@ -85,10 +85,14 @@
     };
     const workers = Array.from({ length: 40 }, () => target(address));
     const answers = await Promise.all(
-      workers.map(async (w) => [await sendHeartbeat(w), await sendHeartbeat(w), await sendHeartbeat(w)]),
+      workers.map(async (worker) => [
+        await sendHeartbeat(worker),
+        await sendHeartbeat(worker),
+        await sendHeartbeat(worker),
+      ]),
     );
     expect(answers.flat().every((status) => status === 200)).toBe(true);
-    expect(most).toBeLessThanOrEqual(10);
+    expect(maxConcurrent).toBeLessThanOrEqual(10);
   });
 
   it('answers what is no HTTP with 400', async () => {
@@ -98,7 +102,7 @@
         socket.write('nonsense\r\n\r\n'),
       );
       let read = '';
-      socket.on('data', (d) => (read += d.toString()));
+      socket.on('data', (bytes) => (read += bytes.toString()));
       socket.on('close', () => resolve(read));
     });
     expect(text).toContain('400 Bad Request');
--- a/test/unit/http.test.ts
+++ b/test/unit/http.test.ts
@@ -5,7 +5,7 @@
 import { MalformedResponseError, type HttpResponse, ResponseReader } from '../../src/net/http-response.js';
 import { WorkerConnections } from '../../src/workers/worker-connections.js';
 
-const answers: Record<string, string> = {
+const RESPONSES: Record<string, string> = {
   'with a length': 'HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n{"a":1}',
   'in chunks, with a trailer':
     'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\n{"a\r\n4\r\n":1}\r\n0\r\nX-T: 1\r\n\r\n',
@@ -13,8 +13,8 @@
     'HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length:7\r\nconnection: Keep-Alive\r\n\r\n{"a":1}',
 };
 
-describe('an HTTP answer', () => {
-  it.each(Object.entries(answers))('%s comes out whole from any cut of the stream', (_name, text) => {
+describe('ResponseReader', () => {
+  it.each(Object.entries(RESPONSES))('reads a response %s from any cut of the stream', (_name, text) => {
     const bytes = Buffer.from(text);
     for (let cut = 0; cut <= bytes.length; cut++) {
       const reader = new ResponseReader();
@@ -28,64 +28,67 @@
     }
   });
 
-  it('without a length ends with its connection, and no other may follow', () => {
+  it('ends a response without a length with its connection, and no other may follow', () => {
     const reader = new ResponseReader();
     expect(reader.push(Buffer.from('HTTP/1.0 200 OK\r\n\r\n{"a"'))).toBeNull();
     expect(reader.push(Buffer.from(':1}'))).toBeNull();
     expect(reader.end()).toMatchObject({ status: 200, keepAlive: false });
   });
 
-  it('that breaks off is none', () => {
+  it('reads no response where it breaks off', () => {
     const reader = new ResponseReader();
     expect(reader.push(Buffer.from('HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n{'))).toBeNull();
     expect(reader.end()).toBeNull();
   });
 
-  it('without a body is complete with its head', () => {
+  it('completes a response without a body with its head', () => {
     const read = new ResponseReader().push(Buffer.from('HTTP/1.1 204 No Content\r\n\r\n'));
     expect([read?.status, read?.body.length, read?.keepAlive]).toEqual([204, 0, true]);
   });
 
   it.each(['nonsense\r\n\r\n', 'HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n', 'x'.repeat(70_000)])(
-    'is refused where it cannot be one',
+    'refuses what cannot be a response',
     (text) => {
       expect(() => new ResponseReader().push(Buffer.from(text))).toThrow(MalformedResponseError);
     },
   );
 });
 
-const open: (Server | HttpTarget | Socket)[] = [];
+const openResources: (Server | HttpTarget | Socket)[] = [];
 afterEach(() => {
-  for (const one of open.splice(0))
-    if ('destroy' in one) one.destroy();
-    else one.close();
+  for (const resource of openResources.splice(0)) {
+    if ('destroy' in resource) resource.destroy();
+    else resource.close();
+  }
 });
 
-/** A server that hands each request's text to `answer`. */
-async function server(answer: (request: string, socket: Socket, nth: number) => void): Promise<string> {
-  let nth = 0;
+/** Starts a server that hands each request's text to `respond`, with its index. */
+async function startServer(
+  respond: (request: string, socket: Socket, index: number) => void,
+): Promise<string> {
+  let requests = 0;
   const listening = createServer((socket) => {
-    open.push(socket);
+    openResources.push(socket);
     socket.on('error', () => {});
-    socket.on('data', (bytes) => answer(bytes.toString(), socket, nth++));
+    socket.on('data', (bytes) => respond(bytes.toString(), socket, requests++));
   });
-  open.push(listening);
+  openResources.push(listening);
   await new Promise<void>((resolve) => listening.listen(0, '127.0.0.1', resolve));
   return `127.0.0.1:${(listening.address() as AddressInfo).port}`;
 }
 
 function targetAt(address: string, sockets: number): HttpTarget {
   const target = new HttpTarget(address, sockets);
-  open.push(target);
+  openResources.push(target);
   return target;
 }
 
-const OK = answers['with a length'] as string;
+const OK = RESPONSES['with a length'] as string;
 
-describe('calls to one address', () => {
-  it('share their connections, and never ask on one that waits for an answer', async () => {
+describe('HttpTarget', () => {
+  it('shares connections among calls, and sends none on one that waits for a response', async () => {
     const seen = new Set<Socket>();
-    const address = await server((request, socket) => {
+    const address = await startServer((request, socket) => {
       expect(request.match(/HTTP\/1\.1/g)).toHaveLength(1);
       seen.add(socket);
       setImmediate(() => socket.write(OK));
@@ -98,12 +101,12 @@
     expect(seen.size).toBe(2);
   });
 
-  // A late answer to one call must never be taken for the next one's.
-  it('that got no answer in time end their connection', async () => {
+  // A late response to one call must never be taken for the next one's.
+  it('closes the connection of a call that had no response in time', async () => {
     const sockets: Socket[] = [];
-    const address = await server((_request, socket, nth) => {
+    const address = await startServer((_request, socket, index) => {
       sockets.push(socket);
-      if (nth > 0) socket.write(OK);
+      if (index > 0) socket.write(OK);
     });
     const http = targetAt(address, 1);
     const late = http.call('GET', '/slow', undefined, 50);
@@ -113,9 +116,9 @@
     expect(sockets[0]).not.toBe(sockets[1]);
   });
 
-  it('fail when the connection is lost or cannot be had, and go on afterwards', async () => {
-    const address = await server((_request, socket, nth) => {
-      if (nth === 0) socket.destroy();
+  it('fails calls when the connection is lost or cannot be opened, and goes on afterwards', async () => {
+    const address = await startServer((_request, socket, index) => {
+      if (index === 0) socket.destroy();
       else socket.write(OK);
     });
     const http = targetAt(address, 1);
@@ -127,19 +130,19 @@
   });
 });
 
-describe('calls to many workers', () => {
-  it('never hold more sockets than they may, and keep those of the workers called last', async () => {
+describe('WorkerConnections', () => {
+  it('never holds more sockets than it may, and keeps those of the workers called last', async () => {
     let connected = 0;
     const addresses = await Promise.all(
       [0, 1, 2].map(async () => {
         const listening = createServer((socket) => {
-          open.push(socket);
+          openResources.push(socket);
           connected++;
           socket.on('close', () => connected--);
           socket.on('error', () => {});
           socket.on('data', () => socket.write(OK));
         });
-        open.push(listening);
+        openResources.push(listening);
         await new Promise<void>((resolve) => listening.listen(0, '127.0.0.1', resolve));
         return `127.0.0.1:${(listening.address() as AddressInfo).port}`;
       }),
@@ -159,12 +162,12 @@
   });
 });
 
-describe('a process that is behind', () => {
-  // Its timers come first: the answer lay in the socket all the while, and the call had been carried out.
-  it('still takes an answer that came in time', async () => {
-    const address = await server((_request, socket) => {
+describe('HttpTarget in a process that is behind', () => {
+  // Its timers come first: the response lay in the socket all the while, and the call had been carried out.
+  it('still takes a response that came in time', async () => {
+    const address = await startServer((_request, socket) => {
       socket.write(OK);
-      // The answer has left; now nothing else gets its turn until the deadline has passed.
+      // The response has left; now nothing else runs until the deadline has passed.
       const until = performance.now() + 150;
       while (performance.now() < until);
     });
--- a/test/unit/socket-shares.test.ts
+++ b/test/unit/socket-shares.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { shareSockets } from '../../src/net/sockets.js';
+import { shareSockets } from '../../src/net/socket-shares.js';
 
 describe('shareSockets', () => {
   it.each([
@@ -8,8 +8,10 @@
     [300, 2],
   ])('never shares a socket out twice (%i, %i peers)', (sockets, peers) => {
     const shares = shareSockets(sockets, peers);
-    const { front, state, watches, cloud, workers } = shares;
-    expect(front + shares.peers + peers + state + watches + cloud + workers).toBeLessThanOrEqual(sockets);
+    const { front, store, storeWatches, cloud, workers } = shares;
+    expect(front + shares.peers + peers + store + storeWatches + cloud + workers).toBeLessThanOrEqual(
+      sockets,
+    );
     expect(front).toBeGreaterThan(sockets * 0.4);
   });
 });
