--- a/src/controller/machine-type-catalog.ts
+++ b/src/controller/machine-type-catalog.ts
@@ -1,10 +1,10 @@
 /** Keeps the list of machine types up to date. */
+import type { ControllerContext } from '../core/context.js';
 import { errorMessage } from '../log/logger.js';
 import type { MachineType } from '../model/machine.js';
 import { sleep } from '../model/time.js';
 import { keys } from '../store/keys.js';
 import { decodeMachineTypes, encodeMachineTypes } from '../store/machine-type-record.js';
-import type { ControllerContext } from '../core/context.js';
 
 const REFRESH_INTERVAL_MS = 60_000;
 const STORE_READ_INTERVAL_MS = 500;
--- a/src/controller/worker-redirects.ts
+++ b/src/controller/worker-redirects.ts
@@ -12,7 +12,7 @@
 /** Redirects workers to the other controllers in turn, and remembers each for a while. */
 export class WorkerRedirects {
   private readonly redirectedAt = new Map<MachineId, MonotonicTime>();
-  private nextTarget = 0;
+  private lastTarget = 0;
 
   constructor(
     private readonly clock: Clock,
@@ -26,8 +26,8 @@
     this.dropExpired(now);
     if (this.redirectedAt.has(worker)) return null;
     this.redirectedAt.set(worker, now);
-    this.nextTarget = (this.nextTarget + 1) % others.length;
-    return others[this.nextTarget] ?? null;
+    this.lastTarget = (this.lastTarget + 1) % others.length;
+    return others[this.lastTarget] ?? null;
   }
 
   /** The oldest come first. */
--- a/src/leadership/failover/failover.ts
+++ b/src/leadership/failover/failover.ts
@@ -101,6 +101,7 @@
     );
   }
 
+  /** Joins the membership; call before the election starts. */
   start(): void {
     this.dependencies.leadership.election.useFailureDetection(this);
     this.membership.start();
@@ -127,6 +128,7 @@
 
   // For the election (`ElectionFailureDetection`)
 
+  /** Identifies this start of the process among the members. */
   get processId(): string {
     return this.membership.identity.process;
   }
@@ -157,7 +159,7 @@
     leadership.election.lease.renewNow();
   }
 
-  /** The coordinator has logged on which evidence. */
+  /** Ends the term that another controller has replaced; the coordinator has logged on which evidence. */
   private onReplaced(epoch: number): void {
     const { leadership } = this.dependencies;
     if (leadership.leadingEpoch === epoch) leadership.endTerm('replaced by another controller');
