--- a/src/controller/user-router.ts
+++ b/src/controller/user-router.ts
@@ -1,6 +1,7 @@
 /** Answers users' requests here or, where this controller can't, through another one. */
 import type { Admission } from '../api/admission.js';
-import { BusyError, unavailable, type UserAnswer, type UserService } from '../api/user-service.js';
+import { BusyError, unavailable, type UserAnswer } from '../api/user-answer.js';
+import type { UserService } from '../api/user-service.js';
 import { parseJson } from '../net/http-client.js';
 import { FrameKind } from '../peer/frames.js';
 import { encodeUserRequest, type UserVerb } from '../peer/user-request.js';
--- a/src/leadership/failover/failover.ts
+++ b/src/leadership/failover/failover.ts
@@ -11,7 +11,12 @@
   type MemberView,
   type Transport,
 } from '@plumyoke/membership';
-import { DEFAULT_TAKEOVER, EffectGate, rankSuccessors, TakeoverCoordinator } from '@plumyoke/takeover';
+import {
+  DEFAULT_TAKEOVER_SETTINGS,
+  EffectGate,
+  rankSuccessors,
+  TakeoverCoordinator,
+} from '@plumyoke/takeover';
 import type { FailoverFeature } from '../../config/features.js';
 import { MEMBERSHIP_VERSION } from '../../model/protocol.js';
 import type { MemberLine } from '../../wire/members.js';
@@ -84,8 +89,8 @@
       mayReplaceEarly: () => feature.earlyTakeover && everyPeerHasSupported(MEMBERSHIP_VERSION),
     });
     const settings = {
-      ...DEFAULT_TAKEOVER,
-      readEveryMs: LEADER_READ_INTERVAL_MS,
+      ...DEFAULT_TAKEOVER_SETTINGS,
+      maxReadingAgeMs: LEADER_READ_INTERVAL_MS,
       claimOnFailure: feature.earlyTakeover,
     };
     return new TakeoverCoordinator<void>(
@@ -138,7 +143,7 @@
   }
 
   onLeadershipEnded(): void {
-    this.coordinator.relinquished(CLUSTER_UNIT);
+    this.coordinator.markRelinquished(CLUSTER_UNIT);
   }
 
   /** By this controller's rank among the possible successors; the first one does not wait. */
@@ -175,7 +180,7 @@
         break;
       }
       case 'contact-changed':
-        log.info({ withMajority: event.withMajority }, 'contact with majority changed');
+        log.info({ withMajority: event.hasMajority }, 'contact with majority changed');
         break;
       case 'self-suspected':
         log.info({ incarnation: event.incarnation }, 'suspicion of this controller refuted');
--- a/src/leadership/failover/leader-claims.ts
+++ b/src/leadership/failover/leader-claims.ts
@@ -152,7 +152,7 @@
   }
 
   /** Refreshes the leader's record, as a sign of life for peers that cannot hear this controller. */
-  async showLife(): Promise<void> {
+  async writeHeartbeat(): Promise<void> {
     try {
       await this.dependencies.election.refreshLeaderRecord();
     } catch (error) {
--- a/test/unit/front-server.test.ts
+++ b/test/unit/front-server.test.ts
@@ -1,6 +1,6 @@
 import { connect } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
-import { type RequestHandler, requestListener, MAX_BODY } from '../../src/api/http-router.js';
+import { type RequestHandler, requestListener, MAX_BODY_BYTES } from '../../src/api/http-router.js';
 import { silentLogger } from '../../src/log/logger.js';
 import { HttpTarget } from '../../src/net/http-client.js';
 import { FrontServer } from '../../src/net/front-server.js';
@@ -60,7 +60,7 @@
 
   it('refuses a body over the limit and goes on', async () => {
     const address = await front({});
-    const long = await target(address).call('POST', '/v2/runs', 'x'.repeat(MAX_BODY), 5000);
+    const long = await target(address).call('POST', '/v2/runs', 'x'.repeat(MAX_BODY_BYTES), 5000);
     expect(long.status).toBe(413);
     expect((await target(address).call('GET', '/up', undefined, 5000)).status).toBe(200);
   });
