--- a/src/leadership/lease.ts
+++ b/src/leadership/lease.ts
@@ -18,6 +18,8 @@
 /** Renewals per time to live, so that some may fail. */
 const RENEWALS_PER_TTL = 4;
 
+type LeaseContext = Pick<ControllerContext, 'clock' | 'log' | 'store' | 'operators'>;
+
 /** What a leader reads of its lease. */
 export interface LeaseValidity {
   /** Whether the lease is certainly valid, by this process's clock. */
@@ -62,7 +64,7 @@
   private scheduledRenewal: ScheduledRenewal | null = null;
 
   constructor(
-    private readonly ctx: ControllerContext,
+    private readonly ctx: LeaseContext,
     /** The store has ended the lease; it is not held any more. */
     private readonly onExpired: () => void,
   ) {}
--- a/test/unit/http.test.ts
+++ b/test/unit/http-client.test.ts
@@ -1,59 +1,8 @@
-import { createServer, type Server, type Socket } from 'node:net';
-import type { AddressInfo } from 'node:net';
+import { type AddressInfo, createServer, type Server, type Socket } from 'node:net';
 import { afterEach, describe, expect, it, vi } from 'vitest';
 import { HttpTarget, NoAnswerError, NoSocketError } from '../../src/net/http-client.js';
-import { MalformedResponseError, type HttpResponse, ResponseReader } from '../../src/net/http-response.js';
 import { WorkerConnections } from '../../src/workers/worker-connections.js';
 
-const RESPONSES: Record<string, string> = {
-  'with a length': 'HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n{"a":1}',
-  'in chunks, with a trailer':
-    'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\n{"a\r\n4\r\n":1}\r\n0\r\nX-T: 1\r\n\r\n',
-  'after a preliminary one':
-    'HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length:7\r\nconnection: Keep-Alive\r\n\r\n{"a":1}',
-};
-
-describe('ResponseReader', () => {
-  it.each(Object.entries(RESPONSES))('reads a response %s from any cut of the stream', (_name, text) => {
-    const bytes = Buffer.from(text);
-    for (let cut = 0; cut <= bytes.length; cut++) {
-      const reader = new ResponseReader();
-      const read = [bytes.subarray(0, cut), bytes.subarray(cut)]
-        .filter((part) => part.length > 0)
-        .map((part) => reader.push(part))
-        .filter((response): response is HttpResponse => response !== null);
-      expect(read.map(({ status, body, keepAlive }) => [status, body.toString(), keepAlive])).toEqual([
-        [200, '{"a":1}', true],
-      ]);
-    }
-  });
-
-  it('ends a response without a length with its connection, and no other may follow', () => {
-    const reader = new ResponseReader();
-    expect(reader.push(Buffer.from('HTTP/1.0 200 OK\r\n\r\n{"a"'))).toBeNull();
-    expect(reader.push(Buffer.from(':1}'))).toBeNull();
-    expect(reader.end()).toMatchObject({ status: 200, keepAlive: false });
-  });
-
-  it('reads no response where it breaks off', () => {
-    const reader = new ResponseReader();
-    expect(reader.push(Buffer.from('HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n{'))).toBeNull();
-    expect(reader.end()).toBeNull();
-  });
-
-  it('completes a response without a body with its head', () => {
-    const read = new ResponseReader().push(Buffer.from('HTTP/1.1 204 No Content\r\n\r\n'));
-    expect([read?.status, read?.body.length, read?.keepAlive]).toEqual([204, 0, true]);
-  });
-
-  it.each(['nonsense\r\n\r\n', 'HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n', 'x'.repeat(70_000)])(
-    'refuses what cannot be a response',
-    (text) => {
-      expect(() => new ResponseReader().push(Buffer.from(text))).toThrow(MalformedResponseError);
-    },
-  );
-});
-
 const openResources: (Server | HttpTarget | Socket)[] = [];
 afterEach(() => {
   for (const resource of openResources.splice(0)) {
@@ -83,14 +32,14 @@
   return target;
 }
 
-const OK = RESPONSES['with a length'] as string;
+const OK = 'HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n{"a":1}';
 
 describe('HttpTarget', () => {
   it('shares connections among calls, and sends none on one that waits for a response', async () => {
-    const seen = new Set<Socket>();
+    const connections = new Set<Socket>();
     const address = await startServer((request, socket) => {
       expect(request.match(/HTTP\/1\.1/g)).toHaveLength(1);
-      seen.add(socket);
+      connections.add(socket);
       setImmediate(() => socket.write(OK));
     });
     const http = targetAt(address, 2);
@@ -98,7 +47,7 @@
       Array.from({ length: 9 }, () => http.call('POST', '/x', { a: 1 }, 5000)),
     );
     expect(replies.every(({ status, body }) => status === 200 && (body as { a: number }).a === 1)).toBe(true);
-    expect(seen.size).toBe(2);
+    expect(connections.size).toBe(2);
   });
 
   // A late response to one call must never be taken for the next one's.
