--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -86,6 +86,7 @@
     });
     this.currentLeader = leader;
     this.ctx.log.info({ epoch: term.epoch }, 'elected');
+    // A failure to start is a fault of the program: it reaches the process's handler of unhandled rejections.
     void this.prepared().then(() => leader.start());
   }
 
--- a/src/leadership/leadership-handle.ts
+++ b/src/leadership/leadership-handle.ts
@@ -1,3 +1,4 @@
+/** What failure detection may do to a controller's leadership. */
 import type { Epoch } from '../model/ids.js';
 import type { TermEndReason } from '../model/term-end-reason.js';
 import type { Election } from './election.js';
--- a/src/net/token-bucket.ts
+++ b/src/net/token-bucket.ts
@@ -1,3 +1,4 @@
+/** A token bucket for rate limits. */
 import { type Clock, type MonotonicTime, since } from '../model/time.js';
 
 /**
--- a/src/peer/link.ts
+++ b/src/peer/link.ts
@@ -1,3 +1,4 @@
+/** The link to one other controller: connects, keeps the connection alive and sends requests over it. */
 import { connect, type Socket } from 'node:net';
 import type { Logger } from '../log/logger.js';
 import type { MemberId } from '../model/ids.js';
--- a/src/peer/peer.ts
+++ b/src/peer/peer.ts
@@ -1,3 +1,4 @@
+/** What callers see of another controller; `PeerLink` is the connection to one. */
 import type { MemberId } from '../model/ids.js';
 import type { FrameKind, PeerResponse } from './frames.js';
 import type { Ping } from './ping.js';
--- a/src/peer/server.ts
+++ b/src/peer/server.ts
@@ -1,3 +1,4 @@
+/** The server for the connections of other controllers. */
 import { createServer, type Server, type Socket } from 'node:net';
 import type { Logger } from '../log/logger.js';
 import type { MemberId } from '../model/ids.js';
--- a/src/peer/worker-client.ts
+++ b/src/peer/worker-client.ts
@@ -1,3 +1,4 @@
+/** The interface by which a leader calls workers; `RoutedCaller` implements it. */
 import type { Heartbeat, WorkerCommand } from '../model/heartbeat.js';
 import type { AgentIncarnation, FencingToken } from '../model/ids.js';
 import type { CommandReply } from '../wire/workers.js';
--- a/test/simulation/site-controllers.ts
+++ b/test/simulation/site-controllers.ts
@@ -156,7 +156,10 @@
           ),
       },
     });
-    this.peerNetwork.attach(name, { clock, handler: (payload) => failover.handleMessage(Buffer.from(payload)) });
+    this.peerNetwork.attach(name, {
+      clock,
+      handler: (payload) => failover.handleMessage(Buffer.from(payload)),
+    });
     return failover;
   }
 
