--- a/src/api/job-reader.ts
+++ b/src/api/job-reader.ts
@@ -1,5 +1,5 @@
 /** Reads jobs' records for users, and follows their changes. */
-import type { ConfirmedCancellation } from '../core/confirmed-cancellations.js';
+import type { ConfirmedCancellation } from '../model/confirmed-cancellation.js';
 import type { ControllerContext } from '../core/context.js';
 import { errorMessage } from '../log/logger.js';
 import type { JobId, Revision } from '../model/ids.js';
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -87,7 +87,7 @@
     log.error({ error: errorMessage(error) }, 'unhandled rejection'),
   );
   process.on('uncaughtException', (error) => log.error({ error: error.stack }, 'uncaught exception'));
-  const controller = new Controller(settings, operators, features, log, random);
+  const controller = new Controller({ settings, operators, features, log, random });
   if (features.failover) {
     process.once('SIGTERM', () => void controller.leave().finally(() => process.exit(0)));
   }
--- a/src/config/limits.ts
+++ b/src/config/limits.ts
@@ -1,5 +1,5 @@
 /** Warns of platform settings that are too small for any service. */
-import { shareSockets } from '../net/sockets.js';
+import { shareSockets } from '../net/socket-shares.js';
 import type { Settings } from '../wire/settings.js';
 
 /** Measured: at their peak, a follower held 30 to 40 MB, a leader of 450 machines 50 MB (docs/settings.md). */
--- a/src/workers/worker-connections.ts
+++ b/src/workers/worker-connections.ts
@@ -1,5 +1,5 @@
 /** HTTP connections to the workers' own addresses, of which a process keeps a bounded number. */
-import type { CallVerb } from '../peer/frames.js';
+import type { CallVerb } from '../peer/worker-call.js';
 import { HttpTarget, NoSocketError, type HttpReply, SocketCount } from '../net/http-client.js';
 
 interface Target {
@@ -26,7 +26,8 @@
       http: new HttpTarget(address, MAX_SOCKETS_PER_WORKER, this.openSockets),
       inFlight: 0,
     };
-    while (!target.http.hasFree && this.openSockets.open >= this.maxSockets) this.closeLeastRecentlyUsed();
+    while (!target.http.hasIdleConnection && this.openSockets.open >= this.maxSockets)
+      this.closeLeastRecentlyUsed();
     // The last in the map is the most recently used.
     this.targets.delete(address);
     this.targets.set(address, target);
