--- a/src/core/confirmed-cancellations.ts
+++ b/src/core/confirmed-cancellations.ts
@@ -1,85 +1,86 @@
 import type { JobId } from '../model/ids.js';
 import { type Clock, type Millis, type MonotonicTime, since } from '../model/time.js';
 
-/** A cancellation that was told to a user, and how long ago the teller learned of it. */
+/** A cancellation that was confirmed to a user, and how long ago the sender of this value learned of it. */
 export interface ConfirmedCancellation {
   readonly id: JobId;
   readonly age: Millis;
 }
 
-/** Those older than so many times their limit have been carried out or broken. */
-const KEPT_LIMITS = 3;
-const MOST_KEPT = 20_000;
+/** Cancellations older than this many times their limit have been carried out or are violated already. */
+const RETENTION_LIMITS = 3;
+const MAX_ENTRIES = 20_000;
 
 /**
- * The confirmed cancellations that this process has lately heard of, whoever confirmed them: by its own
- * answers, by watching the records, or from another controller. A confirmed cancellation is final. So what
- * stands here may be acted upon, by a `kill`, without the state service and without a sure grant.
+ * The confirmed cancellations that this process has learned of lately, whoever confirmed them: by its own answers, by
+ * watching the records, or from another controller. A confirmed cancellation is final. So an entry may be acted upon,
+ * by a stop command, without the store and without a valid lease.
  */
 export class ConfirmedCancellations {
-  private readonly learned = new Map<JobId, MonotonicTime>();
+  private readonly learnedAtById = new Map<JobId, MonotonicTime>();
   private readonly listeners: ((ids: readonly JobId[]) => void)[] = [];
-  private readonly kept: number;
+  private readonly retention: number;
   private readonly startedAt: MonotonicTime;
 
   constructor(
     private readonly clock: Clock,
-    cancelWithin: Millis,
+    cancellationLimit: Millis,
   ) {
-    this.kept = cancelWithin * KEPT_LIMITS;
+    this.retention = cancellationLimit * RETENTION_LIMITS;
     this.startedAt = clock.now();
   }
 
-  /** How long this process has been listening. */
+  /** How long this process has been collecting cancellations. */
   get uptime(): Millis {
     return since(this.clock.now(), this.startedAt);
   }
 
+  /** Calls the listener with the ids of cancellations that are new here. */
   onLearned(listener: (ids: readonly JobId[]) => void): void {
     this.listeners.push(listener);
   }
 
-  /** True: this is news. */
-  learn(told: readonly ConfirmedCancellation[]): boolean {
+  /** Adds cancellations; returns whether any of them is new. */
+  learn(cancellations: readonly ConfirmedCancellation[]): boolean {
     const now = this.clock.now();
-    const news: JobId[] = [];
-    for (const { id, age } of told) {
-      if (this.learned.has(id)) continue;
-      this.learned.set(id, (now - age) as MonotonicTime);
-      news.push(id);
+    const learned: JobId[] = [];
+    for (const { id, age } of cancellations) {
+      if (this.learnedAtById.has(id)) continue;
+      this.learnedAtById.set(id, (now - age) as MonotonicTime);
+      learned.push(id);
     }
-    if (news.length === 0) return false;
-    this.forget(now);
-    for (const tell of this.listeners) tell(news);
+    if (learned.length === 0) return false;
+    this.removeExpired(now);
+    for (const listener of this.listeners) listener(learned);
     return true;
   }
 
   has(id: JobId): boolean {
-    return this.learned.has(id);
+    return this.learnedAtById.has(id);
   }
 
-  /** Since when it is known to be cancelled. */
+  /** Since when the job is known to be cancelled; undefined: it isn't. */
   learnedAt(id: JobId): MonotonicTime | undefined {
-    return this.learned.get(id);
+    return this.learnedAtById.get(id);
   }
 
-  /** All of them, or those of these jobs. */
-  list(which: Iterable<JobId> = this.learned.keys()): ConfirmedCancellation[] {
+  /** Returns all of them, or those of the given jobs. */
+  list(ids: Iterable<JobId> = this.learnedAtById.keys()): ConfirmedCancellation[] {
     const now = this.clock.now();
-    this.forget(now);
-    const told: ConfirmedCancellation[] = [];
-    for (const id of which) {
-      const at = this.learned.get(id);
-      if (at !== undefined) told.push({ id, age: since(now, at) });
+    this.removeExpired(now);
+    const cancellations: ConfirmedCancellation[] = [];
+    for (const id of ids) {
+      const learnedAt = this.learnedAtById.get(id);
+      if (learnedAt !== undefined) cancellations.push({ id, age: since(now, learnedAt) });
     }
-    return told;
+    return cancellations;
   }
 
-  private forget(now: MonotonicTime): void {
-    for (const [id, at] of this.learned) {
-      // In the order in which they came; ages of others' may differ by the time that their telling took.
-      if (since(now, at) <= this.kept && this.learned.size <= MOST_KEPT) return;
-      this.learned.delete(id);
+  private removeExpired(now: MonotonicTime): void {
+    for (const [id, learnedAt] of this.learnedAtById) {
+      // In the order of arrival; the ages of entries from peers may differ from it by the time of their transfer.
+      if (since(now, learnedAt) <= this.retention && this.learnedAtById.size <= MAX_ENTRIES) return;
+      this.learnedAtById.delete(id);
     }
   }
 }
--- a/src/leader/decision-loop.ts
+++ b/src/leader/decision-loop.ts
@@ -1,4 +1,4 @@
-/** Decides, whenever something has changed, which tasks start where and which machines are wanted for the rest. */
+/** Decides, whenever something has changed, which tasks start where and for which work the fleet needs machines. */
 import type { Mutex } from 'async-mutex';
 import type { QueuedWork } from '../fleet/backlog.js';
 import type { FleetManager } from '../fleet/fleet-manager.js';
@@ -6,7 +6,7 @@
 import type { MachineId, JobId, TeamId } from '../model/ids.js';
 import { Priority } from '../model/job.js';
 import type { Team } from '../model/team.js';
-import { type MonotonicTime, since } from '../model/time.js';
+import { type MonotonicTime, since, type WallTime } from '../model/time.js';
 import type { ActiveJob } from '../scheduler/active-job.js';
 import type { Task } from '../scheduler/task.js';
 import { place } from '../scheduler/placement.js';
@@ -18,20 +18,20 @@
 import type { CommandDispatcher } from '../workers/command-dispatcher.js';
 import type { Worker } from '../workers/state/worker.js';
 import type { LeaderContext } from '../core/context.js';
-import { jobView, machineView, victims } from './placement-views.js';
+import { jobView, machineView, victimsOn } from './placement-views.js';
 
 /**
- * What asks for a decision within this is decided together: at size that also means fewer transactions,
- * and fewer calls to machines that get several tasks.
+ * Requests within this time share one decision: at size that also means fewer transactions, and fewer calls to workers
+ * that get several tasks.
  */
-const DECIDE_MS = 40;
-/** The pause after a decision, in times of what it took. */
-const DECIDE_PAUSE = 3;
-/** Where no target says what share may miss it. */
-const DEFAULT_ALLOWED = 0.1;
-
-/** What decisions are made by and carried out with. */
-interface DecisionParts {
+const DECISION_DELAY_MS = 40;
+/** The pause after a decision, as a multiple of its duration. */
+const DECISION_PAUSE_FACTOR = 3;
+/** The share of a class's jobs that may miss their objective where no objective says so. */
+const DEFAULT_ALLOWED_MISSES = 0.1;
+
+/** The parts of the leader that decisions are made by and carried out with. */
+interface DecisionLoopParts {
   readonly fleet: FleetManager;
   readonly committer: Committer;
   readonly dispatcher: CommandDispatcher;
@@ -41,64 +41,63 @@
   readonly lock: Mutex;
 }
 
-/** One decision at a time, each over a snapshot of what the leader knows. */
+/** Makes one decision at a time, each over a snapshot of what the leader knows. */
 export class DecisionLoop {
   private readonly teams: ReadonlyMap<TeamId, Team>;
-  /** Jobs within their teams' guarantees, for the jobs that there were then. */
+  /** Jobs within their teams' guaranteed quotas, for this version of the job store. */
   private guaranteed: { readonly version: number; readonly jobs: Set<JobId> } | null = null;
-  private started = false;
-  private requested = false;
-  private lastTookMs = 0;
+  private isStarted = false;
+  private isRequested = false;
+  private lastDurationMs = 0;
 
   constructor(
     private readonly ctx: LeaderContext,
-    private readonly parts: DecisionParts,
+    private readonly parts: DecisionLoopParts,
   ) {
     this.teams = new Map(ctx.settings.teams.map((team) => [team.id, team]));
   }
 
-  /** The records have been read: decisions may be made. */
+  /** The records have been read: decisions may be made from now on. */
   start(): void {
-    this.started = true;
+    this.isStarted = true;
     this.request();
   }
 
-  /** Something changed that decisions depend on. */
+  /** Requests a decision: something has changed that decisions depend on. */
   request(): void {
-    if (this.requested || !this.started || this.ctx.isEnded()) return;
-    this.requested = true;
-    // A decision that took long is followed by a longer pause: reports go first.
-    this.ctx.clock.after(Math.max(DECIDE_MS, this.lastTookMs * DECIDE_PAUSE), () => {
-      this.requested = false;
+    if (this.isRequested || !this.isStarted || this.ctx.isEnded()) return;
+    this.isRequested = true;
+    // A decision that took long is followed by a longer pause: heartbeats go first.
+    const delayMs = Math.max(DECISION_DELAY_MS, this.lastDurationMs * DECISION_PAUSE_FACTOR);
+    this.ctx.clock.after(delayMs, () => {
+      this.isRequested = false;
       if (!this.ctx.isEnded()) void this.parts.lock.runExclusive(() => this.decideNow());
     });
   }
 
-  /** Committed: only now may run orders leave. */
-  placed(tasks: readonly Task[]): void {
+  /** The starts of these tasks are durable: only now may their start commands leave. */
+  onPlaced(tasks: readonly Task[]): void {
     const now = this.ctx.clock.now();
-    const wake = new Set<Worker>();
+    const startingOn = new Set<Worker>();
     for (const task of tasks) {
       const worker = task.machine === null ? undefined : this.ctx.workers.get(task.machine);
       if (!worker || worker.isRemoving || task.job.isCancelled) {
         worker?.unassign(task);
         task.job.releaseTask(task, now);
         this.request();
-      } else wake.add(worker);
+      } else startingOn.add(worker);
       if (worker && task.job.spec.kind === 'service') {
-        this.ctx.log.info(
-          { task: task.id, attemptNumber: task.attemptNumber, worker: worker.id },
-          'replica placed',
-        );
+        const { id, attemptNumber } = task;
+        this.ctx.log.info({ task: id, attemptNumber, machine: worker.id }, 'replica placed');
       }
     }
-    for (const worker of wake) this.parts.dispatcher.dispatch(worker);
+    for (const worker of startingOn) this.parts.dispatcher.dispatch(worker);
   }
 
   private decideNow(): void {
-    const began = this.ctx.clock.now();
-    this.decide(began);
-    this.lastTookMs = since(this.ctx.clock.now(), began);
+    const startedAt = this.ctx.clock.now();
+    this.decide(startedAt);
+    this.lastDurationMs = since(this.ctx.clock.now(), startedAt);
   }
 
   private decide(now: MonotonicTime): void {
@@ -113,18 +112,18 @@
     const guaranteed = this.guaranteedAmong(open);
     const plan = place({
       jobs: waiting,
-      machines: this.machines(),
+      machines: this.schedulableMachines(),
       guaranteed,
       teams: this.teams,
       teamUsage: this.ctx.jobs.teamUsage(),
-      victimsOf: this.victimsAmong(open, waiting, guaranteed, now),
+      victimsOf: this.victimLookup(open, waiting, guaranteed, now),
     });
     this.carryOut(plan, now);
-    this.parts.fleet.setBacklog(plan.unmet.map(({ job, tasks }) => this.queued(job, tasks)));
+    this.parts.fleet.setBacklog(plan.unmet.map(({ job, tasks }) => this.queuedWork(job, tasks)));
     this.parts.committer.schedule();
   }
 
-  private machines(): MachineView[] {
+  private schedulableMachines(): MachineView[] {
     const machines: MachineView[] = [];
     for (const worker of this.ctx.workers.values()) {
       if (worker.cordon || !worker.hasReported || worker.interruptionAt !== null || worker.isUnreachable)
@@ -143,101 +142,107 @@
   }
 
   private carryOut(plan: PlacementPlan, now: MonotonicTime): void {
-    const makingRoom = this.stop(plan, now);
+    const preemptedOn = this.preempt(plan, now);
     for (const start of plan.starts) {
       const job = this.ctx.jobs.get(start.job);
       const worker = this.ctx.workers.get(start.machine);
       if (!job || !worker?.confirmedFacts) continue;
       worker.assign(job.beginAttempt(worker.id, worker.confirmedFacts.machine.zone, now));
       worker.idleSince = null;
-      // The stop and the start leave together, once the start is committed.
-      makingRoom.delete(worker);
+      // The stop and the start commands leave together, once the start is committed.
+      preemptedOn.delete(worker);
     }
-    for (const worker of makingRoom) this.parts.dispatcher.dispatch(worker);
+    for (const worker of preemptedOn) this.parts.dispatcher.dispatch(worker);
   }
 
-  /** The hosts on which tasks are stopped to make room. */
-  private stop({ preemptions }: PlacementPlan, now: MonotonicTime): Set<Worker> {
+  /** Marks the tasks to be preempted, and returns the workers that they are on. */
+  private preempt({ preemptions }: PlacementPlan, now: MonotonicTime): Set<Worker> {
     const workers = new Set<Worker>();
-    for (const stop of preemptions) {
-      const worker = this.ctx.workers.get(stop.machine);
+    for (const preemption of preemptions) {
+      const worker = this.ctx.workers.get(preemption.machine);
       for (const task of worker?.tasks ?? []) {
-        if (task.id !== stop.task || task.phase !== 'placed' || task.pendingStop) continue;
+        if (task.id !== preemption.task || task.phase !== 'placed' || task.pendingStop) continue;
         task.pendingStop = { graceS: 0, reason: 'preempted', since: now };
         if (worker) workers.add(worker);
       }
     }
     if (preemptions.length > 0)
-      this.ctx.log.info({ stops: preemptions.length, for: this.classesOf(preemptions) }, 'making room');
+      this.ctx.log.info(
+        { tasks: preemptions.length, preemptorClasses: this.countByClass(preemptions) },
+        'preempting tasks',
+      );
     return workers;
   }
 
-  /** How many tasks are stopped for jobs of which class. */
-  private classesOf(stops: readonly Preemption[]): Record<string, number> {
+  /** Counts the preempted tasks by the class of the job that they are preempted for. */
+  private countByClass(preemptions: readonly Preemption[]): Record<string, number> {
     const counts: Record<string, number> = {};
-    for (const stop of stops) {
-      const jobClass = this.ctx.jobs.get(stop.preemptor)?.spec.jobClass ?? '';
+    for (const { preemptor } of preemptions) {
+      const jobClass = this.ctx.jobs.get(preemptor)?.spec.jobClass ?? '';
       counts[jobClass] = (counts[jobClass] ?? 0) + 1;
     }
     return counts;
   }
 
   /**
-   * Who may be stopped at all is looked up by job, and only once somebody asks: mostly nobody does,
-   * or nothing may be stopped.
+   * Returns a lookup of the tasks of a machine that may be preempted. The machines that have any are collected by job,
+   * and only at the first lookup: mostly there is none, or nothing may be preempted.
    */
-  private victimsAmong(
+  private victimLookup(
     open: readonly ActiveJob[],
     waiting: readonly JobView[],
     guaranteed: ReadonlySet<JobId>,
     now: MonotonicTime,
   ): (id: MachineId) => Victim[] {
-    const production = waiting.some((job) => job.spec.priority === Priority.Production);
-    let stoppable: Set<MachineId> | null = null;
+    const isProductionWaiting = waiting.some((job) => job.spec.priority === Priority.Production);
+    let preemptible: Set<MachineId> | null = null;
     return (id) => {
-      stoppable ??= machinesOf(
+      preemptible ??= machinesOf(
         open.filter(
           ({ assignedCount, spec }) =>
             assignedCount > 0 &&
             spec.priority !== Priority.Production &&
-            (production || !guaranteed.has(spec.id)),
+            (isProductionWaiting || !guaranteed.has(spec.id)),
         ),
       );
-      const worker = stoppable.has(id) ? this.ctx.workers.get(id) : undefined;
-      return worker ? victims(worker, now) : [];
+      const worker = preemptible.has(id) ? this.ctx.workers.get(id) : undefined;
+      return worker ? victimsOn(worker, now) : [];
     };
   }
 
-  private queued(job: JobView, tasks: number): QueuedWork {
+  /** Describes unmet demand to the fleet. */
+  private queuedWork(job: JobView, tasks: number): QueuedWork {
     const runMs = this.parts.lifetimes.expectedRun(job.spec);
-    return { spec: job.spec, tasks, zones: job.zones, runMs, ...this.waitAfterBoot(job, runMs) };
+    return { spec: job.spec, tasks, zones: job.zones, runMs, ...this.slackAfterBoot(job, runMs) };
   }
 
-  /** What a machine rented now can still save: the job's next target that its boot leaves reachable. */
-  private waitAfterBoot(job: JobView, runMs: number): { slackMs: number | null; slackFactor: number } {
+  /** The slack by the job's next objective that a machine rented now can still meet after its boot. */
+  private slackAfterBoot(job: JobView, runMs: number): { slackMs: number | null; slackFactor: number } {
     const { fleet, urgency, slackFactors } = this.parts;
-    const age = Math.max(0, this.ctx.clock.wall() - job.readyAt) + fleet.slowestBoot();
-    const target = urgency.next(job.spec, age, runMs);
+    const ageAfterBoot = this.ageOf(job) + fleet.slowestBoot();
+    const objective = urgency.next(job.spec, ageAfterBoot, runMs);
     return {
-      slackMs: urgency.slack(job.spec, age, runMs),
-      slackFactor: slackFactors.factor(job.spec.jobClass, target?.allowed ?? DEFAULT_ALLOWED),
+      slackMs: urgency.slack(job.spec, ageAfterBoot, runMs),
+      slackFactor: slackFactors.factor(job.spec.jobClass, objective?.allowed ?? DEFAULT_ALLOWED_MISSES),
     };
   }
 
   private viewOf(job: ActiveJob, now: MonotonicTime): JobView {
-    const age = Math.max(0, this.ctx.clock.wall() - job.readyAt);
-    const slackMs = this.parts.urgency.slack(
-      job.effectiveSpec,
-      age,
-      this.parts.lifetimes.expectedRun(job.spec),
-    );
-    return jobView(job, now, age, slackMs, isStarving(job, age, now));
+    const { urgency, lifetimes } = this.parts;
+    const waitedMs = this.ageOf(job);
+    const slackMs = urgency.slack(job.effectiveSpec, waitedMs, lifetimes.expectedRun(job.spec));
+    return jobView(job, now, { waitedMs, slackMs, isStarving: isStarving(job, waitedMs, now) });
+  }
+
+  /** How long ago the job could have started, in milliseconds. */
+  private ageOf({ readyAt }: { readonly readyAt: WallTime }): number {
+    return Math.max(0, this.ctx.clock.wall() - readyAt);
   }
 }
 
 function machinesOf(jobs: readonly ActiveJob[]): Set<MachineId> {
-  const workers = new Set<MachineId>();
+  const machines = new Set<MachineId>();
   for (const job of jobs)
-    for (const task of job.assignedTasks()) if (task.machine !== null) workers.add(task.machine);
-  return workers;
+    for (const task of job.assignedTasks()) if (task.machine !== null) machines.add(task.machine);
+  return machines;
 }
--- a/src/leader/dependency-tracker.ts
+++ b/src/leader/dependency-tracker.ts
@@ -1,87 +1,94 @@
-/** Holds jobs back until every job that they need is durably done. */
+/** Holds jobs back until every job that they depend on is durably done. */
 import type { Mutex } from 'async-mutex';
+import type { LeaderContext } from '../core/context.js';
 import { errorMessage } from '../log/logger.js';
 import type { JobId } from '../model/ids.js';
 import { sleep } from '../model/time.js';
-import type { DependencyGraph } from '../scheduler/dependency-graph.js';
 import type { ActiveJob } from '../scheduler/active-job.js';
+import type { DependencyGraph } from '../scheduler/dependency-graph.js';
 import { decodeJob } from '../store/job-record.js';
 import { keys } from '../store/keys.js';
-import type { LeaderContext } from '../core/context.js';
 import type { JobCanceller } from './job-canceller.js';
 import { readDependencies } from './record-loader.js';
+import { retryUntilTermEnds } from './retry.js';
 
-/** A further record of a job that could not be read is asked for again after this. */
-const READ_AGAIN_MS = 300;
-/** The same for a dependency's record. */
-const LOOK_AGAIN_MS = 100;
+/** A further record of a job that could not be read is read again after this. */
+const DEPENDENCIES_RETRY_MS = 300;
+/** The record of a dependency is read again after this and up to as long again. */
+const LOOKUP_RETRY_MS = 100;
 
 /** Is told of each job that has just become able to start. */
 export interface DemandListener {
+  /** Records a job that may start from now on. */
   recordDemand(job: ActiveJob): void;
 }
 
+/** The parts of the leader that `DependencyTracker` works with. */
+interface DependencyTrackerParts {
+  readonly graph: DependencyGraph;
+  readonly canceller: JobCanceller;
+  readonly demand: DemandListener;
+  readonly lock: Mutex;
+}
+
 /**
- * What a leader knows of dependencies. A job is blocked while one of them is not known to be done; `done` is
- * final, so once seen it needs no condition. All of it follows from the records alone.
+ * Tracks the dependencies between jobs. A job is blocked while one of its dependencies is not known to be done; `done`
+ * is final, so it needs no compare once it was seen. All of this follows from the records alone.
  */
 export class DependencyTracker {
-  /** Jobs that others need and that we don't know: over, or not seen yet. */
-  private readonly unknown = new Set<JobId>();
-  private lookingUp = false;
-  private started = false;
+  /** Dependencies that are not in the job store: over, or not seen yet. */
+  private readonly unresolved = new Set<JobId>();
+  private isLookingUp = false;
+  private isStarted = false;
 
   constructor(
     private readonly ctx: LeaderContext,
-    private readonly graph: DependencyGraph,
-    private readonly canceller: JobCanceller,
-    private readonly demand: DemandListener,
-    private readonly lock: Mutex,
+    private readonly parts: DependencyTrackerParts,
   ) {}
 
-  /** Records have been read: what is still unknown is asked for. */
+  /** The records have been read: dependencies that are still unresolved are looked up from now on. */
   start(): void {
-    this.started = true;
-    void this.lookUp();
+    this.isStarted = true;
+    void this.lookUpUnresolved();
   }
 
-  /** A job became known: what it has to wait for, and what others that wait for it ask of it. */
+  /** Adds a job: finds out what it has to wait for, and passes on what jobs that depend on it require of it. */
   add(job: ActiveJob): void {
     const { id, dependencies, dependencyRecordCount } = job.spec;
-    // Once begun, all that it needs was done: that is final.
+    // Once it has started, all its dependencies were done: that is final.
     if (job.tasks.size === 0) {
-      for (const needed of dependencies) this.need(job, needed);
+      for (const dependency of dependencies) this.addDependency(job, dependency);
       if (dependencyRecordCount > 0) {
         job.hasUnreadDependencies = true;
-        void this.readRest(id, dependencyRecordCount);
+        void this.readFurtherDependencies(id, dependencyRecordCount);
       }
     }
-    this.graph.add(job);
-    this.followCancelled(job);
-    void this.lookUp();
+    this.parts.graph.add(job);
+    this.cancelWithDependency(job);
+    void this.lookUpUnresolved();
   }
 
-  /** Durably done: what waited for nothing else may start. */
-  done(id: JobId): void {
-    this.release(this.graph.done(id));
+  /** A job is durably done: what waited only for it may start. */
+  markDone(id: JobId): void {
+    this.release(this.parts.graph.done(id));
   }
 
-  private need(job: ActiveJob, id: JobId): void {
+  private addDependency(job: ActiveJob, dependency: JobId): void {
     const { jobs } = this.ctx;
-    if (jobs.finalStateOf(id) === 'done') return;
-    job.unmetDependencies.add(id);
-    if (!jobs.has(id)) this.unknown.add(id);
+    if (jobs.finalStateOf(dependency) === 'done') return;
+    job.unmetDependencies.add(dependency);
+    if (!jobs.has(dependency)) this.unresolved.add(dependency);
   }
 
   /**
-   * A job that it needs was cancelled before this one became known: the cancellation found no dependent to
-   * take along. A node whose view is a moment old accepts such a job as one that waits.
+   * Cancels the job if one of its dependencies was cancelled before it was known here: that cancellation found no
+   * dependent to cancel. A controller whose view is a moment old accepts such a job as one that waits.
    */
-  private followCancelled(job: ActiveJob): void {
+  private cancelWithDependency(job: ActiveJob): void {
     if (job.isCancelled) return;
-    for (const id of job.unmetDependencies) {
-      if (!this.isCancelled(id)) continue;
-      this.canceller.cancelDependent(job);
+    for (const dependency of job.unmetDependencies) {
+      if (!this.isCancelled(dependency)) continue;
+      this.parts.canceller.cancelDependent(job);
       return;
     }
   }
@@ -93,65 +100,61 @@
     );
   }
 
-  private async readRest(id: JobId, records: number): Promise<void> {
-    while (!this.ctx.isEnded()) {
-      try {
-        const rest = await readDependencies(this.ctx, id, records);
-        await this.lock.runExclusive(() => this.addRest(id, rest));
-        await this.lookUp();
-        return;
-      } catch (error) {
-        this.ctx.log.debug({ job: id, error: errorMessage(error) }, 'dependencies not read yet');
-        await sleep(this.ctx.clock, READ_AGAIN_MS);
-      }
-    }
+  private async readFurtherDependencies(id: JobId, recordCount: number): Promise<void> {
+    const onFailure = (error: unknown): void =>
+      this.ctx.log.debug({ job: id, error: errorMessage(error) }, 'job dependencies read failed');
+    await retryUntilTermEnds(this.ctx, { retryMs: DEPENDENCIES_RETRY_MS, onFailure }, async () => {
+      const dependencies = await readDependencies(this.ctx, id, recordCount);
+      await this.parts.lock.runExclusive(() => this.addFurtherDependencies(id, dependencies));
+      await this.lookUpUnresolved();
+    });
   }
 
-  private addRest(id: JobId, rest: readonly JobId[]): void {
+  private addFurtherDependencies(id: JobId, dependencies: readonly JobId[]): void {
     const job = this.ctx.jobs.get(id);
     if (!job || job.isCancelled) return;
-    for (const needed of rest) this.need(job, needed);
+    for (const dependency of dependencies) this.addDependency(job, dependency);
     job.hasUnreadDependencies = false;
-    this.graph.add(job);
-    this.followCancelled(job);
+    this.parts.graph.add(job);
+    this.cancelWithDependency(job);
     if (!job.isBlocked && !job.isCancelled) this.release([job]);
   }
 
-  /** Asks the records about jobs that others need and that are over, or were accepted a moment ago. */
-  private async lookUp(): Promise<void> {
-    if (this.lookingUp || !this.started) return;
-    this.lookingUp = true;
-    while (this.unknown.size > 0 && !this.ctx.isEnded()) {
-      for (const id of this.unknown) {
-        await this.lookUpOne(id);
+  /** Reads the records of dependencies that are over, or were accepted a moment ago. Never throws. */
+  private async lookUpUnresolved(): Promise<void> {
+    if (this.isLookingUp || !this.isStarted) return;
+    this.isLookingUp = true;
+    while (this.unresolved.size > 0 && !this.ctx.isEnded()) {
+      for (const id of this.unresolved) {
+        await this.lookUp(id);
         if (this.ctx.isEnded()) break;
       }
     }
-    this.lookingUp = false;
+    this.isLookingUp = false;
   }
 
-  private async lookUpOne(id: JobId): Promise<void> {
+  private async lookUp(id: JobId): Promise<void> {
     try {
       const row = this.ctx.jobs.has(id) ? null : await this.ctx.store.get(keys.job(id));
-      this.unknown.delete(id);
-      // One that is still accepted is known by now, or its watch brings it.
+      this.unresolved.delete(id);
+      // One that is still accepted is in the job store by now, or the watch brings it.
       const state = row ? decodeJob(id, row.value).state : 'accepted';
-      await this.lock.runExclusive(() => {
-        if (state === 'done') this.done(id);
-        else if (state === 'cancelled') this.canceller.cancel(id);
+      await this.parts.lock.runExclusive(() => {
+        if (state === 'done') this.markDone(id);
+        else if (state === 'cancelled') this.parts.canceller.cancel(id);
       });
     } catch (error) {
-      this.ctx.log.debug({ job: id, error: errorMessage(error) }, 'dependency not read yet');
-      await sleep(this.ctx.clock, LOOK_AGAIN_MS * (1 + this.ctx.random()));
+      this.ctx.log.debug({ job: id, error: errorMessage(error) }, 'dependency lookup failed');
+      await sleep(this.ctx.clock, LOOKUP_RETRY_MS * (1 + this.ctx.random()));
     }
   }
 
-  /** All that they need is done, durably: they may start, and their times count from now. */
+  /** All dependencies of these jobs are durably done: they may start, and their waiting time counts from now. */
   private release(jobs: readonly ActiveJob[]): void {
     if (jobs.length === 0) return;
     for (const job of jobs) {
       job.markReady(this.ctx.clock.wall());
-      this.demand.recordDemand(job);
+      this.parts.demand.recordDemand(job);
     }
     this.ctx.jobs.version++;
     this.ctx.requestDecision();
--- a/src/leader/fleet-record-writer.ts
+++ b/src/leader/fleet-record-writer.ts
@@ -1,214 +1,241 @@
+import type { LeaderContext } from '../core/context.js';
 import type { FleetManager } from '../fleet/fleet-manager.js';
+import { errorMessage } from '../log/logger.js';
 import { type MachineId, NO_REVISION, type Revision } from '../model/ids.js';
 import type { Machine } from '../model/machine.js';
 import { type MonotonicTime, since } from '../model/time.js';
 import type { TokenBucket } from '../net/token-bucket.js';
 import { keys } from '../store/keys.js';
-import type { WriteCounts } from './write-counts.js';
+import { encodeFleetChunk, encodeMachine, type StoredMachine } from '../store/machine-record.js';
 import type { KeyValue, WriteOperation } from '../wire/key-value-store.js';
 import type { Worker } from '../workers/state/worker.js';
-import type { LeaderContext } from '../core/context.js';
+import type { WriteCounts } from './write-counts.js';
+import { readRevision, stepDownIfDeposed } from './write-conflicts.js';
 
-/**
- * One machine in a fleet record, by position. `confirmed` was added with issue 30: earlier versions also recorded what
- * they had guessed, and leave the field out.
- */
-export type StoredMachine = [
-  id: string,
-  type: string,
-  zone: string,
-  spot: 0 | 1,
-  address: string,
-  rentedAt: number,
-  up: 0 | 1,
-  confirmed?: 1,
-];
-
-interface Changed {
+/** A record whose value differs from the one that was last written. */
+interface ChangedRecord {
   readonly key: string;
   readonly value: unknown;
   readonly text: string;
   readonly bytes: number;
 }
 
-const PER_RECORD = 120;
-/** All that one transaction may carry is 64 KiB (PROTOCOL). */
-const MAX_BYTES = 48 * 1024;
-/** Changes of this long share one writing: what a record lacks, reports and the list tell. */
-const EVERY_MS = 2000;
-/** Under load starts go first, but not for longer than this. */
-const AT_LEAST_EVERY_MS = 15_000;
-/** The share of the budget's burst that is left to starts. */
-const LEFT_FOR_STARTS = 0.4;
+/** The parts of the leader that `FleetRecordWriter` works with. */
+interface FleetRecordWriterParts {
+  readonly fleet: FleetManager;
+  /** The writes per second that this leader may make. */
+  readonly writeBudget: TokenBucket;
+  readonly writeCounts: WriteCounts;
+}
+
+const MAX_MACHINES_PER_RECORD = 120;
+/** A transaction may carry 64 KiB in all (PROTOCOL). */
+const MAX_TXN_BYTES = 48 * 1024;
+/** Changes within this time share one save: what a record lacks, heartbeats and the cloud's list supply. */
+const MIN_SAVE_INTERVAL_MS = 2000;
+/** Under load task starts are written first, but a save is not delayed for longer than this. */
+const MAX_SAVE_INTERVAL_MS = 15_000;
+/** The share of the budget's burst that is reserved for task starts. */
+const RESERVED_FOR_STARTS = 0.4;
 
 /**
- * The rented machines and the forecast's weights, in the state service. A machine keeps its place in
- * the records, and only records that have changed are written: at size, each rental would otherwise
- * rewrite the whole fleet and take the writes that starts need.
+ * Saves the rented machines and the forecasts' weights in the store. A machine keeps its place in the records, and
+ * only records that have changed are written: at size, each rental would otherwise rewrite the whole fleet and take
+ * the writes that task starts need.
  */
 export class FleetRecordWriter {
-  private readonly chunkOf = new Map<MachineId, number>();
-  private readonly rentedAt = new Map<MachineId, number>();
-  private readonly sizes: number[] = [];
-  /** Records in the state service, ours and those of earlier leaders. */
-  private stored = 0;
-  /** What each key was last written with. */
-  private readonly written = new Map<string, string>();
-  /** Each write replaces what we know: one of our own that is applied late, or once more, changes nothing. */
+  private readonly recordIndexOf = new Map<MachineId, number>();
+  /** By the time of day, in milliseconds since 1970. */
+  private readonly rentedAtOf = new Map<MachineId, number>();
+  /** How many machines each record holds. */
+  private readonly recordSizes: number[] = [];
+  /** Fleet records in the store, ours and those of earlier leaders. */
+  private storedRecordCount = 0;
+  /** The text that each key was last written with. */
+  private readonly writtenTexts = new Map<string, string>();
+  /** Each write is compared with the revision it replaces: one of ours that is applied late, or twice, changes nothing. */
   private readonly revisions = new Map<string, Revision>();
-  private writing = false;
-  private lastAt: MonotonicTime | null = null;
+  private isChanged = false;
+  private isSaving = false;
+  private lastSavedAt: MonotonicTime | null = null;
 
   constructor(
     private readonly ctx: LeaderContext,
-    private readonly fleet: FleetManager,
-    private readonly budget: TokenBucket,
-    private readonly counts: WriteCounts,
+    private readonly parts: FleetRecordWriterParts,
   ) {}
 
-  /** An earlier leader's records: what we do not fill again must not bring machines back that are gone. */
-  found(records: readonly KeyValue[]): void {
+  /** Takes over an earlier leader's records: those that this one doesn't fill again must not bring back machines that are gone. */
+  adopt(records: readonly KeyValue[]): void {
     for (const { key, revision } of records) this.revisions.set(key, revision);
-    this.stored = Math.max(this.stored, records.filter((r) => r.key.startsWith(keys.fleet)).length);
+    const fleetRecords = records.filter(({ key }) => key.startsWith(keys.fleet));
+    this.storedRecordCount = Math.max(this.storedRecordCount, fleetRecords.length);
+  }
+
+  /** The fleet has changed: it is worth a save. */
+  markChanged(): void {
+    this.isChanged = true;
   }
 
-  /** Whether a writing may begin now. */
-  mayWrite(now: MonotonicTime): boolean {
-    if (this.writing) return false;
-    const waited = this.lastAt === null ? Infinity : since(now, this.lastAt);
-    if (waited < EVERY_MS) return false;
-    // A record left behind costs a successor seconds: it looks for machines that are gone.
-    return waited >= AT_LEAST_EVERY_MS || this.budget.available() > this.budget.burst * LEFT_FOR_STARTS;
+  /** Begins a save if something has changed and a save is due. Never throws; a save that fails is repeated. */
+  saveIfDue(now: MonotonicTime): void {
+    if (this.parts.fleet.takeDirty()) this.isChanged = true;
+    if (this.isChanged && this.isDue(now)) void this.save();
   }
 
-  async save(): Promise<void> {
-    this.writing = true;
-    this.lastAt = this.ctx.clock.now();
+  private isDue(now: MonotonicTime): boolean {
+    if (this.isSaving) return false;
+    const elapsed = this.lastSavedAt === null ? Infinity : since(now, this.lastSavedAt);
+    if (elapsed < MIN_SAVE_INTERVAL_MS) return false;
+    // An outdated record costs a successor seconds: it looks for machines that are gone.
+    if (elapsed >= MAX_SAVE_INTERVAL_MS) return true;
+    const { writeBudget } = this.parts;
+    return writeBudget.available() > writeBudget.burst * RESERVED_FOR_STARTS;
+  }
+
+  private async save(): Promise<void> {
+    this.isChanged = false;
+    this.isSaving = true;
+    this.lastSavedAt = this.ctx.clock.now();
     try {
-      for (const part of this.parts(this.changes())) {
-        this.budget.forceTake(part.length);
-        this.counts.fleet += part.length;
-        const result = await this.ctx.store.txn(
-          [
-            { key: keys.epoch, revision: this.ctx.epochRevision },
-            ...part.map(({ key }) => ({ key, revision: this.revisions.get(key) ?? NO_REVISION })),
-          ],
-          part.map((c): WriteOperation => ({ set: c.key, value: c.value })),
-        );
-        if (!result.ok) {
-          await this.resolve(result.failed);
-          return;
-        }
-        for (const { key, text } of part) {
-          this.written.set(key, text);
-          this.revisions.set(key, result.revision);
-        }
-      }
+      await this.writeChanges();
+    } catch (error) {
+      this.ctx.storeLimits.recordWriteFailure(error);
+      this.ctx.log.info({ error: errorMessage(error) }, 'fleet record write failed');
+      this.isChanged = true;
     } finally {
-      this.writing = false;
+      this.isSaving = false;
     }
   }
 
-  private async resolve(failed: readonly string[]): Promise<void> {
-    if (failed.includes(keys.epoch)) {
-      this.ctx.stepDown('the fleet record found a newer epoch');
-      return;
+  private async writeChanges(): Promise<void> {
+    const { writeBudget, writeCounts } = this.parts;
+    for (const batch of this.batchesOf(this.changedRecords())) {
+      writeBudget.forceTake(batch.length);
+      writeCounts.fleet += batch.length;
+      const result = await this.ctx.store.txn(
+        [
+          { key: keys.epoch, revision: this.ctx.epochRevision },
+          ...batch.map(({ key }) => ({ key, revision: this.revisions.get(key) ?? NO_REVISION })),
+        ],
+        batch.map(({ key, value }): WriteOperation => ({ set: key, value })),
+      );
+      if (!result.ok) {
+        await this.resolveConflict(result.failed);
+        return;
+      }
+      for (const { key, text } of batch) {
+        this.writtenTexts.set(key, text);
+        this.revisions.set(key, result.revision);
+      }
     }
+  }
+
+  private async resolveConflict(failedKeys: readonly string[]): Promise<void> {
+    if (stepDownIfDeposed(this.ctx, failedKeys, 'the fleet record found a newer epoch')) return;
     // A write of ours that brought no answer was carried out after all.
-    for (const key of failed) {
-      this.revisions.set(key, (await this.ctx.store.get(key))?.revision ?? NO_REVISION);
-      this.written.delete(key);
+    for (const key of failedKeys) {
+      this.revisions.set(key, await readRevision(this.ctx.store, key));
+      this.writtenTexts.delete(key);
     }
     throw new Error('a record had another revision');
   }
 
-  /** What fits one transaction each. */
-  private parts(changed: readonly Changed[]): Changed[][] {
-    const parts: Changed[][] = [];
+  /** Splits the records into what fits one transaction each. */
+  private batchesOf(records: readonly ChangedRecord[]): ChangedRecord[][] {
+    const batches: ChangedRecord[][] = [];
     let bytes = Infinity;
-    for (const c of changed) {
-      const last = parts[parts.length - 1];
-      if (last && last.length < this.ctx.storeLimits.txnOps && bytes + c.bytes <= MAX_BYTES) {
-        last.push(c);
-        bytes += c.bytes;
+    for (const record of records) {
+      const last = batches[batches.length - 1];
+      const fits = last && last.length < this.ctx.storeLimits.txnOps && bytes + record.bytes <= MAX_TXN_BYTES;
+      if (fits) {
+        last.push(record);
+        bytes += record.bytes;
       } else {
-        parts.push([c]);
-        bytes = c.bytes;
+        batches.push([record]);
+        bytes = record.bytes;
       }
     }
-    return parts;
+    return batches;
   }
 
-  private changes(): Changed[] {
+  private changedRecords(): ChangedRecord[] {
     const values = new Map<string, unknown>();
     const chunks = this.chunks();
-    this.stored = Math.max(this.stored, chunks.length);
+    this.storedRecordCount = Math.max(this.storedRecordCount, chunks.length);
     // From the last record on: where machines move to smaller records, they stand in their new place before
-    // their old one is written again, and a writing that is cut short loses none.
-    for (let n = this.stored - 1; n >= 0; n--) values.set(keys.fleetChunk(n), { m: chunks[n] ?? [] });
-    for (const [key, record] of this.fleet.forecastRecords()) values.set(keys.forecastOf(key), record);
-    const changed: Changed[] = [];
+    // their old one is written again, and a save that is cut short loses none.
+    for (let index = this.storedRecordCount - 1; index >= 0; index--)
+      values.set(keys.fleetChunk(index), encodeFleetChunk(chunks[index] ?? []));
+    for (const [key, record] of this.parts.fleet.forecastRecords()) values.set(keys.forecastOf(key), record);
+    const changed: ChangedRecord[] = [];
     for (const [key, value] of values) {
       const text = JSON.stringify(value);
-      if (this.written.get(key) !== text) changed.push({ key, value, text, bytes: Buffer.byteLength(text) });
+      if (this.writtenTexts.get(key) !== text)
+        changed.push({ key, value, text, bytes: Buffer.byteLength(text) });
     }
     return changed;
   }
 
+  /** Returns the machines of each record. */
   private chunks(): StoredMachine[][] {
     const { workers } = this.ctx;
-    for (const [id, n] of this.chunkOf) {
-      if (workers.has(id)) continue;
-      this.chunkOf.delete(id);
-      this.rentedAt.delete(id);
-      this.sizes[n] = (this.sizes[n] ?? 1) - 1;
-    }
-    this.thinOut();
-    // A machine of which only the name is known is recorded once somebody has told what it is.
+    this.removeGone();
+    this.shrinkOversizedRecords();
+    // A machine of which only the id is known is recorded once its facts have been learned.
     for (const worker of workers.values())
-      if (worker.presumedFacts && !this.chunkOf.has(worker.id)) this.assign(worker);
-    const chunks: StoredMachine[][] = Array.from({ length: Math.max(1, this.sizes.length) }, () => []);
+      if (worker.presumedFacts && !this.recordIndexOf.has(worker.id)) this.assign(worker);
+    const chunks: StoredMachine[][] = Array.from({ length: Math.max(1, this.recordSizes.length) }, () => []);
     for (const worker of workers.values()) {
       if (worker.presumedFacts)
-        chunks[this.chunkOf.get(worker.id) ?? 0]?.push(this.entryOf(worker, worker.presumedFacts.machine));
+        chunks[this.recordIndexOf.get(worker.id) ?? 0]?.push(
+          this.encode(worker, worker.presumedFacts.machine),
+        );
     }
     return chunks;
   }
 
-  private entryOf(worker: Worker, { id, type, zone, spot }: Machine): StoredMachine {
-    const rentedAt = this.rentedAt.get(id) ?? 0;
-    const entry: StoredMachine = [
-      id,
-      type,
-      zone,
-      spot ? 1 : 0,
-      worker.address,
-      rentedAt,
-      worker.isUp ? 1 : 0,
-    ];
-    if (worker.confirmedFacts) entry.push(1);
-    return entry;
+  private encode(worker: Worker, machine: Machine): StoredMachine {
+    return encodeMachine({
+      machine,
+      address: worker.address,
+      rentedAt: this.rentedAtOf.get(machine.id) ?? 0,
+      isUp: worker.isUp,
+      isConfirmed: worker.confirmedFacts !== null,
+    });
+  }
+
+  private removeGone(): void {
+    for (const [id, index] of this.recordIndexOf) {
+      if (this.ctx.workers.has(id)) continue;
+      this.recordIndexOf.delete(id);
+      this.rentedAtOf.delete(id);
+      this.recordSizes[index] = (this.recordSizes[index] ?? 1) - 1;
+    }
   }
 
-  /** Records that hold more machines than they may by now give the rest up to others. */
-  private thinOut(): void {
-    const most = this.ctx.storeLimits.machinesPerRecord(PER_RECORD);
-    if (this.sizes.every((size) => size <= most)) return;
-    for (const [id, n] of this.chunkOf) {
-      const size = this.sizes[n] ?? 0;
-      if (size <= most) continue;
-      this.chunkOf.delete(id);
-      this.sizes[n] = size - 1;
+  /** Removes the excess from records that hold more machines than they may by now; they move to others. */
+  private shrinkOversizedRecords(): void {
+    const maxSize = this.maxRecordSize();
+    if (this.recordSizes.every((size) => size <= maxSize)) return;
+    for (const [id, index] of this.recordIndexOf) {
+      const size = this.recordSizes[index] ?? 0;
+      if (size <= maxSize) continue;
+      this.recordIndexOf.delete(id);
+      this.recordSizes[index] = size - 1;
     }
   }
 
   private assign(worker: Worker): void {
-    const most = this.ctx.storeLimits.machinesPerRecord(PER_RECORD);
-    let n = this.sizes.findIndex((size) => size < most);
-    if (n < 0) n = this.sizes.push(0) - 1;
-    this.sizes[n] = (this.sizes[n] ?? 0) + 1;
-    this.chunkOf.set(worker.id, n);
+    const maxSize = this.maxRecordSize();
+    let index = this.recordSizes.findIndex((size) => size < maxSize);
+    if (index < 0) index = this.recordSizes.push(0) - 1;
+    this.recordSizes[index] = (this.recordSizes[index] ?? 0) + 1;
+    this.recordIndexOf.set(worker.id, index);
     const { clock } = this.ctx;
-    this.rentedAt.set(worker.id, Math.round(clock.wall() - (clock.now() - worker.rentedAt)));
+    this.rentedAtOf.set(worker.id, Math.round(clock.wall() - (clock.now() - worker.rentedAt)));
+  }
+
+  private maxRecordSize(): number {
+    return this.ctx.storeLimits.machinesPerRecord(MAX_MACHINES_PER_RECORD);
   }
 }
--- a/src/leader/heartbeat-handler.ts
+++ b/src/leader/heartbeat-handler.ts
@@ -1,151 +1,160 @@
-/** Takes in workers' reports, however they come, and answers with orders. */
+/** Takes in workers' heartbeats, whichever way they come, and answers them with commands. */
 import type { Mutex } from 'async-mutex';
+import type { LeaderContext } from '../core/context.js';
 import type { FleetManager } from '../fleet/fleet-manager.js';
-import type { DecisionLog } from '../log/decision-log.js';
 import type { Lifetimes } from '../forecast/lifetimes.js';
+import type { DecisionLog } from '../log/decision-log.js';
+import type { Heartbeat, WorkerCommand } from '../model/heartbeat.js';
 import {
   epochOfFencingToken,
-  type MemberId,
   type FenceGeneration,
   type FencingToken,
   fencingTokenOf,
+  type MemberId,
 } from '../model/ids.js';
 import type { Machine } from '../model/machine.js';
 import { FactSource } from '../model/machine-facts.js';
-import type { WorkerCommand, Heartbeat } from '../model/heartbeat.js';
-import { type MonotonicTime, plus } from '../model/time.js';
-import type { ActiveJob } from '../scheduler/active-job.js';
-import type { Committer } from './committer.js';
+import type { MonotonicTime } from '../model/time.js';
 import type { CommandDispatcher } from '../workers/command-dispatcher.js';
+import type { CommandIssuer } from '../workers/command-issuer.js';
 import type { WorkerFailureDetector } from '../workers/failure-detector.js';
+import { reconcile, type ReconciliationResult } from '../workers/reconciliation.js';
 import type { Worker } from '../workers/state/worker.js';
-import type { CommandIssuer } from '../workers/command-issuer.js';
 import {
+  commandsFor,
   forgetCommandsFor,
-  stopCommandsForCancelled,
   mustFenceLateStarts,
   mustRaiseFence,
-  commandsFor,
+  stopCommandsForCancelled,
 } from '../workers/worker-commands.js';
-import { reconcile, type ReconciliationResult } from '../workers/reconciliation.js';
-import type { WorkerLeasePolicy } from '../leader/worker-lease-policy.js';
-import type { LeaderContext } from '../core/context.js';
+import type { Committer } from './committer.js';
+import { TaskFailurePolicy } from './task-failure-policy.js';
+import type { WorkerLeasePolicy } from './worker-lease-policy.js';
 
-/** Orders in one answer: the rest goes with the next report. */
-const MOST_ORDERS = 250;
-/** Machines on which a job's tasks fail before the job itself is held to be at fault. */
-const FAULTY_JOB_MACHINES = 3;
-const FIRST_BACKOFF_MS = 1000;
-const MOST_BACKOFF_MS = 60_000;
-const MOST_DOUBLINGS = 6;
+/** Commands in one answer: the rest goes with the next heartbeat's. */
+const MAX_COMMANDS_PER_ANSWER = 250;
 
-/** A leader's answer to a report. */
+/** The leader's answer to a heartbeat. */
 export type HeartbeatOutcome =
   | { readonly kind: 'commands'; readonly token: FencingToken; readonly commands: readonly WorkerCommand[] }
   /** Not entitled to answer: the worker looks for another controller, and its lease is not renewed. */
   | { readonly kind: 'refused' };
 
+/** Why a heartbeat gets no answer of this leader. */
+type HeartbeatRefusal =
+  | 'leadership ended'
+  /** See `WorkerLeasePolicy`. */
+  | 'worker leases may not be renewed'
+  /** Another leader has been elected. */
+  | 'worker has seen a newer epoch'
+  | 'machine is gone';
+
 const REFUSED: HeartbeatOutcome = { kind: 'refused' };
 
-/** What reports change. */
+/** The parts of the leader that heartbeats change, and that answer them. */
 interface HeartbeatHandlerParts {
   readonly fleet: FleetManager;
   readonly failureDetector: WorkerFailureDetector;
   readonly dispatcher: CommandDispatcher;
   readonly issuer: CommandIssuer;
-  readonly decisions: DecisionLog;
+  readonly decisionLog: DecisionLog;
   readonly committer: Committer;
   readonly lifetimes: Lifetimes;
   readonly workerLeasePolicy: WorkerLeasePolicy;
   readonly lock: Mutex;
 }
 
-/** One leadership's side of the workers' reports. */
+/** Handles the heartbeats of one term. Nothing here may be allocated without need: it runs for each heartbeat. */
 export class HeartbeatHandler {
-  private started = false;
+  private readonly failurePolicy: TaskFailurePolicy;
+  private isStarted = false;
 
   constructor(
     private readonly ctx: LeaderContext,
     private readonly parts: HeartbeatHandlerParts,
-  ) {}
+  ) {
+    this.failurePolicy = new TaskFailurePolicy(ctx);
+  }
 
-  /** The records have been read: from now on reports are learned from. */
+  /** The records have been read: from now on the state is reconciled with heartbeats. */
   start(): void {
-    this.started = true;
+    this.isStarted = true;
   }
 
-  /** A worker's report, straight or through another node. */
-  take(heartbeat: Heartbeat, via: MemberId): Promise<HeartbeatOutcome> {
-    return this.parts.lock.runExclusive(() => this.answer(heartbeat, via));
+  /** Handles a heartbeat that a worker sent to the controller `receivedBy`. */
+  handle(heartbeat: Heartbeat, receivedBy: MemberId): Promise<HeartbeatOutcome> {
+    return this.parts.lock.runExclusive(() => this.answer(heartbeat, receivedBy));
   }
 
-  /** A report that a direct call brought back. */
-  async takeDirect(worker: Worker, heartbeat: Heartbeat): Promise<void> {
+  /** Handles the heartbeat in the reply to a direct call to the worker. */
+  async handleReply(worker: Worker, heartbeat: Heartbeat): Promise<void> {
     await this.parts.lock.runExclusive(() => {
-      if (this.ctx.isEnded() || heartbeat.machine !== worker.id || this.deposedBy(heartbeat)) return;
+      if (this.ctx.isEnded() || heartbeat.machine !== worker.id || this.stepDownIfDeposed(heartbeat)) return;
       const now = this.ctx.clock.now();
-      const fresh = epochOfFencingToken(heartbeat.token) === this.ctx.epoch && worker.isNewer(heartbeat);
-      if (fresh) this.parts.failureDetector.recordHeartbeat(worker, now);
-      this.learn(worker, reconcile(worker, heartbeat, this.ctx.epoch, this.ctx.jobs, now));
-      const another = worker.learnIncarnation(heartbeat, now);
+      const isNewer = this.isOfThisEpoch(heartbeat) && worker.isNewer(heartbeat);
+      if (isNewer) this.parts.failureDetector.recordHeartbeat(worker, now);
+      this.applyResult(worker, reconcile(worker, heartbeat, this.ctx.epoch, this.ctx.jobs, now));
+      const hasNewIncarnation = worker.learnIncarnation(heartbeat, now);
       const hasCommands = worker.hasReported && commandsFor(worker, now, this.ctx.isLeaseValid()).length > 0;
-      if (another || hasCommands) this.parts.dispatcher.dispatch(worker);
+      if (hasNewIncarnation || hasCommands) this.parts.dispatcher.dispatch(worker);
     });
   }
 
-  private deposedBy(heartbeat: Heartbeat): boolean {
+  private isOfThisEpoch(heartbeat: Heartbeat): boolean {
+    return epochOfFencingToken(heartbeat.token) === this.ctx.epoch;
+  }
+
+  private stepDownIfDeposed(heartbeat: Heartbeat): boolean {
     if (epochOfFencingToken(heartbeat.token) <= this.ctx.epoch) return false;
     this.ctx.stepDown('a worker knows a newer epoch');
     return true;
   }
 
-  private answer(heartbeat: Heartbeat, via: MemberId): HeartbeatOutcome {
+  private answer(heartbeat: Heartbeat, receivedBy: MemberId): HeartbeatOutcome {
     const now = this.ctx.clock.now();
     const refusal = this.refusalOf(heartbeat, now);
     if (refusal !== null) {
-      this.parts.decisions.logDecision(`answer refused, ${refusal}`, () => ({
-        worker: heartbeat.machine,
+      this.parts.decisionLog.logDecision(`heartbeat refused, ${refusal}`, () => ({
+        machine: heartbeat.machine,
         token: heartbeat.token,
       }));
       return REFUSED;
     }
-    // Of no use to anybody whoever leads, and safe to say without being sure: an attempt is never used again.
-    const unwanted = stopCommandsForCancelled(heartbeat, (id) => this.ctx.cancellations.has(id));
-    const worker = this.workerOf(heartbeat, now);
+    // Nobody wants these attempts whoever leads, and an attempt number is never used again: safe without a valid lease.
+    const cancelledStops = stopCommandsForCancelled(heartbeat, (id) => this.ctx.cancellations.has(id));
+    const worker = this.findWorker(heartbeat, now);
     if (!worker) {
-      this.parts.decisions.count('answer to a stranger');
+      this.parts.decisionLog.count('heartbeat of an unknown machine');
       return {
         kind: 'commands',
         token: fencingTokenOf(this.ctx.epoch, 0 as FenceGeneration),
-        commands: unwanted,
+        commands: cancelledStops,
       };
     }
-    const fresh = this.takeIn(worker, heartbeat, via, now);
-    return this.commandsTo(worker, fresh, unwanted);
+    const isNewer = this.recordHeartbeat(worker, heartbeat, receivedBy, now);
+    return this.answerWithCommands(worker, isNewer, cancelledStops);
   }
 
-  /** Why this report gets no answer of ours; null: it does. */
-  private refusalOf(heartbeat: Heartbeat, now: MonotonicTime): string | null {
-    // Past the grant's sure life a leader only keeps leases alive, and only for a while.
-    if (this.ctx.isEnded()) return 'not leading any more';
-    if (!this.parts.workerLeasePolicy.mayRenew(now)) return 'grant not sure for too long';
-    if (this.deposedBy(heartbeat)) return 'the worker knows a newer epoch';
-    if (this.ctx.workers.isGone(heartbeat.machine)) return 'the machine is gone';
+  private refusalOf(heartbeat: Heartbeat, now: MonotonicTime): HeartbeatRefusal | null {
+    if (this.ctx.isEnded()) return 'leadership ended';
+    // After its own lease has expired a leader only renews workers' leases, and only for a while.
+    if (!this.parts.workerLeasePolicy.mayRenew(now)) return 'worker leases may not be renewed';
+    if (this.stepDownIfDeposed(heartbeat)) return 'worker has seen a newer epoch';
+    if (this.ctx.workers.isGone(heartbeat.machine)) return 'machine is gone';
     return null;
   }
 
-  /** Null: answered as a stranger, and not learned from. */
-  private workerOf(heartbeat: Heartbeat, now: MonotonicTime): Worker | null {
-    if (!this.started) {
-      // While we still read what there is, a lease may run from this answer. Nothing is learned from the report:
-      // all that it shows would look like what nobody wants.
+  /** Returns the worker of a heartbeat; null: it is answered as an unknown machine's, and the state is not reconciled. */
+  private findWorker(heartbeat: Heartbeat, now: MonotonicTime): Worker | null {
+    if (!this.isStarted) {
+      // While the records are still being read, a worker's lease may run from this answer. The state is not
+      // reconciled with the heartbeat yet: all its attempts would look unwanted.
       this.parts.failureDetector.recordAnswerToUnknownMachine(now);
       return null;
     }
-    // A machine that we do not know may be long gone, and this a late copy of what it once said: only
-    // a report that knows our epoch was made in our time. A living worker's next one does.
-    const ours = epochOfFencingToken(heartbeat.token) === this.ctx.epoch;
-    if (!this.ctx.workers.has(heartbeat.machine) && !ours) return null;
+    // A machine that we don't know may be long gone, and this a late copy of a heartbeat: only one that carries our
+    // epoch was made in our term. A living worker's next one does.
+    if (!this.ctx.workers.has(heartbeat.machine) && !this.isOfThisEpoch(heartbeat)) return null;
     const machine: Machine = {
       id: heartbeat.machine,
       type: heartbeat.type,
@@ -157,84 +166,73 @@
     return worker;
   }
 
-  /** Whether the report is newer than what was taken in; reports of earlier epochs prove nothing, not even life. */
-  private takeIn(worker: Worker, heartbeat: Heartbeat, via: MemberId, now: MonotonicTime): boolean {
+  /** Returns whether the heartbeat is newer than the last one; those of earlier epochs prove nothing, not even that the worker lives. */
+  private recordHeartbeat(
+    worker: Worker,
+    heartbeat: Heartbeat,
+    receivedBy: MemberId,
+    now: MonotonicTime,
+  ): boolean {
     const { epoch, jobs } = this.ctx;
-    const fresh =
-      epochOfFencingToken(heartbeat.token) === epoch && (!worker.hasReported || worker.isNewer(heartbeat));
-    if (fresh) {
-      worker.recordHeartbeat(heartbeat, via, now);
+    const isNewer = this.isOfThisEpoch(heartbeat) && (!worker.hasReported || worker.isNewer(heartbeat));
+    if (isNewer) {
+      worker.recordHeartbeat(heartbeat, receivedBy, now);
       this.parts.failureDetector.recordHeartbeat(worker, now);
-      this.learn(worker, reconcile(worker, heartbeat, epoch, jobs, now));
-      worker.recordAnswer(heartbeat, via, now);
+      this.applyResult(worker, reconcile(worker, heartbeat, epoch, jobs, now));
+      worker.recordAnswer(heartbeat, receivedBy, now);
       return true;
     }
     worker.learnIncarnation(heartbeat, now);
     if (!worker.hasReported) this.parts.dispatcher.dispatch(worker);
-    // Even a late copy's answer may reach a worker that waits for one: its lease counts from here.
+    // The answer to a late copy may still reach a worker that waits for one: its lease counts from here.
     worker.lastAnsweredAt = now;
     return false;
   }
 
-  private commandsTo(worker: Worker, fresh: boolean, unwanted: readonly WorkerCommand[]): HeartbeatOutcome {
+  private answerWithCommands(
+    worker: Worker,
+    isNewer: boolean,
+    cancelledStops: readonly WorkerCommand[],
+  ): HeartbeatOutcome {
     const { epoch } = this.ctx;
-    const ordering = fresh && this.ctx.isLeaseValid();
-    const raise = ordering
+    const mayCommand = isNewer && this.ctx.isLeaseValid();
+    const mustRaise = mayCommand
       ? mustRaiseFence(worker, worker.fencingToken(epoch))
       : mustFenceLateStarts(worker, epoch);
-    if (raise) worker.raiseFence();
+    if (mustRaise) worker.raiseFence();
     const token = worker.fencingToken(epoch);
-    this.parts.decisions.count(ordering ? 'answer' : 'answer without orders');
-    if (!ordering) return { kind: 'commands', token, commands: unwanted };
-    const commands = this.parts.issuer.issue(worker, true, forgetCommandsFor(worker, token), MOST_ORDERS);
+    this.parts.decisionLog.count(mayCommand ? 'heartbeat answered' : 'heartbeat answered without commands');
+    if (!mayCommand) return { kind: 'commands', token, commands: cancelledStops };
+    const forgets = forgetCommandsFor(worker, token);
+    const commands = this.parts.issuer.issue(worker, true, forgets, MAX_COMMANDS_PER_ANSWER);
     return { kind: 'commands', token, commands };
   }
 
-  private learn(worker: Worker, told: ReconciliationResult): void {
-    const { log } = this.ctx;
+  /** Passes on what the reconciliation with a heartbeat has found. */
+  private applyResult(worker: Worker, result: ReconciliationResult): void {
     const now = this.ctx.clock.now();
-    for (const { job } of told.started) {
+    for (const { job } of result.started) {
       job.firstRunAt ??= now;
       job.lastRunAt = now;
     }
-    for (const { task, ranMs } of told.finished) {
+    for (const { task, ranMs } of result.finished) {
       const { jobClass, estimatedRunS } = task.job.spec;
       if (ranMs !== null) this.parts.lifetimes.add(jobClass, ranMs, estimatedRunS * 1000);
     }
-    for (const { task, cause } of told.failed) {
-      if (cause !== 'stopped')
-        log.info({ worker: worker.id, task: task.id, cause }, 'task ended without success');
-      if (cause === 'error') this.failed(worker, task.job, now);
-    }
-    for (const task of told.lost)
-      log.info({ worker: worker.id, task: task.id }, 'task lost with its session');
-    this.closeIfFailing(worker);
-    if (told.changed) {
+    this.recordFailures(worker, result, now);
+    if (result.changed) {
       this.parts.committer.schedule();
       this.ctx.requestDecision();
     }
   }
 
-  /** Replicas that still run there are left alone: the machine goes back when they have ended. */
-  private closeIfFailing(worker: Worker): void {
-    if (worker.cordon !== null || worker.failures < this.ctx.operators.workers.maxTaskFailures) return;
-    this.ctx.log.info({ worker: worker.id, failures: worker.failures }, 'machine is failing');
-    worker.cordon = 'failing';
-  }
-
-  /**
-   * Mostly the machine is at fault. A job that fails on a second machine is more likely at fault
-   * itself: it counts against no further machine, and after a third it waits.
-   */
-  private failed(worker: Worker, job: ActiveJob, now: MonotonicTime): void {
-    job.failures++;
-    job.failedMachines.add(worker.id);
-    if (job.failedMachines.size <= 1 || worker.failedJobs.size > 0) {
-      worker.failures++;
-      worker.failedJobs.add(job.spec.id);
+  private recordFailures(worker: Worker, { failed, lost }: ReconciliationResult, now: MonotonicTime): void {
+    const { log } = this.ctx;
+    for (const { task, cause } of failed) {
+      if (cause !== 'stopped') log.info({ machine: worker.id, task: task.id, cause }, 'task failed');
+      if (cause === 'error') this.failurePolicy.recordFailure(worker, task.job, now);
     }
-    if (job.failedMachines.size < FAULTY_JOB_MACHINES) return;
-    const doublings = Math.min(MOST_DOUBLINGS, job.failures - 2);
-    job.backoffUntil = plus(now, Math.min(MOST_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** doublings));
+    for (const task of lost) log.info({ machine: worker.id, task: task.id }, 'task lost');
+    this.failurePolicy.cordonIfFailing(worker);
   }
 }
--- a/src/leader/job-canceller.ts
+++ b/src/leader/job-canceller.ts
@@ -1,4 +1,4 @@
-/** Stops the work of cancelled jobs, and of everything that needs them. */
+/** Stops the tasks of cancelled jobs, and of all jobs that depend on them. */
 import type { FleetManager } from '../fleet/fleet-manager.js';
 import type { Lifetimes } from '../forecast/lifetimes.js';
 import type { JobId } from '../model/ids.js';
@@ -11,11 +11,11 @@
 import type { Worker } from '../workers/state/worker.js';
 import type { LeaderContext } from '../core/context.js';
 
-/** The part of a cancellation's limit after which a host that keeps its task is fenced. */
-const FENCE_AFTER = 0.4;
+/** The share of a cancellation's limit after which a worker that still has the task is fenced. */
+const FENCE_AFTER_SHARE = 0.4;
 
-/** What a cancelled job's tasks are stopped with. */
-interface StopParts {
+/** The parts of the leader that cancellations are carried out with. */
+interface JobCancellerParts {
   readonly graph: DependencyGraph;
   readonly lifetimes: Lifetimes;
   readonly dispatcher: CommandDispatcher;
@@ -27,10 +27,10 @@
 export class JobCanceller {
   constructor(
     private readonly ctx: LeaderContext,
-    private readonly parts: StopParts,
+    private readonly parts: JobCancellerParts,
   ) {}
 
-  /** The job's cancellation is confirmed; the jobs that need it go with it: nothing of them can have started. */
+  /** Carries out a confirmed cancellation. The jobs that depend on it are cancelled, too: nothing of them can have started. */
   cancel(id: JobId): void {
     this.ctx.cancellations.learn([{ id, age: ms(0) }]);
     const dependents = this.parts.graph.dependentsOf(id);
@@ -39,57 +39,58 @@
     if (job && !job.isCancelled) this.stop(job);
   }
 
-  /** Cancelled with a job that it needs; its own record is still to say so. */
+  /** Cancels a job with one that it depends on; its own record doesn't say so yet. */
   cancelDependent(job: ActiveJob): void {
     job.cancelledByDependency = true;
     this.stop(job);
   }
 
   /**
-   * A host that keeps a cancelled task is fenced well before the cancellation's limit, sure or not: a
-   * machine that hangs goes on with the task otherwise, and while the state service is out nobody is sure.
+   * Fences workers that still have a cancelled task well before the cancellation's limit, with or without a valid lease:
+   * a machine that hangs goes on with the task otherwise, and while the store is unavailable no leader's lease is valid.
    */
   fenceOverdue(now: MonotonicTime): void {
-    const limit = this.ctx.settings.cancellationLimit * FENCE_AFTER;
-    const overdue = ({ pendingStop }: Task): boolean =>
-      pendingStop?.reason === 'cancelled' && since(now, pendingStop.since) > limit;
+    const maxAgeMs = this.ctx.settings.cancellationLimit * FENCE_AFTER_SHARE;
+    const isOverdue = ({ pendingStop }: Task): boolean =>
+      pendingStop?.reason === 'cancelled' && since(now, pendingStop.since) > maxAgeMs;
     for (const worker of this.ctx.workers.values()) {
-      if ([...worker.tasks].some(overdue)) this.parts.fleet.remove(worker, 'cancelled task not gone', true);
+      if ([...worker.tasks].some(isOverdue))
+        this.parts.fleet.remove(worker, 'cancelled task still present', true);
     }
   }
 
   private stop(job: ActiveJob): void {
     const now = this.ctx.clock.now();
     this.parts.graph.remove(job);
-    // Counted from when it was first heard of here, not from our takeover.
-    const at = this.ctx.cancellations.learnedAt(job.spec.id) ?? now;
+    // Counted from when this process learned of it, not from our takeover.
+    const cancelledAt = this.ctx.cancellations.learnedAt(job.spec.id) ?? now;
     job.isCancelled = true;
-    const wake = new Set<Worker>();
+    const stoppingOn = new Set<Worker>();
     for (const task of [...job.assignedTasks()]) {
       const worker = task.machine === null ? undefined : this.ctx.workers.get(task.machine);
-      if (neverSent(task)) {
+      if (wasNeverSent(task)) {
         worker?.unassign(task);
         job.releaseTask(task, now);
         continue;
       }
-      this.learnLifetime(task, now);
-      task.pendingStop = { graceS: 0, reason: 'cancelled', since: at };
-      if (worker) wake.add(worker);
+      this.recordLifetime(task, now);
+      task.pendingStop = { graceS: 0, reason: 'cancelled', since: cancelledAt };
+      if (worker) stoppingOn.add(worker);
     }
     this.ctx.jobs.jobChanged(job);
-    for (const worker of wake) this.parts.dispatcher.dispatch(worker);
+    for (const worker of stoppingOn) this.parts.dispatcher.dispatch(worker);
     this.parts.committer.schedule();
     this.ctx.requestDecision();
   }
 
-  /** A service's replicas run until it is cancelled. */
-  private learnLifetime({ job, runningAt }: Task, now: MonotonicTime): void {
+  /** The replicas of a service run until it is cancelled: that is their lifetime. */
+  private recordLifetime({ job, runningAt }: Task, now: MonotonicTime): void {
     if (job.spec.kind !== 'service' || runningAt === null) return;
     this.parts.lifetimes.add(job.spec.jobClass, now - runningAt);
   }
 }
 
-/** No order has left: the task cannot be on the machine. */
-function neverSent(task: Task): boolean {
+/** Whether no start command has left: the task cannot be on the machine. */
+function wasNeverSent(task: Task): boolean {
   return task.phase === 'committing' || (task.startSentIncarnation === null && !task.isInherited);
 }
--- a/src/leader/job-outcomes.ts
+++ b/src/leader/job-outcomes.ts
@@ -1,4 +1,4 @@
-/** What is learned from jobs that are over, and told to the log. */
+/** Learns from jobs that are over, and logs them. */
 import type { FleetManager } from '../fleet/fleet-manager.js';
 import type { Lifetimes } from '../forecast/lifetimes.js';
 import { type MonotonicTime, since } from '../model/time.js';
@@ -7,29 +7,33 @@
 import type { Urgency } from '../scheduler/urgency.js';
 import type { LeaderContext } from '../core/context.js';
 
-interface OutcomeParts {
+/** The parts of the leader that are adjusted by the outcome of jobs. */
+interface JobOutcomesParts {
   readonly fleet: FleetManager;
   readonly lifetimes: Lifetimes;
   readonly urgency: Urgency;
   readonly slackFactors: SlackFactors;
 }
 
-/** In seconds, with one decimal. */
-const rounded = (ms: number): number => Math.round(ms / 100) / 10;
+/** Converts milliseconds to seconds with one decimal. */
+function roundedSeconds(durationMs: number): number {
+  return Math.round(durationMs / 100) / 10;
+}
 
-/** Judges each job that ends by its class's targets. */
+/** Measures each job that ends against the objectives of its class. */
 export class JobOutcomes {
   constructor(
     private readonly ctx: LeaderContext,
-    private readonly parts: OutcomeParts,
+    private readonly parts: JobOutcomesParts,
   ) {}
 
-  /** The job's end is durable. */
-  closed(job: ActiveJob): void {
-    if (!job.isCancelled) this.judge(job);
+  /** Records a job whose end is durable. */
+  recordClosed(job: ActiveJob): void {
+    if (!job.isCancelled) this.recordObjective(job);
     const { id, jobClass, taskCount, estimatedRunS } = job.spec;
     const now = this.ctx.clock.now();
-    const ago = (at: MonotonicTime | null): number | null => (at === null ? null : rounded(since(now, at)));
+    const secondsSince = (time: MonotonicTime | null): number | null =>
+      time === null ? null : roundedSeconds(since(now, time));
     this.ctx.log.info(
       {
         job: id,
@@ -37,22 +41,22 @@
         tasks: taskCount,
         cancelled: job.isCancelled,
         estimatedRunS,
-        ageS: rounded(this.ctx.clock.wall() - job.acceptedAt),
-        readyAgoS: rounded(this.ctx.clock.wall() - job.readyAt),
-        firstRunAgoS: ago(job.firstRunAt),
-        lastRunAgoS: ago(job.lastRunAt),
-        lost: job.lostAttempts,
+        ageS: roundedSeconds(this.ctx.clock.wall() - job.acceptedAt),
+        readyAgoS: roundedSeconds(this.ctx.clock.wall() - job.readyAt),
+        firstRunAgoS: secondsSince(job.firstRunAt),
+        lastRunAgoS: secondsSince(job.lastRunAt),
+        lostAttempts: job.lostAttempts,
       },
       'job closed',
     );
   }
 
-  /** Judged by the first target that renting for the job could have met. */
-  private judge(job: ActiveJob): void {
+  /** Records whether the job missed the first objective that a machine rented for it could have met. */
+  private recordObjective(job: ActiveJob): void {
     const { fleet, lifetimes, urgency, slackFactors } = this.parts;
-    const target = urgency.next(job.effectiveSpec, fleet.slowestBoot(), lifetimes.expectedRun(job.spec));
-    if (!target) return;
+    const objective = urgency.next(job.effectiveSpec, fleet.slowestBoot(), lifetimes.expectedRun(job.spec));
+    if (!objective) return;
     const age = this.ctx.clock.wall() - job.readyAt;
-    slackFactors.over(job.spec.jobClass, age > target.ms, target.allowed);
+    slackFactors.over(job.spec.jobClass, age > objective.ms, objective.allowed);
   }
 }
--- a/src/leader/placement-views.ts
+++ b/src/leader/placement-views.ts
@@ -1,3 +1,4 @@
+/** Builds the snapshot that placement decides over. */
 import type { MachineId } from '../model/ids.js';
 import type { MonotonicTime } from '../model/time.js';
 import type { ActiveJob } from '../scheduler/active-job.js';
@@ -7,46 +8,55 @@
 import type { Worker } from '../workers/state/worker.js';
 
 const NO_MACHINES: ReadonlySet<MachineId> = new Set();
+/** A job that has failed on this many machines avoids none any more: it is more likely at fault itself. */
+const MAX_AVOIDED_MACHINES = 3;
 
-/** A job as placement sees it. */
+/** How urgent a waiting job is. */
+interface JobUrgency {
+  readonly waitedMs: number;
+  /** How long it may still wait; null: no objective is left. */
+  readonly slackMs: number | null;
+  readonly isStarving: boolean;
+}
+
+/** Returns a job as placement sees it. */
 export function jobView(
   job: ActiveJob,
   now: MonotonicTime,
-  waitedMs: number,
-  slackMs: number | null,
-  starving: boolean,
+  { waitedMs, slackMs, isStarving }: JobUrgency,
 ): JobView {
-  const binds = bindsZones(job.spec);
-  // A task on a machine that only its record names may be in any zone: the job waits.
-  const unknownZone = binds && job.zoneTally.unknown > 0;
+  const isZoneBound = bindsZones(job.spec);
+  // A task on a machine of which only the id is known may be in any zone: the job waits.
+  const hasUnknownZone = isZoneBound && job.zoneTally.unknown > 0;
+  const isBackingOff = job.backoffUntil !== null && job.backoffUntil > now;
   return {
     spec: job.effectiveSpec,
     readyAt: job.readyAt,
     waitedMs,
     waitingCount: job.waitingCount,
-    zones: new Map(binds ? job.zoneTally.counts : []),
-    avoidedMachines: job.failedMachines.size < 3 ? job.failedMachines : NO_MACHINES,
+    zones: new Map(isZoneBound ? job.zoneTally.counts : []),
+    avoidedMachines: job.failedMachines.size < MAX_AVOIDED_MACHINES ? job.failedMachines : NO_MACHINES,
     slackMs,
-    isStarving: starving,
-    isHeldBack: unknownZone || (job.backoffUntil !== null && job.backoffUntil > now),
+    isStarving,
+    isHeldBack: hasUnknownZone || isBackingOff,
   };
 }
 
-/** Who could be stopped on a machine, cheapest loss first. */
-export function victims(worker: Worker, now: MonotonicTime): Victim[] {
-  const list: Victim[] = [];
+/** Returns the tasks that could be preempted on a worker, those that lose the least work first. */
+export function victimsOn(worker: Worker, now: MonotonicTime): Victim[] {
+  const victims: Victim[] = [];
   for (const task of worker.tasks) {
     if (task.phase !== 'placed' || task.pendingStop || task.observedState === 'saving') continue;
     const { cpus, gpus, memoryGb, priority, team, checkpointIntervalS } = task.job.effectiveSpec;
-    const ran = task.runningAt === null ? 0 : now - task.runningAt;
-    const lostMs = checkpointIntervalS > 0 ? Math.min(ran, checkpointIntervalS * 1000) : ran;
+    const ranMs = task.runningAt === null ? 0 : now - task.runningAt;
+    const lostMs = checkpointIntervalS > 0 ? Math.min(ranMs, checkpointIntervalS * 1000) : ranMs;
     const job = task.job.spec.id;
-    list.push({ task: task.id, job, team, priority, cpus, gpus, memoryGb, lostMs });
+    victims.push({ task: task.id, job, team, priority, cpus, gpus, memoryGb, lostMs });
   }
-  return list.sort((a, b) => a.priority - b.priority || a.lostMs - b.lostMs);
+  return victims.sort((a, b) => a.priority - b.priority || a.lostMs - b.lostMs);
 }
 
-/** A machine as placement sees it, by what is confirmed of it: its room is a copy, to be handed out. */
+/** Returns a machine as placement sees it, by its confirmed facts. Its free capacity is a copy: placement allocates from it. */
 export function machineView(worker: Worker, { machine, type }: ConfirmedFacts): MachineView {
   return {
     id: worker.id,
--- a/src/leader/record-loader.ts
+++ b/src/leader/record-loader.ts
@@ -1,152 +1,150 @@
+/** Reads what earlier leaders have recorded: unfinished jobs, machines, forecasts. */
+import type { LeaderContext } from '../core/context.js';
 import type { FleetManager } from '../fleet/fleet-manager.js';
-import type { MachineId, JobId, Revision, MachineTypeId, ZoneId } from '../model/ids.js';
+import type { JobId, Revision } from '../model/ids.js';
 import type { JobRecord } from '../model/job.js';
-import type { Machine } from '../model/machine.js';
 import type { MonotonicTime } from '../model/time.js';
 import { ActiveJob } from '../scheduler/active-job.js';
 import { decodeJob, withDescription } from '../store/job-record.js';
 import { CHUNK_TASKS, keys, parseOpenKey } from '../store/keys.js';
+import { decodeFleetChunk, type MachineRecord } from '../store/machine-record.js';
 import { type RecordSet, readRecords, retryWhileRateLimited } from '../store/records.js';
 import type { Compare, KeyValue } from '../wire/key-value-store.js';
-import type { LeaderContext } from '../core/context.js';
-import type { StoredMachine } from '../leader/fleet-record-writer.js';
 
-/** A request that is refused for too many waits this long and up to as long again. */
-const REFUSED_PAUSE_MS = 40;
-const REFUSED_JITTER_MS = 60;
+/** A rate-limited request is repeated after this and up to as long again as the jitter. */
+const RATE_LIMITED_RETRY_MS = 40;
+const RATE_LIMITED_JITTER_MS = 60;
+/** A transaction without writes may carry this many times the compares of one with writes. */
+const COMPARES_PER_TXN_OP = 4;
 
-/** Asked too often is no reason to begin the whole takeover again: this one request waits a moment. */
-function patiently<T>(ctx: LeaderContext, ask: () => Promise<T>): Promise<T> {
-  const pauseMs = (): number => REFUSED_PAUSE_MS + ctx.random() * REFUSED_JITTER_MS;
-  return retryWhileRateLimited({ clock: ctx.clock, pauseMs, wanted: () => !ctx.isEnded() }, ask);
+/** A rate-limited request is no reason to begin the whole takeover again: it alone waits a moment. */
+function withRateLimitRetry<T>(ctx: LeaderContext, request: () => Promise<T>): Promise<T> {
+  const pauseMs = (): number => RATE_LIMITED_RETRY_MS + ctx.random() * RATE_LIMITED_JITTER_MS;
+  return retryWhileRateLimited({ clock: ctx.clock, pauseMs, wanted: () => !ctx.isEnded() }, request);
 }
 
-async function readAll(ctx: LeaderContext, prefix: string): Promise<RecordSet> {
-  const ahead = await patiently(ctx, () => ctx.prefetchedRecords(prefix));
-  return ahead ?? readRecords(ctx.store, prefix, (ask) => patiently(ctx, ask));
+/** Returns the records under a prefix: those that were read ahead of the takeover, or else the store's. */
+async function loadRecords(ctx: LeaderContext, prefix: string): Promise<RecordSet> {
+  const prefetched = await withRateLimitRetry(ctx, () => ctx.prefetchedRecords(prefix));
+  return prefetched ?? readRecords(ctx.store, prefix, (request) => withRateLimitRetry(ctx, request));
 }
 
-/** A job that is not over, as the limits of the state service want its progress kept. */
-export function openJob(ctx: LeaderContext, record: JobRecord, revision: Revision): ActiveJob {
+/** Creates an unfinished job, with its progress in chunks of the size that the store's limits allow. */
+export function createActiveJob(ctx: LeaderContext, record: JobRecord, revision: Revision): ActiveJob {
   const { spec, acceptedAt } = record;
   return new ActiveJob(spec, revision, acceptedAt, ctx.storeLimits.chunkTasks(spec.taskCount));
 }
 
+/** Reads the parts of what doesn't fit the job's own record. */
 async function readParts<T>(
   ctx: LeaderContext,
   id: JobId,
-  records: number,
-  key: (id: JobId, n: number) => string,
+  count: number,
+  keyOf: (id: JobId, index: number) => string,
 ): Promise<T[]> {
   const parts: T[] = [];
-  for (let n = 0; n < records; n++) {
-    const row = await patiently(ctx, () => ctx.store.get(key(id, n)));
-    if (!row) throw new Error(`${key(id, n)} is missing`);
+  for (let index = 0; index < count; index++) {
+    const key = keyOf(id, index);
+    const row = await withRateLimitRetry(ctx, () => ctx.store.get(key));
+    if (!row) throw new Error(`${key} is missing`);
     parts.push(row.value as T);
   }
   return parts;
 }
 
-/** The dependencies of a job whose record has no room for them. */
-export async function readDependencies(ctx: LeaderContext, id: JobId, records: number): Promise<JobId[]> {
-  return (await readParts<JobId[]>(ctx, id, records, keys.dependencies)).flat();
+/** Reads the dependencies of a job whose own record has no room for them. Throws if a record is missing. */
+export async function readDependencies(ctx: LeaderContext, id: JobId, recordCount: number): Promise<JobId[]> {
+  return (await readParts<JobId[]>(ctx, id, recordCount, keys.dependencies)).flat();
 }
 
-/** A job's record with all its names, wherever they are. */
+/** Completes a job's record with the names that didn't fit it. Throws if a record is missing. */
 export async function readDescription(ctx: LeaderContext, record: JobRecord): Promise<JobRecord> {
   const { id, descriptionRecordCount } = record.spec;
   if (descriptionRecordCount === 0) return record;
-  return withDescription(record, await readParts<string>(ctx, id, descriptionRecordCount, keys.description));
+  const parts = await readParts<string>(ctx, id, descriptionRecordCount, keys.description);
+  return withDescription(record, parts);
 }
 
-/** All unfinished work, as the records tell of it. */
+/** All unfinished jobs, as they are recorded. */
 export interface LoadedJobs {
   readonly jobs: readonly ActiveJob[];
-  /** Those of them that were cancelled meanwhile. */
+  /** Those of them that were cancelled since they were accepted. */
   readonly cancelled: readonly JobId[];
   /** Keys of progress whose jobs are over. */
-  readonly orphans: readonly string[];
-  /** Changes after this revision are not in it. */
+  readonly staleKeys: readonly string[];
+  /** Changes after this revision are not included. */
   readonly revision: Revision;
 }
 
-/** Reads all unfinished work, and which of it was cancelled meanwhile. */
+/** Reads all unfinished jobs with their progress, and which of them were cancelled since. */
 export async function loadOpenJobs(ctx: LeaderContext): Promise<LoadedJobs> {
-  const { rows, revision } = await readAll(ctx, keys.open);
+  const { rows, revision } = await loadRecords(ctx, keys.open);
   // Whoever split a record knew that no version is left which couldn't read it.
-  if (rows.some((row) => (parseOpenKey(row.key)?.size ?? CHUNK_TASKS) < CHUNK_TASKS))
-    ctx.storeLimits.allowSplitProgress();
+  if (rows.some(isSplitProgress)) ctx.storeLimits.allowSplitProgress();
   const jobs = new Map<JobId, ActiveJob>();
-  const orphans: string[] = [];
+  const staleKeys: string[] = [];
   for (const row of rows) {
-    const at = parseOpenKey(row.key);
-    if (!at) continue;
-    if (at.chunk === null) {
-      const record = await readDescription(ctx, decodeJob(at.job, row.value));
+    const openKey = parseOpenKey(row.key);
+    if (!openKey) continue;
+    if (openKey.chunk === null) {
+      const record = await readDescription(ctx, decodeJob(openKey.job, row.value));
       // The head is written once, together with the job's record: their revisions are the same.
-      jobs.set(at.job, openJob(ctx, record, row.revision));
+      jobs.set(openKey.job, createActiveJob(ctx, record, row.revision));
     } else {
-      const job = jobs.get(at.job);
-      if (job) job.addStoredProgress(at.chunk, at.size, row.value, row.revision);
-      else orphans.push(row.key);
+      const job = jobs.get(openKey.job);
+      if (job) job.addStoredProgress(openKey.chunk, openKey.size, row.value, row.revision);
+      else staleKeys.push(row.key);
     }
   }
   for (const job of jobs.values()) job.applyStoredProgress();
-  const all = [...jobs.values()];
-  return { jobs: all, cancelled: await findChanged(ctx, all), orphans, revision };
+  const loaded = [...jobs.values()];
+  return { jobs: loaded, cancelled: await findCancelled(ctx, loaded), staleKeys, revision };
 }
 
-/** Jobs whose record has changed since they were accepted: they were cancelled. */
-async function findChanged(ctx: LeaderContext, jobs: ActiveJob[]): Promise<JobId[]> {
-  const changed: JobId[] = [];
-  const most = ctx.storeLimits.txnOps * 4;
-  for (let i = 0; i < jobs.length; i += most) {
-    const conditions: Compare[] = jobs
-      .slice(i, i + most)
+function isSplitProgress({ key }: KeyValue): boolean {
+  const openKey = parseOpenKey(key);
+  return openKey !== null && openKey.size < CHUNK_TASKS;
+}
+
+/** Returns the jobs whose record has changed since they were accepted: they were cancelled. */
+async function findCancelled(ctx: LeaderContext, jobs: readonly ActiveJob[]): Promise<JobId[]> {
+  const cancelled: JobId[] = [];
+  const batchSize = ctx.storeLimits.txnOps * COMPARES_PER_TXN_OP;
+  for (let start = 0; start < jobs.length; start += batchSize) {
+    const compares: Compare[] = jobs
+      .slice(start, start + batchSize)
       .map((job) => ({ key: keys.job(job.spec.id), revision: job.revision }));
-    const result = await patiently(ctx, () => ctx.store.txn(conditions, []));
-    if (!result.ok) changed.push(...result.failed.map((key) => key.slice(keys.jobs.length) as JobId));
+    const result = await withRateLimitRetry(ctx, () => ctx.store.txn(compares, []));
+    if (!result.ok) cancelled.push(...result.failed.map((key) => key.slice(keys.jobs.length) as JobId));
   }
-  return changed;
+  return cancelled;
 }
 
 /** A machine of an earlier leader's record. */
-interface RestoredMachine {
-  readonly machine: Machine;
-  /** Recorded by a version that records nothing else. */
-  readonly confirmed: boolean;
-  readonly address: string;
-  readonly at: MonotonicTime;
-  /** It was up when the record was written. */
-  readonly up: boolean;
+interface LoadedMachine {
+  readonly record: MachineRecord;
+  /** When it was rented, by this process's clock. */
+  readonly rentedAt: MonotonicTime;
 }
 
-/** The machines that the records tell of, and these records. */
-export interface RestoredFleet {
-  readonly machines: readonly RestoredMachine[];
+/** The recorded machines, and the records of machines and forecasts that a new leader takes over. */
+export interface LoadedFleet {
+  readonly machines: readonly LoadedMachine[];
   readonly records: readonly KeyValue[];
 }
 
-/** Reads the machines, and hands the stored forecasts to the fleet. */
-export async function restoreFleet(ctx: LeaderContext, fleet: FleetManager): Promise<RestoredFleet> {
-  const known: RestoredMachine[] = [];
-  const { rows } = await readAll(ctx, keys.fleet);
-  for (const row of rows) {
-    for (const stored of (row.value as { m: StoredMachine[] }).m) {
-      const [id, type, zone, spot, address, rentedAt, up, confirmed] = stored;
-      const age = Math.max(0, ctx.clock.wall() - rentedAt);
-      known.push({
-        machine: { id: id as MachineId, type: type as MachineTypeId, zone: zone as ZoneId, spot: spot === 1 },
-        confirmed: confirmed === 1,
-        address,
-        at: (ctx.clock.now() - age) as MonotonicTime,
-        up: up === 1,
-      });
-    }
-  }
-  const forecasts = (await readAll(ctx, keys.forecast)).rows;
-  for (const row of forecasts) {
-    fleet.restoreForecast(row.key.slice(keys.forecast.length), row.value);
-  }
-  return { machines: known, records: [...rows, ...forecasts] };
+/** Reads the recorded machines, and hands the stored forecasts to the fleet. */
+export async function loadFleet(ctx: LeaderContext, fleet: FleetManager): Promise<LoadedFleet> {
+  const { rows } = await loadRecords(ctx, keys.fleet);
+  const machines = rows.flatMap(({ value }) =>
+    decodeFleetChunk(value).map((record) => loadedMachine(ctx, record)),
+  );
+  const forecasts = (await loadRecords(ctx, keys.forecast)).rows;
+  for (const { key, value } of forecasts) fleet.restoreForecast(key.slice(keys.forecast.length), value);
+  return { machines, records: [...rows, ...forecasts] };
+}
+
+function loadedMachine({ clock }: LeaderContext, record: MachineRecord): LoadedMachine {
+  const age = Math.max(0, clock.wall() - record.rentedAt);
+  return { record, rentedAt: (clock.now() - age) as MonotonicTime };
 }
--- a/src/leader/state-restorer.ts
+++ b/src/leader/state-restorer.ts
@@ -1,95 +1,112 @@
-/** What a new leader makes of what the earlier one left: jobs, machines, and which task may be where. */
+/** Restores the state of a new leader from the records: jobs, machines, and which task may be on which machine. */
+import type { LeaderContext } from '../core/context.js';
 import type { FleetManager } from '../fleet/fleet-manager.js';
 import { errorMessage } from '../log/logger.js';
 import type { Revision } from '../model/ids.js';
 import { Priority } from '../model/job.js';
 import { FactSource } from '../model/machine-facts.js';
-import { type MonotonicTime, since, sleep } from '../model/time.js';
+import { type MonotonicTime, since } from '../model/time.js';
 import type { Worker } from '../workers/state/worker.js';
-import type { WorkerLeasePolicy } from '../leader/worker-lease-policy.js';
-import type { LeaderContext } from '../core/context.js';
-import type { FleetRecordWriter } from '../leader/fleet-record-writer.js';
-import type { JobIntake } from '../leader/job-watcher.js';
-import { type LoadedJobs, loadOpenJobs, type RestoredFleet, restoreFleet } from './record-loader.js';
+import type { FleetRecordWriter } from './fleet-record-writer.js';
+import type { JobIntake } from './job-intake.js';
+import { type LoadedFleet, type LoadedJobs, loadFleet, loadOpenJobs } from './record-loader.js';
+import { retryUntilTermEnds } from './retry.js';
+import type { WorkerLeasePolicy } from './worker-lease-policy.js';
 
-/** A takeover that could not read the records tries again after this. */
-const AGAIN_MS = 200;
+const RESTORE_RETRY_MS = 200;
 
-/** Reads the records until it has them all, or the leadership is over. */
+/** The order in which a new leader contacts the machines. */
+const ContactRank = { ProductionWork: 0, FreeCapacity: 1, Full: 2 } as const;
+
+/** The parts of the leader that `StateRestorer` works with. */
+interface StateRestorerParts {
+  readonly fleet: FleetManager;
+  readonly fleetRecordWriter: FleetRecordWriter;
+  readonly intake: JobIntake;
+  readonly workerLeasePolicy: WorkerLeasePolicy;
+}
+
+/** Reads the records until it has them all, or the term is over. */
 export class StateRestorer {
   constructor(
     private readonly ctx: LeaderContext,
-    private readonly fleet: FleetManager,
-    private readonly record: FleetRecordWriter,
-    private readonly intake: JobIntake,
-    private readonly workerLeasePolicy: WorkerLeasePolicy,
+    private readonly parts: StateRestorerParts,
   ) {}
 
-  /** The revision from which changes are to be followed; null: the leadership is over. */
-  async run(): Promise<Revision | null> {
-    while (!this.ctx.isEnded()) {
-      const began = this.ctx.clock.now();
-      try {
-        const jobs = await loadOpenJobs(this.ctx);
-        this.restore(jobs, await restoreFleet(this.ctx, this.fleet));
-        this.workerLeasePolicy.observedCancellationsUpTo(began);
-        this.tell(jobs, began);
-        return jobs.revision;
-      } catch (error) {
-        this.ctx.log.info({ error: errorMessage(error) }, 'takeover waits for the state service');
-        await sleep(this.ctx.clock, AGAIN_MS);
-      }
-    }
-    return null;
+  /** Restores the state; returns the revision from which changes are to be followed, or null: the term is over. */
+  run(): Promise<Revision | null> {
+    const onFailure = (error: unknown): void =>
+      this.ctx.log.info({ error: errorMessage(error) }, 'state restore failed');
+    return retryUntilTermEnds(this.ctx, { retryMs: RESTORE_RETRY_MS, onFailure }, () =>
+      this.loadAndRestore(),
+    );
   }
 
-  /** What was read, at which revision, and of how many machines placement knows nothing yet. */
-  private tell({ jobs, revision }: LoadedJobs, began: MonotonicTime): void {
+  private async loadAndRestore(): Promise<Revision> {
+    const startedAt = this.ctx.clock.now();
+    const jobs = await loadOpenJobs(this.ctx);
+    this.restore(jobs, await loadFleet(this.ctx, this.parts.fleet));
+    this.parts.workerLeasePolicy.observedCancellationsUpTo(startedAt);
+    this.logRestored(jobs, startedAt);
+    return jobs.revision;
+  }
+
+  /** Logs what was read, at which revision, and of how many machines the facts are not confirmed yet. */
+  private logRestored({ jobs, revision }: LoadedJobs, startedAt: MonotonicTime): void {
     const { clock, epoch, workers, log } = this.ctx;
     const machines = { confirmed: 0, unconfirmed: 0, unknown: 0 };
     for (const { facts } of workers.values()) machines[facts.state]++;
-    const readMs = Math.round(since(clock.now(), began));
-    log.info({ epoch, revision, readMs, jobs: jobs.length, machines }, 'records read');
+    const durationMs = Math.round(since(clock.now(), startedAt));
+    log.info({ epoch, revision, durationMs, jobs: jobs.length, machines }, 'state restored');
   }
 
-  /** Whom a new leader meets first: machines with production work, then those with room. */
-  inOrderOfNeed(): Worker[] {
-    const need = (worker: Worker): number => {
-      for (const task of worker.tasks) if (task.job.spec.priority === Priority.Production) return 0;
-      return worker.free.cpus > 0 ? 1 : 2;
-    };
+  /** Returns the workers in the order in which a new leader contacts them: with production work, with free capacity, others. */
+  inContactOrder(): Worker[] {
     return [...this.ctx.workers.values()]
       .filter((worker) => worker.isUp || !worker.isEmpty)
-      .map((worker) => ({ worker, need: need(worker) }))
-      .sort((a, b) => a.need - b.need)
+      .map((worker) => ({ worker, rank: contactRank(worker) }))
+      .sort((a, b) => a.rank - b.rank)
       .map(({ worker }) => worker);
   }
 
-  private restore(loaded: LoadedJobs, fleet: RestoredFleet): void {
-    for (const job of loaded.jobs) this.intake.open(job);
-    this.record.found(fleet.records);
-    for (const { machine, confirmed, address, at, up } of fleet.machines) {
-      const worker = confirmed
-        ? this.fleet.registerMachine(machine, FactSource.Record, at, address)
-        : this.fleet.registerUnconfirmed(machine, at, address);
-      if (worker && up) worker.isUp = true;
+  private restore(loadedJobs: LoadedJobs, loadedFleet: LoadedFleet): void {
+    const { intake, fleetRecordWriter } = this.parts;
+    for (const job of loadedJobs.jobs) intake.addOpen(job);
+    fleetRecordWriter.adopt(loadedFleet.records);
+    this.restoreMachines(loadedFleet);
+    this.assignPlacedTasks();
+    intake.dropFinished(loadedJobs);
+  }
+
+  private restoreMachines({ machines }: LoadedFleet): void {
+    const { fleet } = this.parts;
+    for (const { record, rentedAt } of machines) {
+      const { machine, address, isConfirmed, isUp } = record;
+      const worker = isConfirmed
+        ? fleet.registerMachine(machine, FactSource.Record, rentedAt, address)
+        : fleet.registerUnconfirmed(machine, rentedAt, address);
+      if (worker && isUp) worker.isUp = true;
     }
-    this.attachHeld();
-    this.intake.dropOver(loaded);
   }
 
   /**
-   * Every task that may be on a machine holds its place there. One that no record tells of is fenced like a silent one
-   * unless it is heard; until somebody tells what it is, nothing is assumed of it.
+   * Every task that may be on a machine keeps its capacity there. A machine that no record names is fenced like an
+   * unresponsive one unless it is heard; until its facts are learned, nothing is assumed of it.
    */
-  private attachHeld(): void {
-    for (const job of this.ctx.jobs.values()) {
+  private assignPlacedTasks(): void {
+    const { jobs, workers, startedAt } = this.ctx;
+    for (const job of jobs.values()) {
       for (const task of job.assignedTasks()) {
         if (task.machine === null) continue;
-        const worker =
-          this.ctx.workers.get(task.machine) ?? this.fleet.registerUnknown(task.machine, this.ctx.startedAt);
+        const worker = workers.get(task.machine) ?? this.parts.fleet.registerUnknown(task.machine, startedAt);
         worker?.assign(task);
       }
     }
   }
 }
+
+function contactRank(worker: Worker): number {
+  for (const task of worker.tasks)
+    if (task.job.spec.priority === Priority.Production) return ContactRank.ProductionWork;
+  return worker.free.cpus > 0 ? ContactRank.FreeCapacity : ContactRank.Full;
+}
--- a/src/leader/worker-lease-policy.ts
+++ b/src/leader/worker-lease-policy.ts
@@ -1,117 +1,137 @@
+/** Decides whether this leader may still renew the leases of workers. */
+import type { ControllerContext } from '../core/context.js';
 import { errorMessage } from '../log/logger.js';
 import { maxLocalDuration, type Millis, type MonotonicTime, plus, since } from '../model/time.js';
-import type { ControllerContext } from '../core/context.js';
+import type { PeerStatus } from '../peer/frames.js';
 
-/** Between the end of a worker's lease and the limit of a cancellation. */
-const CANCEL_MARGIN_MS = 5000;
-/** A leader whose grant is sure goes on answering at least so long without news of cancellations. */
-const SURE_LEAST_MS = 12_000;
-/** A leader that has not read the records yet knows no cancellation but those it was told of. */
-const UNREAD_ALONE_MS = 3000;
-const ASK_EVERY_MS = 1000;
-const ASK_MS = 800;
+/** Time kept between the end of a worker's lease and the limit of a cancellation. */
+const CANCELLATION_MARGIN_MS = 5000;
+/** A leader whose own lease is valid renews for at least this long without observing cancellations. */
+const MIN_RENEWAL_WITH_VALID_LEASE_MS = 12_000;
+/** How long a leader without a valid lease renews before it has loaded the records: it knows only the cancellations that peers reported. */
+const MAX_RENEWAL_BEFORE_LOAD_MS = 3000;
+const PEER_POLL_INTERVAL_MS = 1000;
+const PEER_POLL_TIMEOUT_MS = 800;
+/** The part of a watch's waiting time that surely passes before it is answered without events. */
+const MIN_WATCH_WAIT = 0.99;
 
-/** The leader's grant, as far as this node knows. */
+/** The leader's lease in the store, as far as this controller can tell. */
 export interface LeaderLease {
+  /** Whether the lease is certain to be held at this moment. */
   isLeaseValid(): boolean;
-  /** How long ago the grant stopped being sure. */
+  /** How long ago the lease stopped being valid; 0 while it is. */
   timeSinceLeaseExpiry(): Millis;
 }
 
-/** How long a leader that lost its grant may go on answering reports, by the settings. */
+/** Returns for how long a leader may renew workers' leases after its own expired, by the settings. */
 export function maxRenewalWithoutQuorum({
   settings,
   operators,
 }: Pick<ControllerContext, 'settings' | 'operators'>): Millis {
-  return Math.max(
-    0,
-    Math.min(operators.leadership.maxRenewalWithoutQuorum, cancellationMargin(settings)),
-  ) as Millis;
+  const configured = operators.leadership.maxRenewalWithoutQuorum;
+  return Math.max(0, Math.min(configured, cancellationBound(settings))) as Millis;
 }
 
-/** From when a cancellation may have been confirmed to when the last answer may renew a lease; the margin covers the clocks' drift. */
-function cancellationMargin({
+/**
+ * The longest time from the moment when a cancellation may have been confirmed to the last heartbeat answer that may
+ * renew a lease. The margin covers the drift of the clocks.
+ */
+function cancellationBound({
   cancellationLimit,
   workerLeaseDuration,
 }: ControllerContext['settings']): number {
-  return cancellationLimit - workerLeaseDuration - CANCEL_MARGIN_MS;
+  return cancellationLimit - workerLeaseDuration - CANCELLATION_MARGIN_MS;
 }
 
 /**
- * Whether a leader may answer reports, which keeps the workers' leases alive. Two bounds, each from a
- * moment up to which something is proven:
+ * Decides whether the leader may answer heartbeats, which renews the workers' leases. Two bounds apply, each counted
+ * from the last moment for which something is proven:
  *
- * - that no other controller led: the end of our grant's sure life, or when all the others were last asked
- *   and said so. A successor reckons with answers until D after its takeover;
- * - that no cancellation was confirmed that we don't know: when the watch of the records last brought all
- *   there was, or when all the others were last asked. A lease that is renewed within `cancelRoom` of it
- *   ends within a cancellation's limit.
+ * - No other controller led: the end of our own lease, or the last poll in which every peer said so. A successor
+ *   expects answers of its predecessor for up to `maxRenewalWithoutQuorum` after it took over.
+ * - No cancellation was confirmed that this leader doesn't know: the last time the watch of the job records was up to
+ *   date, or the last poll in which every peer reported its confirmed cancellations. A worker lease that is renewed
+ *   within `cancellationBound` of that moment expires within the limit of a cancellation.
  *
- * An outage that all share confirms nothing, so the others can say so, and the work goes on beneath it.
- * One that doesn't answer, can't say or has been started again since may have confirmed some: it proves nothing.
+ * While the store is unavailable to all controllers no cancellation can be confirmed; the peers can say so, and the
+ * work goes on. A peer that doesn't answer, can't say, or has restarted since may have confirmed some: then the poll
+ * proves nothing.
  */
 export class WorkerLeasePolicy {
-  private knownUpTo: MonotonicTime | null = null;
-  private aloneSince: MonotonicTime | null = null;
+  private cancellationsObservedUpTo: MonotonicTime | null = null;
+  /** The last poll in which no peer led. */
+  private noOtherLeaderAt: MonotonicTime | null = null;
   private lastPolledAt: MonotonicTime | null = null;
 
   constructor(
     private readonly ctx: ControllerContext,
     private readonly lease: LeaderLease,
-    private readonly newer: (epoch: number) => void,
+    private readonly onPeerLeading: (epoch: number) => void,
   ) {}
 
-  /** All cancellations that were confirmed before this moment are known. */
-  observedCancellationsUpTo(upTo: MonotonicTime): void {
-    if (this.knownUpTo === null || upTo > this.knownUpTo) this.knownUpTo = upTo;
+  /** Records that every cancellation that was confirmed before this moment is known here. */
+  observedCancellationsUpTo(observedAt: MonotonicTime): void {
+    if (this.cancellationsObservedUpTo === null || observedAt > this.cancellationsObservedUpTo)
+      this.cancellationsObservedUpTo = observedAt;
   }
 
+  /** Whether a heartbeat may be answered, and so a worker's lease renewed. */
   mayRenew(now: MonotonicTime): boolean {
-    const sure = this.lease.isLeaseValid();
-    if (this.knownUpTo === null) return sure || this.lease.timeSinceLeaseExpiry() < UNREAD_ALONE_MS;
-    const room = cancellationMargin(this.ctx.settings);
-    const unknownFor = since(now, this.knownUpTo);
-    if (sure) return unknownFor < Math.max(room, SURE_LEAST_MS);
-    const others = this.aloneSince === null ? Infinity : since(now, this.aloneSince);
+    const isValid = this.lease.isLeaseValid();
+    if (this.cancellationsObservedUpTo === null)
+      return isValid || this.lease.timeSinceLeaseExpiry() < MAX_RENEWAL_BEFORE_LOAD_MS;
+    const bound = cancellationBound(this.ctx.settings);
+    const unobservedFor = since(now, this.cancellationsObservedUpTo);
+    if (isValid) return unobservedFor < Math.max(bound, MIN_RENEWAL_WITH_VALID_LEASE_MS);
+    const sincePoll = this.noOtherLeaderAt === null ? Infinity : since(now, this.noOtherLeaderAt);
     return (
-      unknownFor < room &&
-      Math.min(this.lease.timeSinceLeaseExpiry(), others) < maxRenewalWithoutQuorum(this.ctx)
+      unobservedFor < bound &&
+      Math.min(this.lease.timeSinceLeaseExpiry(), sincePoll) < maxRenewalWithoutQuorum(this.ctx)
     );
   }
 
-  /** Asks the others, while the state service cannot tell. */
+  /** Asks all peers for their status, at a bounded rate. Used while the store can't be asked. */
   async pollPeers(): Promise<void> {
     const { clock, peers, cancellations, log } = this.ctx;
     const now = clock.now();
-    if (this.lastPolledAt !== null && since(now, this.lastPolledAt) < ASK_EVERY_MS) return;
+    if (this.lastPolledAt !== null && since(now, this.lastPolledAt) < PEER_POLL_INTERVAL_MS) return;
     this.lastPolledAt = now;
     try {
-      const words = await peers.collectStatus(ASK_MS);
-      for (const word of words) if (word) cancellations.learn(word.cancellations);
-      if (words.some((word) => word === null)) return;
-      for (const word of words) if (word?.leadingEpoch != null) this.newer(word.leadingEpoch);
-      this.aloneSince = now;
-      // Started since then, one of us may have forgotten what it confirmed. What is older than a cancellation's
-      // limit need not be known: so who has read no records yet can know enough, too.
-      const { cancellationLimit } = this.ctx.settings;
-      const unknownFor = this.knownUpTo === null ? Infinity : since(clock.now(), this.knownUpTo);
-      const remembered = maxLocalDuration(Math.min(unknownFor, cancellationLimit));
-      const all = [cancellations.uptime, ...words.map((word) => word?.uptime ?? 0)];
-      if (all.every((upFor) => upFor > remembered)) this.observedCancellationsUpTo(now);
+      const statuses = await peers.collectStatus(PEER_POLL_TIMEOUT_MS);
+      for (const status of statuses) if (status) cancellations.learn(status.cancellations);
+      if (statuses.every((status) => status !== null)) this.recordPoll(statuses, now);
     } catch (error) {
-      log.debug({ error: errorMessage(error) }, 'the others were not asked');
+      log.debug({ error: errorMessage(error) }, 'peer status poll failed');
     }
   }
+
+  /** Every peer has answered a poll that was sent at `polledAt`. */
+  private recordPoll(statuses: readonly PeerStatus[], polledAt: MonotonicTime): void {
+    const { clock, cancellations, settings } = this.ctx;
+    for (const { leadingEpoch } of statuses) if (leadingEpoch !== null) this.onPeerLeading(leadingEpoch);
+    this.noOtherLeaderAt = polledAt;
+    // A controller that has restarted since may have forgotten what it confirmed. What is older than the limit of a
+    // cancellation need not be known, so a leader that hasn't loaded the records yet can know enough, too.
+    const observedAt = this.cancellationsObservedUpTo;
+    const unobservedFor = observedAt === null ? Infinity : since(clock.now(), observedAt);
+    const mustRemember = maxLocalDuration(Math.min(unobservedFor, settings.cancellationLimit));
+    const uptimes = [cancellations.uptime, ...statuses.map((status) => status.uptime)];
+    if (uptimes.every((uptime) => uptime > mustRemember)) this.observedCancellationsUpTo(polledAt);
+  }
+}
+
+/** A watch request that has been answered. */
+export interface AnsweredWatch {
+  readonly sentAt: MonotonicTime;
+  /** How long the store was asked to wait for events, in milliseconds. */
+  readonly waitMs: number;
+  readonly hasEvents: boolean;
+  readonly answeredAt: MonotonicTime;
 }
 
-/** The moment up to which a watch of so long, sent then and answered with or without news, has told all. */
-export const watchedUpTo = (
-  sentAt: MonotonicTime,
-  waitMs: number,
-  news: boolean,
-  now: MonotonicTime,
-): MonotonicTime => {
-  if (news) return sentAt;
-  const waited = plus(sentAt, waitMs * 0.99);
-  return waited < now ? waited : sentAt;
-};
+/** Returns the moment up to which the watch has surely delivered every event. */
+export function watchedUpTo({ sentAt, waitMs, hasEvents, answeredAt }: AnsweredWatch): MonotonicTime {
+  if (hasEvents) return sentAt;
+  const waitedUntil = plus(sentAt, waitMs * MIN_WATCH_WAIT);
+  return waitedUntil < answeredAt ? waitedUntil : sentAt;
+}
--- a/test/soak/loopback-controllers.ts
+++ b/test/soak/loopback-controllers.ts
@@ -119,7 +119,7 @@
     }
     if (msg === 'leadership ended') {
       this.leading.delete(member);
-      listener.trace(`${member}     leads no more: ${String(line['why'])}`);
+      listener.trace(`${member}     leads no more: ${String(line['reason'])}`);
     }
     if (msg === KNOWN_BY_TASK_ONLY) this.unknownMachines++;
     if (msg === START_WITHHELD) listener.breach(`withheld: ${JSON.stringify(line)}`);
--- a/test/unit/worker-lease-policy.test.ts
+++ b/test/unit/worker-lease-policy.test.ts
@@ -9,78 +9,81 @@
 import type { PeerStatus } from '../../src/peer/frames.js';
 import { VirtualClock } from '../simulation/clock.js';
 
-type Word = PeerStatus | null;
+type PeerAnswer = PeerStatus | null;
 
-function leader(cancelS: number, words: () => Word[]) {
+/** A leader with a valid lease, a cancellation limit of so many seconds, and peers that answer like this. */
+function leader(cancellationLimitS: number, peerAnswers: () => PeerAnswer[]) {
   const clock = new VirtualClock();
-  const cancellations = new ConfirmedCancellations(clock, seconds(cancelS));
-  let unsureFor: Millis | null = null;
-  const newer: number[] = [];
+  const cancellations = new ConfirmedCancellations(clock, seconds(cancellationLimitS));
+  let expiredFor: Millis | null = null;
+  const observedEpochs: number[] = [];
   const ctx = {
     clock,
     log: silentLogger,
     cancellations,
-    settings: { cancellationLimit: seconds(cancelS), workerLeaseDuration: seconds(20) },
+    settings: { cancellationLimit: seconds(cancellationLimitS), workerLeaseDuration: seconds(20) },
     operators: defaultOperators(),
-    peers: { collectStatus: () => Promise.resolve(words()) },
+    peers: { collectStatus: () => Promise.resolve(peerAnswers()) },
   } as unknown as ControllerContext;
-  const lease = { isLeaseValid: () => unsureFor === null, timeSinceLeaseExpiry: () => unsureFor ?? ms(0) };
-  const answering = new WorkerLeasePolicy(ctx, lease, (epoch) => newer.push(epoch));
-  answering.observedCancellationsUpTo(clock.now());
-  /** Lives so many seconds without a grant, asking as a leader does; how long it answered. */
-  const alone = async (s: number): Promise<number> => {
-    let answered = 0;
-    for (let t = 0; t < s; t += 0.5) {
-      unsureFor = ms(t * 1000);
-      if (answering.mayRenew(clock.now())) answered = t;
-      await answering.pollPeers();
+  const lease = { isLeaseValid: () => expiredFor === null, timeSinceLeaseExpiry: () => expiredFor ?? ms(0) };
+  const policy = new WorkerLeasePolicy(ctx, lease, (epoch) => observedEpochs.push(epoch));
+  policy.observedCancellationsUpTo(clock.now());
+  /** Lets the lease expire and polls the peers as a leader does for so long; returns up to when it renewed, in seconds. */
+  const renewedForS = async (durationS: number): Promise<number> => {
+    let renewedUpToS = 0;
+    for (let elapsedS = 0; elapsedS < durationS; elapsedS += 0.5) {
+      expiredFor = ms(elapsedS * 1000);
+      if (policy.mayRenew(clock.now())) renewedUpToS = elapsedS;
+      await policy.pollPeers();
       await clock.advance(500);
     }
-    return answered;
+    return renewedUpToS;
   };
-  return { answering, alone, clock, cancellations, newer };
+  return { policy, renewedForS, clock, cancellations, observedEpochs };
 }
 
-const word = (upFor: number, more: Partial<PeerStatus> = {}): Word => ({
-  uptime: ms(upFor),
+const peerStatus = (uptimeMs: number, more: Partial<PeerStatus> = {}): PeerAnswer => ({
+  uptime: ms(uptimeMs),
   leadingEpoch: null,
   cancellations: [],
   ...more,
 });
-const OLD = 3_600_000;
+const LONG_UPTIME_MS = 3_600_000;
 
-describe('a leader without a sure grant answers reports', () => {
-  it('for as long as every other controller vouches for it', async () => {
-    expect(await leader(40, () => [word(OLD), word(OLD)]).alone(120)).toBeGreaterThan(119);
+describe('WorkerLeasePolicy without a valid leader lease renews worker leases', () => {
+  it('for as long as every peer confirms that it leads nothing and has confirmed no cancellation', async () => {
+    expect(
+      await leader(40, () => [peerStatus(LONG_UPTIME_MS), peerStatus(LONG_UPTIME_MS)]).renewedForS(120),
+    ).toBeGreaterThan(119);
   });
 
-  it('for D once one of them doesn’t answer: another may lead, however much time a cancellation has', async () => {
-    expect(await leader(400, () => [word(OLD), null]).alone(120)).toBe(14.5);
+  it('for maxRenewalWithoutQuorum once a peer doesn’t answer: it may lead, however long the cancellation limit is', async () => {
+    expect(await leader(400, () => [peerStatus(LONG_UPTIME_MS), null]).renewedForS(120)).toBe(14.5);
   });
 
-  it('until an unknown cancellation’s limit leaves a lease no time, once one was started since', async () => {
+  it('until an unknown cancellation’s limit leaves a lease no time, once a peer has restarted', async () => {
     // 40 s, less a lease of 20 s and 5 s.
-    expect(await leader(40, () => [word(OLD), word(100)]).alone(120)).toBe(14.5);
-    expect(await leader(33, () => [word(OLD), word(100)]).alone(120)).toBe(7.5);
+    expect(await leader(40, () => [peerStatus(LONG_UPTIME_MS), peerStatus(100)]).renewedForS(120)).toBe(14.5);
+    expect(await leader(33, () => [peerStatus(LONG_UPTIME_MS), peerStatus(100)]).renewedForS(120)).toBe(7.5);
   });
 
-  it('not at all after a newer epoch was named, and learns what the others have told', async () => {
-    const told = [{ id: 'j-000007' as JobId, age: ms(900) }];
-    const { alone, newer, cancellations } = leader(40, () => [
-      word(OLD, { leadingEpoch: 9 as Epoch, cancellations: told }),
+  it('not at all after a observedEpochs epoch was named, and learns what the others have told', async () => {
+    const confirmed = [{ id: 'j-000007' as JobId, age: ms(900) }];
+    const { renewedForS, observedEpochs, cancellations } = leader(40, () => [
+      peerStatus(LONG_UPTIME_MS, { leadingEpoch: 9 as Epoch, cancellations: confirmed }),
     ]);
-    await alone(1);
-    expect(newer).toContain(9);
+    await renewedForS(1);
+    expect(observedEpochs).toContain(9);
     expect(cancellations.has('j-000007' as JobId)).toBe(true);
   });
 });
 
-describe('a leader with a sure grant', () => {
-  it('stops answering too when it has not seen the cancellations for long', async () => {
-    const { answering, clock } = leader(40, () => []);
+describe('WorkerLeasePolicy with a valid leader lease', () => {
+  it('stops renewing too when it hasn’t observed cancellations for long', async () => {
+    const { policy, clock } = leader(40, () => []);
     await clock.advance(14_900);
-    expect(answering.mayRenew(clock.now())).toBe(true);
+    expect(policy.mayRenew(clock.now())).toBe(true);
     await clock.advance(200);
-    expect(answering.mayRenew(clock.now())).toBe(false);
+    expect(policy.mayRenew(clock.now())).toBe(false);
   });
 });
