--- a/src/api/user-service.ts
+++ b/src/api/user-service.ts
@@ -1,4 +1,4 @@
-import type { ConfirmedCancellation } from '../core/confirmed-cancellations.js';
+import type { ConfirmedCancellation } from '../model/confirmed-cancellation.js';
 import type { ControllerContext } from '../core/context.js';
 import type { JobId, Revision } from '../model/ids.js';
 import { isJobId, NO_REVISION } from '../model/ids.js';
--- a/src/core/confirmed-cancellations.ts
+++ b/src/core/confirmed-cancellations.ts
@@ -1,12 +1,7 @@
+import type { ConfirmedCancellation } from '../model/confirmed-cancellation.js';
 import type { JobId } from '../model/ids.js';
 import { type Clock, type Millis, type MonotonicTime, since } from '../model/time.js';
 
-/** A cancellation that was confirmed to a user, and how long ago the sender of this value learned of it. */
-export interface ConfirmedCancellation {
-  readonly id: JobId;
-  readonly age: Millis;
-}
-
 /** Cancellations older than this many times their limit have been carried out or are violated already. */
 const RETENTION_LIMITS = 3;
 const MAX_ENTRIES = 20_000;
--- a/src/peer/frames.ts
+++ b/src/peer/frames.ts
@@ -1,4 +1,4 @@
-import type { ConfirmedCancellation } from '../core/confirmed-cancellations.js';
+import type { ConfirmedCancellation } from '../model/confirmed-cancellation.js';
 import { type Epoch, isJobId, type JobId } from '../model/ids.js';
 import { UNVERSIONED } from '../model/protocol.js';
 import { type Millis, ms } from '../model/time.js';
--- a/src/peer/routed-caller.ts
+++ b/src/peer/routed-caller.ts
@@ -1,5 +1,5 @@
 /** Calls to workers: directly, through another controller across a cut, or through an idler one while this one is busy. */
-import type { WorkerClient } from '../core/context.js';
+import type { WorkerClient } from './worker-client.js';
 import type { AgentIncarnation, FencingToken } from '../model/ids.js';
 import { DELEGATION_LOAD } from '../model/load.js';
 import type { WorkerCommand, Heartbeat } from '../model/heartbeat.js';
--- a/test/simulation/site-workers.ts
+++ b/test/simulation/site-workers.ts
@@ -1,7 +1,7 @@
 /** The machines of a stand-in site, and the network between them and the controllers. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
-import type { WorkerClient } from '../../src/core/context.js';
+import type { WorkerClient } from '../../src/peer/worker-client.js';
 import type {
   MachineId,
   JobId,
