--- a/src/leader/retry.ts
+++ b/src/leader/retry.ts
@@ -9,7 +9,7 @@
 
 /** Repeats an attempt until it succeeds, whatever error it throws, and returns its result; null: the term ended first. */
 export async function retryUntilTermEnds<T>(
-  ctx: LeaderContext,
+  ctx: Pick<LeaderContext, 'clock' | 'isEnded'>,
   { retryMs, onFailure }: RetryOptions,
   attempt: () => Promise<T>,
 ): Promise<T | null> {
--- a/src/leader/worker-lease-policy.ts
+++ b/src/leader/worker-lease-policy.ts
@@ -23,11 +23,18 @@
   timeSinceLeaseExpiry(): Millis;
 }
 
+/** The limits that the policy follows. */
+interface RenewalLimits {
+  readonly settings: Pick<ControllerContext['settings'], 'cancellationLimit' | 'workerLeaseDuration'>;
+  readonly operators: ControllerContext['operators'];
+}
+
+/** What the policy needs of the controller. */
+type WorkerLeasePolicyContext = RenewalLimits &
+  Pick<ControllerContext, 'clock' | 'log' | 'peers' | 'cancellations'>;
+
 /** Returns for how long a leader may renew workers' leases after its own expired, by the settings. */
-export function maxRenewalWithoutQuorum({
-  settings,
-  operators,
-}: Pick<ControllerContext, 'settings' | 'operators'>): Millis {
+export function maxRenewalWithoutQuorum({ settings, operators }: RenewalLimits): Millis {
   const configured = operators.leadership.maxRenewalWithoutQuorum;
   return Math.max(0, Math.min(configured, cancellationBound(settings))) as Millis;
 }
@@ -36,10 +43,7 @@
  * The longest time from the moment when a cancellation may have been confirmed to the last heartbeat answer that may
  * renew a lease. The margin covers the drift of the clocks.
  */
-function cancellationBound({
-  cancellationLimit,
-  workerLeaseDuration,
-}: ControllerContext['settings']): number {
+function cancellationBound({ cancellationLimit, workerLeaseDuration }: RenewalLimits['settings']): number {
   return cancellationLimit - workerLeaseDuration - CANCELLATION_MARGIN_MS;
 }
 
@@ -64,7 +68,7 @@
   private lastPolledAt: MonotonicTime | null = null;
 
   constructor(
-    private readonly ctx: ControllerContext,
+    private readonly ctx: WorkerLeasePolicyContext,
     private readonly lease: LeaderLease,
     private readonly onPeerLeading: (epoch: number) => void,
   ) {}
--- /dev/null
+++ b/test/unit/task-failure-policy.test.ts
@@ -0,0 +1,50 @@
+import { describe, expect, it } from 'vitest';
+import { defaultOperators } from '../../src/config/operators.js';
+import { TaskFailurePolicy } from '../../src/leader/task-failure-policy.js';
+import { silentLogger } from '../../src/log/logger.js';
+import type { MachineId, MachineTypeId, Revision, ZoneId } from '../../src/model/ids.js';
+import type { MonotonicTime, WallTime } from '../../src/model/time.js';
+import { ActiveJob } from '../../src/scheduler/active-job.js';
+import type { Worker } from '../../src/workers/state/worker.js';
+import { submission } from '../simulation/submission.js';
+import { workerOf } from '../simulation/worker-state.js';
+
+const NOW = 5000 as MonotonicTime;
+
+function worker(id: string): Worker {
+  const machine = {
+    id: id as MachineId,
+    type: 'small' as MachineTypeId,
+    zone: 'north' as ZoneId,
+    spot: false,
+  };
+  return workerOf(machine, NOW);
+}
+
+const job = (): ActiveJob => new ActiveJob(submission({}), 1 as Revision, 0 as WallTime, 300);
+
+describe('TaskFailurePolicy', () => {
+  const operators = defaultOperators();
+  const policy = new TaskFailurePolicy({ log: silentLogger, operators });
+
+  it('counts failures against the machine, and cordons it once there are too many', () => {
+    const failing = worker('a');
+    for (let failures = 1; failures <= operators.workers.maxTaskFailures; failures++) {
+      expect(failing.cordon).toBeNull();
+      policy.recordFailure(failing, job(), NOW);
+      policy.cordonIfFailing(failing);
+    }
+    expect(failing.cordon).toBe('failing');
+  });
+
+  it('holds a job that fails on several machines at fault itself: it backs off for longer each time', () => {
+    const faulty = job();
+    const workers = ['a', 'b', 'c', 'd'].map(worker);
+    const backoffs = workers.map((failedOn) => {
+      policy.recordFailure(failedOn, faulty, NOW);
+      return faulty.backoffUntil === null ? null : faulty.backoffUntil - NOW;
+    });
+    expect(workers.map(({ failures }) => failures)).toEqual([1, 0, 0, 0]);
+    expect(backoffs).toEqual([null, null, 2000, 4000]);
+  });
+});
--- /dev/null
+++ b/test/unit/term-lifetime.test.ts
@@ -0,0 +1,16 @@
+import { describe, expect, it } from 'vitest';
+import { TermLifetime } from '../../src/leader/term-lifetime.js';
+
+describe('TermLifetime', () => {
+  it('runs its cleanups and reports the reason once, with the first end', () => {
+    const events: string[] = [];
+    const lifetime = new TermLifetime((reason) => events.push(`ended: ${reason}`));
+    lifetime.addCleanup(() => events.push('first cleanup'));
+    lifetime.addCleanup(() => events.push('second cleanup'));
+    expect(lifetime.isEnded).toBe(false);
+    lifetime.end('lease lost');
+    lifetime.end('another reason');
+    expect(lifetime.isEnded).toBe(true);
+    expect(events).toEqual(['first cleanup', 'second cleanup', 'ended: lease lost']);
+  });
+});
--- a/test/unit/worker-lease-policy.test.ts
+++ b/test/unit/worker-lease-policy.test.ts
@@ -1,7 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import { WorkerLeasePolicy } from '../../src/leader/worker-lease-policy.js';
 import { ConfirmedCancellations } from '../../src/core/confirmed-cancellations.js';
-import type { ControllerContext } from '../../src/core/context.js';
 import { defaultOperators } from '../../src/config/operators.js';
 import { silentLogger } from '../../src/log/logger.js';
 import type { Epoch, JobId } from '../../src/model/ids.js';
@@ -24,7 +23,7 @@
     settings: { cancellationLimit: seconds(cancellationLimitS), workerLeaseDuration: seconds(20) },
     operators: defaultOperators(),
     peers: { collectStatus: () => Promise.resolve(peerAnswers()) },
-  } as unknown as ControllerContext;
+  };
   const lease = { isLeaseValid: () => expiredFor === null, timeSinceLeaseExpiry: () => expiredFor ?? ms(0) };
   const policy = new WorkerLeasePolicy(ctx, lease, (epoch) => observedEpochs.push(epoch));
   policy.observedCancellationsUpTo(clock.now());
