--- a/src/leader/decision-loop.ts
+++ b/src/leader/decision-loop.ts
@@ -71,6 +71,7 @@
     const delayMs = Math.max(DECISION_DELAY_MS, this.lastDurationMs * DECISION_PAUSE_FACTOR);
     this.ctx.clock.after(delayMs, () => {
       this.isRequested = false;
+      // A decision that throws is a fault of the program: the process logs it as an unhandled rejection.
       if (!this.ctx.isEnded()) void this.parts.lock.runExclusive(() => this.decideNow());
     });
   }
--- a/src/leader/worker-drainer.ts
+++ b/src/leader/worker-drainer.ts
@@ -22,13 +22,7 @@
   tick(now: MonotonicTime): void {
     for (const worker of this.ctx.workers.values()) {
       if (worker.interruptionAt !== null) this.checkpointBeforeReclaim(worker, worker.interruptionAt, now);
-      if (
-        !worker.hasReported &&
-        worker.address !== '' &&
-        (worker.isListedRunning || worker.isUp || !worker.isEmpty)
-      ) {
-        this.dispatcher.dispatch(worker);
-      }
+      if (mustContact(worker)) this.dispatcher.dispatch(worker);
     }
   }
 
@@ -54,6 +48,12 @@
   }
 }
 
+/** Whether the worker is likely to run and has not been heard in this term. */
+function mustContact(worker: Worker): boolean {
+  if (worker.hasReported || worker.address === '') return false;
+  return worker.isListedRunning || worker.isUp || !worker.isEmpty;
+}
+
 /** Whether the task is on the machine and not being stopped yet. */
 function canStop(task: Task): boolean {
   return task.phase === 'placed' && task.pendingStop === null;
