--- a/src/leader/commit-batch.ts
+++ b/src/leader/commit-batch.ts
@@ -143,7 +143,7 @@
       if (age >= delayMs) progress.push(chunk);
       else nextDueMs = Math.min(nextDueMs, delayMs - age, PROGRESS_DELAY_MS);
     }
-    starts.sort((a, b) => b.job.effectiveSpec.priority - a.job.effectiveSpec.priority);
+    starts.sort((one, other) => other.job.effectiveSpec.priority - one.job.effectiveSpec.priority);
     return { starts, progress, nextDueMs };
   }
 
--- a/src/leader/placement-views.ts
+++ b/src/leader/placement-views.ts
@@ -53,7 +53,7 @@
     const job = task.job.spec.id;
     victims.push({ task: task.id, job, team, priority, cpus, gpus, memoryGb, lostMs });
   }
-  return victims.sort((a, b) => a.priority - b.priority || a.lostMs - b.lostMs);
+  return victims.sort((one, other) => one.priority - other.priority || one.lostMs - other.lostMs);
 }
 
 /** Returns a machine as placement sees it, by its confirmed facts. Its free capacity is a copy: placement allocates from it. */
--- a/src/leader/state-restorer.ts
+++ b/src/leader/state-restorer.ts
@@ -65,7 +65,7 @@
     return [...this.ctx.workers.values()]
       .filter((worker) => worker.isUp || !worker.isEmpty)
       .map((worker) => ({ worker, rank: contactRank(worker) }))
-      .sort((a, b) => a.rank - b.rank)
+      .sort((one, other) => one.rank - other.rank)
       .map(({ worker }) => worker);
   }
 
