--- a/src/leader/heartbeat-handler.ts
+++ b/src/leader/heartbeat-handler.ts
@@ -185,7 +185,7 @@
     worker.learnIncarnation(heartbeat, now);
     if (!worker.hasReported) this.parts.dispatcher.dispatch(worker);
     // The answer to a late copy may still reach a worker that waits for one: its lease counts from here.
-    worker.lastAnsweredAt = now;
+    worker.lease.recordAnswer(now);
     return false;
   }
 
--- a/src/leader/leader-parts.ts
+++ b/src/leader/leader-parts.ts
@@ -230,13 +230,16 @@
     void later().heartbeats.handleReply(worker, heartbeat);
   const decisionLog = new DecisionLog(ctx.log, ctx.clock);
   const issuer = new CommandIssuer(ctx, decisionLog);
-  const dispatcher = new CommandDispatcher(ctx, issuer, onHeartbeat, controller.maxConcurrentWorkerCalls);
-  const failureDetector = new WorkerFailureDetector(
-    ctx,
-    term.previousLeaseRemaining + maxRenewalWithoutQuorum(controller),
+  const dispatcher = new CommandDispatcher(ctx, {
+    issuer,
+    onHeartbeat,
+    maxConcurrentCalls: controller.maxConcurrentWorkerCalls,
+  });
+  const failureDetector = new WorkerFailureDetector(ctx, {
+    predecessorRenewalMs: term.previousLeaseRemaining + maxRenewalWithoutQuorum(controller),
     onHeartbeat,
-    (worker, reason) => fleet.remove(worker, reason),
-    (worker) => later().lostTasks.onLeaseExpired(worker),
-  );
+    fence: (worker, reason) => fleet.remove(worker, reason),
+    onLeaseExpired: (worker) => later().lostTasks.onLeaseExpired(worker),
+  });
   return { decisionLog, issuer, dispatcher, failureDetector };
 }
--- a/src/leader/task-failure-policy.ts
+++ b/src/leader/task-failure-policy.ts
@@ -20,10 +20,7 @@
   recordFailure(worker: Worker, job: ActiveJob, now: MonotonicTime): void {
     job.failures++;
     job.failedMachines.add(worker.id);
-    if (job.failedMachines.size <= 1 || worker.failedJobs.size > 0) {
-      worker.failures++;
-      worker.failedJobs.add(job.spec.id);
-    }
+    if (job.failedMachines.size <= 1 || worker.failures > 0) worker.failures++;
     if (job.failedMachines.size >= FAULTY_JOB_MACHINES) job.backoffUntil = plus(now, backoffMs(job));
   }
 
