--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -70,7 +70,7 @@
   /** Another controller says that it leads: the newer epoch is right. */
   onPeerLeading(epoch: Epoch): void {
     const { leader } = this;
-    if (leader && epoch > leader.epoch) leader.end('another node leads a newer epoch');
+    if (leader && epoch > leader.epoch) leader.end('a peer leads a newer epoch');
   }
 
   /** The leader's answer to a heartbeat; null: this controller does not lead. */
@@ -91,7 +91,7 @@
   }
 
   private resign(reason: TermEndReason): void {
-    const candidacyPauseMs = reason === 'no worker is heard' ? PARTITIONED_CANDIDACY_PAUSE_MS : 0;
+    const candidacyPauseMs = reason === 'no worker heartbeats received' ? PARTITIONED_CANDIDACY_PAUSE_MS : 0;
     // Never rejects: a lease that cannot be revoked expires by itself.
     void this.election.resign(candidacyPauseMs);
   }
--- a/src/leader/job-outcomes.ts
+++ b/src/leader/job-outcomes.ts
@@ -1,4 +1,4 @@
-/** What is learned from jobs that are over, and told to the log. */
+/** Learns from jobs that are over, and logs them. */
 import type { FleetManager } from '../fleet/fleet-manager.js';
 import type { Lifetimes } from '../forecast/lifetimes.js';
 import { type MonotonicTime, since } from '../model/time.js';
@@ -7,29 +7,33 @@
 import type { SloTargets } from '../scheduler/slo-targets.js';
 import type { LeaderContext } from '../core/context.js';
 
-interface OutcomeParts {
+/** The parts of the leader that are adjusted by the outcome of jobs. */
+interface JobOutcomesParts {
   readonly fleet: FleetManager;
   readonly lifetimes: Lifetimes;
   readonly sloTargets: SloTargets;
   readonly slackFactors: SlackFactors;
 }
 
-/** In seconds, with one decimal. */
-const rounded = (ms: number): number => Math.round(ms / 100) / 10;
+/** Converts milliseconds to seconds with one decimal. */
+function roundedSeconds(durationMs: number): number {
+  return Math.round(durationMs / 100) / 10;
+}
 
-/** Judges each job that ends by its class's targets. */
+/** Measures each job that ends against the objectives of its class. */
 export class JobOutcomes {
   constructor(
     private readonly ctx: LeaderContext,
-    private readonly parts: OutcomeParts,
+    private readonly parts: JobOutcomesParts,
   ) {}
 
-  /** The job's end is durable. */
-  closed(job: ActiveJob): void {
-    if (!job.isCancelled) this.judge(job);
+  /** Records a job whose end is durable. */
+  recordClosed(job: ActiveJob): void {
+    if (!job.isCancelled) this.recordObjective(job);
     const { id, jobClass, taskCount, estimatedRunS } = job.spec;
     const now = this.ctx.clock.now();
-    const ago = (at: MonotonicTime | null): number | null => (at === null ? null : rounded(since(now, at)));
+    const secondsSince = (time: MonotonicTime | null): number | null =>
+      time === null ? null : roundedSeconds(since(now, time));
     this.ctx.log.info(
       {
         job: id,
@@ -37,26 +41,26 @@
         tasks: taskCount,
         cancelled: job.isCancelled,
         estimatedRunS,
-        ageS: rounded(this.ctx.clock.wall() - job.acceptedAt),
-        readyAgoS: rounded(this.ctx.clock.wall() - job.readyAt),
-        firstRunAgoS: ago(job.history.firstRunAt),
-        lastRunAgoS: ago(job.history.lastRunAt),
-        lost: job.history.lostCount,
+        ageS: roundedSeconds(this.ctx.clock.wall() - job.acceptedAt),
+        readyAgoS: roundedSeconds(this.ctx.clock.wall() - job.readyAt),
+        firstRunAgoS: secondsSince(job.history.firstRunAt),
+        lastRunAgoS: secondsSince(job.history.lastRunAt),
+        lostAttempts: job.history.lostCount,
       },
       'job closed',
     );
   }
 
-  /** Judged by the first target that renting for the job could have met. */
-  private judge(job: ActiveJob): void {
+  /** Records whether the job missed the first objective that a machine rented for it could have met. */
+  private recordObjective(job: ActiveJob): void {
     const { fleet, lifetimes, sloTargets, slackFactors } = this.parts;
-    const target = sloTargets.nextTarget(
+    const objective = sloTargets.nextTarget(
       job.effectiveSpec,
       fleet.slowestBoot(),
       lifetimes.expectedRunMs(job.spec),
     );
-    if (!target) return;
+    if (!objective) return;
     const age = this.ctx.clock.wall() - job.readyAt;
-    slackFactors.recordCompletion(job.spec.jobClass, age > target.withinMs, target.allowedMissShare);
+    slackFactors.recordCompletion(job.spec.jobClass, age > objective.withinMs, objective.allowedMissShare);
   }
 }
--- a/src/model/term-end-reason.ts
+++ b/src/model/term-end-reason.ts
@@ -7,9 +7,9 @@
   /** Failure detection found that another controller has fenced this term. */
   | 'replaced by another controller'
   /** No worker's heartbeat arrives: the leader is partitioned from its workers. */
-  | 'no worker is heard'
+  | 'no worker heartbeats received'
   /** Evidence of a newer epoch, by where it was met. */
-  | 'another node leads a newer epoch'
-  | 'a worker knows a newer epoch'
-  | 'the fleet record found a newer epoch'
+  | 'a peer leads a newer epoch'
+  | 'a worker has seen a newer epoch'
+  | 'a fleet record write found a newer epoch'
   | 'a commit found a newer epoch';
--- a/test/soak/broken-controller.ts
+++ b/test/soak/broken-controller.ts
@@ -29,10 +29,14 @@
   ],
   spot: [
     { file: RULE, from: 'if (machine.spot && !spec.allowsSpot) return PlacementRefusal.Spot;', to: '' },
-    { file: 'scheduler/placement.ts', from: "spec.allowsSpot ? 'spot' : 'firm'", to: "'spot'" },
+    {
+      file: 'scheduler/placement.ts',
+      from: 'spec.allowsSpot ? this.spotIndex : this.onDemandIndex',
+      to: 'this.spotIndex',
+    },
   ],
   zoneAffinity: [
-    { file: RULE, from: 'if (spec.zoneAffinity && isInOtherZone(others, zone)) return 0;', to: '' },
+    { file: RULE, from: 'if (spec.zoneAffinity && hasTaskInOtherZone(others, zone)) return 0;', to: '' },
   ],
   zoneAntiAffinity: [
     { file: RULE, from: 'return spec.zoneAntiAffinity ?', to: 'return spec.zoneAntiAffinity && false ?' },
