--- a/src/api/user-service.ts
+++ b/src/api/user-service.ts
@@ -75,9 +75,9 @@
 
   /** Answers a question for a job's state. Throws as `submit` does. */
   async query(id: string): Promise<UserAnswer> {
-    const askedAt = this.ctx.clock.now();
+    const requestedAt = this.ctx.clock.now();
     const answer = await this.lookUp(id);
-    const isTooOld = since(this.ctx.clock.now(), askedAt) > MAX_ANSWER_AGE_MS;
+    const isTooOld = since(this.ctx.clock.now(), requestedAt) > MAX_ANSWER_AGE_MS;
     return isTooOld && answer.status === 200 ? unavailable('answered too late') : answer;
   }
 
--- a/src/leader/record-loader.ts
+++ b/src/leader/record-loader.ts
@@ -82,7 +82,7 @@
 /** Reads all unfinished jobs with their progress, and which of them were cancelled since. */
 export async function loadOpenJobs(ctx: LeaderContext): Promise<LoadedJobs> {
   const { rows, revision } = await loadRecords(ctx, keys.open);
-  // Whoever split a record knew that no version is left which couldn't read it.
+  // A record is only split once every controller can read split records.
   if (rows.some(isSplitProgress)) ctx.storeLimits.allowSmallChunks();
   const jobs = new Map<JobId, ActiveJob>();
   const staleKeys: string[] = [];
