--- a/src/api/job-reader.ts
+++ b/src/api/job-reader.ts
@@ -43,7 +43,7 @@
         after = read?.revision ?? null;
         if (read) this.observe(read.changes);
       } catch (error) {
-        this.ctx.log.debug({ error: errorMessage(error) }, 'job watch interrupted');
+        this.ctx.log.debug({ error: errorMessage(error) }, 'job cache watch interrupted');
         await sleep(this.ctx.clock, WATCH_RETRY_MS + this.ctx.random() * WATCH_RETRY_MS);
       }
     }
