--- a/src/api/revision-confirmations.ts
+++ b/src/api/revision-confirmations.ts
@@ -2,7 +2,7 @@
 import type { Revision } from '../model/ids.js';
 import { type Clock, sleep } from '../model/time.js';
 import type { KeyValueStore, TxnResult } from '../store/client.js';
-import { StoreRefusedError } from '../store/errors.js';
+import { isRateLimitedError } from '../store/errors.js';
 import type { Compare } from '../wire/key-value-store.js';
 
 const RATE_LIMIT_RETRY_MS = 100;
@@ -52,7 +52,7 @@
     try {
       return await this.store.txn(compares, []);
     } catch (error) {
-      if (!(error instanceof StoreRefusedError && error.isRateLimited)) throw error;
+      if (!isRateLimitedError(error)) throw error;
       await sleep(this.clock, RATE_LIMIT_RETRY_MS);
       return this.store.txn(compares, []);
     }
--- a/src/api/store-retry.ts
+++ b/src/api/store-retry.ts
@@ -1,7 +1,7 @@
 /** When a request to the key-value store, made for a user, is tried again. */
 import type { ControllerContext } from '../core/context.js';
 import { sleep } from '../model/time.js';
-import { StoreOutcomeUnknownError, StoreRefusedError } from '../store/errors.js';
+import { isRateLimitedError, StoreOutcomeUnknownError } from '../store/errors.js';
 
 /** How often a request is tried in all. */
 export const MAX_ATTEMPTS = 3;
@@ -11,9 +11,7 @@
  * asking again at once does not help.
  */
 export function isRetryable(error: unknown): boolean {
-  return (
-    error instanceof StoreOutcomeUnknownError || (error instanceof StoreRefusedError && error.isRateLimited)
-  );
+  return error instanceof StoreOutcomeUnknownError || isRateLimitedError(error);
 }
 
 /** Waits before the next attempt: the delay grows with the attempts made, and has as much jitter as the first one. */
--- a/src/controller/user-router.ts
+++ b/src/controller/user-router.ts
@@ -5,7 +5,7 @@
 import { parseJson } from '../net/http-client.js';
 import { FrameKind } from '../peer/frames.js';
 import { encodeUserRequest, type UserVerb } from '../peer/user-request.js';
-import { KeyValueStoreError, StoreRefusedError } from '../store/errors.js';
+import { isRateLimitedError, KeyValueStoreError } from '../store/errors.js';
 import type { PeerGroup } from './peer-group.js';
 import type { StoreConnectivityMonitor } from './store-connectivity-monitor.js';
 
@@ -90,8 +90,7 @@
     if (!(error instanceof KeyValueStoreError)) throw error;
     this.refusals.state++;
     // A rate limit is meant for all controllers: another one would only ask once more.
-    if (error instanceof StoreRefusedError && error.isRateLimited)
-      return unavailable('asked too often', BUSY_RETRY_S);
+    if (isRateLimitedError(error)) return unavailable('asked too often', BUSY_RETRY_S);
     const forwarded = mayForward ? await this.forward(verb, body, 1) : null;
     return forwarded ?? unavailable('state service not reached');
   }
--- a/src/leader/commit-conflicts.ts
+++ b/src/leader/commit-conflicts.ts
@@ -7,7 +7,7 @@
 import { decodeJob } from '../store/job-record.js';
 import { keys } from '../store/keys.js';
 import type { CommitBatch } from './commit-batch.js';
-import { readRevision, stepDownIfDeposed } from './write-conflicts.js';
+import { fetchRevision, stepDownIfDeposed } from './write-conflicts.js';
 
 const CONFLICT_RETRY_MS = 100;
 
@@ -34,7 +34,7 @@
   private async resolveKey(key: string, batch: CommitBatch): Promise<void> {
     const chunk = batch.chunks.find((write) => write.chunk.key === key)?.chunk;
     // An earlier commit without an answer was carried out after all.
-    if (chunk) chunk.revision = await readRevision(this.ctx.store, key);
+    if (chunk) chunk.revision = await fetchRevision(this.ctx.store, key);
     else await this.refreshJob(key.slice(keys.jobs.length) as JobId);
   }
 
--- a/src/leader/fleet-record-writer.ts
+++ b/src/leader/fleet-record-writer.ts
@@ -10,7 +10,7 @@
 import type { KeyValue, WriteOperation } from '../wire/key-value-store.js';
 import type { Worker } from '../workers/state/worker.js';
 import type { WriteCounts } from './write-counts.js';
-import { readRevision, stepDownIfDeposed } from './write-conflicts.js';
+import { fetchRevision, stepDownIfDeposed } from './write-conflicts.js';
 
 /** A record whose value differs from the one that was last written. */
 interface ChangedRecord {
@@ -134,7 +134,7 @@
     if (stepDownIfDeposed(this.ctx, failedKeys, 'a fleet record write found a newer epoch')) return;
     // A write of ours that brought no answer was carried out after all.
     for (const key of failedKeys) {
-      this.revisions.set(key, await readRevision(this.ctx.store, key));
+      this.revisions.set(key, await fetchRevision(this.ctx.store, key));
       this.writtenTexts.delete(key);
     }
     throw new Error('a record had another revision');
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -4,6 +4,7 @@
 import type { LeadershipTerm } from '../leadership/term.js';
 import type { Heartbeat } from '../model/heartbeat.js';
 import type { Epoch, JobId, MemberId } from '../model/ids.js';
+import type { JobTaskCounts } from '../model/job-task-counts.js';
 import type { TermEndReason } from '../model/term-end-reason.js';
 import { type MonotonicTime, runPeriodically, since } from '../model/time.js';
 import type { HeartbeatOutcome } from './heartbeat-handler.js';
@@ -15,13 +16,6 @@
 /** By then a new leader has been in contact with the workers that are alive. */
 const CONTACT_PERIOD_MS = 4000;
 
-/** How far one job's tasks are, for display to users. */
-export interface JobProgress {
-  readonly id: JobId;
-  readonly done: number;
-  readonly running: number;
-}
-
 /** The leader of one epoch. */
 export class Leader {
   readonly epoch: Epoch;
@@ -106,7 +100,7 @@
   }
 
   /** Returns how many tasks of each job are done and running. */
-  progress(): JobProgress[] {
+  progress(): JobTaskCounts[] {
     return [...this.parts.ctx.jobs.values()]
       .filter((job) => !job.isCancelled)
       .map((job) => ({ id: job.spec.id, done: job.doneCount, running: job.runningCount }));
--- a/src/leader/write-conflicts.ts
+++ b/src/leader/write-conflicts.ts
@@ -17,7 +17,7 @@
 }
 
 /** Reads the revision that a key has now, for the next compare; `NO_REVISION` if it doesn't exist. */
-export async function readRevision(store: KeyValueStore, key: string): Promise<Revision> {
+export async function fetchRevision(store: KeyValueStore, key: string): Promise<Revision> {
   const row = await store.get(key);
   return row?.revision ?? NO_REVISION;
 }
--- a/src/peer/job-progress.ts
+++ b/src/peer/job-progress.ts
@@ -1,14 +1,8 @@
 /** The payload of `FrameKind.Progress`. */
-import { isJobId, type JobId } from '../model/ids.js';
+import { isJobId } from '../model/ids.js';
+import type { JobTaskCounts } from '../model/job-task-counts.js';
 import { MalformedFrameError, MAX_PAYLOAD_BYTES } from './frames.js';
 
-/** Task counts of one job, for display to users. */
-export interface JobProgress {
-  readonly id: JobId;
-  readonly done: number;
-  readonly running: number;
-}
-
 /** Bytes per job beside its name. */
 const FIXED_BYTES = 9;
 
@@ -16,14 +10,14 @@
  * Encodes per job: u8 name length, name, u32 done, u32 running. A list too long for one frame becomes several
  * payloads.
  */
-export function encodeProgress(jobs: readonly JobProgress[], maxBytes = MAX_PAYLOAD_BYTES): Buffer[] {
+export function encodeProgress(jobs: readonly JobTaskCounts[], maxBytes = MAX_PAYLOAD_BYTES): Buffer[] {
   const payloads: Buffer[] = [];
   let start = 0;
   do {
     let size = 0;
     let end = start;
     for (; end < jobs.length; end++) {
-      const length = FIXED_BYTES + (jobs[end] as JobProgress).id.length;
+      const length = FIXED_BYTES + (jobs[end] as JobTaskCounts).id.length;
       if (size + length > maxBytes) break;
       size += length;
     }
@@ -33,7 +27,7 @@
   return payloads;
 }
 
-function encodePart(jobs: readonly JobProgress[], size: number): Buffer {
+function encodePart(jobs: readonly JobTaskCounts[], size: number): Buffer {
   const payload = Buffer.allocUnsafe(size);
   let offset = 0;
   for (const { id, done, running } of jobs) {
@@ -47,8 +41,8 @@
 }
 
 /** Decodes one payload. Throws `MalformedFrameError`. */
-export function decodeProgress(payload: Buffer): JobProgress[] {
-  const jobs: JobProgress[] = [];
+export function decodeProgress(payload: Buffer): JobTaskCounts[] {
+  const jobs: JobTaskCounts[] = [];
   for (let offset = 0; offset < payload.length;) {
     const length = payload.readUInt8(offset);
     if (offset + FIXED_BYTES + length > payload.length) {
