--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -1,4 +1,7 @@
-/** Leader election: campaigns for the leader's record, and raises the durable epoch with each takeover. */
+/**
+ * Leader election: campaigns for the leader record in the key-value store and increments the durable epoch on each
+ * takeover.
+ */
 import type { ControllerContext } from '../core/context.js';
 import { errorMessage } from '../log/logger.js';
 import { type Epoch, NO_REVISION, type Revision } from '../model/ids.js';
@@ -16,102 +19,113 @@
 import { LeaderLease, type PauseGuard } from './lease.js';
 import type { LeadershipTerm } from './term.js';
 
-/** What failure detection adds to the election. */
+/** The inputs and callbacks that failure detection provides to the election. */
 export interface ElectionFailureDetection {
-  /** Identifies this start of the process in the leader's record. */
+  /** The identity of this process instance, written to the leader record; a restarted process has a new identity. */
   readonly processId: string;
   readonly pauseGuard: PauseGuard;
-  /** For how long this controller leaves a free leadership to others that are better prepared. */
+  /**
+   * Returns how long this controller waits before it claims a vacant leadership, so that better prepared controllers go
+   * first.
+   */
   candidacyDelayMs(): number;
-  /** The leader's record, or what is known of it, has changed. */
+  /** Is called when the leader record that this controller reads appears, disappears, or changes to another epoch. */
   onLeaderChanged(): void;
-  /** This controller does not lead any more. */
+  /** Is called when this controller stops leading. */
   onLeadershipEnded(): void;
 }
 
-/** Whom the election notifies. */
+/** Receives the results of the election. */
 export interface ElectionListener {
   onElected(term: LeadershipTerm): void;
-  /** The term was lost without this controller's doing. */
+  /** Is called when this controller loses its term without having resigned. */
   onLost(reason: TermEndReason): void;
 }
 
-/** How long one watch of the leader's record waits for a change. */
+/** The longest time that a single watch request on the leader record waits for a change. */
 const WATCH_TIMEOUT_MS = 15_000;
-/** After a failure the campaign goes on after this, and up to the jitter more. */
+/** The delay before the campaign continues after an error; a random jitter is added. */
 const CAMPAIGN_RETRY_MS = 100;
+/** The upper bound of the random jitter added to the campaign's retry delay. */
 const CAMPAIGN_RETRY_JITTER_MS = 150;
-/** A lost takeover waits up to this before the next one. */
+/** The upper bound of the random delay after a takeover whose transaction another controller has won. */
 const TAKEOVER_RETRY_JITTER_MS = 50;
-/** A free leadership is looked at again after this by a controller that may not stand yet. */
+/** How often a controller whose candidacy is paused checks a vacant leadership. */
 const CANDIDACY_CHECK_INTERVAL_MS = 300;
 
 /**
- * Leadership is a key bound to a lease, and a durable epoch that is raised in the same transaction. What a deposed
- * leader still tries fails on the epoch's revision, so safety never rests on clocks here.
+ * Elects the leader: leadership consists of a key bound to a lease and a durable epoch that is incremented in the same
+ * transaction. Every write of a deposed leader fails the comparison of the epoch's revision, so the safety of the
+ * election does not depend on clocks.
  */
 export class Election {
   readonly lease: LeaderLease;
   private term: LeadershipTerm | null = null;
-  /** This controller does not stand for election before this. */
-  private candidateFrom: MonotonicTime | null = null;
+  /** The earliest time at which this controller may be a candidate; null: at any time. */
+  private candidacyResumesAt: MonotonicTime | null = null;
   private isCampaignStopped = false;
   private failureDetection: ElectionFailureDetection | null = null;
-  private leaderRecordRefreshes = 0;
+  private leaderRecordRefreshCount = 0;
   private lastObservedLeader: LeaderRecord | null = null;
 
   constructor(
     private readonly ctx: ControllerContext,
     private readonly listener: ElectionListener,
   ) {
-    this.lease = new LeaderLease(ctx, () => this.lose('leader lease expired'));
+    this.lease = new LeaderLease(ctx, () => this.handleTermLost('leader lease expired'));
   }
 
-  /** The term that this controller holds; null: it does not lead. */
+  /** The term that this controller holds; null: this controller does not lead. */
   get currentTerm(): LeadershipTerm | null {
     return this.term;
   }
 
-  /** The leader's record as this controller last read it; null: nobody leads, or it was not read yet. */
+  /** The leader record as this controller last read it; null: there is no leader, or the record was not read yet. */
   get observedLeader(): LeaderRecord | null {
     return this.lastObservedLeader;
   }
 
-  /** Failure detection is running from now on. */
+  /** Connects failure detection to the election and its lease; called when failure detection starts. */
   useFailureDetection(failureDetection: ElectionFailureDetection): void {
     this.failureDetection = failureDetection;
     this.lease.usePauseGuard(failureDetection.pauseGuard);
   }
 
-  /** Campaigns until `stopCampaigning`, and keeps the lease renewed until the process ends. */
+  /**
+   * Starts the campaign, which runs until `stopCampaigning`, and the renewal of the lease, which runs until the process
+   * ends.
+   */
   start(): void {
-    // Never rejects: failures are logged and retried.
+    // The campaign's promise never rejects: errors are logged and the campaign is retried.
     void this.campaign();
     this.lease.startRenewal();
   }
 
-  /** This controller never stands again: its process is about to end. */
+  /** Ends this controller's candidacy for good, because its process is about to exit. */
   stopCampaigning(): void {
     this.isCampaignStopped = true;
   }
 
-  /** Gives the leadership up, and does not stand again for so long; another controller may take over at once. */
+  /**
+   * Resigns and pauses this controller's candidacy for `candidacyPauseMs`. The lease is revoked, so that another
+   * controller can take over at once.
+   */
   async resign(candidacyPauseMs: number): Promise<void> {
     this.term = null;
     this.failureDetection?.onLeadershipEnded();
-    this.candidateFrom = plus(this.ctx.clock.now(), candidacyPauseMs);
+    this.candidacyResumesAt = plus(this.ctx.clock.now(), candidacyPauseMs);
     const lease = this.lease.release();
     if (lease === null) return;
     try {
       await this.ctx.store.revokeLease(lease);
     } catch {
-      // It expires by itself.
+      // A lease that could not be revoked expires after its time to live.
     }
   }
 
   /**
-   * Rewrites the leader's record under the same lease, so that its revision changes: a leader that its peers cannot
-   * hear shows through the key-value store that it is alive.
+   * Rewrites the leader record under the same lease, which changes the record's revision. A leader whose messages do
+   * not reach its peers shows in this way, through the key-value store, that it is alive.
    */
   async refreshLeaderRecord(): Promise<void> {
     const { term } = this;
@@ -119,8 +133,8 @@
     if (lease === null || term === null) return;
     const row = await this.ctx.store.get(keys.leader);
     if (row?.lease !== lease) return;
-    this.leaderRecordRefreshes++;
-    const value = encodeLeader(this.recordFor(term.epoch), this.leaderRecordRefreshes);
+    this.leaderRecordRefreshCount++;
+    const value = encodeLeader(this.leaderRecordFor(term.epoch), this.leaderRecordRefreshCount);
     await this.ctx.store.txn(
       [
         { key: keys.leader, revision: row.revision },
@@ -142,18 +156,18 @@
     }
   }
 
-  /** Reads the leader's record; then takes over, or waits for the record to change. */
+  /** Reads the leader record, then either takes over or waits for the record to change. */
   private async campaignOnce(): Promise<void> {
     const { clock, store, member } = this.ctx;
     const page = await store.range(keys.leader);
     const row = page.rows.find(({ key }) => key === keys.leader);
     this.observeLeader(row ? decodeLeader(row.value) : null);
     if (this.isCampaignStopped) return;
-    const mayStand = this.candidateFrom === null || clock.now() >= this.candidateFrom;
-    // A record with our own name is one of an earlier term, or of an earlier start of this process.
+    const isCandidate = this.candidacyResumesAt === null || clock.now() >= this.candidacyResumesAt;
+    // A record that names this controller is from an earlier term or an earlier process instance of this controller.
     const isVacant = !row || this.observedLeader?.member === member;
-    if (!this.term && mayStand && isVacant) await this.takeOver(row?.revision ?? NO_REVISION);
-    else if (!mayStand && !row) await sleep(clock, CANDIDACY_CHECK_INTERVAL_MS);
+    if (!this.term && isCandidate && isVacant) await this.takeOver(row?.revision ?? NO_REVISION);
+    else if (!isCandidate && !row) await sleep(clock, CANDIDACY_CHECK_INTERVAL_MS);
     else await store.watch(keys.leader, page.revision, WATCH_TIMEOUT_MS);
   }
 
@@ -163,10 +177,13 @@
     if (hasChanged) this.failureDetection?.onLeaderChanged();
   }
 
-  /** A controller that is not the first choice leaves a free leadership to others for a moment, then stands itself. */
+  /**
+   * Takes over the leadership. If the leadership is vacant, a controller that is not the preferred successor waits
+   * for its candidacy delay first and abandons the attempt if another controller has taken over meanwhile.
+   */
   private async takeOver(leaderRevision: Revision): Promise<void> {
-    const isFree = leaderRevision === NO_REVISION;
-    const delayMs = isFree ? (this.failureDetection?.candidacyDelayMs() ?? 0) : 0;
+    const isLeaderRecordAbsent = leaderRevision === NO_REVISION;
+    const delayMs = isLeaderRecordAbsent ? (this.failureDetection?.candidacyDelayMs() ?? 0) : 0;
     if (delayMs > 0) {
       await sleep(this.ctx.clock, delayMs);
       const row = await this.ctx.store.get(keys.leader);
@@ -178,11 +195,11 @@
   private async tryTakeover(leaderRevision: Revision): Promise<void> {
     const { store, clock, random } = this.ctx;
     const epochRow = await store.get(keys.epoch);
-    const former = decodeEpoch(epochRow?.value);
-    const epoch = (former.epoch + 1) as Epoch;
+    const previous = decodeEpoch(epochRow?.value);
+    const epoch = (previous.epoch + 1) as Epoch;
     const leaseRequest = this.lease.beginRequest();
-    const lease = await store.grantLease(this.lease.ttl);
-    const record = this.recordFor(epoch);
+    const lease = await store.grantLease(this.lease.ttlMs);
+    const record = this.leaderRecordFor(epoch);
     const result = await store.txn(
       [
         { key: keys.leader, revision: leaderRevision },
@@ -190,7 +207,7 @@
       ],
       [
         { set: keys.leader, value: encodeLeader(record), grant: lease },
-        { set: keys.epoch, value: encodeEpoch({ epoch, early: former.early }) },
+        { set: keys.epoch, value: encodeEpoch({ epoch, early: previous.early }) },
       ],
     );
     if (!result.ok) {
@@ -202,18 +219,18 @@
     this.term = {
       epoch,
       epochRevision: result.revision,
-      previousLeaseRemaining: former.early ? maxLocalDuration(this.lease.ttl) : ms(0),
+      previousLeaseRemaining: previous.early ? maxLocalDuration(this.lease.ttlMs) : ms(0),
     };
     this.observeLeader(record);
     this.listener.onElected(this.term);
   }
 
-  private recordFor(epoch: Epoch): LeaderRecord {
+  private leaderRecordFor(epoch: Epoch): LeaderRecord {
     const record = { member: this.ctx.member, epoch, version: PROTOCOL_VERSION };
     return this.failureDetection ? { ...record, process: this.failureDetection.processId } : record;
   }
 
-  private lose(reason: TermEndReason): void {
+  private handleTermLost(reason: TermEndReason): void {
     this.term = null;
     this.failureDetection?.onLeadershipEnded();
     this.listener.onLost(reason);
--- a/src/leadership/failover/detection-status.ts
+++ b/src/leadership/failover/detection-status.ts
@@ -1,2 +1,4 @@
-/** The status with which a controller without failure detection answers the messages of one that has it. */
+/**
+ * The status with which a controller whose failure detection is disabled answers a peer's failure detection messages.
+ */
 export const FAILURE_DETECTION_OFF_STATUS = 404;
--- a/src/leadership/failover/failover-settings.ts
+++ b/src/leadership/failover/failover-settings.ts
@@ -1,4 +1,7 @@
-/** Builds and checks the failure detector's settings, from its feature file and the controllers of the platform's file. */
+/**
+ * Builds and checks the failure detector's settings from the feature file and the controllers in the platform's
+ * settings file.
+ */
 import {
   checkSettings,
   DEFAULT_TUNING,
@@ -13,7 +16,7 @@
 
 type ControllerSettings = Pick<Settings, 'member' | 'peers'>;
 
-/** Settings of the membership protocol; every controller of the platform's settings is a member. */
+/** Returns the settings of the membership protocol; every controller in the platform's settings is a member. */
 export function membershipSettings(
   { member, peers }: ControllerSettings,
   feature: FailoverFeature,
@@ -32,7 +35,10 @@
   };
 }
 
-/** Throws `InvalidSettingsError` where the two files cannot be used together. */
+/**
+ * Checks the platform's settings together with the failure detection feature.
+ * Throws `InvalidSettingsError` if the membership protocol can't run with both.
+ */
 export function checkFailover(settings: ControllerSettings, feature: FailoverFeature): void {
   try {
     checkSettings(membershipSettings(settings, feature));
--- a/src/leadership/failover/failover.ts
+++ b/src/leadership/failover/failover.ts
@@ -1,6 +1,7 @@
 /**
- * Failure detection in a controller: watches the other controllers, prepares this one to succeed a suspected leader and,
- * where that is switched on, replaces a leader before its lease expires once a majority has found it unresponsive.
+ * Failure detection in a controller: monitors the other controllers and prefetches the records of a suspected leader.
+ * With early takeover enabled, this module replaces a leader that a majority has found unresponsive before the leader's
+ * lease expires.
  */
 import {
   describeEvidence,
@@ -28,26 +29,32 @@
 import { CLUSTER_UNIT, LeaderClaims } from './leader-claims.js';
 import { RecordPrefetcher } from './record-prefetcher.js';
 
-/** The leader's record is read this often where nothing announces a change. */
+/** How often the leader record is read while no event announces a change. */
 const LEADER_READ_INTERVAL_MS = 10_000;
-/** The second choice for a free leadership waits so long, the third twice as long. */
+/** The candidacy delay per rank: the second-ranked successor waits for one step, the third-ranked for two. */
 const CANDIDACY_DELAY_STEP_MS = 100;
-/** And nobody longer than this: the better ones may be gone. */
+/** The upper bound of the candidacy delay, since higher-ranked successors may have failed. */
 const MAX_CANDIDACY_DELAY_MS = 300;
 
-/** What failure detection works with. */
+/** The dependencies of failure detection. */
 export interface FailoverDependencies {
   readonly context: ControllerContext;
   readonly feature: FailoverFeature;
   readonly transport: Transport;
-  /** Whether every other controller last showed at least this protocol version, be it connected now or not. */
+  /**
+   * Returns whether the last protocol version received from every other controller, connected or not, is at least
+   * `version`.
+   */
   readonly everyPeerHasSupported: (version: number) => boolean;
   readonly leadership: LeadershipHandle;
-  /** Whether this controller reaches the key-value store. */
+  /** Returns whether this controller reaches the key-value store. */
   readonly isStoreReachable: () => boolean;
 }
 
-/** Everything that a controller with failure detection does beyond what one without does. */
+/**
+ * Runs failure detection in a controller: membership, takeover of the leadership, and prefetching of the leader's
+ * records.
+ */
 export class Failover implements ElectionFailureDetection {
   private readonly membership: Membership;
   private readonly coordinator: TakeoverCoordinator<void>;
@@ -99,21 +106,24 @@
       {
         prepare: () => this.prefetcher.start(),
         discard: () => this.prefetcher.discard(),
-        // The election has begun the term already.
+        // No action is needed here, because the election has already started the term.
         adopt: () => Promise.resolve(),
         stop: ({ epoch }) => this.onReplaced(epoch),
       },
     );
   }
 
-  /** Joins the membership; call before the election starts. */
+  /** Joins the membership; must be called before the election starts. */
   start(): void {
     this.dependencies.leadership.election.useFailureDetection(this);
     this.membership.start();
     this.coordinator.start();
   }
 
-  /** Hands the leadership over and says goodbye, so that nobody has to suspect this controller. */
+  /**
+   * Resigns the leadership and leaves the membership, so that the other controllers do not suspect this controller of a
+   * failure.
+   */
   async leave(): Promise<void> {
     this.dependencies.leadership.resignPermanently();
     await this.membership.leave();
@@ -121,19 +131,22 @@
     this.membership.stop();
   }
 
-  /** Answers a peer's message; null: it was dropped. */
+  /** Processes a peer's message and resolves with the response; null: the message was dropped. */
   handleMessage(payload: Buffer): Promise<Uint8Array | null> {
     return this.membership.handle(payload);
   }
 
-  /** The records under a prefix that were prefetched, brought up to date; null: none. Each is handed out once. */
+  /**
+   * Resolves with the prefetched records under a prefix, updated to the present; null: none. Each prefix is returned
+   * once.
+   */
   takePrefetchedRecords(prefix: string): Promise<RecordSet | null> {
     return this.prefetcher.take(prefix);
   }
 
-  // For the election (`ElectionFailureDetection`)
+  // Implementation of `ElectionFailureDetection`
 
-  /** Identifies this start of the process among the members. */
+  /** The identity of this process instance among the members; a restarted process has a new identity. */
   get processId(): string {
     return this.membership.identity.process;
   }
@@ -146,31 +159,34 @@
     this.coordinator.markRelinquished(CLUSTER_UNIT);
   }
 
-  /** By this controller's rank among the possible successors; the first one does not wait. */
+  /**
+   * Returns the delay by this controller's rank among the possible successors; the first-ranked successor does not
+   * wait.
+   */
   candidacyDelayMs(): number {
     const ranking = rankSuccessors(CLUSTER_UNIT, this.membership.members());
     const rank = ranking.indexOf(this.dependencies.context.member as string as MemberId);
     return rank < 0 ? 0 : Math.min(MAX_CANDIDACY_DELAY_MS, rank * CANDIDACY_DELAY_STEP_MS);
   }
 
-  /** The process was paused: a leader confirms its lease before it acts again. */
+  /** Handles a pause of this process: a leader renews its lease, which is invalid until the renewal confirms it. */
   private onPaused(pausedMs: number): void {
     const { leadership, context } = this.dependencies;
     if (leadership.leadingEpoch === null) return;
     context.log.info(
       { pausedMs: Math.round(pausedMs) },
-      'process paused while leading: confirming the lease first',
+      'process paused while leading; renewing the lease before acting as leader again',
     );
     leadership.election.lease.renewNow();
   }
 
-  /** Ends the term that another controller has replaced; the coordinator has logged on which evidence. */
+  /** Ends this controller's term after another controller has taken over; the coordinator has logged the evidence. */
   private onReplaced(epoch: number): void {
     const { leadership } = this.dependencies;
     if (leadership.leadingEpoch === epoch) leadership.endTerm('replaced by another controller');
   }
 
-  /** Logs what changed, and on which evidence. */
+  /** Logs a membership event; a changed controller state is logged with its evidence. */
   private logEvent(event: MembershipEvent): void {
     const { log } = this.dependencies.context;
     switch (event.kind) {
@@ -190,30 +206,32 @@
     }
   }
 
-  // For operators
+  // Reports for operators
 
-  /** All controllers as this one sees them. */
+  /** Returns the state of all controllers as this controller observes them. */
   memberLines(): MemberLine[] {
     const leader = this.dependencies.leadership.election.observedLeader;
     return this.membership.members().map((view) => memberLine(view, leader));
   }
 
-  /** How many messages of other controllers were dropped since the start, by reason. */
+  /** Returns the number of messages from other controllers that were dropped since the process started, by reason. */
   droppedMessages(): Record<string, number> {
     return Object.fromEntries(this.membership.rejected);
   }
 
-  /** Fields for the summary in the log. */
+  /** Returns the failure detection fields of the periodic summary in the log. */
   summary(): object {
     const states = this.membership.members().map(({ member, state }) => [member, state]);
-    const notAlive = Object.fromEntries(states.filter(([, state]) => state !== MemberState.Alive)) as object;
-    return { controllers: notAlive, takeover: this.coordinator.stage(CLUSTER_UNIT).kind };
+    const nonAliveStates = Object.fromEntries(
+      states.filter(([, state]) => state !== MemberState.Alive),
+    ) as object;
+    return { controllers: nonAliveStates, takeover: this.coordinator.stage(CLUSTER_UNIT).kind };
   }
 }
 
 function memberLine(view: MemberView, leader: { member: string; epoch: number } | null): MemberLine {
   const { member, state, forMs, connection, load, ready, evidence } = view;
   const owns = leader?.member === member ? [`cluster (epoch ${leader.epoch})`] : [];
-  const lines = evidence.map(describeEvidence);
-  return { member, state, forMs: Math.max(0, forMs), connection, load, ready, evidence: lines, owns };
+  const evidenceLines = evidence.map(describeEvidence);
+  return { member, state, forMs: Math.max(0, forMs), connection, load, ready, evidence: evidenceLines, owns };
 }
--- a/src/leadership/failover/leader-claims.ts
+++ b/src/leadership/failover/leader-claims.ts
@@ -1,6 +1,6 @@
 /**
- * The leadership of the cluster as one unit of ownership: its records are `leader` and `epoch`. A claim fences the
- * former leader and revokes its lease; who leads then is decided by the election.
+ * Presents the leadership of the cluster as a unit of ownership, stored in the records `leader` and `epoch`. A claim
+ * fences the previous leader and revokes its lease; the election then decides which controller leads.
  */
 import {
   type ClaimResult,
@@ -27,23 +27,29 @@
 import type { KeyValue } from '../../wire/key-value-store.js';
 import type { Election } from '../election.js';
 
-/** All machines and jobs: one unit today. */
+/** The single unit of ownership, which covers all machines and jobs. */
 export const CLUSTER_UNIT = 'cluster' as UnitId;
 
-/** After the former leader's lease was revoked, the election is given this long. */
+/** How long a claim waits for this controller's election after the previous leader's lease was revoked. */
 const ELECTION_TIMEOUT_MS = 1000;
+/** How often a waiting claim checks whether this controller was elected. */
 const ELECTION_POLL_INTERVAL_MS = 20;
 
-/** What the claims need of the controller. */
+/** The dependencies of `LeaderClaims`. */
 export interface LeaderClaimsDependencies {
   readonly store: KeyValueStore;
   readonly clock: Clock;
   readonly election: Election;
-  /** Whether every controller reckons with a leader that is replaced before its lease expires. */
+  /**
+   * Returns whether early takeover is enabled and every controller supports replacing a leader before its lease
+   * expires.
+   */
   mayReplaceEarly(): boolean;
 }
 
-/** Whether the error only says that the key-value store could not be asked. */
+/**
+ * Returns whether the error is a failure of the key-value store: a refused request, or a request of unknown outcome.
+ */
 function isStoreFailure(error: unknown): boolean {
   return error instanceof StoreRefusedError || error instanceof StoreOutcomeUnknownError;
 }
@@ -55,8 +61,11 @@
   };
 }
 
-/** Interprets the two records; null: the leader runs without failure detection, so only its lease shows whether it is alive. */
-function interpret(leader: KeyValue | null, epochRow: KeyValue | null): OwnershipReading | null {
+/**
+ * Returns the ownership that the two records state; null: the leader runs without failure detection, so only its lease
+ * shows whether it is alive.
+ */
+function decodeOwnership(leader: KeyValue | null, epochRow: KeyValue | null): OwnershipReading | null {
   const epoch = decodeEpoch(epochRow?.value).epoch as number as FencingEpoch;
   const revisions = revisionsOf(leader, epochRow);
   if (leader === null) return { kind: 'unowned', epoch, revisions };
@@ -68,7 +77,7 @@
   return { kind: 'owned', owner, epoch, revisions };
 }
 
-/** Presents the election's records by the takeover package's interface. */
+/** Implements the takeover package's ownership claims on the election's records. */
 export class LeaderClaims implements OwnershipClaims {
   constructor(private readonly dependencies: LeaderClaimsDependencies) {}
 
@@ -76,7 +85,7 @@
     const { store } = this.dependencies;
     try {
       const leader = await store.get(keys.leader);
-      return interpret(leader, await store.get(keys.epoch));
+      return decodeOwnership(leader, await store.get(keys.epoch));
     } catch (error) {
       if (isStoreFailure(error)) return null;
       throw error;
@@ -84,10 +93,10 @@
   }
 
   async claim(_unit: UnitId, claimant: Owner, reading: Unowned | Owned | Released): Promise<ClaimResult> {
-    // A free leadership is taken by the election.
+    // A vacant leadership is claimed by the election, not by the takeover coordinator.
     if (reading.kind !== 'owned' || !this.dependencies.mayReplaceEarly()) return { kind: 'superseded' };
     try {
-      if (!(await this.fenceFormerLeader(reading))) return { kind: 'superseded' };
+      if (!(await this.fencePreviousLeader(reading))) return { kind: 'superseded' };
     } catch (error) {
       if (error instanceof StoreRefusedError) return { kind: 'unavailable' };
       if (error instanceof StoreOutcomeUnknownError) return { kind: 'uncertain' };
@@ -97,31 +106,33 @@
   }
 
   /**
-   * Two steps. First the epoch's record is marked, unless the leader has refreshed its own: the epoch's revision changes,
-   * so that every write of the former leader fails, and whoever leads next reckons with a predecessor that still
-   * considers its lease valid. Then that lease is revoked, which frees the leader's key.
+   * Fences the previous leader in two steps. First, unless the leader has refreshed its own record, the epoch record is
+   * marked: its revision changes, so that every write of the previous leader fails, and the mark lets the next leader
+   * allow for a predecessor that still considers its lease valid. Then the previous leader's lease is revoked, which
+   * removes the leader record. Resolves with whether the previous leader was fenced.
    */
-  private async fenceFormerLeader({ epoch, revisions }: Owned): Promise<boolean> {
+  private async fencePreviousLeader({ epoch, revisions }: Owned): Promise<boolean> {
     const { store } = this.dependencies;
     const leader = await store.get(keys.leader);
     const holder = revisions.holder as number as Revision;
     if (leader?.revision !== holder || leader.lease === undefined) return false;
-    const marked = { epoch: epoch as number as Epoch, early: true };
-    const fenced = await store.txn(
+    const markedEpoch = { epoch: epoch as number as Epoch, early: true };
+    const fencingResult = await store.txn(
       [
         { key: keys.leader, revision: holder },
         { key: keys.epoch, revision: revisions.epoch as number as Revision },
       ],
-      [{ set: keys.epoch, value: encodeEpoch(marked) }],
+      [{ set: keys.epoch, value: encodeEpoch(markedEpoch) }],
     );
-    if (!fenced.ok) return false;
+    if (!fencingResult.ok) return false;
     await store.revokeLease(leader.lease);
     return true;
   }
 
+  /** Waits until this controller is elected, for at most `ELECTION_TIMEOUT_MS`. */
   private async awaitElection(owner: Owner): Promise<ClaimResult> {
     const { clock } = this.dependencies;
-    // Another controller may win: then its record is found by the next read.
+    // If another controller wins the election, the next read of the ownership returns that controller's record.
     for (let waitedMs = 0; waitedMs < ELECTION_TIMEOUT_MS; waitedMs += ELECTION_POLL_INTERVAL_MS) {
       const ownership = this.currentOwnership(owner);
       if (ownership) return { kind: 'won', ownership };
@@ -152,7 +163,7 @@
     }
   }
 
-  /** Refreshes the leader's record, as a sign of life for peers that cannot hear this controller. */
+  /** Refreshes the leader record, which shows peers that receive no messages from this controller that it is alive. */
   async writeHeartbeat(): Promise<void> {
     try {
       await this.dependencies.election.refreshLeaderRecord();
@@ -161,7 +172,7 @@
     }
   }
 
-  /** Does nothing: a leader that leaves resigns through the election. */
+  /** Does nothing, because a leader that shuts down resigns through the election. */
   release(): Promise<void> {
     return Promise.resolve();
   }
--- a/src/leadership/failover/peer-transport.ts
+++ b/src/leadership/failover/peer-transport.ts
@@ -1,4 +1,4 @@
-/** Carries the failure detector's messages over the links between controllers. */
+/** Transports the failure detector's messages over the links between controllers. */
 import { type MemberId, PeerSupport, type Transport } from '@plumyoke/membership';
 import { MEMBERSHIP_VERSION } from '../../model/protocol.js';
 import { type Clock, type MonotonicTime, since } from '../../model/time.js';
@@ -7,13 +7,20 @@
 import { FAILURE_DETECTION_OFF_STATUS } from './detection-status.js';
 
 const OK_STATUS = 200;
-/** A peer without failure detection is asked again after this: it may have been restarted. */
+/**
+ * How long a peer's answer that its failure detection is disabled counts; the peer may since have been restarted with
+ * it enabled.
+ */
 const UNSUPPORTED_RETRY_MS = 5000;
 
-/** A transport on the peer links; a response comes over the connection that carried the request. */
+/**
+ * Implements the membership transport on the peer links; a response arrives over the connection that carried the
+ * request.
+ */
 export class PeerTransport implements Transport {
   private readonly peers: ReadonlyMap<string, Peer>;
-  private readonly disabledSince = new Map<MemberId, MonotonicTime>();
+  /** When each peer last answered that its failure detection is disabled. */
+  private readonly lastDisabledAt = new Map<MemberId, MonotonicTime>();
 
   constructor(
     peers: readonly Peer[],
@@ -24,10 +31,10 @@
 
   async request(to: MemberId, payload: Uint8Array, deadlineMs: number): Promise<Uint8Array | null> {
     const peer = this.peers.get(to);
-    // Earlier versions close the connection on a frame kind that they do not know.
+    // Controllers of earlier versions close the connection when they receive a frame kind that they do not support.
     if (!peer?.supports(MEMBERSHIP_VERSION)) return null;
     const response = await peer.request(FrameKind.FailureDetection, Buffer.from(payload), deadlineMs);
-    if (response?.status === FAILURE_DETECTION_OFF_STATUS) this.disabledSince.set(to, this.clock.now());
+    if (response?.status === FAILURE_DETECTION_OFF_STATUS) this.lastDisabledAt.set(to, this.clock.now());
     return response?.status === OK_STATUS ? response.body : null;
   }
 
@@ -35,8 +42,9 @@
     const peer = this.peers.get(member);
     if (!peer?.isConnected) return PeerSupport.Unknown;
     if (!peer.supports(MEMBERSHIP_VERSION)) return PeerSupport.Unsupported;
-    const disabledAt = this.disabledSince.get(member);
-    const isDisabled = disabledAt !== undefined && since(this.clock.now(), disabledAt) < UNSUPPORTED_RETRY_MS;
-    return isDisabled ? PeerSupport.Unsupported : PeerSupport.Supported;
+    const offStatusAt = this.lastDisabledAt.get(member);
+    const isDetectionDisabled =
+      offStatusAt !== undefined && since(this.clock.now(), offStatusAt) < UNSUPPORTED_RETRY_MS;
+    return isDetectionDisabled ? PeerSupport.Unsupported : PeerSupport.Supported;
   }
 }
--- a/src/leadership/failover/record-prefetcher.ts
+++ b/src/leadership/failover/record-prefetcher.ts
@@ -1,30 +1,34 @@
-/** Prefetches a leader's records ahead of a takeover, and brings them up to date when it has come. */
+/**
+ * Prefetches a suspected leader's records before a takeover and applies later changes when the takeover reads the
+ * records.
+ */
 import { type Logger, errorMessage } from '../../log/logger.js';
 import type { Cancel, Clock } from '../../model/time.js';
 import type { KeyValueStore } from '../../store/client.js';
 import { keys } from '../../store/keys.js';
 import { type RecordSet, readRecords, retryWhileRateLimited } from '../../store/records.js';
 
-/** The records that a takeover reads. */
-const PREFIXES = [keys.open, keys.fleet, keys.forecast];
-/** Prefetched records are dropped after this: the suspicion lasts, and nobody takes over. */
+/** The prefixes of the records that a takeover reads. */
+const PREFETCHED_PREFIXES = [keys.open, keys.fleet, keys.forecast];
+/** How long prefetched records are held while the leader remains suspected and no controller takes over. */
 const PREFETCH_TTL_MS = 60_000;
+/** The delay before a rate-limited read is retried. */
 const RATE_LIMIT_RETRY_MS = 50;
 
-/** The records are not needed any more. */
+/** Thrown when the prefetched records are no longer needed. */
 class PrefetchDiscardedError extends Error {
   override readonly name = 'PrefetchDiscardedError';
 
   constructor() {
-    super('prefetch discarded');
+    super('record prefetch discarded: the records are no longer needed');
   }
 }
 
-/** Holds the records of one suspected leader. */
+/** Holds the prefetched records of a suspected leader. */
 export class RecordPrefetcher {
   private readonly records = new Map<string, Promise<RecordSet | null>>();
   private generation = 0;
-  private expiry: Cancel | null = null;
+  private cancelExpiry: Cancel | null = null;
 
   constructor(
     private readonly store: KeyValueStore,
@@ -32,28 +36,32 @@
     private readonly log: Logger,
   ) {}
 
-  /** Starts to read, from the beginning. Resolves once all that could be read is there. */
+  /** Discards prefetched records and reads all prefixes again. Resolves once every read has succeeded or failed. */
   async start(): Promise<void> {
     this.discard();
     const { generation } = this;
-    this.expiry = this.clock.after(PREFETCH_TTL_MS, () => this.discard());
-    for (const prefix of PREFIXES) this.records.set(prefix, this.read(prefix, generation));
+    this.cancelExpiry = this.clock.after(PREFETCH_TTL_MS, () => this.discard());
+    for (const prefix of PREFETCHED_PREFIXES) this.records.set(prefix, this.readPrefix(prefix, generation));
     await Promise.all(this.records.values());
   }
 
-  /** Drops everything: the leader has shown that it is alive. */
+  /** Drops the prefetched records and ends reads in progress; called when the leader proves to be alive. */
   discard(): void {
     this.generation++;
-    this.expiry?.();
-    this.expiry = null;
+    this.cancelExpiry?.();
+    this.cancelExpiry = null;
     this.records.clear();
   }
 
-  private async read(prefix: string, generation: number): Promise<RecordSet | null> {
-    const isWanted = (): boolean => generation === this.generation;
-    const policy = { clock: this.clock, retryDelayMs: () => RATE_LIMIT_RETRY_MS, isStillWanted: isWanted };
+  private async readPrefix(prefix: string, generation: number): Promise<RecordSet | null> {
+    const isCurrentGeneration = (): boolean => generation === this.generation;
+    const policy = {
+      clock: this.clock,
+      retryDelayMs: () => RATE_LIMIT_RETRY_MS,
+      isStillWanted: isCurrentGeneration,
+    };
     const readPage = <Page>(request: () => Promise<Page>): Promise<Page> => {
-      if (!isWanted()) throw new PrefetchDiscardedError();
+      if (!isCurrentGeneration()) throw new PrefetchDiscardedError();
       return retryWhileRateLimited(policy, request);
     };
     try {
@@ -65,8 +73,8 @@
   }
 
   /**
-   * The rows under a prefix as they are now: those prefetched, with all changes since. Null: nothing was prefetched,
-   * or the changes since are not available. Each prefix is handed out once.
+   * Resolves with the present rows under a prefix: the prefetched rows with all later changes applied. Null: nothing
+   * was prefetched, or the later changes are not available. Each prefix is returned once.
    */
   async take(prefix: string): Promise<RecordSet | null> {
     const pending = this.records.get(prefix);
@@ -81,7 +89,7 @@
       if (value === undefined) rows.delete(key);
       else rows.set(key, { key, value, revision });
     }
-    const sorted = [...rows.values()].sort((left, right) => (left.key < right.key ? -1 : 1));
-    return { rows: sorted, revision: update.revision };
+    const sortedRows = [...rows.values()].sort((left, right) => (left.key < right.key ? -1 : 1));
+    return { rows: sortedRows, revision: update.revision };
   }
 }
--- a/src/leadership/leadership-handle.ts
+++ b/src/leadership/leadership-handle.ts
@@ -1,15 +1,15 @@
-/** What failure detection may do to a controller's leadership. */
+/** The interface through which failure detection controls a controller's leadership. */
 import type { Epoch } from '../model/ids.js';
 import type { TermEndReason } from '../model/term-end-reason.js';
 import type { Election } from './election.js';
 
-/** A controller's part in leadership, as failure detection uses it. */
+/** A controller's leadership, as failure detection reads and ends it. */
 export interface LeadershipHandle {
   readonly election: Election;
-  /** The epoch that this controller leads; null: it does not lead. */
+  /** The epoch in which this controller leads; null: this controller does not lead. */
   readonly leadingEpoch: Epoch | null;
-  /** Ends the current term, if there is one; this controller may stand for election again. */
+  /** Ends the current term, if this controller leads; this controller can become a candidate again. */
   endTerm(reason: TermEndReason): void;
-  /** Gives the leadership up for good: another controller takes over at once. */
+  /** Ends the current term and this controller's candidacy for good; another controller can take over at once. */
   resignPermanently(): void;
 }
--- a/src/leadership/lease.ts
+++ b/src/leadership/lease.ts
@@ -1,4 +1,4 @@
-/** The leader's lease in the key-value store: renews it and knows how long it is certainly valid. */
+/** The leader's lease in the key-value store: renews the lease and tracks until when the lease is certainly valid. */
 import type { ControllerContext } from '../core/context.js';
 import { errorMessage } from '../log/logger.js';
 import type { LeaseId } from '../model/ids.js';
@@ -13,31 +13,35 @@
 } from '../model/time.js';
 import { StoreRefusedError } from '../store/errors.js';
 
-/** A failed renewal is retried after this. */
+/** The delay before a renewal is retried that the store refused, or that a pause of the process left unconfirmed. */
 const RENEWAL_RETRY_MS = 100;
-/** Renewals per time to live, so that some may fail. */
+/** How many renewals fall within one time to live, so that single renewals can fail without losing the lease. */
 const RENEWALS_PER_TTL = 4;
 
 type LeaseContext = Pick<ControllerContext, 'clock' | 'log' | 'store' | 'operators'>;
 
-/** What a leader reads of its lease. */
+/** The validity of a leader's lease. */
 export interface LeaseValidity {
-  /** Whether the lease is certainly valid, by this process's clock. */
+  /** Returns whether the lease is certainly valid by this process's clock. */
   isLeaseValid(): boolean;
-  /** How long ago the lease stopped being certainly valid; infinite if none is held. */
+  /**
+   * Returns how long ago the lease stopped being certainly valid, 0 while the lease is valid, and infinity without a
+   * lease.
+   */
   timeSinceLeaseExpiry(): Millis;
 }
 
-/** Whether this process has run without a pause since its lease was last confirmed. */
+/** Tracks whether this process has run without a pause since its lease was last confirmed. */
 export interface PauseGuard {
+  /** Whether there was no pause since the last confirmation. */
   readonly open: boolean;
-  /** A number that changes with every pause. */
+  /** A counter that changes with every pause of the process. */
   readonly generation: number;
-  /** The lease was confirmed by a request that was sent in this generation. */
+  /** Records that a request which was sent in this generation confirmed the lease. */
   reopen(generation: number): void;
 }
 
-/** The state in which a request was sent that grants or renews the lease. */
+/** The state at the moment at which a request that grants or renews the lease was sent. */
 interface LeaseRequest {
   readonly sentAt: MonotonicTime;
   readonly pauseGeneration: number;
@@ -54,9 +58,10 @@
 }
 
 /**
- * The lease that the leader's record is bound to. Its validity is reckoned from the moment at which the confirmed
- * request was sent, and shortened by the clocks' possible drift. Safety does not rest on it: a deposed leader's
- * writes fail on the epoch's revision. It says how long a leader may go on answering workers.
+ * The lease to which the leader record is bound. The lease's validity counts from the moment at which the confirmed
+ * request was sent and is reduced by the possible drift between the clocks. Safety does not depend on this validity,
+ * because a deposed leader's writes fail the comparison of the epoch's revision; the validity limits how long a leader
+ * may continue to answer workers.
  */
 export class LeaderLease implements LeaseValidity {
   private held: HeldLease | null = null;
@@ -65,26 +70,31 @@
 
   constructor(
     private readonly ctx: LeaseContext,
-    /** The store has ended the lease; it is not held any more. */
+    /** Is called when the store has ended the lease, which this controller then no longer holds. */
     private readonly onExpired: () => void,
   ) {}
 
   /** The lease's time to live in the store, in milliseconds. */
-  get ttl(): number {
+  get ttlMs(): number {
     return this.ctx.operators.leadership.leaseTtl;
   }
 
-  /** The held lease; null: none. */
+  /** The identifier of the held lease; null: no lease is held. */
   get id(): LeaseId | null {
     return this.held?.id ?? null;
   }
 
-  /** From now on a pause of this process makes the lease invalid until it is confirmed again. */
+  /**
+   * Sets the guard that makes the lease invalid after a pause of this process until a request confirms the lease again.
+   */
   usePauseGuard(guard: PauseGuard): void {
     this.pauseGuard = guard;
   }
 
-  /** Whether the lease is certainly valid, and nobody can have replaced this leader while its process was paused. */
+  /**
+   * Returns whether the lease is certainly valid and was confirmed after the last pause of this process, during which
+   * another controller could have replaced this leader.
+   */
   isLeaseValid(): boolean {
     if (this.held === null || this.ctx.clock.now() >= this.held.validUntil) return false;
     return this.pauseGuard?.open ?? true;
@@ -94,30 +104,35 @@
     return ms(this.held === null ? Infinity : Math.max(0, this.ctx.clock.now() - this.held.validUntil));
   }
 
-  /** Call before a request is sent that grants or renews the lease. */
+  /**
+   * Returns the state to pass to `confirm`; must be called before a request that grants or renews the lease is sent.
+   */
   beginRequest(): LeaseRequest {
     return { sentAt: this.ctx.clock.now(), pauseGeneration: this.pauseGuard?.generation ?? 0 };
   }
 
-  /** The store has confirmed by this request that the lease is held. */
+  /** Records that the store confirmed the lease in its response to this request. */
   confirm(id: LeaseId, { sentAt, pauseGeneration }: LeaseRequest): void {
-    this.held = { id, validUntil: plus(sentAt, minLocalDuration(this.ttl)) };
+    this.held = { id, validUntil: plus(sentAt, minLocalDuration(this.ttlMs)) };
     this.pauseGuard?.reopen(pauseGeneration);
   }
 
-  /** Stops holding the lease, and returns it so that it can be revoked; null: none was held. */
+  /** Stops holding the lease and returns the lease's identifier, for the caller to revoke; null: no lease was held. */
   release(): LeaseId | null {
     const { id } = this;
     this.held = null;
     return id;
   }
 
-  /** Renews the held lease periodically, until the process ends. */
+  /** Starts the periodic renewal of the held lease, which runs until the process ends. */
   startRenewal(): void {
     this.scheduleRenewal(this.renewalIntervalMs);
   }
 
-  /** Renews the lease at once: this process was paused, and may have been replaced. */
+  /**
+   * Renews the lease at once; called after a pause of this process, during which another controller may have taken
+   * over.
+   */
   renewNow(): void {
     const { scheduledRenewal } = this;
     if (scheduledRenewal === null) return;
@@ -126,19 +141,19 @@
   }
 
   private get renewalIntervalMs(): number {
-    return this.ttl / RENEWALS_PER_TTL;
+    return this.ttlMs / RENEWALS_PER_TTL;
   }
 
   private scheduleRenewal(delayMs: number): void {
     const run = (): void => {
       this.scheduledRenewal = null;
-      // Never rejects: failures are logged and retried.
+      // The renewal's promise never rejects: errors are logged and the renewal is retried.
       void this.renew().then((nextDelayMs) => this.scheduleRenewal(nextDelayMs));
     };
     this.scheduledRenewal = { cancel: this.ctx.clock.after(delayMs, run), run };
   }
 
-  /** Resolves with the time until the next renewal. */
+  /** Renews the lease and resolves with the delay until the next renewal, in milliseconds. */
   private async renew(): Promise<number> {
     const { clock, store, log } = this.ctx;
     const { id } = this;
@@ -152,10 +167,10 @@
     } catch (error) {
       const durationMs = since(clock.now(), request.sentAt);
       log.info({ error: errorMessage(error), durationMs }, 'lease renewal failed');
-      // Users' requests may have used up the store's rate limit; leadership must not be lost to that.
+      // Users' requests can exhaust the store's rate limit; an early retry keeps the leadership in that case.
       if (error instanceof StoreRefusedError) return RENEWAL_RETRY_MS;
     }
-    // The process was paused while the renewal was under way: that one confirmed nothing.
+    // The process was paused while the renewal was in flight, so the renewal's response does not confirm the lease.
     const isUnconfirmed = this.held !== null && this.pauseGuard?.open === false;
     return isUnconfirmed ? RENEWAL_RETRY_MS : this.renewalIntervalMs;
   }
--- a/src/leadership/term.ts
+++ b/src/leadership/term.ts
@@ -1,12 +1,14 @@
-/** One term of leadership: from winning the election until it is lost or given up. */
+/**
+ * A term of leadership, which begins when a controller wins the election and ends when it loses the lease or resigns.
+ */
 import type { Epoch, Revision } from '../model/ids.js';
 import type { Millis } from '../model/time.js';
 
-/** A leadership term that this controller holds. */
+/** The term in which this controller leads. */
 export interface LeadershipTerm {
   readonly epoch: Epoch;
-  /** The revision of the epoch's record: every write of this term is conditional on it. */
+  /** The revision of the epoch record; every write of this term is conditional on this revision. */
   readonly epochRevision: Revision;
-  /** For how long after this takeover the former leader may still have considered its lease valid. */
+  /** The longest time after this takeover for which the previous leader may still consider its lease valid. */
   readonly previousLeaseRemaining: Millis;
 }
--- a/test/unit/lease.test.ts
+++ b/test/unit/lease.test.ts
@@ -24,7 +24,7 @@
   const ctx = { clock, log: silentLogger, store: client, operators: defaultOperators() };
   const lease = new LeaderLease(ctx, () => expiries++);
   const request = lease.beginRequest();
-  const granted = client.grantLease(lease.ttl);
+  const granted = client.grantLease(lease.ttlMs);
   await clock.advance(100);
   lease.confirm(await granted, request);
   return { clock, store, lease, expiries: () => expiries };
