--- a/src/controller/controller-summary.ts
+++ b/src/controller/controller-summary.ts
@@ -1,4 +1,4 @@
-/** The periodic summary of a controller in its log. */
+/** Builds the summary that a controller logs periodically. */
 import type { Admission } from '../api/admission.js';
 import type { Failover } from '../leadership/failover/failover.js';
 import type { Leadership } from './leadership.js';
@@ -6,7 +6,7 @@
 import type { StoreConnectivityMonitor } from './store-connectivity-monitor.js';
 import type { UserRouter } from './user-router.js';
 
-/** What the summary is read from. */
+/** The components from which the summary is read. */
 export interface ControllerSummarySources {
   readonly leadership: Leadership;
   /** Null: failure detection is off. */
@@ -15,11 +15,11 @@
   readonly peers: PeerGroup;
   readonly admission: Admission;
   readonly userRouter: UserRouter;
-  /** The share of its processor time that this process uses, between 0 and 1. */
+  /** The fraction of its processor time that this process uses, between 0 and 1. */
   readonly load: number;
 }
 
-/** The summary's fields. Counts of refusals start again with each summary. */
+/** Returns the fields of the summary. Each call resets the counts of refused requests. */
 export function controllerSummary(sources: ControllerSummarySources): object {
   const { leadership, failover, connectivity, peers, admission, userRouter, load } = sources;
   const cpu = process.cpuUsage();
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,4 +1,4 @@
-/** One controller process: serves users and workers, relays to the leader, and leads when elected. */
+/** A controller process: serves users and workers, forwards requests to the leader, and leads when elected. */
 import { Admission } from '../api/admission.js';
 import { requestListener } from '../api/http-router.js';
 import { UserService } from '../api/user-service.js';
@@ -37,29 +37,36 @@
 import { StoreConnectivityMonitor } from './store-connectivity-monitor.js';
 import { UserRouter } from './user-router.js';
 
+/** The timeout of a request to the key-value store. */
 const STORE_TIMEOUT_MS = 1000;
+/** The timeout of a request to the cloud API. */
 const CLOUD_TIMEOUT_MS = 4000;
+/** How often a leader publishes its task counts to the other controllers. */
 const PROGRESS_INTERVAL_MS = 1000;
-/** Users' requests worked on at once. */
+/** The number of submissions from users that are processed concurrently. */
 const MAX_CONCURRENT_SUBMISSIONS = 48;
+/** The number of queries and cancellations from users that are processed concurrently. */
 const MAX_CONCURRENT_QUERIES = 96;
+/** The time within which a client of the front server must send a request's headers. */
 const HEADERS_TIMEOUT_MS = 10_000;
+/** The time within which a client of the front server must send a complete request. */
 const REQUEST_TIMEOUT_MS = 15_000;
+/** How long the front server keeps an idle connection open. */
 const IDLE_TIMEOUT_MS = 75_000;
-/** The part of the sockets for calls to workers that may be in use at once. */
-const CONCURRENT_CALL_SHARE = 0.25;
+/** The fraction of the sockets for calls to workers that may be in use at the same time. */
+const CONCURRENT_CALL_RATIO = 0.25;
 
-/** What a controller is started with. */
+/** The options of a controller. */
 export interface ControllerOptions {
   readonly settings: Settings;
   readonly operators: OperatorSettings;
   readonly features: Features;
   readonly log: Logger;
-  /** Between 0 and 1. */
+  /** Returns a random number from 0 up to, but not including, 1. */
   readonly random: () => number;
 }
 
-/** Wires the parts of a controller together and starts them. */
+/** Creates the components of a controller, connects them, and starts them. */
 export class Controller {
   private readonly ctx: ControllerContext;
   private readonly connectivity: StoreConnectivityMonitor;
@@ -67,14 +74,14 @@
   private readonly workerConnections: WorkerConnections;
   private readonly peers: PeerGroup;
   private readonly machineTypes: MachineTypeCatalog;
-  private readonly users: UserService;
+  private readonly userService: UserService;
   private readonly leadership: Leadership;
   private readonly admission: Admission;
   private readonly userRouter: UserRouter;
   private readonly heartbeatRouter: HeartbeatRouter;
   private readonly frontServer: FrontServer;
   private readonly peerServer: PeerServer;
-  /** Null: failure detection is off, or not started yet. */
+  /** Null: failure detection is disabled, or not started yet. */
   private failover: Failover | null = null;
 
   constructor(private readonly options: ControllerOptions) {
@@ -92,7 +99,7 @@
     this.peers = this.createPeerGroup(cancellations, storeLimits);
     this.ctx = this.createContext({ sockets, loadMonitor, cancellations, store, storeLimits });
     this.machineTypes = new MachineTypeCatalog(this.ctx);
-    this.users = new UserService(
+    this.userService = new UserService(
       this.ctx,
       (id) => this.progress.get(id),
       () => 1 + this.peers.connected.length,
@@ -110,7 +117,7 @@
     this.peerServer = this.createPeerServer(sockets);
   }
 
-  /** Listens, stands for election, and resolves once everything runs; it then runs until the process ends. */
+  /** Listens, joins the election, and resolves once all components run; they then run until the process ends. */
   async run(): Promise<void> {
     const { settings, log } = this.options;
     await Promise.all([
@@ -122,12 +129,12 @@
     this.peers.start();
     await this.startFailover();
     this.leadership.start();
-    void this.users.watch();
+    void this.userService.watch();
     this.machineTypes.start();
     this.startPeriodicTasks();
   }
 
-  /** Hands over what this controller does and leaves the membership; without failure detection it does nothing. */
+  /** Resigns the leadership and leaves the membership; without failure detection, this method does nothing. */
   async leave(): Promise<void> {
     await this.failover?.leave();
   }
@@ -139,7 +146,7 @@
     if (log.isInfoEnabled) runPeriodically(clock, operators.log.summaryInterval, () => this.logSummary());
   }
 
-  /** Its code is loaded only where it is switched on. */
+  /** Starts failure detection if the feature is enabled; only then is the feature's code loaded. */
   private async startFailover(): Promise<void> {
     const feature = this.options.features.failover;
     if (feature === null) return;
@@ -158,7 +165,7 @@
     this.failover.start();
   }
 
-  private createContext(parts: {
+  private createContext(components: {
     readonly sockets: SocketShares;
     readonly loadMonitor: LoadMonitor;
     readonly cancellations: ConfirmedCancellations;
@@ -166,7 +173,7 @@
     readonly storeLimits: StoreLimits;
   }): ControllerContext {
     const { settings, operators, log, random } = this.options;
-    const { sockets, loadMonitor, cancellations, store, storeLimits } = parts;
+    const { sockets, loadMonitor, cancellations, store, storeLimits } = components;
     const clock = systemClock;
     const load = (): number => loadMonitor.load;
     return {
@@ -180,11 +187,11 @@
       workerClient: new RoutedCaller(this.createDirectCaller(), this.peers.links, clock, load),
       random,
       machineTypes: new Map(),
-      maxConcurrentWorkerCalls: Math.floor(sockets.workers * CONCURRENT_CALL_SHARE),
+      maxConcurrentWorkerCalls: Math.floor(sockets.workers * CONCURRENT_CALL_RATIO),
       load,
       storeLimits,
       cancellations,
-      allPeersSupport: (version) => this.peers.allSupport(version),
+      allPeersSupport: (version) => this.peers.allCandidatesSupport(version),
       peers: this.peers,
       prefetchedRecords: (prefix) => this.failover?.takePrefetchedRecords(prefix) ?? Promise.resolve(null),
     };
@@ -230,14 +237,14 @@
 
   private createAdmission(): Admission {
     const { clock } = this.ctx;
-    const memory = new MemoryMonitor(clock, () => this.users.dropCaches());
+    const memory = new MemoryMonitor(clock, () => this.userService.dropCaches());
     const limits = { submission: MAX_CONCURRENT_SUBMISSIONS, query: MAX_CONCURRENT_QUERIES };
     return new Admission(clock, limits, () => memory.isScarce);
   }
 
   private createUserRouter(): UserRouter {
-    const { users, admission, connectivity, peers } = this;
-    return new UserRouter({ users, admission, connectivity, peers, random: this.options.random });
+    const { userService, admission, connectivity, peers } = this;
+    return new UserRouter({ userService, admission, connectivity, peers, random: this.options.random });
   }
 
   private createFrontServer(sockets: SocketShares): FrontServer {
@@ -283,7 +290,10 @@
     };
   }
 
-  /** A leader publishes its task counts to all controllers, for display to users. */
+  /**
+   * Publishes the leader's task counts to all controllers, for display to users; does nothing unless this controller
+   * leads.
+   */
   private publishProgress(): void {
     const { leader } = this.leadership;
     if (!leader) return;
--- a/src/controller/heartbeat-router.ts
+++ b/src/controller/heartbeat-router.ts
@@ -1,4 +1,4 @@
-/** Routes workers' heartbeats to the leader, and its answers back. */
+/** Routes workers' heartbeats to the leader and the leader's answers back to the workers. */
 import type { ControllerContext } from '../core/context.js';
 import type { Heartbeat } from '../model/heartbeat.js';
 import type { MachineId, MemberId } from '../model/ids.js';
@@ -11,9 +11,9 @@
 import type { Leadership } from './leadership.js';
 import { WorkerRedirects } from './worker-redirects.js';
 
-/** How long a worker's heartbeat may take here, in the queue or at the leader. */
+/** How long a worker's heartbeat may wait in this controller's queue or for the leader's response. */
 const RELAY_TIMEOUT_MS = 2500;
-/** A heartbeat that goes through a third controller has two steps within that. */
+/** The timeout of each of the two hops of a heartbeat that is forwarded through a third controller. */
 const FORWARD_TIMEOUT_MS = RELAY_TIMEOUT_MS / 2;
 
 const OK_STATUS = 200;
@@ -21,7 +21,7 @@
 const MISDIRECTED_STATUS = 421;
 const UNAVAILABLE_STATUS = 503;
 
-/** The answer to a worker's heartbeat. */
+/** The response to a worker's heartbeat. */
 export interface HeartbeatAnswer {
   readonly status: number;
   readonly body: Buffer | null;
@@ -29,18 +29,18 @@
 
 const UNAVAILABLE: HeartbeatAnswer = { status: UNAVAILABLE_STATUS, body: null };
 
-/** Kinds of frames that carry a heartbeat. */
+/** The kinds of frames that carry a heartbeat. */
 export type HeartbeatFrameKind =
   FrameKind.Heartbeat | FrameKind.ForwardableHeartbeat | FrameKind.ForwardedHeartbeat;
 
-/** What the router reads of the controllers. */
+/** The links to the other controllers, as the heartbeat router uses them. */
 export interface HeartbeatPeers {
   readonly connected: readonly Peer[];
-  /** The link to the leader; undefined: there is none. */
+  /** Returns the link to the leader; undefined: no connected controller leads. */
   leaderLink(): Peer | undefined;
 }
 
-/** What the router is made of. */
+/** The dependencies of `HeartbeatRouter`. */
 export interface HeartbeatRouterDependencies {
   readonly context: Pick<ControllerContext, 'member' | 'clock' | 'load'>;
   readonly leadership: Pick<Leadership, 'isLeader' | 'isLeaderObserved' | 'handleHeartbeat'>;
@@ -51,20 +51,23 @@
   return { status: BAD_REQUEST_STATUS, body: Buffer.from(JSON.stringify({ error })) };
 }
 
-/** The leader's response, if it is one for the worker: its commands, or that the heartbeat is malformed. */
+/**
+ * Returns the leader's response if the response is meant for the worker: the worker's commands, or an error because the
+ * heartbeat is malformed. Null: there is no response, or the response is not meant for the worker.
+ */
 function answerForWorker(response: PeerResponse | null): HeartbeatAnswer | null {
   if (response?.status !== OK_STATUS && response?.status !== BAD_REQUEST_STATUS) return null;
   return { status: response.status, body: Buffer.from(response.body) };
 }
 
 /**
- * The route of a heartbeat that came through two controllers, of which the leader knows only the second. The leader
- * compares routes for equality alone (`Worker.recordHeartbeat`): this one must differ from the second controller's
- * own, since the worker is with another one.
+ * Returns the route of a heartbeat that arrived through two controllers, of which the leader knows only the second. The
+ * leader only compares routes for equality (`Worker.recordHeartbeat`). The route must differ from that of heartbeats
+ * which the second controller receives directly, because the worker is connected to another controller.
  */
 const indirectRouteThrough = (member: MemberId): MemberId => `${member} and another` as MemberId;
 
-/** Answers heartbeats itself while this controller leads; otherwise forwards them to the leader. */
+/** Answers heartbeats while this controller leads, and otherwise forwards heartbeats to the leader. */
 export class HeartbeatRouter {
   private readonly member: MemberId;
   private readonly clock: Clock;
@@ -81,9 +84,9 @@
     this.redirects = new WorkerRedirects(context.clock, context.load);
   }
 
-  /** Answers a heartbeat of a worker that is with this controller. */
+  /** Answers a heartbeat that a worker sent to this controller. */
   async handle(body: Buffer): Promise<HeartbeatAnswer> {
-    // Whoever leads parses the heartbeat: one that is forwarded is not parsed here as well.
+    // Only the leader parses a heartbeat; a follower forwards the heartbeat unparsed.
     if (this.leadership.isLeader) {
       if (!(await this.awaitTurn())) return UNAVAILABLE;
       const parsed = parseHeartbeat(parseJson(body));
@@ -96,7 +99,9 @@
     return (await this.relay(body)) ?? UNAVAILABLE;
   }
 
-  /** Answers a heartbeat that another controller forwards; null: this controller can't have it answered. */
+  /**
+   * Answers a heartbeat that another controller forwards; null: neither this controller nor the leader has answered.
+   */
   async handleFromPeer(
     kind: HeartbeatFrameKind,
     payload: Buffer,
@@ -114,14 +119,20 @@
     return commands ? { status: OK_STATUS, body: commands } : null;
   }
 
-  /** False: the turn came so late that nobody waits for the answer any more. */
+  /**
+   * Waits for a turn in the work queue; resolves with false if the wait has exceeded `RELAY_TIMEOUT_MS`, after which no
+   * caller expects an answer.
+   */
   private async awaitTurn(): Promise<boolean> {
     const arrivedAt = this.clock.now();
     await this.queue.turn();
     return since(this.clock.now(), arrivedAt) < RELAY_TIMEOUT_MS;
   }
 
-  /** The controller that this worker should be with instead: one that reaches the key-value store and this leader. */
+  /**
+   * Returns the controller to which this worker should connect instead, which reaches the key-value store and this
+   * leader; null: the worker stays connected to this controller.
+   */
   private redirectFor(worker: MachineId): MemberId | null {
     const candidates = this.peers.connected.filter(
       (peer) => peer.hasSpareCapacity && peer.lastPing?.isStoreReachable,
@@ -142,7 +153,7 @@
     if (leader) {
       return answerForWorker(await leader.request(FrameKind.Heartbeat, body, RELAY_TIMEOUT_MS));
     }
-    // The leader's zone may be cut off from ours, but not from a third one.
+    // The leader's zone may be partitioned from this controller's zone but reachable from a third zone.
     if (this.leadership.isLeader || !this.leadership.isLeaderObserved) return null;
     for (const peer of this.peers.connected) {
       const answer = answerForWorker(
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -1,4 +1,4 @@
-/** A controller's part in leadership: stands for election and, while elected, runs the leader. */
+/** A controller's leadership: campaigns in the election and, while elected, runs the leader. */
 import type { ControllerContext } from '../core/context.js';
 import type { HeartbeatOutcome } from '../leader/heartbeat-handler.js';
 import { Leader } from '../leader/leader.js';
@@ -11,22 +11,22 @@
 import type { TermEndReason } from '../model/term-end-reason.js';
 import type { Millis } from '../model/time.js';
 
-/** A leader that hears no worker leaves the leadership to other controllers for this long. */
+/** How long a leader that resigned because it received no worker's heartbeat pauses its candidacy. */
 const PARTITIONED_CANDIDACY_PAUSE_MS = 15_000;
 
-/** Holds the current leader, if this controller is elected, and ends it when the term is over. */
+/** Creates the leader when this controller is elected and discards the leader when the term ends. */
 export class Leadership implements LeadershipHandle {
   readonly election: Election;
-  /** How long a leader that lost its lease may go on answering heartbeats, without commands. */
+  /** How long a leader that lost its lease may continue to answer heartbeats, without sending commands. */
   readonly maxRenewalWithoutQuorum: Millis;
   private currentLeader: Leader | null = null;
 
   constructor(
     private readonly ctx: ControllerContext,
-    /** Resolves once this controller knows what a leader needs. */
-    private readonly prepared: () => Promise<void>,
+    /** Resolves once this controller has loaded the data that a leader needs. */
+    private readonly whenPrepared: () => Promise<void>,
   ) {
-    // A worker that an old leader still answers must lose its tasks within a cancellation's limit.
+    // A worker whose heartbeats a deposed leader still answers must lose its tasks within the cancellation limit.
     this.maxRenewalWithoutQuorum = maxRenewalWithoutQuorum(ctx);
     this.election = new Election(ctx, {
       onElected: (term) => this.startTerm(term),
@@ -34,7 +34,7 @@
     });
   }
 
-  /** The leader that runs in this process; null: this controller does not lead. */
+  /** The leader running in this process; null: this controller does not lead. */
   get leader(): Leader | null {
     return this.currentLeader;
   }
@@ -48,12 +48,12 @@
     return this.currentLeader !== null;
   }
 
-  /** Whether this controller last saw any leader, itself included. */
+  /** Whether the leader record that this controller last read names a leader, which may be this controller. */
   get isLeaderObserved(): boolean {
     return this.election.observedLeader !== null;
   }
 
-  /** Stands for election until `resignPermanently`. */
+  /** Starts the candidacy, which lasts until `resignPermanently`. */
   start(): void {
     this.election.start();
   }
@@ -67,16 +67,16 @@
     this.endTerm('controller shutting down');
   }
 
-  /** Another controller says that it leads: the newer epoch is right. */
+  /** Handles another controller's claim to lead `epoch`: this controller's term ends if that epoch is newer. */
   onPeerLeading(epoch: Epoch): void {
     const { leader } = this;
     if (leader && epoch > leader.epoch) leader.end('a peer leads a newer epoch');
   }
 
-  /** The leader's answer to a heartbeat; null: this controller does not lead. */
-  async handleHeartbeat(heartbeat: Heartbeat, via: MemberId): Promise<HeartbeatOutcome | null> {
+  /** Passes a heartbeat to the leader and resolves with the outcome; null: this controller does not lead. */
+  async handleHeartbeat(heartbeat: Heartbeat, receivedBy: MemberId): Promise<HeartbeatOutcome | null> {
     if (!this.currentLeader) return null;
-    return this.currentLeader.handleHeartbeat(heartbeat, via);
+    return this.currentLeader.handleHeartbeat(heartbeat, receivedBy);
   }
 
   private startTerm(term: LeadershipTerm): void {
@@ -86,13 +86,13 @@
     });
     this.currentLeader = leader;
     this.ctx.log.info({ epoch: term.epoch }, 'elected');
-    // A failure to start is a fault of the program: it reaches the process's handler of unhandled rejections.
-    void this.prepared().then(() => leader.start());
+    // An error during the start is a program fault and reaches the process's handler of unhandled rejections.
+    void this.whenPrepared().then(() => leader.start());
   }
 
   private resign(reason: TermEndReason): void {
     const candidacyPauseMs = reason === 'no worker heartbeats received' ? PARTITIONED_CANDIDACY_PAUSE_MS : 0;
-    // Never rejects: a lease that cannot be revoked expires by itself.
+    // The promise never rejects: a lease that could not be revoked expires after its time to live.
     void this.election.resign(candidacyPauseMs);
   }
 }
--- a/src/controller/machine-type-catalog.ts
+++ b/src/controller/machine-type-catalog.ts
@@ -1,4 +1,4 @@
-/** Keeps the list of machine types up to date. */
+/** Maintains the list of machine types. */
 import type { ControllerContext } from '../core/context.js';
 import { errorMessage } from '../log/logger.js';
 import type { MachineType } from '../model/machine.js';
@@ -6,28 +6,35 @@
 import { keys } from '../store/keys.js';
 import { decodeMachineTypes, encodeMachineTypes } from '../store/machine-type-record.js';
 
+/**
+ * The mean interval between reads of the machine types from the cloud; each interval is randomized by 20 % either way.
+ */
 const REFRESH_INTERVAL_MS = 60_000;
+/** How often the machine types are read from the store until they are available. */
 const STORE_READ_INTERVAL_MS = 500;
-/** After a failure the cloud is asked again after this, and up to as much more. */
+/** The delay before a failed refresh is retried; a random jitter of up to the same time is added. */
 const CLOUD_RETRY_MS = 600;
 
 /**
- * Reads the machine types from the cloud or, while its API is down, as they were last written to the store. Prices
- * change, so they are read again now and then.
+ * Reads the machine types from the cloud API or, while that API is unavailable, from their last copy in the store. The
+ * types are refreshed periodically, because their prices change.
  */
 export class MachineTypeCatalog {
   private readonly waiters: (() => void)[] = [];
 
   constructor(private readonly ctx: ControllerContext) {}
 
-  /** Reads the types from the store until they are known, and from the cloud until the process ends. */
+  /**
+   * Starts to read the machine types: from the store until types are available, and from the cloud until the process
+   * ends.
+   */
   start(): void {
-    // Neither rejects: failures are logged and retried.
+    // Neither of the two promises rejects: errors are logged and the reads are retried.
     void this.loadFromStore();
     void this.refreshFromCloud();
   }
 
-  /** Resolves once machine types are known. */
+  /** Resolves once machine types are available. */
   whenAvailable(): Promise<void> {
     if (this.ctx.machineTypes.size > 0) return Promise.resolve();
     return new Promise((resolve) => this.waiters.push(resolve));
--- a/src/controller/memory-monitor.ts
+++ b/src/controller/memory-monitor.ts
@@ -1,41 +1,42 @@
-/** Watches how near this process is to its heap limit. */
+/** Monitors this process's heap usage relative to its heap limit. */
 import { getHeapStatistics } from 'node:v8';
 import { type Clock, runPeriodically } from '../model/time.js';
 
+/** How often the heap usage is sampled. */
 const SAMPLE_INTERVAL_MS = 1000;
-/** From this part of the heap's limit on, caches are dropped and no new work is taken. */
-const SCARCE_FRACTION = 0.9;
+/** The fraction of the heap limit above which caches are dropped and new work is refused. */
+const SCARCE_MEMORY_RATIO = 0.9;
 
-/** A reading of the heap, as V8 gives it. */
+/** Heap statistics in bytes, as V8 reports them. */
 interface HeapReading {
   readonly used_heap_size: number;
   readonly heap_size_limit: number;
 }
 
 /**
- * Samples the heap. A process that reaches its heap's limit ends, and with it all that it was about to answer: so
- * caches are dropped first, then submissions are refused.
+ * Samples the heap usage. A process that reaches its heap limit crashes and loses all requests in progress; to prevent
+ * this, caches are dropped first and submissions are refused next.
  */
 export class MemoryMonitor {
   private scarce = false;
 
   constructor(
     clock: Clock,
-    /** Drops what can be read again; called at each sample while memory is scarce. */
+    /** Drops cached data that can be read again; called at each sample while memory is scarce. */
     private readonly dropCaches: () => void,
     private readonly read: () => HeapReading = getHeapStatistics,
   ) {
     runPeriodically(clock, SAMPLE_INTERVAL_MS, () => this.sample());
   }
 
-  /** Whether no new work should be taken. */
+  /** Whether heap usage is so near the limit that new work must be refused. */
   get isScarce(): boolean {
     return this.scarce;
   }
 
   private sample(): void {
     const { used_heap_size: used, heap_size_limit: limit } = this.read();
-    this.scarce = used > limit * SCARCE_FRACTION;
+    this.scarce = used > limit * SCARCE_MEMORY_RATIO;
     if (this.scarce) this.dropCaches();
   }
 }
--- a/src/controller/peer-group.ts
+++ b/src/controller/peer-group.ts
@@ -1,4 +1,4 @@
-/** The links to all other controllers, and what is sent and requested over them. */
+/** The links to all other controllers, and the messages and requests sent over these links. */
 import type { ConfirmedCancellations } from '../core/confirmed-cancellations.js';
 import type { PeerStatusSource } from '../core/context.js';
 import { errorMessage, type Logger } from '../log/logger.js';
@@ -13,29 +13,35 @@
 import type { MemberLine } from '../wire/members.js';
 import type { PeerAddress } from '../wire/settings.js';
 
-/** States for operators where no failure detection runs: whether there is a link. */
+/** The states shown to operators while failure detection is disabled: whether a link to the controller is connected. */
 const LINKED = 'linked';
 const NOT_LINKED = 'no link';
 const OK_STATUS = 200;
 
-/** What this controller says of itself. */
+/** The state that this controller reports to its peers. */
 export interface LocalState {
+  /** Returns the content of this controller's pings. */
   ping(): Ping;
-  /** The epoch that this controller leads; null: it does not lead. */
+  /** Returns the epoch in which this controller leads; null: this controller does not lead. */
   leadingEpoch(): Epoch | null;
-  /** The leader's record as this controller last read it. */
+  /**
+   * Returns the leader record as this controller last read it; null: there is no leader, or the record was not read
+   * yet.
+   */
   observedLeader(): LeaderRecord | null;
 }
 
-/** Whom the group notifies of what the others say. */
+/** Receives the events of the peer links. */
 export interface PeerListener {
-  /** Another controller says that it leads. */
+  /** Is called when another controller's ping reports that the controller leads `epoch`. */
   onPeerLeading(epoch: Epoch): void;
-  /** Every other controller has shown that it accepts confirmed cancellations and split records of progress. */
+  /**
+   * Is called when the versions of all other controllers support confirmed cancellations and split progress records.
+   */
   onAllUpgraded(): void;
 }
 
-/** What a group of peers is made of. */
+/** The options of `PeerGroup`. */
 export interface PeerGroupOptions {
   readonly peers: readonly PeerAddress[];
   readonly clock: Clock;
@@ -45,15 +51,16 @@
   readonly listener: PeerListener;
 }
 
-/** All other controllers. */
+/** The group of all other controllers. */
 export class PeerGroup implements PeerStatusSource {
   readonly links: readonly PeerLink[];
   private readonly log: Logger;
   private readonly cancellations: ConfirmedCancellations;
   private readonly localState: LocalState;
   private readonly listener: PeerListener;
-  private readonly upgraded = new Set<MemberId>();
-  /** The protocol version that each controller last showed; it stays while there is no link. */
+  /** The controllers that have shown a version which supports confirmed cancellations. */
+  private readonly upgradedMembers = new Set<MemberId>();
+  /** The last protocol version received from each controller; entries are kept while a controller is disconnected. */
   private readonly lastVersions = new Map<MemberId, number>();
 
   constructor({ peers, clock, log, cancellations, localState, listener }: PeerGroupOptions) {
@@ -78,37 +85,48 @@
     cancellations.onLearned((ids) => this.broadcastCancellations(this.links, ids));
   }
 
-  /** Connects to all of them. */
+  /** Starts the links to all other controllers. */
   start(): void {
     for (const link of this.links) link.start();
   }
 
-  /** Controllers that are heard, without this one. */
+  /** The links to the other controllers that are currently connected. */
   get connected(): readonly PeerLink[] {
     return this.links.filter((link) => link.isConnected);
   }
 
-  /** Whether the last observed leader and every connected controller, each of which could lead next, have this version. */
-  allSupport(version: number): boolean {
+  /**
+   * Returns whether the last observed leader and every connected controller, any of which could lead next, support
+   * `version`.
+   */
+  allCandidatesSupport(version: number): boolean {
     const leader = this.localState.observedLeader();
     if (leader !== null && leader.version < version) return false;
     return this.connected.every((link) => link.supports(version));
   }
 
-  /** Whether every other controller last showed at least this version, be it connected now or not. */
+  /**
+   * Returns whether the last protocol version received from every other controller, connected or not, is at least
+   * `version`.
+   */
   everyPeerHasSupported(version: number): boolean {
     return this.links.every(({ member }) => (this.lastVersions.get(member) ?? UNVERSIONED) >= version);
   }
 
-  /** The link to the leader, by the leader's own pings or by the record that was last read. */
+  /**
+   * Returns the link to the connected controller that reports the newest leading epoch in its pings or, if none reports
+   * an epoch, to the leader named by the last read leader record; undefined: no such controller is connected.
+   */
   leaderLink(): PeerLink | undefined {
-    const leading = this.connected.filter((link) => link.lastPing?.leadingEpoch != null);
-    leading.sort((left, right) => (right.lastPing?.leadingEpoch ?? 0) - (left.lastPing?.leadingEpoch ?? 0));
+    const leadingLinks = this.connected.filter((link) => link.lastPing?.leadingEpoch != null);
+    leadingLinks.sort(
+      (left, right) => (right.lastPing?.leadingEpoch ?? 0) - (left.lastPing?.leadingEpoch ?? 0),
+    );
     const observedLeader = this.localState.observedLeader()?.member;
-    return leading[0] ?? this.connected.find((link) => link.member === observedLeader);
+    return leadingLinks[0] ?? this.connected.find((link) => link.member === observedLeader);
   }
 
-  /** What this controller knows of confirmed cancellations: all of them, or those of these jobs. */
+  /** Returns this controller's status with its confirmed cancellations, limited to `jobs` if given. */
   status(jobs?: readonly JobId[]): PeerStatus {
     return {
       uptime: this.cancellations.uptime,
@@ -117,10 +135,13 @@
     };
   }
 
-  /** All controllers for an operator, where nothing but their links is known of them. */
+  /**
+   * Returns the list of all controllers for operators while failure detection is disabled, when only link states are
+   * known.
+   */
   memberLines(self: MemberId): MemberLine[] {
     const leader = this.localState.observedLeader();
-    const lineOf = (member: MemberId, state: string, load: number | null): MemberLine => ({
+    const createLine = (member: MemberId, state: string, load: number | null): MemberLine => ({
       member,
       state,
       forMs: 0,
@@ -130,13 +151,16 @@
       evidence: [],
       owns: leader?.member === member ? [`cluster (epoch ${leader.epoch})`] : [],
     });
-    const others = this.links.map((link) =>
-      lineOf(link.member, link.isConnected ? LINKED : NOT_LINKED, link.lastPing?.load ?? null),
+    const peerLines = this.links.map((link) =>
+      createLine(link.member, link.isConnected ? LINKED : NOT_LINKED, link.lastPing?.load ?? null),
     );
-    return [lineOf(self, LINKED, this.localState.ping().load), ...others];
+    return [createLine(self, LINKED, this.localState.ping().load), ...peerLines];
   }
 
-  /** Asks each of the others for its status; null for one that doesn't respond or doesn't support that. */
+  /**
+   * Requests the status of each other controller; null for a controller that doesn't respond or doesn't support the
+   * request.
+   */
   collectStatus(deadlineMs: number): Promise<(PeerStatus | null)[]> {
     const payload = encodePeerStatus(this.status());
     return Promise.all(this.links.map((link) => this.requestStatus(link, payload, deadlineMs)));
@@ -154,28 +178,31 @@
     try {
       return decodePeerStatus(response.body);
     } catch (error) {
-      this.log.debug({ member: link.member, error: errorMessage(error) }, 'peer status unreadable');
+      this.log.debug({ member: link.member, error: errorMessage(error) }, 'failed to decode peer status');
       return null;
     }
   }
 
-  /** A controller has shown its version on a new connection. */
+  /** Handles the version that a controller sends on a new connection. */
   private onVersion(link: PeerLink): void {
     this.lastVersions.set(link.member, link.lastPing?.version ?? UNVERSIONED);
     if (!link.supportsCancellations) {
-      this.warnOfDowngrade(link);
+      this.warnIfDowngraded(link);
       return;
     }
-    // Whatever it missed while there was no connection.
+    // The peer may have missed cancellations while it was disconnected.
     this.broadcastCancellations([link]);
-    this.upgraded.add(link.member);
-    // One that has once shown its version comes back with no earlier one.
-    if (this.upgraded.size === this.links.length) this.listener.onAllUpgraded();
+    this.upgradedMembers.add(link.member);
+    // A member of `upgradedMembers` is never removed, because downgrading a controller is not supported.
+    if (this.upgradedMembers.size === this.links.length) this.listener.onAllUpgraded();
   }
 
-  /** Going back is not supported once dependent jobs or split records exist (docs/upgrade.md). */
-  private warnOfDowngrade(link: PeerLink): void {
-    if (!this.upgraded.has(link.member)) return;
+  /**
+   * Warns if a controller was downgraded, which is not supported once dependent jobs or split records exist
+   * (docs/upgrade.md).
+   */
+  private warnIfDowngraded(link: PeerLink): void {
+    if (!this.upgradedMembers.has(link.member)) return;
     this.log.warn(
       { member: link.member },
       'controller downgraded: dependent jobs are refused while it is connected, and it must not lead while any is open',
--- a/src/controller/peer-request-handler.ts
+++ b/src/controller/peer-request-handler.ts
@@ -1,4 +1,4 @@
-/** Responds to what other controllers, and operators' tools, request of this one. */
+/** Responds to the requests of other controllers and of operators' tools. */
 import type { ConfirmedCancellations } from '../core/confirmed-cancellations.js';
 import { FAILURE_DETECTION_OFF_STATUS } from '../leadership/failover/detection-status.js';
 import type { Failover } from '../leadership/failover/failover.js';
@@ -24,13 +24,13 @@
 const UNAVAILABLE_STATUS = 503;
 const UNAVAILABLE: PeerResponse = { status: UNAVAILABLE_STATUS, body: Buffer.alloc(0) };
 
-/** What requests are handed to. */
+/** The components that serve the requests. */
 export interface PeerRequestDependencies {
   readonly member: MemberId;
   readonly log: Logger;
-  /** What this controller says of itself. */
+  /** Returns the content of this controller's pings. */
   readonly localPing: () => Ping;
-  /** Null: failure detection is off. */
+  /** Returns this controller's failure detection; null: failure detection is disabled or not started yet. */
   readonly failover: () => Failover | null;
   readonly peers: PeerGroup;
   readonly cancellations: ConfirmedCancellations;
@@ -40,7 +40,7 @@
   readonly workerConnections: WorkerConnections;
 }
 
-/** Dispatches each kind of request to the part of the controller that serves it. */
+/** Dispatches each kind of request to the component of the controller that serves the kind. */
 export class PeerRequestHandler implements PeerHandler {
   constructor(private readonly dependencies: PeerRequestDependencies) {}
 
@@ -86,7 +86,9 @@
     return { status: answer.status, body: Buffer.from(JSON.stringify(answer)) };
   }
 
-  /** Learns the sender's confirmed cancellations, and responds with those known here. */
+  /**
+   * Adds the sender's confirmed cancellations to this controller's and responds with all that this controller knows.
+   */
   private exchangeCancellations(payload: Buffer): PeerResponse {
     const { cancellations, peers } = this.dependencies;
     cancellations.learn(decodePeerStatus(payload).cancellations);
@@ -111,7 +113,7 @@
     return answer ? { status: OK_STATUS, body: Buffer.from(answer) } : UNAVAILABLE;
   }
 
-  /** All controllers, for an operator. */
+  /** Returns the report on all controllers for an operator. */
   private membersReport(): MembersReport {
     const { member, peers } = this.dependencies;
     const failover = this.dependencies.failover();
--- a/src/controller/store-connectivity-monitor.ts
+++ b/src/controller/store-connectivity-monitor.ts
@@ -1,12 +1,15 @@
-/** Judges by the results of its calls whether this controller reaches the key-value store. */
+/** Determines from the results of calls whether this controller reaches the key-value store. */
 import { type Clock, type MonotonicTime, since } from '../model/time.js';
 
-/** Once calls fail, the store counts as unreachable after this long without an answer. */
+/** While calls fail, the store counts as unreachable when its last response is older than this. */
 const UNREACHABLE_AFTER_MS = 800;
-/** Without any peer either, this controller counts as partitioned after this long without an answer. */
+/**
+ * While calls to the store fail and no peer is connected, this controller counts as partitioned when the store's last
+ * response is older than this.
+ */
 const PARTITIONED_AFTER_MS = 2500;
 
-/** Records the results of calls to the store. */
+/** Tracks whether the store is reachable from this controller, by the recorded results of calls. */
 export class StoreConnectivityMonitor {
   private lastAnswerAt: MonotonicTime;
   private failingSince: MonotonicTime | null = null;
@@ -15,24 +18,24 @@
     this.lastAnswerAt = clock.now();
   }
 
-  /** A call to the store has ended, with or without an answer. */
-  recordCall(answered: boolean): void {
+  /** Records the end of a call to the store, with or without a response. */
+  recordCall(isAnswered: boolean): void {
     const now = this.clock.now();
-    if (answered) {
+    if (isAnswered) {
       this.lastAnswerAt = now;
       this.failingSince = null;
     } else this.failingSince ??= now;
   }
 
-  /** Whether the store has answered lately, or no call has failed since its last answer. */
+  /** Whether the store has responded recently, or no call has failed since its last response. */
   get isStoreReachable(): boolean {
     return this.failingSince === null || since(this.clock.now(), this.lastAnswerAt) < UNREACHABLE_AFTER_MS;
   }
 
   /**
-   * Whether neither the store nor another controller can be reached: users are better served by any other
-   * controller. An outage of the store alone is everybody's: then no controller steps back, or the load balancer
-   * would have none left when it is over.
+   * Returns whether neither the store nor another controller can be reached, in which case any other controller serves
+   * users better. An outage of the store alone affects all controllers; none of them reports itself unavailable then,
+   * since the load balancer would have no controller left when the outage ends.
    */
   isPartitioned(peers: readonly { readonly isConnected: boolean }[]): boolean {
     if (peers.length === 0 || this.failingSince === null || peers.some(({ isConnected }) => isConnected))
--- a/src/controller/user-router.ts
+++ b/src/controller/user-router.ts
@@ -1,4 +1,4 @@
-/** Answers users' requests here or, where this controller can't, through another one. */
+/** Answers users' requests in this controller or, if this controller can't, through another controller. */
 import type { Admission } from '../api/admission.js';
 import { BusyError, unavailable, type UserAnswer } from '../api/user-answer.js';
 import type { UserService } from '../api/user-service.js';
@@ -9,45 +9,49 @@
 import type { PeerGroup } from './peer-group.js';
 import type { StoreConnectivityMonitor } from './store-connectivity-monitor.js';
 
+/** How long another controller may take to answer a forwarded request. */
 const FORWARD_TIMEOUT_MS = 1500;
-/** How many other controllers are tried when this one has used up its share of the store's writes. */
+/** The number of other controllers tried when this controller has exhausted its share of the store's write rate. */
 const MAX_BUSY_FORWARDS = 4;
-/** Seconds after which it is worth asking again. */
+/** The `retryAfter` value of an answer that refuses a request because of load or rate limits. */
 const BUSY_RETRY_S = 2;
 const UNAVAILABLE_STATUS = 503;
 
-/** Users' requests that were refused, by reason. */
+/** The number of users' requests that were refused, by reason. */
 export interface Refusals {
-  /** This controller had used up its share of the store's writes. */
+  /** Requests refused because this controller had exhausted its share of the store's write rate. */
   busy: number;
-  /** The key-value store refused, or did not answer. */
+  /** Requests that failed because the key-value store refused a request or did not respond. */
   state: number;
 }
 
-/** What the router is made of. */
+/** The dependencies of `UserRouter`. */
 export interface UserRouterDependencies {
-  readonly users: UserService;
+  readonly userService: UserService;
   readonly admission: Admission;
   readonly connectivity: StoreConnectivityMonitor;
   readonly peers: Pick<PeerGroup, 'connected'>;
-  /** Between 0 and 1. */
+  /** Returns a random number from 0 up to, but not including, 1. */
   readonly random: () => number;
 }
 
-/** Answers every request at once, if only with when to come back. */
+/** Answers every request promptly; a request that can't be served is refused with a time after which to retry. */
 export class UserRouter {
   private refusals: Refusals = { busy: 0, state: 0 };
 
   constructor(private readonly dependencies: UserRouterDependencies) {}
 
-  /** The refusals since the last call. */
+  /** Returns the refusals since the last call and resets the counts. */
   takeRefusals(): Refusals {
-    const taken = this.refusals;
+    const refusals = this.refusals;
     this.refusals = { busy: 0, state: 0 };
-    return taken;
+    return refusals;
   }
 
-  /** Answers a request. `mayForward`: it comes from a user, and not from another controller. */
+  /**
+   * Answers a request. `mayForward` is true for a request that comes directly from a user, and false for a request that
+   * another controller has forwarded.
+   */
   async handle(verb: UserVerb, body: Buffer, mayForward: boolean): Promise<UserAnswer> {
     const { admission, connectivity } = this.dependencies;
     const rank = verb === 'submit' ? 'submission' : 'query';
@@ -64,14 +68,14 @@
   }
 
   private answer(verb: UserVerb, body: Buffer): Promise<UserAnswer> {
-    const { users } = this.dependencies;
+    const { userService } = this.dependencies;
     switch (verb) {
       case 'submit':
-        return users.submit(parseJson(body));
+        return userService.submit(parseJson(body));
       case 'query':
-        return users.query(body.toString('utf8'));
+        return userService.query(body.toString('utf8'));
       case 'cancel':
-        return users.cancel(body.toString('utf8'));
+        return userService.cancel(body.toString('utf8'));
     }
   }
 
@@ -83,28 +87,31 @@
   ): Promise<UserAnswer> {
     if (error instanceof BusyError) {
       this.refusals.busy++;
-      // Each controller has its share of what users may write: of several one mostly has some left.
+      // Each controller has its own share of the write rate for users, so another controller often has capacity left.
       const forwarded = mayForward ? await this.forward(verb, body, MAX_BUSY_FORWARDS) : null;
-      return forwarded ?? unavailable('asked too often', BUSY_RETRY_S);
+      return forwarded ?? unavailable('too many requests; retry later', BUSY_RETRY_S);
     }
     if (!(error instanceof KeyValueStoreError)) throw error;
     this.refusals.state++;
-    // A rate limit is meant for all controllers: another one would only ask once more.
-    if (isRateLimitedError(error)) return unavailable('asked too often', BUSY_RETRY_S);
+    // The store's rate limit applies to all controllers, so forwarding would only send the store another request.
+    if (isRateLimitedError(error)) return unavailable('too many requests; retry later', BUSY_RETRY_S);
     const forwarded = mayForward ? await this.forward(verb, body, 1) : null;
-    return forwarded ?? unavailable('state service not reached');
+    return forwarded ?? unavailable('key-value store unavailable; retry later');
   }
 
-  /** The store may refuse this controller alone: another one that reaches it can then answer. Null: none did. */
+  /**
+   * Forwards a request to up to `maxPeers` other controllers that reach the store, since the store may refuse only this
+   * controller. Null: none of these controllers has answered the request.
+   */
   private async forward(verb: UserVerb, body: Buffer, maxPeers: number): Promise<UserAnswer | null> {
     const { peers, random } = this.dependencies;
     const candidates = peers.connected.filter((peer) => peer.lastPing?.isStoreReachable);
-    const first = Math.floor(random() * candidates.length);
+    const firstIndex = Math.floor(random() * candidates.length);
     const payload = encodeUserRequest(verb, body);
     for (let index = 0; index < Math.min(maxPeers, candidates.length); index++) {
-      const peer = candidates[(first + index) % candidates.length];
+      const peer = candidates[(firstIndex + index) % candidates.length];
       const response = await peer?.request(FrameKind.UserRequest, payload, FORWARD_TIMEOUT_MS);
-      // Without a response it may have been carried out, and the user has waited long enough for an answer.
+      // A request without a response may have been executed, and another attempt would keep the user waiting too long.
       if (!response) return null;
       if (response.status !== UNAVAILABLE_STATUS) {
         return parseJson(Buffer.from(response.body)) as UserAnswer;
--- a/src/controller/worker-redirects.ts
+++ b/src/controller/worker-redirects.ts
@@ -1,40 +1,41 @@
-/** Decides which of the workers that are with a busy leader should be with another controller. */
+/** Selects the workers connected to a busy leader that should connect to another controller. */
 import type { MachineId, MemberId } from '../model/ids.js';
 import { DELEGATION_LOAD } from '../model/load.js';
 import { type Clock, type MonotonicTime, since } from '../model/time.js';
 
 /**
- * A worker that is back within this was not served there, and stays. Well over any lease: redirected to and fro within
- * one, a worker would lose its tasks.
+ * The time after a redirect during which a worker is not redirected again. A worker that returns within this time was
+ * not served by the other controller and stays. The time is well above any worker's lease, because a worker that was
+ * redirected back and forth within a lease would lose its tasks.
  */
 const REDIRECT_INTERVAL_MS = 120_000;
 
-/** Redirects workers to the other controllers in turn, and remembers each for a while. */
+/** Redirects workers to the other controllers round-robin and records each redirect for `REDIRECT_INTERVAL_MS`. */
 export class WorkerRedirects {
-  private readonly redirectedAt = new Map<MachineId, MonotonicTime>();
-  private lastTarget = 0;
+  private readonly redirectedAtByWorker = new Map<MachineId, MonotonicTime>();
+  private lastTargetIndex = 0;
 
   constructor(
     private readonly clock: Clock,
     private readonly load: () => number,
   ) {}
 
-  /** The controller that the worker should be with; null: this one. */
-  targetFor(worker: MachineId, others: readonly MemberId[]): MemberId | null {
-    if (others.length === 0 || this.load() < DELEGATION_LOAD) return null;
+  /** Returns the controller to which the worker should connect; null: the worker stays with this controller. */
+  targetFor(worker: MachineId, candidates: readonly MemberId[]): MemberId | null {
+    if (candidates.length === 0 || this.load() < DELEGATION_LOAD) return null;
     const now = this.clock.now();
-    this.dropExpired(now);
-    if (this.redirectedAt.has(worker)) return null;
-    this.redirectedAt.set(worker, now);
-    this.lastTarget = (this.lastTarget + 1) % others.length;
-    return others[this.lastTarget] ?? null;
+    this.removeExpired(now);
+    if (this.redirectedAtByWorker.has(worker)) return null;
+    this.redirectedAtByWorker.set(worker, now);
+    this.lastTargetIndex = (this.lastTargetIndex + 1) % candidates.length;
+    return candidates[this.lastTargetIndex] ?? null;
   }
 
-  /** The oldest come first. */
-  private dropExpired(now: MonotonicTime): void {
-    for (const [worker, at] of this.redirectedAt) {
+  /** Removes expired redirects, which come first because the map is ordered by the time of the redirect. */
+  private removeExpired(now: MonotonicTime): void {
+    for (const [worker, at] of this.redirectedAtByWorker) {
       if (since(now, at) < REDIRECT_INTERVAL_MS) return;
-      this.redirectedAt.delete(worker);
+      this.redirectedAtByWorker.delete(worker);
     }
   }
 }
--- a/test/unit/failover-settings.test.ts
+++ b/test/unit/failover-settings.test.ts
@@ -12,7 +12,7 @@
 const folders: string[] = [];
 afterEach(() => folders.splice(0).forEach((folder) => rmSync(folder, { recursive: true })));
 
-function folderWith(text: string | null): string {
+function createFeatureFolder(text: string | null): string {
   const folder = mkdtempSync(join(tmpdir(), 'plumyoke-'));
   folders.push(folder);
   if (text !== null) writeFileSync(join(folder, 'membership.toml'), text);
@@ -20,11 +20,13 @@
 }
 
 describe('the feature file of failure detection', () => {
-  it('is off without a file, without a folder, and where it says so', () => {
+  it('disables failure detection if the file or the folder is missing, and if enabled is false', () => {
     expect(loadFeatures(undefined).failover).toBeNull();
-    expect(loadFeatures(folderWith(null)).failover).toBeNull();
-    expect(loadFeatures(folderWith('enabled = false')).failover).toBeNull();
-    expect(loadFeatures(folderWith('enabled = true')).failover).toMatchObject({ earlyTakeover: false });
+    expect(loadFeatures(createFeatureFolder(null)).failover).toBeNull();
+    expect(loadFeatures(createFeatureFolder('enabled = false')).failover).toBeNull();
+    expect(loadFeatures(createFeatureFolder('enabled = true')).failover).toMatchObject({
+      earlyTakeover: false,
+    });
   });
 
   it.each([
@@ -35,25 +37,24 @@
     ['probe_timeout_s: above probe_interval_s', 'enabled = true\nprobe_timeout_s = 2'],
     ['suspicion_s: above 600', 'enabled = true\nsuspicion_s = 6000'],
     ['max_messages_per_s: below 2', 'enabled = true\nmax_messages_per_s = 1'],
-  ])('names the field: %s', (message, text) => {
-    const folder = folderWith(text);
+  ])('reports the invalid field: %s', (message, text) => {
+    const folder = createFeatureFolder(text);
     expect(() => loadFeatures(folder)).toThrow(`${join(folder, 'membership.toml')}: ${message}`);
   });
 });
 
 describe('check-config', () => {
-  it('refuses failure detection with a controller that is named twice, with exit code 2', async () => {
+  it('rejects a controller that is named twice, and exits with code 2 for invalid files', async () => {
     const settings = siteSettings('a', SMALL_SITE);
-    const sibling = { member: 'b' as MemberId, address: '127.0.0.1:2' };
-    const feature = loadFeatures(folderWith('enabled = true')).failover;
-    if (feature === null) throw new Error('off');
-    expect(() => checkFailover({ ...settings, peers: [sibling, sibling] }, feature)).toThrow(
-      InvalidSettingsError,
-    );
-    expect(() => checkFailover({ ...settings, peers: [sibling, sibling] }, feature)).toThrow(
+    const peer = { member: 'b' as MemberId, address: '127.0.0.1:2' };
+    const feature = loadFeatures(createFeatureFolder('enabled = true')).failover;
+    if (feature === null)
+      throw new Error('failure detection is disabled although the feature file enables it');
+    expect(() => checkFailover({ ...settings, peers: [peer, peer] }, feature)).toThrow(InvalidSettingsError);
+    expect(() => checkFailover({ ...settings, peers: [peer, peer] }, feature)).toThrow(
       'membership.toml: members: b is named twice',
     );
-    const path = join(folderWith('enabled = 7'), 'membership.toml');
+    const path = join(createFeatureFolder('enabled = 7'), 'membership.toml');
     await main(['check-config', '--config', path, '--features', path.replace('/membership.toml', '')]);
     expect(process.exitCode).toBe(2);
     process.exitCode = 0;
--- a/test/unit/heartbeat-router.test.ts
+++ b/test/unit/heartbeat-router.test.ts
@@ -5,15 +5,15 @@
 import type { Peer } from '../../src/peer/peer.js';
 import { VirtualClock } from '../simulation/clock.js';
 
-const MALFORMED = Buffer.from('{"host":7}');
+const MALFORMED_HEARTBEAT = Buffer.from('{"host":7}');
 
-interface Nodes {
+interface HeartbeatRouters {
   readonly follower: HeartbeatRouter;
   readonly leader: HeartbeatRouter;
 }
 
-/** A leader, and a follower whose link to it leads straight into the leader's router. */
-function nodes(): Nodes {
+/** Creates the routers of a leader and of a follower whose link to the leader calls the leader's router directly. */
+function createRouters(): HeartbeatRouters {
   const context = { member: 'a' as MemberId, clock: new VirtualClock(), load: () => 0 };
   const handleHeartbeat = () => Promise.resolve(null);
   const leader = new HeartbeatRouter({
@@ -38,18 +38,23 @@
 }
 
 describe('HeartbeatRouter, with a malformed heartbeat', () => {
-  // A follower answered it with 503, so that its worker went on trying every controller with it.
-  it('answers 400 with the field at fault, as a follower and as the leader', async () => {
-    const { follower, leader } = nodes();
-    const straight = await leader.handle(MALFORMED);
-    expect(straight.status).toBe(400);
-    expect(straight.body?.toString()).toContain('host');
-    expect(await follower.handle(MALFORMED)).toEqual(straight);
+  // Guards against a follower that answers a malformed heartbeat with 503: the worker would then retry the heartbeat
+  // with every controller.
+  it('answers 400 with the name of the invalid field, as a follower and as the leader', async () => {
+    const { follower, leader } = createRouters();
+    const leaderAnswer = await leader.handle(MALFORMED_HEARTBEAT);
+    expect(leaderAnswer.status).toBe(400);
+    expect(leaderAnswer.body?.toString()).toContain('host');
+    expect(await follower.handle(MALFORMED_HEARTBEAT)).toEqual(leaderAnswer);
   });
 
   it('answers 400 through a third controller as well', async () => {
-    const { leader } = nodes();
-    const answer = await leader.handleFromPeer(FrameKind.ForwardedHeartbeat, MALFORMED, 'c' as MemberId);
+    const { leader } = createRouters();
+    const answer = await leader.handleFromPeer(
+      FrameKind.ForwardedHeartbeat,
+      MALFORMED_HEARTBEAT,
+      'c' as MemberId,
+    );
     expect(answer?.status).toBe(400);
   });
 });
--- a/test/unit/lease.test.ts
+++ b/test/unit/lease.test.ts
@@ -7,32 +7,32 @@
 
 const TTL_MS = defaultOperators().leadership.leaseTtl;
 
-interface HeldLease {
+interface LeaseFixture {
   readonly clock: VirtualClock;
   readonly store: FakeKeyValueStore;
   readonly lease: LeaderLease;
-  /** How often the store has ended the lease. */
-  readonly expiries: () => number;
+  /** Returns how often the lease has reported that the store ended it. */
+  readonly expiryCount: () => number;
 }
 
-/** A lease that the store has just granted. */
-async function heldLease(): Promise<HeldLease> {
+/** Creates a lease that the store has just granted. */
+async function createHeldLease(): Promise<LeaseFixture> {
   const clock = new VirtualClock();
   const store = new FakeKeyValueStore(clock);
   const client = store.clientFor('a', clock);
-  let expiries = 0;
+  let expiryCount = 0;
   const ctx = { clock, log: silentLogger, store: client, operators: defaultOperators() };
-  const lease = new LeaderLease(ctx, () => expiries++);
+  const lease = new LeaderLease(ctx, () => expiryCount++);
   const request = lease.beginRequest();
   const granted = client.grantLease(lease.ttlMs);
   await clock.advance(100);
   lease.confirm(await granted, request);
-  return { clock, store, lease, expiries: () => expiries };
+  return { clock, store, lease, expiryCount: () => expiryCount };
 }
 
 describe('LeaderLease', () => {
-  it('is valid for somewhat less than its time to live, from the moment at which the request was sent', async () => {
-    const { clock, lease } = await heldLease();
+  it('is valid for slightly less than its time to live, counted from the sending of the request', async () => {
+    const { clock, lease } = await createHeldLease();
     await clock.advance(TTL_MS * 0.99 - 100);
     expect(lease.isLeaseValid()).toBe(true);
     expect(lease.timeSinceLeaseExpiry()).toBe(0);
@@ -41,31 +41,31 @@
     expect(lease.timeSinceLeaseExpiry()).toBeGreaterThan(0);
   });
 
-  it('stays valid while its renewals succeed, and not without the store', async () => {
-    const { clock, store, lease, expiries } = await heldLease();
+  it('stays valid while renewals succeed, and becomes invalid while the store is unavailable', async () => {
+    const { clock, store, lease, expiryCount } = await createHeldLease();
     lease.startRenewal();
     await clock.advance(TTL_MS * 3);
     expect(lease.isLeaseValid()).toBe(true);
     store.isUnavailable = true;
     await clock.advance(TTL_MS * 1.1);
     expect(lease.isLeaseValid()).toBe(false);
-    expect(expiries()).toBe(0);
+    expect(expiryCount()).toBe(0);
   });
 
-  it('is not held any more once the store has ended it', async () => {
-    const { clock, store, lease, expiries } = await heldLease();
+  it('is no longer held once the store has ended the lease', async () => {
+    const { clock, store, lease, expiryCount } = await createHeldLease();
     const revoked = store.clientFor('b', clock).revokeLease(lease.id as NonNullable<typeof lease.id>);
     await clock.advance(100);
     await revoked;
     lease.startRenewal();
     await clock.advance(TTL_MS);
-    expect(expiries()).toBe(1);
+    expect(expiryCount()).toBe(1);
     expect(lease.id).toBeNull();
     expect(lease.timeSinceLeaseExpiry()).toBe(Infinity);
   });
 
-  it('is invalid after a pause of the process until a later request confirms it', async () => {
-    const { clock, lease } = await heldLease();
+  it('is invalid after a pause of the process until a later request confirms the lease', async () => {
+    const { clock, lease } = await createHeldLease();
     const guard: PauseGuard & { open: boolean; generation: number } = {
       open: true,
       generation: 0,
--- a/test/unit/load-monitor.test.ts
+++ b/test/unit/load-monitor.test.ts
@@ -3,17 +3,17 @@
 import { VirtualClock } from '../simulation/clock.js';
 
 describe('LoadMonitor', () => {
-  it('tells a process that has used up its share from one that waits', async () => {
+  it('reports a load near 1 for a busy event loop and near 0 for an idle one', async () => {
     const clock = new VirtualClock();
-    const loop = { idle: 0, active: 0 };
-    const monitor = new LoadMonitor(clock, () => ({ ...loop }));
+    const eventLoop = { idle: 0, active: 0 };
+    const monitor = new LoadMonitor(clock, () => ({ ...eventLoop }));
     for (let i = 0; i < 8; i++) {
-      loop.active += 500;
+      eventLoop.active += 500;
       await clock.advance(500);
     }
     expect(monitor.load).toBeGreaterThan(0.95);
     for (let i = 0; i < 8; i++) {
-      loop.idle += 500;
+      eventLoop.idle += 500;
       await clock.advance(500);
     }
     expect(monitor.load).toBeLessThan(0.05);
--- a/test/unit/memory-monitor.test.ts
+++ b/test/unit/memory-monitor.test.ts
@@ -7,26 +7,26 @@
   it('drops caches and refuses submissions while memory is scarce, and admits them again afterwards', async () => {
     const clock = new VirtualClock();
     const heap = { used_heap_size: 50, heap_size_limit: 100 };
-    let drops = 0;
+    let cacheDropCount = 0;
     const memory = new MemoryMonitor(
       clock,
-      () => drops++,
+      () => cacheDropCount++,
       () => ({ ...heap }),
     );
     const admission = new Admission(clock, { submission: 1, query: 1 }, () => memory.isScarce);
-    const taken = async (): Promise<boolean[]> => {
+    const admitAfterSample = async (): Promise<boolean[]> => {
       await clock.advance(1000);
       return (['submission', 'query'] as const).map((rank) => {
-        const entered = admission.enter(rank);
-        if (entered) admission.leave(rank);
-        return entered;
+        const isAdmitted = admission.enter(rank);
+        if (isAdmitted) admission.leave(rank);
+        return isAdmitted;
       });
     };
-    expect(await taken()).toEqual([true, true]);
+    expect(await admitAfterSample()).toEqual([true, true]);
     heap.used_heap_size = 95;
-    expect(await taken()).toEqual([false, true]);
-    expect(drops).toBe(1);
+    expect(await admitAfterSample()).toEqual([false, true]);
+    expect(cacheDropCount).toBe(1);
     heap.used_heap_size = 50;
-    expect(await taken()).toEqual([true, true]);
+    expect(await admitAfterSample()).toEqual([true, true]);
   });
 });
--- a/test/unit/peer-transport.test.ts
+++ b/test/unit/peer-transport.test.ts
@@ -7,7 +7,7 @@
 import type { Peer } from '../../src/peer/peer.js';
 import { VirtualClock } from '../simulation/clock.js';
 
-/** A peer that responds to everything, and the kinds of frames that it was sent. */
+/** Creates a peer that responds to every request, and a list of the frame kinds of these requests. */
 function respondingPeer(overrides: Partial<Peer>): { peer: Peer; requested: FrameKind[] } {
   const requested: FrameKind[] = [];
   const peer: Peer = {
@@ -26,31 +26,32 @@
 }
 
 describe('PeerTransport', () => {
-  const B = 'b' as MemberId;
-  const nothing = new Uint8Array();
+  const PEER = 'b' as MemberId;
+  const emptyPayload = new Uint8Array();
 
-  // An earlier version closes the connection on a kind that it does not know, and with it everything else that is said there.
-  it('never sends to a peer of an earlier version', async () => {
-    const { peer: old, requested } = respondingPeer({ supports: () => false });
-    const transport = new PeerTransport([old], new VirtualClock());
-    expect(transport.support(B)).toBe(PeerSupport.Unsupported);
-    expect(await transport.request(B, nothing, 100)).toBeNull();
+  // A controller of an earlier version closes the connection on an unknown frame kind, which also fails all other
+  // requests on that connection.
+  it('never sends failure detection messages to a peer of an earlier version', async () => {
+    const { peer: earlierVersionPeer, requested } = respondingPeer({ supports: () => false });
+    const transport = new PeerTransport([earlierVersionPeer], new VirtualClock());
+    expect(transport.support(PEER)).toBe(PeerSupport.Unsupported);
+    expect(await transport.request(PEER, emptyPayload, 100)).toBeNull();
     expect(requested).toEqual([]);
   });
 
-  it('tells a peer without failure detection from one that is unresponsive', async () => {
+  it('distinguishes a peer without failure detection from an unresponsive peer', async () => {
     const clock = new VirtualClock();
-    const off = { status: FAILURE_DETECTION_OFF_STATUS, body: Buffer.alloc(0) };
-    const { peer: disabled } = respondingPeer({ request: () => Promise.resolve(off) });
-    const transport = new PeerTransport([disabled], clock);
-    expect(transport.support(B)).toBe(PeerSupport.Supported);
-    expect(await transport.request(B, nothing, 100)).toBeNull();
-    expect(transport.support(B)).toBe(PeerSupport.Unsupported);
+    const disabledResponse = { status: FAILURE_DETECTION_OFF_STATUS, body: Buffer.alloc(0) };
+    const { peer: disabledPeer } = respondingPeer({ request: () => Promise.resolve(disabledResponse) });
+    const transport = new PeerTransport([disabledPeer], clock);
+    expect(transport.support(PEER)).toBe(PeerSupport.Supported);
+    expect(await transport.request(PEER, emptyPayload, 100)).toBeNull();
+    expect(transport.support(PEER)).toBe(PeerSupport.Unsupported);
     await clock.advance(6000);
-    expect(transport.support(B)).toBe(PeerSupport.Supported);
-    const { peer: unresponsive } = respondingPeer({ request: () => Promise.resolve(null) });
-    const other = new PeerTransport([unresponsive], clock);
-    expect(await other.request(B, nothing, 100)).toBeNull();
-    expect(other.support(B)).toBe(PeerSupport.Supported);
+    expect(transport.support(PEER)).toBe(PeerSupport.Supported);
+    const { peer: unresponsivePeer } = respondingPeer({ request: () => Promise.resolve(null) });
+    const unresponsiveTransport = new PeerTransport([unresponsivePeer], clock);
+    expect(await unresponsiveTransport.request(PEER, emptyPayload, 100)).toBeNull();
+    expect(unresponsiveTransport.support(PEER)).toBe(PeerSupport.Supported);
   });
 });
--- a/test/unit/record-prefetcher.test.ts
+++ b/test/unit/record-prefetcher.test.ts
@@ -8,10 +8,10 @@
 describe('RecordPrefetcher', () => {
   const set = (key: string, value: unknown) => ({ set: key, value });
 
-  async function filled(): Promise<{
+  async function createPrefetcher(): Promise<{
     clock: VirtualClock;
     state: FakeKeyValueStore;
-    prefetch: RecordPrefetcher;
+    prefetcher: RecordPrefetcher;
   }> {
     const clock = new VirtualClock();
     const state = new FakeKeyValueStore(clock);
@@ -19,46 +19,46 @@
     for (let n = 0; n < 8; n++) {
       void store.txn(
         [],
-        [1, 2, 3].map((part) => set(`open/j-${n}/${part}`, { n })),
+        [1, 2, 3].map((chunk) => set(`open/j-${n}/${chunk}`, { n })),
       );
     }
     void store.txn([], [set('fleet/0000', { m: [] })]);
     await clock.advance(1000);
-    return { clock, state, prefetch: new RecordPrefetcher(store, clock, silentLogger) };
+    return { clock, state, prefetcher: new RecordPrefetcher(store, clock, silentLogger) };
   }
 
-  it('hands out what a read would bring at that moment', async () => {
-    const { clock, state, prefetch } = await filled();
-    void prefetch.start();
+  it('returns the records that a read would return at the same moment', async () => {
+    const { clock, state, prefetcher } = await createPrefetcher();
+    void prefetcher.start();
     await clock.advance(100);
     const store = state.clientFor('a', clock);
     void store.txn([], [{ drop: 'open/j-3/1' }, set('open/j-3/2', { n: 33 }), set('open/j-9/1', { n: 9 })]);
     await clock.advance(100);
-    const taken = prefetch.take('open/');
-    const read = readRecords(store, 'open/', (ask) => ask());
+    const prefetchedRecords = prefetcher.take('open/');
+    const storedRecords = readRecords(store, 'open/', (request) => request());
     await clock.advance(100);
-    expect(await taken).toEqual(await read);
-    // Each is handed out once: what is asked for later has to be read.
-    expect(await prefetch.take('open/')).toBeNull();
+    expect(await prefetchedRecords).toEqual(await storedRecords);
+    // The prefetched records of a prefix are returned once; a later caller has to read the store.
+    expect(await prefetcher.take('open/')).toBeNull();
   });
 
-  it('drops the records when the suspicion is refuted, and after a while', async () => {
-    const { clock, prefetch } = await filled();
-    void prefetch.start();
+  it('drops the records when the suspicion is refuted, and when the prefetch expires after 60 s', async () => {
+    const { clock, prefetcher } = await createPrefetcher();
+    void prefetcher.start();
     await clock.advance(100);
-    prefetch.discard();
-    expect(await prefetch.take('open/')).toBeNull();
-    void prefetch.start();
+    prefetcher.discard();
+    expect(await prefetcher.take('open/')).toBeNull();
+    void prefetcher.start();
     await clock.advance(61_000);
-    expect(await prefetch.take('fleet/')).toBeNull();
+    expect(await prefetcher.take('fleet/')).toBeNull();
   });
 
-  it('hands out nothing, rather than something wrong, where the store was out', async () => {
-    const { clock, state, prefetch } = await filled();
+  it('returns no records if the store was unavailable during the prefetch', async () => {
+    const { clock, state, prefetcher } = await createPrefetcher();
     state.isUnavailable = true;
-    void prefetch.start();
+    void prefetcher.start();
     await clock.advance(1000);
     state.isUnavailable = false;
-    expect(await prefetch.take('open/')).toBeNull();
+    expect(await prefetcher.take('open/')).toBeNull();
   });
 });
--- a/test/unit/store-connectivity-monitor.test.ts
+++ b/test/unit/store-connectivity-monitor.test.ts
@@ -3,18 +3,18 @@
 import { VirtualClock } from '../simulation/clock.js';
 
 describe('StoreConnectivityMonitor', () => {
-  it('counts as partitioned only when this controller alone reaches nobody', async () => {
+  it('reports a partition only if neither the store nor any of the configured peers is reachable', async () => {
     const clock = new VirtualClock();
     const connectivity = new StoreConnectivityMonitor(clock);
     connectivity.recordCall(true);
     await clock.advance(10_000);
     connectivity.recordCall(false);
-    // an outage that the others share
+    // While a peer is connected, the failed calls indicate an outage of the store, which affects all controllers.
     expect(connectivity.isPartitioned([{ isConnected: true }, { isConnected: false }])).toBe(false);
     expect(connectivity.isPartitioned([{ isConnected: false }, { isConnected: false }])).toBe(true);
     connectivity.recordCall(true);
     expect(connectivity.isPartitioned([{ isConnected: false }])).toBe(false);
-    // a site of one node has nobody to hand over to
+    // A site with a single controller has no other controller that could serve the users.
     expect(connectivity.isPartitioned([])).toBe(false);
   });
 });
--- a/test/unit/worker-redirects.test.ts
+++ b/test/unit/worker-redirects.test.ts
@@ -4,28 +4,29 @@
 import { VirtualClock } from '../simulation/clock.js';
 
 describe('WorkerRedirects', () => {
-  const others = ['b', 'c'] as MemberId[];
-  const worker = (index: number): MachineId => `host-${index}` as MachineId;
+  const otherControllers = ['b', 'c'] as MemberId[];
+  const workerId = (index: number): MachineId => `host-${index}` as MachineId;
 
-  it("redirects a busy leader's workers to the other controllers in turn, and no worker of an idle one", () => {
+  it("redirects a busy leader's workers to the other controllers round-robin, and no worker of an idle leader", () => {
     const clock = new VirtualClock();
     let load = 0.9;
     const redirects = new WorkerRedirects(clock, () => load);
-    const targets = [1, 2, 3, 4].map((index) => redirects.targetFor(worker(index), others));
-    expect(new Set(targets)).toEqual(new Set(others));
-    expect(redirects.targetFor(worker(5), [])).toBeNull();
+    const targets = [1, 2, 3, 4].map((index) => redirects.targetFor(workerId(index), otherControllers));
+    expect(new Set(targets)).toEqual(new Set(otherControllers));
+    expect(redirects.targetFor(workerId(5), [])).toBeNull();
     load = 0.3;
-    expect(redirects.targetFor(worker(6), others)).toBeNull();
+    expect(redirects.targetFor(workerId(6), otherControllers)).toBeNull();
   });
 
-  // A follower that cannot pass reports on would send the worker back, and its lease would run out between the two.
-  it('keeps a worker that comes back soon', async () => {
+  // A follower that can't forward heartbeats sends the worker back. If the leader redirected the worker again, the
+  // worker's lease would expire between the two controllers.
+  it('does not redirect a worker again that returns soon after a redirect', async () => {
     const clock = new VirtualClock();
     const redirects = new WorkerRedirects(clock, () => 1);
-    expect(redirects.targetFor(worker(1), others)).not.toBeNull();
+    expect(redirects.targetFor(workerId(1), otherControllers)).not.toBeNull();
     await clock.advance(2000);
-    expect(redirects.targetFor(worker(1), others)).toBeNull();
+    expect(redirects.targetFor(workerId(1), otherControllers)).toBeNull();
     await clock.advance(200_000);
-    expect(redirects.targetFor(worker(1), others)).not.toBeNull();
+    expect(redirects.targetFor(workerId(1), otherControllers)).not.toBeNull();
   });
 });
