--- a/src/leader/commit-batch.ts
+++ b/src/leader/commit-batch.ts
@@ -1,4 +1,4 @@
-/** Chooses what the next transaction of the group commit carries. */
+/** Selects the changes that the next group commit transaction writes. */
 import type { LeaderContext } from '../core/context.js';
 import { since } from '../model/time.js';
 import type { TokenBucket } from '../net/token-bucket.js';
@@ -11,48 +11,58 @@
 import type { Compare, WriteOperation } from '../wire/key-value-store.js';
 import type { WriteCounts } from './write-counts.js';
 
-/** Progress without a new start waits this long for more to share its transaction: it only saves repeated work. */
+/**
+ * Delay of progress writes without a new task start, so that more progress shares the transaction. Progress that is
+ * lost in this time only causes repeated work.
+ */
 const PROGRESS_DELAY_MS = 400;
-/** While starts and closings need the writes, progress waits up to this long. */
+/** Maximum delay of progress writes while task starts and closed jobs use the write budget. */
 const MAX_PROGRESS_DELAY_MS = 5000;
-/** The share of the budget's burst that is reserved for starts. */
-const RESERVED_FOR_STARTS = 0.5;
+/** Share of the write budget's burst that is reserved for task starts. */
+const START_RESERVE_RATIO = 0.5;
+/** Estimated size above which nothing more is added to a batch. */
 const MAX_BATCH_BYTES = 48 * 1024;
-/** A takeover reads stale keys as well: beyond this many they are dropped at once. */
-const MAX_STALE_KEYS = 1000;
-/** About what one write, one placement, one other task and one job's record take in a transaction. */
-const WRITE_BYTES = 200;
-const PLACEMENT_BYTES = 26;
-const TASK_BYTES = 8;
-const JOB_RECORD_BYTES = 500;
-/** The writes of a closing without its stale keys: the job's record and the head of its progress. */
-const CLOSING_WRITES = 2;
-
-/** A chunk in a batch, as it was when the batch was built. */
+/**
+ * Number of stale keys from which the keys of a closed job are deleted immediately. A takeover reads stale keys too, so
+ * their number is bounded.
+ */
+const MAX_STALE_KEY_COUNT = 1000;
+/** Estimated size of one write operation in a transaction, without the tasks and records that it carries. */
+const ESTIMATED_WRITE_BYTES = 200;
+/** Estimated size of one task placement in a transaction. */
+const ESTIMATED_PLACEMENT_BYTES = 26;
+/** Estimated size of one task of a chunk in a transaction, without its placement. */
+const ESTIMATED_TASK_BYTES = 8;
+/** Estimated size of one job record in a transaction. */
+const ESTIMATED_JOB_RECORD_BYTES = 500;
+/** Number of writes that close a job, without its stale keys: the job record and the head record of its progress. */
+const CLOSING_WRITE_COUNT = 2;
+
+/** The write of a progress chunk, with the chunk's version when the batch was built. */
 export interface ChunkWrite {
   readonly chunk: ProgressChunk;
   readonly version: number;
-  /** Tasks whose start is decided by this write. */
+  /** Tasks whose start becomes durable with this write. */
   readonly starting: readonly Task[];
 }
 
 /** A job that a batch closes. */
 interface JobClosing {
   readonly job: ActiveJob;
-  /** Its keys that this batch doesn't drop. */
+  /** Keys of the job that this batch does not delete. */
   readonly staleKeys: readonly string[];
 }
 
-/** One transaction, and what it makes durable. */
+/** One transaction and the changes that it makes durable. */
 export interface CommitBatch {
   readonly compares: Compare[];
   readonly writes: WriteOperation[];
   readonly chunks: ChunkWrite[];
   readonly closings: JobClosing[];
-  bytes: number;
+  estimatedBytes: number;
 }
 
-/** What to do next: write a batch, wait until one may be due, or nothing until there are changes. */
+/** The next action of the commit loop: write a batch, wait until a batch may be due, or stay idle until a change. */
 export type NextCommit =
   | { readonly kind: 'batch'; readonly batch: CommitBatch }
   | { readonly kind: 'wait'; readonly delayMs: number }
@@ -60,16 +70,16 @@
 
 const IDLE: NextCommit = { kind: 'idle' };
 
-/** Chunks that may be written now, and the time until the next one may be (Infinity: there is none). */
+/** Chunks that may be written now, and the time until the next chunk is due (Infinity if there is none). */
 interface DirtyChunks {
   readonly starts: ProgressChunk[];
   readonly progress: ProgressChunk[];
   readonly nextDueMs: number;
 }
 
-/** Builds batches from the changes that are not durable yet, within the rate and the sizes that the store allows. */
+/** Builds batches from changes that are not durable yet, within the store's rate and size limits. */
 export class CommitBatchBuilder {
-  /** Keys of jobs that are over, dropped when nothing else is to be written. */
+  /** Keys of ended jobs, which are deleted when no other writes are pending. */
   private readonly staleKeys: string[] = [];
 
   constructor(
@@ -78,14 +88,14 @@
     private readonly writeCounts: WriteCounts,
   ) {}
 
-  /** Adds keys to be dropped when nothing else is to be written. */
+  /** Queues keys for deletion when no other writes are pending. */
   addStaleKeys(staleKeys: readonly string[]): void {
     this.staleKeys.push(...staleKeys);
   }
 
   /**
-   * Chooses the next transaction: jobs that are done, starts by priority, progress, records of cancelled jobs, while the
-   * rate that the store allows has room. The rest is chosen later.
+   * Selects the changes for the next transaction within the write budget, in this order: final states of jobs, task
+   * starts by priority, progress, records of cancelled jobs. Changes that do not fit are left for later transactions.
    */
   next(): NextCommit {
     const budgetWaitMs = this.writeBudget.waitMs();
@@ -108,27 +118,27 @@
       writes: [],
       chunks: [],
       closings: [],
-      bytes: 0,
+      estimatedBytes: 0,
     };
-    const budget = Math.max(1, Math.floor(this.writeBudget.available()));
-    const maxWrites = Math.min(this.ctx.storeLimits.txnOps, budget);
-    const isFull = (): boolean => batch.writes.length >= maxWrites || batch.bytes > MAX_BATCH_BYTES;
-    // Users wait for `done`, and for a job to become `cancelled` with one that it depends on; few jobs end at a
-    // time. Nobody waits for the remaining records of a cancelled job.
+    const availableWrites = Math.max(1, Math.floor(this.writeBudget.available()));
+    const maxWrites = Math.min(this.ctx.storeLimits.txnOps, availableWrites);
+    const isFull = (): boolean => batch.writes.length >= maxWrites || batch.estimatedBytes > MAX_BATCH_BYTES;
+    // Final states are written first, because users wait for `done` and for the cancellation of dependent jobs, and few
+    // jobs end at a time. No user waits for the deletion of a cancelled job's remaining records.
     for (const job of jobsToClose)
       if (!isFull() && writesFinalState(job)) this.addClosing(batch, job, maxWrites);
     for (const chunk of starts) if (!isFull()) this.addChunk(batch, chunk);
     for (const chunk of progress) if (!isFull()) this.addChunk(batch, chunk);
     for (const job of jobsToClose)
       if (!isFull() && !writesFinalState(job)) this.addClosing(batch, job, maxWrites);
-    if (batch.writes.length === 0) this.addStaleDrops(batch, maxWrites);
+    if (batch.writes.length === 0) this.addStaleKeyDeletes(batch, maxWrites);
     return batch;
   }
 
-  /** Returns chunks with starts, by priority, and those whose progress has waited for long enough. */
+  /** Returns the chunks with task starts, sorted by priority, and the chunks whose progress is due. */
   private dirtyChunks(): DirtyChunks {
     const now = this.ctx.clock.now();
-    const delayMs = this.isUnderPressure() ? MAX_PROGRESS_DELAY_MS : PROGRESS_DELAY_MS;
+    const delayMs = this.isStartReserveReached() ? MAX_PROGRESS_DELAY_MS : PROGRESS_DELAY_MS;
     const starts: ProgressChunk[] = [];
     const progress: ProgressChunk[] = [];
     let nextDueMs = Infinity;
@@ -143,13 +153,13 @@
       if (age >= delayMs) progress.push(chunk);
       else nextDueMs = Math.min(nextDueMs, delayMs - age, PROGRESS_DELAY_MS);
     }
-    starts.sort((one, other) => other.job.effectiveSpec.priority - one.job.effectiveSpec.priority);
+    starts.sort((left, right) => right.job.effectiveSpec.priority - left.job.effectiveSpec.priority);
     return { starts, progress, nextDueMs };
   }
 
-  /** Whether the rest of the budget is reserved for starts. */
-  private isUnderPressure(): boolean {
-    return Math.floor(this.writeBudget.available()) <= this.writeBudget.burst * RESERVED_FOR_STARTS;
+  /** Returns whether the remaining write budget is reserved for task starts. */
+  private isStartReserveReached(): boolean {
+    return Math.floor(this.writeBudget.available()) <= this.writeBudget.burst * START_RESERVE_RATIO;
   }
 
   private addChunk(batch: CommitBatch, chunk: ProgressChunk): void {
@@ -163,21 +173,24 @@
     chunk.wasSent = true;
     if (starting.length > 0) this.writeCounts.starts++;
     else this.writeCounts.progress++;
-    batch.bytes += WRITE_BYTES + progress.placed.size * PLACEMENT_BYTES + chunk.tasks.size * TASK_BYTES;
+    batch.estimatedBytes +=
+      ESTIMATED_WRITE_BYTES +
+      progress.placed.size * ESTIMATED_PLACEMENT_BYTES +
+      chunk.tasks.size * ESTIMATED_TASK_BYTES;
   }
 
   private addClosing(batch: CommitBatch, job: ActiveJob, maxWrites: number): void {
     const writesBefore = batch.writes.length;
-    const drops = closedKeys(job);
-    const isPostponed = this.mayPostponeDrops();
-    const neededWrites = CLOSING_WRITES + (isPostponed ? 0 : drops.length);
+    const keysToDelete = keysOfClosedJob(job);
+    const areDeletesPostponed = this.mayPostponeDeletes();
+    const neededWrites = CLOSING_WRITE_COUNT + (areDeletesPostponed ? 0 : keysToDelete.length);
     if (writesBefore > 0 && writesBefore + neededWrites > maxWrites) return;
     if (writesFinalState(job)) this.addFinalState(batch, job);
     batch.writes.push({ drop: keys.openHead(job.spec.id) });
-    // What does not fit stays behind without a head, which no takeover reads as a job, and is dropped later.
-    const remainingWrites = isPostponed ? 0 : this.ctx.storeLimits.txnOps - batch.writes.length;
-    for (const key of drops.slice(0, remainingWrites)) batch.writes.push({ drop: key });
-    batch.closings.push({ job, staleKeys: drops.slice(remainingWrites) });
+    // Keys that do not fit are deleted later; without a head record, a takeover does not load them as a job.
+    const remainingWrites = areDeletesPostponed ? 0 : this.ctx.storeLimits.txnOps - batch.writes.length;
+    for (const key of keysToDelete.slice(0, remainingWrites)) batch.writes.push({ drop: key });
+    batch.closings.push({ job, staleKeys: keysToDelete.slice(remainingWrites) });
     this.writeCounts.closings += batch.writes.length - writesBefore;
   }
 
@@ -187,27 +200,29 @@
     const value = encodeEndedJob({ spec, state, acceptedAt }, this.ctx.storeLimits.valueBytes);
     batch.compares.push({ key: keys.job(spec.id), revision });
     batch.writes.push({ set: keys.job(spec.id), value });
-    batch.bytes += JOB_RECORD_BYTES;
+    batch.estimatedBytes += ESTIMATED_JOB_RECORD_BYTES;
   }
 
-  /** Whether the keys of a closed job are better dropped once less is to be written. */
-  private mayPostponeDrops(): boolean {
-    return this.staleKeys.length < MAX_STALE_KEYS && this.isUnderPressure();
+  /** Returns whether the deletion of a closed job's keys may wait until the write load is lower. */
+  private mayPostponeDeletes(): boolean {
+    return this.staleKeys.length < MAX_STALE_KEY_COUNT && this.isStartReserveReached();
   }
 
-  private addStaleDrops(batch: CommitBatch, maxWrites: number): void {
+  private addStaleKeyDeletes(batch: CommitBatch, maxWrites: number): void {
     for (const key of this.staleKeys.splice(0, maxWrites)) batch.writes.push({ drop: key });
     this.writeCounts.staleKeys += batch.writes.length;
   }
 }
 
-/** The keys of a job that go with its head: stored progress, superseded chunks, and parts of its description. */
-function closedKeys(job: ActiveJob): string[] {
+/**
+ * Returns the keys that are deleted with a job's head record: stored progress, superseded chunks, and overflow records.
+ */
+function keysOfClosedJob(job: ActiveJob): string[] {
   const storedChunks = [...job.chunks.values()].filter((chunk) => chunk.mayBeStored);
   return [...storedChunks.map((chunk) => chunk.key), ...job.supersededKeys, ...overflowKeys(job.spec)];
 }
 
-/** Whether closing the job writes its final state: it is done, or cancelled with a job that it depends on. */
+/** Returns whether closing the job writes its final state: the job is done or was cancelled because of a dependency. */
 function writesFinalState(job: ActiveJob): boolean {
   return !job.isCancelled || job.isCancelledByDependency;
 }
--- a/src/leader/committer.ts
+++ b/src/leader/committer.ts
@@ -1,4 +1,4 @@
-/** Group commit: makes decisions and progress durable. */
+/** Implements group commit: writes decisions and task progress to the store in batches. */
 import type { LeaderContext } from '../core/context.js';
 import { errorMessage } from '../log/logger.js';
 import type { AttemptNumber, Revision } from '../model/ids.js';
@@ -12,35 +12,36 @@
 import { CommitConflictResolver } from './commit-conflicts.js';
 import type { WriteCounts } from './write-counts.js';
 
-/** After a batch that was surely not carried out, and after one whose outcome is unknown. */
-const REFUSED_RETRY_MS = 100;
-const UNKNOWN_RETRY_MS = 30;
+/** Delay before the retry of a batch that the store certainly did not apply. */
+const REFUSED_COMMIT_RETRY_MS = 100;
+/** Delay before the retry of a batch whose outcome is unknown. */
+const UNKNOWN_OUTCOME_RETRY_MS = 30;
 const RETRY_JITTER_MS = 100;
-const FAILED_LOOP_RETRY_MS = 200;
-const STALE_KEYS_DELAY_MS = 2000;
+const COMMIT_LOOP_RETRY_MS = 200;
+const STALE_KEY_DELETE_DELAY_MS = 2000;
 
-/** Is told of what has become durable. */
+/** Receives notifications of state that has become durable. */
 export interface CommitListener {
-  /** The starts of these tasks are durable: only now may their start commands leave. */
-  tasksPlaced(tasks: readonly Task[]): void;
-  /** The job's end is durable. */
-  jobClosed(job: ActiveJob): void;
+  /** Called when the placements of the tasks are durable; a start command must not be sent earlier. */
+  onTasksPlaced(tasks: readonly Task[]): void;
+  /** Called when the final state of the job is durable. */
+  onJobClosed(job: ActiveJob): void;
 }
 
-/** The parts of the leader that `Committer` works with. */
+/** The leader components that `Committer` uses. */
 interface CommitterParts {
-  /** The writes per second that this leader may make. */
+  /** Limits the store writes per second of this leader. */
   readonly writeBudget: TokenBucket;
   readonly writeCounts: WriteCounts;
   readonly listener: CommitListener;
 }
 
 /**
- * Writes decisions and progress, many in one transaction, one transaction at a time.
+ * Writes decisions and progress to the store, batched into one transaction at a time.
  *
- * Every transaction compares the epoch, so one that the store applies late, after a takeover, fails; and the revisions
- * of the chunks it replaces, so a late one of our own cannot undo a newer one. A start also compares its job's record:
- * cancelling changes it.
+ * Every transaction compares the epoch, so that a transaction that the store applies after a takeover fails. It also
+ * compares the revisions of the chunks that it replaces, so that a delayed transaction of this leader cannot overwrite
+ * a newer one. The write of a task start also compares the revision of the job record, which a cancellation changes.
  */
 export class Committer {
   private readonly batches: CommitBatchBuilder;
@@ -56,17 +57,19 @@
     this.conflicts = new CommitConflictResolver(ctx, (job) => this.closeJob(job));
   }
 
-  /** There are changes to write. Never throws: the loop handles its own failures. */
+  /**
+   * Starts the write loop for pending changes unless the loop is running. Never throws; the loop handles its errors.
+   */
   schedule(): void {
     if (this.isRunning || this.ctx.isEnded()) return;
     this.isRunning = true;
     void this.writeBatches();
   }
 
-  /** Drops keys of jobs that are over, when nothing else is to be written. */
-  dropStaleKeys(staleKeys: readonly string[]): void {
+  /** Schedules the deletion of keys of ended jobs, which runs when no other writes are pending. */
+  deleteStaleKeys(staleKeys: readonly string[]): void {
     this.batches.addStaleKeys(staleKeys);
-    if (staleKeys.length > 0) this.scheduleAfter(STALE_KEYS_DELAY_MS);
+    if (staleKeys.length > 0) this.scheduleAfter(STALE_KEY_DELETE_DELAY_MS);
   }
 
   private scheduleAfter(delayMs: number): void {
@@ -87,7 +90,7 @@
       }
     } catch (error) {
       this.ctx.log.error({ error: errorMessage(error) }, 'commit loop failed');
-      this.scheduleAfter(FAILED_LOOP_RETRY_MS);
+      this.scheduleAfter(COMMIT_LOOP_RETRY_MS);
     } finally {
       this.isRunning = false;
     }
@@ -108,13 +111,15 @@
     else await this.conflicts.resolve(result.failed, batch);
   }
 
-  /** Nothing has left on the strength of this batch; it is tried again as things then stand. */
+  /**
+   * Logs a failed batch and waits. No command was sent for the batch; the retry builds a batch from the current state.
+   */
   private async recordFailure(error: unknown, batch: CommitBatch): Promise<void> {
     const { clock, log, random, storeLimits } = this.ctx;
     storeLimits.recordWriteFailure(error);
     const level = error instanceof StoreRequestTooLargeError ? 'error' : 'debug';
     log[level]({ error: errorMessage(error), writes: batch.writes.length }, 'commit failed');
-    const delayMs = error instanceof StoreRefusedError ? REFUSED_RETRY_MS : UNKNOWN_RETRY_MS;
+    const delayMs = error instanceof StoreRefusedError ? REFUSED_COMMIT_RETRY_MS : UNKNOWN_OUTCOME_RETRY_MS;
     await sleep(clock, delayMs + random() * RETRY_JITTER_MS);
   }
 
@@ -123,16 +128,16 @@
     attemptNumbers: readonly (readonly AttemptNumber[])[],
     revision: Revision,
   ): void {
-    const placed: Task[] = [];
+    const placedTasks: Task[] = [];
     batch.chunks.forEach((write, index) => {
       this.recordChunk(write, revision);
-      this.confirmStarts(write, attemptNumbers[index] ?? [], placed);
+      this.confirmStarts(write, attemptNumbers[index] ?? [], placedTasks);
     });
     for (const { job, staleKeys } of batch.closings) {
       this.closeJob(job);
-      this.dropStaleKeys(staleKeys);
+      this.deleteStaleKeys(staleKeys);
     }
-    if (placed.length > 0) this.parts.listener.tasksPlaced(placed);
+    if (placedTasks.length > 0) this.parts.listener.onTasksPlaced(placedTasks);
   }
 
   private recordChunk({ chunk, version }: ChunkWrite, revision: Revision): void {
@@ -142,22 +147,22 @@
     if (!chunk.isDirty) this.ctx.jobs.dirtyChunks.delete(chunk);
   }
 
-  /** Confirms the starts that still stand as they were written, and adds them to `placed`. */
+  /** Confirms the task starts that have not changed since they were written and adds them to `placedTasks`. */
   private confirmStarts(
     { chunk, starting }: ChunkWrite,
     attemptNumbers: readonly AttemptNumber[],
-    placed: Task[],
+    placedTasks: Task[],
   ): void {
     starting.forEach((task, index) => {
       if (task.phase !== 'committing' || task.attemptNumber !== attemptNumbers[index]) return;
       chunk.job.confirmPlacement(task);
-      placed.push(task);
+      placedTasks.push(task);
     });
   }
 
   private closeJob(job: ActiveJob): void {
     for (const chunk of job.chunks.values()) chunk.durableVersion = chunk.version;
     this.ctx.jobs.close(job.spec.id);
-    this.parts.listener.jobClosed(job);
+    this.parts.listener.onJobClosed(job);
   }
 }
--- a/src/leader/decision-loop.ts
+++ b/src/leader/decision-loop.ts
@@ -1,4 +1,6 @@
-/** Decides, whenever something has changed, which tasks start where and for which work the fleet needs machines. */
+/**
+ * Decides after state changes which tasks start on which machine and for which unmet demand the fleet needs machines.
+ */
 import type { Mutex } from 'async-mutex';
 import type { QueuedWork } from '../fleet/backlog.js';
 import type { FleetManager } from '../fleet/fleet-manager.js';
@@ -22,16 +24,16 @@
 import { jobView, machineView, victimsOn } from './placement-views.js';
 
 /**
- * Requests within this time share one decision: at size that also means fewer transactions, and fewer calls to workers
- * that get several tasks.
+ * Delay during which decision requests are batched into one decision. Batching also reduces the number of transactions
+ * and the number of calls to workers that receive several tasks.
  */
 const DECISION_DELAY_MS = 40;
-/** The pause after a decision, as a multiple of its duration. */
+/** Minimum pause after a decision, as a multiple of the decision's duration. */
 const DECISION_PAUSE_FACTOR = 3;
-/** The share of a class's jobs that may miss their objective where no objective says so. */
-const DEFAULT_ALLOWED_MISSES = 0.1;
+/** Share of a class's jobs that may miss their objective if the class has no objective that sets the share. */
+const DEFAULT_ALLOWED_MISS_RATIO = 0.1;
 
-/** The parts of the leader that decisions are made by and carried out with. */
+/** The leader components that `DecisionLoop` uses to make and apply decisions. */
 interface DecisionLoopParts {
   readonly fleet: FleetManager;
   readonly committer: Committer;
@@ -42,10 +44,10 @@
   readonly lock: Mutex;
 }
 
-/** Makes one decision at a time, each over a snapshot of what the leader knows. */
+/** Makes one placement decision at a time, each over a snapshot of the leader's state. */
 export class DecisionLoop {
   private readonly teams: ReadonlyMap<TeamId, Team>;
-  /** Jobs within their teams' guaranteed quotas, for this version of the job store. */
+  /** Cached jobs within their teams' guaranteed quotas, valid for the stored version of the job store. */
   private guaranteed: { readonly version: number; readonly jobs: Set<JobId> } | null = null;
   private isStarted = false;
   private isRequested = false;
@@ -58,42 +60,42 @@
     this.teams = new Map(ctx.settings.teams.map((team) => [team.id, team]));
   }
 
-  /** The records have been read: decisions may be made from now on. */
+  /** Enables decisions and requests the first one; called after the stored records have been loaded. */
   start(): void {
     this.isStarted = true;
     this.request();
   }
 
-  /** Requests a decision: something has changed that decisions depend on. */
+  /** Requests a decision after a change of the state that decisions depend on. */
   request(): void {
     if (this.isRequested || !this.isStarted || this.ctx.isEnded()) return;
     this.isRequested = true;
-    // A decision that took long is followed by a longer pause: heartbeats go first.
+    // A long decision is followed by a longer pause, so that heartbeats are handled first.
     const delayMs = Math.max(DECISION_DELAY_MS, this.lastDurationMs * DECISION_PAUSE_FACTOR);
     this.ctx.clock.after(delayMs, () => {
       this.isRequested = false;
-      // A decision that throws is a fault of the program: the process logs it as an unhandled rejection.
+      // A decision that throws is a bug; the process logs the error as an unhandled rejection.
       if (!this.ctx.isEnded()) void this.parts.lock.runExclusive(() => this.decideNow());
     });
   }
 
-  /** The starts of these tasks are durable: only now may their start commands leave. */
-  onPlaced(tasks: readonly Task[]): void {
+  /** Dispatches the start commands of tasks whose placement is durable; a start command must not be sent earlier. */
+  onTasksPlaced(tasks: readonly Task[]): void {
     const now = this.ctx.clock.now();
-    const startingOn = new Set<Worker>();
+    const startingWorkers = new Set<Worker>();
     for (const task of tasks) {
       const worker = task.machine === null ? undefined : this.ctx.workers.get(task.machine);
       if (!worker || worker.isRemoving || task.job.isCancelled) {
         worker?.unassign(task);
         task.job.releaseTask(task, now);
         this.request();
-      } else startingOn.add(worker);
+      } else startingWorkers.add(worker);
       if (worker && task.job.spec.kind === 'service') {
         const { id, attemptNumber } = task;
         this.ctx.log.info({ task: id, attemptNumber, machine: worker.id }, 'replica placed');
       }
     }
-    for (const worker of startingOn) this.parts.dispatcher.dispatch(worker);
+    for (const worker of startingWorkers) this.parts.dispatcher.dispatch(worker);
   }
 
   private decideNow(): void {
@@ -103,24 +105,26 @@
   }
 
   private decide(now: MonotonicTime): void {
-    const open = [...this.ctx.jobs.values()].filter(
+    const openJobs = [...this.ctx.jobs.values()].filter(
       (job) => !job.isCancelled && !job.isComplete && !job.isBlocked,
     );
-    const waiting = open.filter((job) => job.waitingCount > 0).map((job) => this.viewOf(job, now));
-    if (waiting.length === 0) {
+    const waitingJobs = openJobs
+      .filter((job) => job.waitingCount > 0)
+      .map((job) => this.createJobView(job, now));
+    if (waitingJobs.length === 0) {
       this.parts.fleet.setBacklog([]);
       return;
     }
-    const guaranteed = this.guaranteedAmong(open);
+    const guaranteedJobIds = this.guaranteedJobIds(openJobs);
     const plan = place({
-      jobs: waiting,
+      jobs: waitingJobs,
       machines: this.schedulableMachines(),
-      guaranteed,
+      guaranteed: guaranteedJobIds,
       teams: this.teams,
       teamUsage: this.ctx.jobs.teamUsage(),
-      victimsOf: this.victimLookup(open, waiting, guaranteed, now),
+      victimsOf: this.victimLookup(openJobs, waitingJobs, guaranteedJobIds, now),
     });
-    this.carryOut(plan, now);
+    this.applyPlan(plan, now);
     this.parts.fleet.setBacklog(plan.unmet.map(({ job, tasks }) => this.queuedWork(job, tasks)));
     this.parts.committer.schedule();
   }
@@ -135,29 +139,29 @@
     return machines;
   }
 
-  private guaranteedAmong(open: readonly ActiveJob[]): ReadonlySet<JobId> {
+  private guaranteedJobIds(openJobs: readonly ActiveJob[]): ReadonlySet<JobId> {
     const { version } = this.ctx.jobs;
     if (this.guaranteed?.version !== version) {
-      this.guaranteed = { version, jobs: guaranteedJobs(open, this.teams) };
+      this.guaranteed = { version, jobs: guaranteedJobs(openJobs, this.teams) };
     }
     return this.guaranteed.jobs;
   }
 
-  private carryOut(plan: PlacementPlan, now: MonotonicTime): void {
-    const preemptedOn = this.preempt(plan, now);
+  private applyPlan(plan: PlacementPlan, now: MonotonicTime): void {
+    const preemptedWorkers = this.preempt(plan, now);
     for (const start of plan.starts) {
       const job = this.ctx.jobs.get(start.job);
       const worker = this.ctx.workers.get(start.machine);
       if (!job || !worker?.confirmedFacts) continue;
       worker.assign(job.beginAttempt(worker.id, worker.confirmedFacts.machine.zone, now));
       worker.idleSince = null;
-      // The stop and the start commands leave together, once the start is committed.
-      preemptedOn.delete(worker);
+      // The stop commands are sent together with the start commands after the start is committed.
+      preemptedWorkers.delete(worker);
     }
-    for (const worker of preemptedOn) this.parts.dispatcher.dispatch(worker);
+    for (const worker of preemptedWorkers) this.parts.dispatcher.dispatch(worker);
   }
 
-  /** Marks the tasks to be preempted, and returns the workers that they are on. */
+  /** Marks the plan's preempted tasks for stopping and returns the workers on which they run. */
   private preempt({ preemptions }: PlacementPlan, now: MonotonicTime): Set<Worker> {
     const workers = new Set<Worker>();
     for (const preemption of preemptions) {
@@ -176,7 +180,7 @@
     return workers;
   }
 
-  /** Counts the preempted tasks by the class of the job that they are preempted for. */
+  /** Counts preempted tasks by the class of the preempting job. */
   private countByClass(preemptions: readonly Preemption[]): Record<string, number> {
     const counts: Record<string, number> = {};
     for (const { preemptor } of preemptions) {
@@ -187,60 +191,60 @@
   }
 
   /**
-   * Returns a lookup of the tasks of a machine that may be preempted. The machines that have any are collected by job,
-   * and only at the first lookup: mostly there is none, or nothing may be preempted.
+   * Returns a function that looks up the preemptible tasks of a machine. The machines with preemptible tasks are
+   * collected from the jobs at the first lookup, because most decisions make no lookup or find nothing to preempt.
    */
   private victimLookup(
-    open: readonly ActiveJob[],
-    waiting: readonly JobView[],
-    guaranteed: ReadonlySet<JobId>,
+    openJobs: readonly ActiveJob[],
+    waitingJobs: readonly JobView[],
+    guaranteedJobIds: ReadonlySet<JobId>,
     now: MonotonicTime,
   ): (id: MachineId) => Victim[] {
-    const isProductionWaiting = waiting.some((job) => job.spec.priority === Priority.Production);
-    let preemptible: Set<MachineId> | null = null;
+    const isProductionWaiting = waitingJobs.some((job) => job.spec.priority === Priority.Production);
+    let preemptibleMachineIds: Set<MachineId> | null = null;
     return (id) => {
-      preemptible ??= machinesOf(
-        open.filter(
+      preemptibleMachineIds ??= machinesOf(
+        openJobs.filter(
           ({ assignedCount, spec }) =>
             assignedCount > 0 &&
             spec.priority !== Priority.Production &&
-            (isProductionWaiting || !guaranteed.has(spec.id)),
+            (isProductionWaiting || !guaranteedJobIds.has(spec.id)),
         ),
       );
-      const worker = preemptible.has(id) ? this.ctx.workers.get(id) : undefined;
+      const worker = preemptibleMachineIds.has(id) ? this.ctx.workers.get(id) : undefined;
       return worker ? victimsOn(worker, now) : [];
     };
   }
 
-  /** Describes unmet demand to the fleet. */
-  private queuedWork(job: JobView, tasks: number): QueuedWork {
+  /** Describes the unmet demand of a job to the fleet manager. */
+  private queuedWork(job: JobView, taskCount: number): QueuedWork {
     const runMs = this.parts.lifetimes.expectedRunMs(job.spec);
-    return { spec: job.spec, tasks, zones: job.zones, runMs, ...this.slackAfterBoot(job, runMs) };
+    return { spec: job.spec, tasks: taskCount, zones: job.zones, runMs, ...this.slackAfterBoot(job, runMs) };
   }
 
-  /** The slack by the job's next objective that a machine rented now can still meet after its boot. */
+  /** Returns the job's slack to its next objective that a machine rented now can still meet after booting. */
   private slackAfterBoot(job: JobView, runMs: number): { slackMs: number | null; slackFactor: number } {
     const { fleet, sloTargets, slackFactors } = this.parts;
-    const ageAfterBoot = this.ageOf(job) + fleet.slowestBoot();
-    const objective = sloTargets.nextTarget(job.spec, ageAfterBoot, runMs);
+    const ageAfterBootMs = this.msSinceReady(job) + fleet.slowestBoot();
+    const objective = sloTargets.nextTarget(job.spec, ageAfterBootMs, runMs);
     return {
-      slackMs: sloTargets.slackMs(job.spec, ageAfterBoot, runMs),
+      slackMs: sloTargets.slackMs(job.spec, ageAfterBootMs, runMs),
       slackFactor: slackFactors.factor(
         job.spec.jobClass,
-        objective?.allowedMissShare ?? DEFAULT_ALLOWED_MISSES,
+        objective?.allowedMissShare ?? DEFAULT_ALLOWED_MISS_RATIO,
       ),
     };
   }
 
-  private viewOf(job: ActiveJob, now: MonotonicTime): JobView {
+  private createJobView(job: ActiveJob, now: MonotonicTime): JobView {
     const { sloTargets, lifetimes } = this.parts;
-    const waitedMs = this.ageOf(job);
+    const waitedMs = this.msSinceReady(job);
     const slackMs = sloTargets.slackMs(job.effectiveSpec, waitedMs, lifetimes.expectedRunMs(job.spec));
     return jobView(job, now, { waitedMs, slackMs, isStarving: isStarving(job, waitedMs, now) });
   }
 
-  /** How long ago the job could have started, in milliseconds. */
-  private ageOf({ readyAt }: { readonly readyAt: WallTime }): number {
+  /** Returns the time since the job became ready to start, in milliseconds. */
+  private msSinceReady({ readyAt }: { readonly readyAt: WallTime }): number {
     return Math.max(0, this.ctx.clock.wall() - readyAt);
   }
 }
--- a/src/leader/dependency-tracker.ts
+++ b/src/leader/dependency-tracker.ts
@@ -37,7 +37,7 @@
  */
 export class DependencyTracker {
   /** Dependencies that are not in the job store: over, or not seen yet. */
-  private readonly unresolved = new Set<JobId>();
+  private readonly unresolvedIds = new Set<JobId>();
   private isLookingUp = false;
   private isStarted = false;
 
@@ -64,27 +64,27 @@
       }
     }
     this.parts.graph.add(job);
-    this.cancelWithDependency(job);
+    this.cancelIfDependencyCancelled(job);
     void this.lookUpUnresolved();
   }
 
   /** A job is durably done: what waited only for it may start. */
   markDone(id: JobId): void {
-    this.release(this.parts.graph.complete(id));
+    this.releaseJobs(this.parts.graph.complete(id));
   }
 
   private addDependency(job: ActiveJob, dependency: JobId): void {
     const { jobs } = this.ctx;
     if (jobs.finalStateOf(dependency) === 'done') return;
     job.dependencies.unmet.add(dependency);
-    if (!jobs.has(dependency)) this.unresolved.add(dependency);
+    if (!jobs.has(dependency)) this.unresolvedIds.add(dependency);
   }
 
   /**
    * Cancels the job if one of its dependencies was cancelled before it was known here: that cancellation found no
    * dependent to cancel. A controller whose view is a moment old accepts such a job as one that waits.
    */
-  private cancelWithDependency(job: ActiveJob): void {
+  private cancelIfDependencyCancelled(job: ActiveJob): void {
     if (job.isCancelled) return;
     for (const dependency of job.dependencies.unmet) {
       if (!this.isCancelled(dependency)) continue;
@@ -116,27 +116,27 @@
     for (const dependency of dependencies) this.addDependency(job, dependency);
     job.dependencies.hasUnreadRecords = false;
     this.parts.graph.add(job);
-    this.cancelWithDependency(job);
-    if (!job.isBlocked && !job.isCancelled) this.release([job]);
+    this.cancelIfDependencyCancelled(job);
+    if (!job.isBlocked && !job.isCancelled) this.releaseJobs([job]);
   }
 
   /** Reads the records of dependencies that are over, or were accepted a moment ago. Never throws. */
   private async lookUpUnresolved(): Promise<void> {
     if (this.isLookingUp || !this.isStarted) return;
     this.isLookingUp = true;
-    while (this.unresolved.size > 0 && !this.ctx.isEnded()) {
-      for (const id of this.unresolved) {
-        await this.lookUp(id);
+    while (this.unresolvedIds.size > 0 && !this.ctx.isEnded()) {
+      for (const id of this.unresolvedIds) {
+        await this.lookUpDependency(id);
         if (this.ctx.isEnded()) break;
       }
     }
     this.isLookingUp = false;
   }
 
-  private async lookUp(id: JobId): Promise<void> {
+  private async lookUpDependency(id: JobId): Promise<void> {
     try {
       const row = this.ctx.jobs.has(id) ? null : await this.ctx.store.get(keys.job(id));
-      this.unresolved.delete(id);
+      this.unresolvedIds.delete(id);
       // One that is still accepted is in the job store by now, or the watch brings it.
       const state = row ? decodeJob(id, row.value).state : 'accepted';
       await this.parts.lock.runExclusive(() => {
@@ -150,7 +150,7 @@
   }
 
   /** All dependencies of these jobs are durably done: they may start, and their waiting time counts from now. */
-  private release(jobs: readonly ActiveJob[]): void {
+  private releaseJobs(jobs: readonly ActiveJob[]): void {
     if (jobs.length === 0) return;
     for (const job of jobs) {
       job.markReady(this.ctx.clock.wall());
--- a/src/leader/fleet-record-writer.ts
+++ b/src/leader/fleet-record-writer.ts
@@ -12,7 +12,7 @@
 import type { WriteCounts } from './write-counts.js';
 import { fetchRevision, stepDownIfDeposed } from './write-conflicts.js';
 
-/** A record whose value differs from the one that was last written. */
+/** A record whose value differs from the last written value. */
 interface ChangedRecord {
   readonly key: string;
   readonly value: unknown;
@@ -20,40 +20,43 @@
   readonly bytes: number;
 }
 
-/** The parts of the leader that `FleetRecordWriter` works with. */
+/** The leader components that `FleetRecordWriter` uses. */
 interface FleetRecordWriterParts {
   readonly fleet: FleetManager;
-  /** The writes per second that this leader may make. */
+  /** Limits the store writes per second of this leader. */
   readonly writeBudget: TokenBucket;
   readonly writeCounts: WriteCounts;
 }
 
 const MAX_MACHINES_PER_RECORD = 120;
-/** A transaction may carry 64 KiB in all (PROTOCOL). */
+/** Maximum size of the records in one transaction; a whole transaction may carry 64 KiB (PROTOCOL). */
 const MAX_TXN_BYTES = 48 * 1024;
-/** Changes within this time share one save: what a record lacks, heartbeats and the cloud's list supply. */
+/**
+ * Minimum time between saves, so that several changes share one save. Heartbeats and the cloud's machine list supply
+ * what a record does not contain yet.
+ */
 const MIN_SAVE_INTERVAL_MS = 2000;
-/** Under load task starts are written first, but a save is not delayed for longer than this. */
+/** Maximum time since the last save for which a save is delayed in favor of task starts. */
 const MAX_SAVE_INTERVAL_MS = 15_000;
-/** The share of the budget's burst that is reserved for task starts. */
-const RESERVED_FOR_STARTS = 0.4;
+/** Share of the write budget's burst that is reserved for task starts. */
+const START_RESERVE_RATIO = 0.4;
 
 /**
- * Saves the rented machines and the forecasts' weights in the store. A machine keeps its place in the records, and
- * only records that have changed are written: at size, each rental would otherwise rewrite the whole fleet and take
- * the writes that task starts need.
+ * Saves the rented machines and the forecast weights in the store. A machine stays in its assigned record, and only
+ * changed records are written. Otherwise each rental in a large fleet would rewrite all records and use the write
+ * budget that task starts need.
  */
 export class FleetRecordWriter {
-  private readonly recordIndexOf = new Map<MachineId, number>();
-  /** By the time of day, in milliseconds since 1970. */
-  private readonly rentedAtOf = new Map<MachineId, number>();
-  /** How many machines each record holds. */
+  private readonly recordIndexByMachine = new Map<MachineId, number>();
+  /** Rental time of each machine, in wall-clock milliseconds since 1970. */
+  private readonly rentedAtByMachine = new Map<MachineId, number>();
+  /** Number of machines in each record. */
   private readonly recordSizes: number[] = [];
-  /** Fleet records in the store, ours and those of earlier leaders. */
+  /** Number of fleet records in the store, including the records of earlier leaders. */
   private storedRecordCount = 0;
-  /** The text that each key was last written with. */
-  private readonly writtenTexts = new Map<string, string>();
-  /** Each write is compared with the revision it replaces: one of ours that is applied late, or twice, changes nothing. */
+  /** The last written JSON text of each key. */
+  private readonly lastWrittenTexts = new Map<string, string>();
+  /** The expected revision of each key in the next write, so that a delayed or duplicate write changes nothing. */
   private readonly revisions = new Map<string, Revision>();
   private isChanged = false;
   private isSaving = false;
@@ -64,19 +67,22 @@
     private readonly parts: FleetRecordWriterParts,
   ) {}
 
-  /** Takes over an earlier leader's records: those that this one doesn't fill again must not bring back machines that are gone. */
-  adopt(records: readonly KeyValue[]): void {
+  /**
+   * Adopts the records of an earlier leader. Records that this leader no longer fills are overwritten too, so that they
+   * do not restore machines that no longer exist.
+   */
+  adoptRecords(records: readonly KeyValue[]): void {
     for (const { key, revision } of records) this.revisions.set(key, revision);
     const fleetRecords = records.filter(({ key }) => key.startsWith(keys.fleet));
     this.storedRecordCount = Math.max(this.storedRecordCount, fleetRecords.length);
   }
 
-  /** The fleet has changed: it is worth a save. */
+  /** Marks the fleet as changed, so that it is saved when the next save is due. */
   markChanged(): void {
     this.isChanged = true;
   }
 
-  /** Begins a save if something has changed and a save is due. Never throws; a save that fails is repeated. */
+  /** Starts a save if the fleet has changed and a save is due. Never throws; a failed save is retried. */
   saveIfDue(now: MonotonicTime): void {
     if (this.parts.fleet.takeDirty()) this.isChanged = true;
     if (this.isChanged && this.isDue(now)) void this.save();
@@ -84,12 +90,12 @@
 
   private isDue(now: MonotonicTime): boolean {
     if (this.isSaving) return false;
-    const elapsed = this.lastSavedAt === null ? Infinity : since(now, this.lastSavedAt);
-    if (elapsed < MIN_SAVE_INTERVAL_MS) return false;
-    // An outdated record costs a successor seconds: it looks for machines that are gone.
-    if (elapsed >= MAX_SAVE_INTERVAL_MS) return true;
+    const elapsedMs = this.lastSavedAt === null ? Infinity : since(now, this.lastSavedAt);
+    if (elapsedMs < MIN_SAVE_INTERVAL_MS) return false;
+    // An outdated record delays a successor by seconds, because it tries to reach machines that no longer exist.
+    if (elapsedMs >= MAX_SAVE_INTERVAL_MS) return true;
     const { writeBudget } = this.parts;
-    return writeBudget.available() > writeBudget.burst * RESERVED_FOR_STARTS;
+    return writeBudget.available() > writeBudget.burst * START_RESERVE_RATIO;
   }
 
   private async save(): Promise<void> {
@@ -109,7 +115,7 @@
 
   private async writeChanges(): Promise<void> {
     const { writeBudget, writeCounts } = this.parts;
-    for (const batch of this.batchesOf(this.changedRecords())) {
+    for (const batch of this.splitIntoBatches(this.changedRecords())) {
       writeBudget.forceTake(batch.length);
       writeCounts.fleet += batch.length;
       const result = await this.ctx.store.txn(
@@ -124,7 +130,7 @@
         return;
       }
       for (const { key, text } of batch) {
-        this.writtenTexts.set(key, text);
+        this.lastWrittenTexts.set(key, text);
         this.revisions.set(key, result.revision);
       }
     }
@@ -132,16 +138,16 @@
 
   private async resolveConflict(failedKeys: readonly string[]): Promise<void> {
     if (stepDownIfDeposed(this.ctx, failedKeys, 'a fleet record write found a newer epoch')) return;
-    // A write of ours that brought no answer was carried out after all.
+    // An earlier write of this leader that received no answer was applied.
     for (const key of failedKeys) {
       this.revisions.set(key, await fetchRevision(this.ctx.store, key));
-      this.writtenTexts.delete(key);
+      this.lastWrittenTexts.delete(key);
     }
-    throw new Error('a record had another revision');
+    throw new Error('fleet record write conflict: a record in the store does not have the expected revision');
   }
 
-  /** Splits the records into what fits one transaction each. */
-  private batchesOf(records: readonly ChangedRecord[]): ChangedRecord[][] {
+  /** Splits the records into batches that each fit into one transaction. */
+  private splitIntoBatches(records: readonly ChangedRecord[]): ChangedRecord[][] {
     const batches: ChangedRecord[][] = [];
     let bytes = Infinity;
     for (const record of records) {
@@ -160,34 +166,34 @@
 
   private changedRecords(): ChangedRecord[] {
     const values = new Map<string, unknown>();
-    const chunks = this.chunks();
+    const chunks = this.groupMachinesByRecord();
     this.storedRecordCount = Math.max(this.storedRecordCount, chunks.length);
-    // From the last record on: where machines move to smaller records, they stand in their new place before
-    // their old one is written again, and a save that is cut short loses none.
+    // Records are written from the last index to the first. When machines move to smaller records, the new record is
+    // written before the old record is overwritten, so that an interrupted save loses no machine.
     for (let index = this.storedRecordCount - 1; index >= 0; index--)
       values.set(keys.fleetChunk(index), encodeFleetChunk(chunks[index] ?? []));
     for (const [key, record] of this.parts.fleet.forecastRecords()) values.set(keys.forecastOf(key), record);
     const changed: ChangedRecord[] = [];
     for (const [key, value] of values) {
       const text = JSON.stringify(value);
-      if (this.writtenTexts.get(key) !== text)
+      if (this.lastWrittenTexts.get(key) !== text)
         changed.push({ key, value, text, bytes: Buffer.byteLength(text) });
     }
     return changed;
   }
 
-  /** Returns the machines of each record. */
-  private chunks(): StoredMachine[][] {
+  /** Returns the stored form of the machines in each record, by record index. */
+  private groupMachinesByRecord(): StoredMachine[][] {
     const { workers } = this.ctx;
-    this.removeGone();
+    this.removeUnregisteredMachines();
     this.shrinkOversizedRecords();
-    // A machine of which only the id is known is recorded once its facts have been learned.
+    // A machine with a known ID but no known facts is recorded after its facts have been learned.
     for (const worker of workers.values())
-      if (worker.presumedFacts && !this.recordIndexOf.has(worker.id)) this.assign(worker);
+      if (worker.presumedFacts && !this.recordIndexByMachine.has(worker.id)) this.assignToRecord(worker);
     const chunks: StoredMachine[][] = Array.from({ length: Math.max(1, this.recordSizes.length) }, () => []);
     for (const worker of workers.values()) {
       if (worker.presumedFacts)
-        chunks[this.recordIndexOf.get(worker.id) ?? 0]?.push(
+        chunks[this.recordIndexByMachine.get(worker.id) ?? 0]?.push(
           this.encode(worker, worker.presumedFacts.machine),
         );
     }
@@ -198,41 +204,41 @@
     return encodeMachine({
       machine,
       address: worker.address,
-      rentedAt: this.rentedAtOf.get(machine.id) ?? 0,
+      rentedAt: this.rentedAtByMachine.get(machine.id) ?? 0,
       isUp: worker.isUp,
       isConfirmed: worker.confirmedFacts !== null,
     });
   }
 
-  private removeGone(): void {
-    for (const [id, index] of this.recordIndexOf) {
+  private removeUnregisteredMachines(): void {
+    for (const [id, index] of this.recordIndexByMachine) {
       if (this.ctx.workers.has(id)) continue;
-      this.recordIndexOf.delete(id);
-      this.rentedAtOf.delete(id);
+      this.recordIndexByMachine.delete(id);
+      this.rentedAtByMachine.delete(id);
       this.recordSizes[index] = (this.recordSizes[index] ?? 1) - 1;
     }
   }
 
-  /** Removes the excess from records that hold more machines than they may by now; they move to others. */
+  /** Removes excess machines from records that exceed the current maximum size; they are assigned to other records. */
   private shrinkOversizedRecords(): void {
     const maxSize = this.maxRecordSize();
     if (this.recordSizes.every((size) => size <= maxSize)) return;
-    for (const [id, index] of this.recordIndexOf) {
+    for (const [id, index] of this.recordIndexByMachine) {
       const size = this.recordSizes[index] ?? 0;
       if (size <= maxSize) continue;
-      this.recordIndexOf.delete(id);
+      this.recordIndexByMachine.delete(id);
       this.recordSizes[index] = size - 1;
     }
   }
 
-  private assign(worker: Worker): void {
+  private assignToRecord(worker: Worker): void {
     const maxSize = this.maxRecordSize();
     let index = this.recordSizes.findIndex((size) => size < maxSize);
     if (index < 0) index = this.recordSizes.push(0) - 1;
     this.recordSizes[index] = (this.recordSizes[index] ?? 0) + 1;
-    this.recordIndexOf.set(worker.id, index);
+    this.recordIndexByMachine.set(worker.id, index);
     const { clock } = this.ctx;
-    this.rentedAtOf.set(worker.id, Math.round(clock.wall() - (clock.now() - worker.rentedAt)));
+    this.rentedAtByMachine.set(worker.id, Math.round(clock.wall() - (clock.now() - worker.rentedAt)));
   }
 
   private maxRecordSize(): number {
--- a/src/leader/heartbeat-handler.ts
+++ b/src/leader/heartbeat-handler.ts
@@ -1,4 +1,6 @@
-/** Takes in workers' heartbeats, whichever way they come, and answers them with commands. */
+/**
+ * Processes workers' heartbeats, whether sent by the worker or returned by a direct call, and replies with commands.
+ */
 import type { Mutex } from 'async-mutex';
 import type { LeaderContext } from '../core/context.js';
 import type { FleetManager } from '../fleet/fleet-manager.js';
@@ -31,19 +33,19 @@
 import { TaskFailurePolicy } from './task-failure-policy.js';
 import type { WorkerLeasePolicy } from './worker-lease-policy.js';
 
-/** Commands in one answer: the rest goes with the next heartbeat's. */
+/** Maximum number of commands in one heartbeat answer; the remaining commands are sent with the next answer. */
 const MAX_COMMANDS_PER_ANSWER = 250;
 
 /** The leader's answer to a heartbeat. */
 export type HeartbeatOutcome =
   | { readonly kind: 'commands'; readonly token: FencingToken; readonly commands: readonly WorkerCommand[] }
-  /** Not entitled to answer: the worker looks for another controller, and its lease is not renewed. */
+  /** The leader may not answer; the worker contacts another controller, and its lease is not renewed. */
   | { readonly kind: 'refused' };
 
-/** Why a heartbeat gets no answer of this leader. */
+/** The reason why this leader refuses a heartbeat. */
 type HeartbeatRefusal =
   | 'leadership ended'
-  /** See `WorkerLeasePolicy`. */
+  /** `WorkerLeasePolicy` does not allow the leader to renew worker leases. */
   | 'worker leases may not be renewed'
   /** Another leader has been elected. */
   | 'worker has seen a newer epoch'
@@ -51,7 +53,7 @@
 
 const REFUSED: HeartbeatOutcome = { kind: 'refused' };
 
-/** The parts of the leader that heartbeats change, and that answer them. */
+/** The leader components that `HeartbeatHandler` updates from heartbeats or uses to answer them. */
 interface HeartbeatHandlerParts {
   readonly fleet: FleetManager;
   readonly failureDetector: WorkerFailureDetector;
@@ -64,7 +66,7 @@
   readonly lock: Mutex;
 }
 
-/** Handles the heartbeats of one term. Nothing here may be allocated without need: it runs for each heartbeat. */
+/** Handles the heartbeats of one leadership term. Runs for every heartbeat, so unnecessary allocations are avoided. */
 export class HeartbeatHandler {
   private readonly failurePolicy: TaskFailurePolicy;
   private isStarted = false;
@@ -76,7 +78,7 @@
     this.failurePolicy = new TaskFailurePolicy(ctx);
   }
 
-  /** The records have been read: from now on the state is reconciled with heartbeats. */
+  /** Enables the reconciliation of state with heartbeats; called after the stored records have been loaded. */
   start(): void {
     this.isStarted = true;
   }
@@ -86,12 +88,12 @@
     return this.parts.lock.runExclusive(() => this.answer(heartbeat, receivedBy));
   }
 
-  /** Handles the heartbeat in the reply to a direct call to the worker. */
+  /** Handles the heartbeat that a worker returned in its reply to a direct call. */
   async handleReply(worker: Worker, heartbeat: Heartbeat): Promise<void> {
     await this.parts.lock.runExclusive(() => {
       if (this.ctx.isEnded() || heartbeat.machine !== worker.id || this.stepDownIfDeposed(heartbeat)) return;
       const now = this.ctx.clock.now();
-      const isNewer = this.isOfThisEpoch(heartbeat) && worker.isNewer(heartbeat);
+      const isNewer = this.isFromCurrentEpoch(heartbeat) && worker.isNewer(heartbeat);
       if (isNewer) this.parts.failureDetector.recordHeartbeat(worker, now);
       this.applyResult(worker, reconcile(worker, heartbeat, this.ctx.epoch, this.ctx.jobs, now));
       const hasNewIncarnation = worker.learnIncarnation(heartbeat, now);
@@ -100,7 +102,7 @@
     });
   }
 
-  private isOfThisEpoch(heartbeat: Heartbeat): boolean {
+  private isFromCurrentEpoch(heartbeat: Heartbeat): boolean {
     return epochOfFencingToken(heartbeat.token) === this.ctx.epoch;
   }
 
@@ -112,7 +114,7 @@
 
   private answer(heartbeat: Heartbeat, receivedBy: MemberId): HeartbeatOutcome {
     const now = this.ctx.clock.now();
-    const refusal = this.refusalOf(heartbeat, now);
+    const refusal = this.refusalReason(heartbeat, now);
     if (refusal !== null) {
       this.parts.decisionLog.logDecision(`heartbeat refused, ${refusal}`, () => ({
         machine: heartbeat.machine,
@@ -120,7 +122,8 @@
       }));
       return REFUSED;
     }
-    // Nobody wants these attempts whoever leads, and an attempt number is never used again: safe without a valid lease.
+    // Stopping attempts of cancelled jobs is safe without a valid lease: no leader wants them, and attempt numbers are
+    // never reused.
     const cancelledStops = stopCommandsForCancelled(heartbeat, (id) => this.ctx.cancellations.has(id));
     const worker = this.findWorker(heartbeat, now);
     if (!worker) {
@@ -135,26 +138,26 @@
     return this.answerWithCommands(worker, isNewer, cancelledStops);
   }
 
-  private refusalOf(heartbeat: Heartbeat, now: MonotonicTime): HeartbeatRefusal | null {
+  private refusalReason(heartbeat: Heartbeat, now: MonotonicTime): HeartbeatRefusal | null {
     if (this.ctx.isEnded()) return 'leadership ended';
-    // After its own lease has expired a leader only renews workers' leases, and only for a while.
+    // After its own lease has expired, a leader only renews worker leases, while `WorkerLeasePolicy` allows it.
     if (!this.parts.workerLeasePolicy.mayRenew(now)) return 'worker leases may not be renewed';
     if (this.stepDownIfDeposed(heartbeat)) return 'worker has seen a newer epoch';
     if (this.ctx.workers.isGone(heartbeat.machine)) return 'machine is gone';
     return null;
   }
 
-  /** Returns the worker of a heartbeat; null: it is answered as an unknown machine's, and the state is not reconciled. */
+  /** Returns the worker that sent the heartbeat; null if the machine counts as unknown and no state is reconciled. */
   private findWorker(heartbeat: Heartbeat, now: MonotonicTime): Worker | null {
     if (!this.isStarted) {
-      // While the records are still being read, a worker's lease may run from this answer. The state is not
-      // reconciled with the heartbeat yet: all its attempts would look unwanted.
+      // While the stored records are still loading, the worker's lease may run from this answer. The heartbeat is not
+      // reconciled yet, because all of its attempts would look unwanted.
       this.parts.failureDetector.recordAnswerToUnknownMachine(now);
       return null;
     }
-    // A machine that we don't know may be long gone, and this a late copy of a heartbeat: only one that carries our
-    // epoch was made in our term. A living worker's next one does.
-    if (!this.ctx.workers.has(heartbeat.machine) && !this.isOfThisEpoch(heartbeat)) return null;
+    // An unknown machine may have been removed earlier, and this heartbeat may be a late duplicate. Only a heartbeat
+    // that carries the current epoch was created in this term; the next heartbeat of a running worker carries it.
+    if (!this.ctx.workers.has(heartbeat.machine) && !this.isFromCurrentEpoch(heartbeat)) return null;
     const machine: Machine = {
       id: heartbeat.machine,
       type: heartbeat.type,
@@ -166,7 +169,10 @@
     return worker;
   }
 
-  /** Returns whether the heartbeat is newer than the last one; those of earlier epochs prove nothing, not even that the worker lives. */
+  /**
+   * Records the heartbeat and returns whether it is newer than the last one. A heartbeat of an earlier epoch proves
+   * nothing, not even that the worker is alive.
+   */
   private recordHeartbeat(
     worker: Worker,
     heartbeat: Heartbeat,
@@ -174,7 +180,7 @@
     now: MonotonicTime,
   ): boolean {
     const { epoch, jobs } = this.ctx;
-    const isNewer = this.isOfThisEpoch(heartbeat) && (!worker.hasReported || worker.isNewer(heartbeat));
+    const isNewer = this.isFromCurrentEpoch(heartbeat) && (!worker.hasReported || worker.isNewer(heartbeat));
     if (isNewer) {
       worker.recordHeartbeat(heartbeat, receivedBy, now);
       this.parts.failureDetector.recordHeartbeat(worker, now);
@@ -184,7 +190,7 @@
     }
     worker.learnIncarnation(heartbeat, now);
     if (!worker.hasReported) this.parts.dispatcher.dispatch(worker);
-    // The answer to a late copy may still reach a worker that waits for one: its lease counts from here.
+    // The answer to a late duplicate may still reach a waiting worker, so the worker's lease runs from this answer.
     worker.lease.recordAnswer(now);
     return false;
   }
@@ -203,12 +209,12 @@
     const token = worker.fencingToken(epoch);
     this.parts.decisionLog.count(mayCommand ? 'heartbeat answered' : 'heartbeat answered without commands');
     if (!mayCommand) return { kind: 'commands', token, commands: cancelledStops };
-    const forgets = forgetCommandsFor(worker, token);
-    const commands = this.parts.issuer.issue(worker, true, forgets, MAX_COMMANDS_PER_ANSWER);
+    const forgetCommands = forgetCommandsFor(worker, token);
+    const commands = this.parts.issuer.issue(worker, true, forgetCommands, MAX_COMMANDS_PER_ANSWER);
     return { kind: 'commands', token, commands };
   }
 
-  /** Passes on what the reconciliation with a heartbeat has found. */
+  /** Applies the result of reconciling a worker with its heartbeat. */
   private applyResult(worker: Worker, result: ReconciliationResult): void {
     const now = this.ctx.clock.now();
     for (const { job } of result.started) job.history.recordRun(now);
--- a/src/leader/job-intake.ts
+++ b/src/leader/job-intake.ts
@@ -22,7 +22,7 @@
   ) {}
 
   /** A job is not over; it may be known already. */
-  addOpen(job: ActiveJob): void {
+  addOpenJob(job: ActiveJob): void {
     const { canceller, dependencies, demand } = this.parts;
     if (!this.ctx.jobs.add(job)) return;
     dependencies.add(job);
@@ -36,9 +36,11 @@
     this.parts.canceller.cancel(id);
   }
 
-  /** Drops the remaining records of jobs that are over, and cancels jobs that were cancelled since they were accepted. */
-  dropFinished({ staleKeys, cancelled }: LoadedJobs): void {
-    this.parts.committer.dropStaleKeys(staleKeys);
+  /**
+   * Drops the remaining records of jobs that are over, and cancels jobs that were cancelled since they were accepted.
+   */
+  processFinishedJobs({ staleKeys, cancelled }: LoadedJobs): void {
+    this.parts.committer.deleteStaleKeys(staleKeys);
     for (const id of cancelled) this.parts.canceller.cancel(id);
   }
 }
--- a/src/leader/job-outcomes.ts
+++ b/src/leader/job-outcomes.ts
@@ -60,7 +60,7 @@
       lifetimes.expectedRunMs(job.spec),
     );
     if (!objective) return;
-    const age = this.ctx.clock.wall() - job.readyAt;
-    slackFactors.recordCompletion(job.spec.jobClass, age > objective.withinMs, objective.allowedMissShare);
+    const ageMs = this.ctx.clock.wall() - job.readyAt;
+    slackFactors.recordCompletion(job.spec.jobClass, ageMs > objective.withinMs, objective.allowedMissShare);
   }
 }
--- a/src/leader/job-watcher.ts
+++ b/src/leader/job-watcher.ts
@@ -36,11 +36,11 @@
   /** Follows every change after this revision until the term ends. */
   start(after: Revision): void {
     // The loop handles its own failures.
-    void this.follow(after);
+    void this.watchUntilTermEnds(after);
   }
 
-  private async follow(from: Revision): Promise<void> {
-    let after = from;
+  private async watchUntilTermEnds(startRevision: Revision): Promise<void> {
+    let after = startRevision;
     while (!this.ctx.isEnded()) {
       try {
         after = await this.watchOnce(after);
@@ -63,7 +63,7 @@
     const hasEvents = changes.length > 0;
     const jobChanges = decodeJobChanges(changes, (key, error) => this.logUnreadable(key, error));
     await lock.runExclusive(() => jobChanges.forEach((change) => this.apply(change)));
-    workerLeasePolicy.observedCancellationsUpTo(
+    workerLeasePolicy.recordCancellationsObservedUpTo(
       watchedUpTo({ sentAt, waitMs: WATCH_TIMEOUT_MS, hasEvents, answeredAt: clock.now() }),
     );
     return revision;
@@ -74,9 +74,9 @@
     const { intake, workerLeasePolicy } = this.parts;
     const startedAt = this.ctx.clock.now();
     const loaded = await loadOpenJobs(this.ctx);
-    for (const job of loaded.jobs) intake.addOpen(job);
-    intake.dropFinished(loaded);
-    workerLeasePolicy.observedCancellationsUpTo(startedAt);
+    for (const job of loaded.jobs) intake.addOpenJob(job);
+    intake.processFinishedJobs(loaded);
+    workerLeasePolicy.recordCancellationsObservedUpTo(startedAt);
     this.ctx.requestDecision();
     return loaded.revision;
   }
@@ -105,7 +105,7 @@
   }
 
   private add(record: JobRecord, revision: Revision): void {
-    this.parts.intake.addOpen(createActiveJob(this.ctx, record, revision));
+    this.parts.intake.addOpenJob(createActiveJob(this.ctx, record, revision));
     this.ctx.requestDecision();
   }
 }
--- a/src/leader/leader-parts.ts
+++ b/src/leader/leader-parts.ts
@@ -1,4 +1,4 @@
-/** Builds the parts of a leader, in the order in which they depend on each other. */
+/** Constructs the components of a leader in dependency order. */
 import { Mutex } from 'async-mutex';
 import type { ControllerContext, LeaderContext } from '../core/context.js';
 import { type FleetListener, FleetManager } from '../fleet/fleet-manager.js';
@@ -34,12 +34,12 @@
 import { WorkerDrainer } from './worker-drainer.js';
 import { WriteCounts } from './write-counts.js';
 
-/** The share of the store's write rate that a leader uses at most: the others draw on it, too. */
-const STORE_WRITE_SHARE = 0.7;
-/** The share of the cloud's request rate that a leader uses at most. */
-const CLOUD_REQUEST_SHARE = 0.8;
+/** Maximum share of the store's write rate that a leader uses; other controllers write to the same store. */
+const MAX_STORE_WRITE_RATIO = 0.7;
+/** Maximum share of the cloud API's request rate that a leader uses. */
+const MAX_CLOUD_REQUEST_RATIO = 0.8;
 
-/** What one term begins with. */
+/** The inputs from which the components of one leadership term are built. */
 export interface TermSetup {
   readonly controller: ControllerContext;
   readonly term: LeadershipTerm;
@@ -47,14 +47,14 @@
   readonly lifetime: TermLifetime;
 }
 
-/** The models that several parts learn into and decide by. */
+/** The models that several leader components train and base their decisions on. */
 interface Models {
   readonly lifetimes: Lifetimes;
   readonly slackFactors: SlackFactors;
   readonly sloTargets: SloTargets;
 }
 
-/** The parts of one leader. `lock` serializes decisions, heartbeats, and events of the job watch. */
+/** The components of one leader. `lock` serializes decisions, heartbeats, and job watch events. */
 export interface LeaderParts {
   readonly ctx: LeaderContext;
   readonly lock: Mutex;
@@ -81,15 +81,16 @@
 }
 
 /**
- * Some parts call each other both ways: placement commits starts, and a commit that is durable sends them. The earlier
- * one of a pair reaches the later one through this. No constructor may call it: the parts exist when all are built.
+ * Returns all leader components. Breaks cycles between components that call each other: placement commits task starts,
+ * and a durable commit dispatches them. The component that is built first reaches the other one through this getter. A
+ * constructor must not call the getter, because the components exist only after all of them are built.
  */
-type LaterParts = () => LeaderParts;
+type LeaderPartsGetter = () => LeaderParts;
 
-/** Builds all parts of a leader. Nothing runs yet: no timer is started and no request sent. */
+/** Builds all components of a leader without starting a timer or sending a request. */
 export function createLeaderParts(setup: TermSetup): LeaderParts {
-  const later: LaterParts = () => parts;
-  const ctx = createContext(setup, later);
+  const getParts: LeaderPartsGetter = () => parts;
+  const ctx = createContext(setup, getParts);
   const lock = new Mutex();
   const workerLeasePolicy = createWorkerLeasePolicy(setup);
   const models = createModels(ctx);
@@ -97,16 +98,16 @@
   const graph = new DependencyGraph(ctx.jobs, (job) =>
     sloTargets.estimatedDurationMs(lifetimes.expectedRunMs(job.spec)),
   );
-  const storage = createStorage(setup, ctx, models, later);
-  const { fleet, committer } = storage;
-  const workerLinks = createWorkerLinks(setup, ctx, fleet, later);
-  const { dispatcher } = workerLinks;
+  const storageParts = createStorageParts(setup, ctx, models, getParts);
+  const { fleet, committer } = storageParts;
+  const workerCommunicationParts = createWorkerCommunicationParts(setup, ctx, fleet, getParts);
+  const { dispatcher } = workerCommunicationParts;
   const decisions = new DecisionLoop(ctx, { fleet, committer, dispatcher, ...models, lock });
   const canceller = new JobCanceller(ctx, { graph, lifetimes, dispatcher, committer, fleet });
   const dependencies = new DependencyTracker(ctx, { graph, canceller, demand: fleet, lock });
   const intake = new JobIntake(ctx, { committer, canceller, dependencies, demand: fleet });
   const heartbeats = new HeartbeatHandler(ctx, {
-    ...workerLinks,
+    ...workerCommunicationParts,
     fleet,
     committer,
     lifetimes,
@@ -117,8 +118,8 @@
     ctx,
     lock,
     workerLeasePolicy,
-    ...storage,
-    ...workerLinks,
+    ...storageParts,
+    ...workerCommunicationParts,
     decisions,
     canceller,
     dependencies,
@@ -128,7 +129,7 @@
     watcher: new JobWatcher(ctx, { intake, workerLeasePolicy, lock }),
     restorer: new StateRestorer(ctx, {
       fleet,
-      fleetRecordWriter: storage.fleetRecordWriter,
+      fleetRecordWriter: storageParts.fleetRecordWriter,
       intake,
       workerLeasePolicy,
     }),
@@ -139,24 +140,27 @@
   return parts;
 }
 
-function createContext({ controller, term, lease, lifetime }: TermSetup, later: LaterParts): LeaderContext {
+function createContext(
+  { controller, term, lease, lifetime }: TermSetup,
+  getParts: LeaderPartsGetter,
+): LeaderContext {
   const workers = new WorkerRegistry();
   return {
     ...controller,
     epoch: term.epoch,
     epochRevision: term.epochRevision,
     startedAt: controller.clock.now(),
-    jobs: new JobStore((task) => later().restorer.holdOnMachine(task)),
+    jobs: new JobStore((task) => getParts().restorer.restoreAssignment(task)),
     workers,
     isLeaseValid: () => lease.isLeaseValid(),
     stepDown: (reason) => lifetime.end(reason),
     isEnded: () => lifetime.isEnded,
-    requestDecision: () => later().decisions.request(),
-    cancelJob: (id) => later().canceller.cancel(id),
-    drainWorker: (id) => later().drainer.drain(id),
+    requestDecision: () => getParts().decisions.request(),
+    cancelJob: (id) => getParts().canceller.cancel(id),
+    drainWorker: (id) => getParts().drainer.drain(id),
     dispatchCommands: (id) => {
       const worker = workers.get(id);
-      if (worker) later().dispatcher.dispatch(worker);
+      if (worker) getParts().dispatcher.dispatch(worker);
     },
   };
 }
@@ -175,62 +179,65 @@
   };
 }
 
-type Storage = Pick<LeaderParts, 'fleet' | 'fleetRecordWriter' | 'committer' | 'writeCounts'>;
+type StorageParts = Pick<LeaderParts, 'fleet' | 'fleetRecordWriter' | 'committer' | 'writeCounts'>;
 
-/** Builds the fleet, and what writes to the store. */
-function createStorage(
+/** Builds the fleet manager and the components that write to the store. */
+function createStorageParts(
   { lifetime }: TermSetup,
   ctx: LeaderContext,
   models: Models,
-  later: LaterParts,
-): Storage {
+  getParts: LeaderPartsGetter,
+): StorageParts {
   const writeCounts = new WriteCounts();
   const writeBudget = createWriteBudget(ctx, lifetime);
   const fleetListener: FleetListener = {
-    machineGone: (worker) => later().lostTasks.onMachineGone(worker),
-    fleetChanged: () => later().fleetRecordWriter.markChanged(),
+    machineGone: (worker) => getParts().lostTasks.onMachineGone(worker),
+    fleetChanged: () => getParts().fleetRecordWriter.markChanged(),
   };
   const fleet = new FleetManager(ctx, createCloudBudget(ctx), models, fleetListener);
   const fleetRecordWriter = new FleetRecordWriter(ctx, { fleet, writeBudget, writeCounts });
-  const listener: CommitListener = {
-    tasksPlaced: (tasks) => later().decisions.onPlaced(tasks),
-    jobClosed: (job) => {
-      const { outcomes, dependencies } = later();
+  const commitListener: CommitListener = {
+    onTasksPlaced: (tasks) => getParts().decisions.onTasksPlaced(tasks),
+    onJobClosed: (job) => {
+      const { outcomes, dependencies } = getParts();
       outcomes.recordClosed(job);
       if (!job.isCancelled) dependencies.markDone(job.spec.id);
     },
   };
-  const committer = new Committer(ctx, { writeBudget, writeCounts, listener });
+  const committer = new Committer(ctx, { writeBudget, writeCounts, listener: commitListener });
   return { fleet, fleetRecordWriter, committer, writeCounts };
 }
 
-/** The writes per second that this leader may make; follows the store's announced rate until the term ends. */
+/** Creates this leader's store write budget, which follows the store's announced write rate until the term ends. */
 function createWriteBudget({ clock, storeLimits }: LeaderContext, lifetime: TermLifetime): TokenBucket {
   const budget = new TokenBucket(clock, 1, 1);
-  const stopFollowing = storeLimits.onRateChange(() => {
-    const rate = storeLimits.writeRps * STORE_WRITE_SHARE;
+  const unsubscribe = storeLimits.onRateChange(() => {
+    const rate = storeLimits.writeRps * MAX_STORE_WRITE_RATIO;
     budget.setRate(rate, rate);
   });
-  lifetime.addCleanup(stopFollowing);
+  lifetime.addCleanup(unsubscribe);
   return budget;
 }
 
 function createCloudBudget({ clock, settings }: LeaderContext): TokenBucket {
   const { cloudRequestsPerSecond } = settings;
-  return new TokenBucket(clock, cloudRequestsPerSecond * CLOUD_REQUEST_SHARE, cloudRequestsPerSecond);
+  return new TokenBucket(clock, cloudRequestsPerSecond * MAX_CLOUD_REQUEST_RATIO, cloudRequestsPerSecond);
 }
 
-type WorkerLinks = Pick<LeaderParts, 'decisionLog' | 'issuer' | 'dispatcher' | 'failureDetector'>;
+type WorkerCommunicationParts = Pick<
+  LeaderParts,
+  'decisionLog' | 'issuer' | 'dispatcher' | 'failureDetector'
+>;
 
-/** Builds what sends commands to workers and watches whether they are alive. */
-function createWorkerLinks(
+/** Builds the components that send commands to workers and detect worker failures. */
+function createWorkerCommunicationParts(
   { controller, term }: TermSetup,
   ctx: LeaderContext,
   fleet: FleetManager,
-  later: LaterParts,
-): WorkerLinks {
+  getParts: LeaderPartsGetter,
+): WorkerCommunicationParts {
   const onHeartbeat = (worker: Worker, heartbeat: Heartbeat): void =>
-    void later().heartbeats.handleReply(worker, heartbeat);
+    void getParts().heartbeats.handleReply(worker, heartbeat);
   const decisionLog = new DecisionLog(ctx.log, ctx.clock);
   const issuer = new CommandIssuer(ctx, decisionLog);
   const dispatcher = new CommandDispatcher(ctx, {
@@ -242,7 +249,7 @@
     predecessorRenewalMs: term.previousLeaseRemaining + maxRenewalWithoutQuorum(controller),
     onHeartbeat,
     fence: (worker, reason) => fleet.remove(worker, reason),
-    onLeaseExpired: (worker) => later().lostTasks.onLeaseExpired(worker),
+    onLeaseExpired: (worker) => getParts().lostTasks.onLeaseExpired(worker),
   });
   return { decisionLog, issuer, dispatcher, failureDetector };
 }
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -14,7 +14,7 @@
 
 const TICK_INTERVAL_MS = 500;
 /** By then a new leader has been in contact with the workers that are alive. */
-const CONTACT_PERIOD_MS = 4000;
+const INITIAL_CONTACT_PERIOD_MS = 4000;
 
 /** The leader of one epoch. */
 export class Leader {
@@ -52,15 +52,15 @@
     dependencies.start();
     const { epoch, jobs, workers } = ctx;
     ctx.log.info({ epoch, jobs: jobs.size, machines: workers.size }, 'leadership started');
-    for (const worker of restorer.inContactOrder()) dispatcher.dispatch(worker);
+    for (const worker of restorer.workersInContactOrder()) dispatcher.dispatch(worker);
     watcher.start(restoredUpTo);
     this.lifetime.addCleanup(runPeriodically(ctx.clock, TICK_INTERVAL_MS, () => this.tick(readyAt)));
     this.startDecisions();
   }
 
   /**
-   * Tasks that stand in an unreadable record count for no quota. Nothing is started until their machines have shown them,
-   * and stopped them as unwanted, or their worker leases have surely expired.
+   * Tasks that stand in an unreadable record count for no quota. Nothing is started until their machines have shown
+   * them, and stopped them as unwanted, or their worker leases have surely expired.
    */
   private startDecisions(): void {
     const { ctx, restorer, failureDetector, decisions } = this.parts;
@@ -82,7 +82,7 @@
     }
     chunkResizer.tick(now);
     // A leader that has just begun has not heard yet which tasks are gone.
-    if (since(now, readyAt) >= CONTACT_PERIOD_MS) canceller.fenceOverdue(now);
+    if (since(now, readyAt) >= INITIAL_CONTACT_PERIOD_MS) canceller.fenceWorkersWithOverdueStops(now);
     if (ctx.isLeaseValid()) this.tickWithLease(now);
     else this.tickWithoutLease(now);
     fleetRecordWriter.saveIfDue(now);
--- a/src/leader/lost-tasks.ts
+++ b/src/leader/lost-tasks.ts
@@ -4,7 +4,7 @@
 import type { Committer } from './committer.js';
 
 /** How many task ids a log line names. */
-const MAX_LOGGED_TASKS = 4;
+const MAX_LOGGED_TASK_COUNT = 4;
 
 /** Releases the tasks of workers that can no longer run them, so that they are placed again. */
 export class LostTaskReleaser {
@@ -15,11 +15,11 @@
 
   /** The machine, and everything on it, is proven gone. */
   onMachineGone(worker: Worker): void {
-    const lost = releaseAllTasks(worker, this.ctx.clock.now());
-    if (lost.length > 0) {
-      const taskIds = lost.slice(0, MAX_LOGGED_TASKS).map((task) => task.id);
+    const lostTasks = releaseAllTasks(worker, this.ctx.clock.now());
+    if (lostTasks.length > 0) {
+      const taskIds = lostTasks.slice(0, MAX_LOGGED_TASK_COUNT).map((task) => task.id);
       this.ctx.log.info(
-        { machine: worker.id, tasks: lost.length, taskIds },
+        { machine: worker.id, tasks: lostTasks.length, taskIds },
         'tasks of a gone machine released',
       );
     }
@@ -28,9 +28,9 @@
 
   /** The worker's lease has expired: it has stopped its tasks by itself. */
   onLeaseExpired(worker: Worker): void {
-    const lost = releaseAllTasks(worker, this.ctx.clock.now());
-    if (lost.length === 0) return;
-    this.ctx.log.info({ machine: worker.id, tasks: lost.length }, 'worker lease expired');
+    const lostTasks = releaseAllTasks(worker, this.ctx.clock.now());
+    if (lostTasks.length === 0) return;
+    this.ctx.log.info({ machine: worker.id, tasks: lostTasks.length }, 'worker lease expired');
     this.ctx.requestDecision();
   }
 }
--- a/src/leader/open-job-loader.ts
+++ b/src/leader/open-job-loader.ts
@@ -44,13 +44,13 @@
   readonly staleKeys: string[] = [];
   hasUnreadable = false;
   private readonly jobs = new Map<JobId, ActiveJob>();
-  private readonly leftOut = new Set<JobId>();
+  private readonly skippedJobIds = new Set<JobId>();
 
   constructor(private readonly ctx: LeaderContext) {}
 
   async add(row: KeyValue): Promise<void> {
     const openKey = parseOpenKey(row.key);
-    if (!openKey) this.addUnknown(row.key);
+    if (!openKey) this.addUnrecognizedKey(row.key);
     else if (openKey.chunk === null) await this.addHead(openKey.job, row);
     else this.addProgress(openKey, row);
   }
@@ -71,30 +71,30 @@
       if (!(error instanceof InvalidRecordError)) throw error;
       // Its progress stays where it is for whoever repairs the record.
       this.ctx.log.error({ key, error: errorMessage(error) }, 'job record unreadable, job left out');
-      this.leftOut.add(id);
+      this.skippedJobIds.add(id);
       this.hasUnreadable = true;
     }
   }
 
   private addProgress({ job: id, chunk, size }: OpenKey, { key, value, revision }: KeyValue): void {
     const job = this.jobs.get(id);
-    if (!job && !this.leftOut.has(id)) this.staleKeys.push(key);
+    if (!job && !this.skippedJobIds.has(id)) this.staleKeys.push(key);
     if (!job || chunk === null) return;
     try {
       job.addStoredProgress(chunk, size, value, revision);
     } catch (error) {
       if (!(error instanceof InvalidRecordError)) throw error;
-      this.holdBack(job, key, error);
+      this.holdBackJob(job, key, error);
     }
   }
 
   /** A key of a form that no version writes: what it says of its job is unknown. */
-  private addUnknown(key: string): void {
+  private addUnrecognizedKey(key: string): void {
     const id = jobOfUnknownOpenKey(key);
-    this.holdBack(id === null ? undefined : this.jobs.get(id), key, 'a key of an unknown form');
+    this.holdBackJob(id === null ? undefined : this.jobs.get(id), key, 'a key of an unknown form');
   }
 
-  private holdBack(job: ActiveJob | undefined, key: string, error: unknown): void {
+  private holdBackJob(job: ActiveJob | undefined, key: string, error: unknown): void {
     this.ctx.log.error({ key, error: errorMessage(error) }, 'progress record unreadable, job held back');
     if (!job) return;
     job.holdBack(key);
--- a/src/leader/placement-views.ts
+++ b/src/leader/placement-views.ts
@@ -50,7 +50,10 @@
   return victims.sort((one, other) => one.priority - other.priority || one.lostMs - other.lostMs);
 }
 
-/** Returns a machine as placement sees it, by its confirmed facts. Its free capacity is a copy: placement allocates from it. */
+/**
+ * Returns a machine as placement sees it, by its confirmed facts. Its free capacity is a copy: placement allocates from
+ * it.
+ */
 export function machineView(worker: Worker, { machine, type }: ConfirmedFacts): MachineView {
   return {
     id: worker.id,
--- a/src/leader/record-loader.ts
+++ b/src/leader/record-loader.ts
@@ -1,4 +1,6 @@
-/** Reads what earlier leaders have recorded: descriptions of jobs, machines, forecasts (`open-job-loader`: open jobs). */
+/**
+ * Reads what earlier leaders have recorded: descriptions of jobs, machines, forecasts (`open-job-loader`: open jobs).
+ */
 import type { LeaderContext } from '../core/context.js';
 import type { FleetManager } from '../fleet/fleet-manager.js';
 import { errorMessage } from '../log/logger.js';
@@ -15,11 +17,11 @@
 
 /** A rate-limited request is repeated after this and up to as long again as the jitter. */
 const RATE_LIMITED_RETRY_MS = 40;
-const RATE_LIMITED_JITTER_MS = 60;
+const RATE_LIMITED_RETRY_JITTER_MS = 60;
 
 /** A rate-limited request is no reason to begin the whole takeover again: it alone waits a moment. */
 export function withRateLimitRetry<T>(ctx: LeaderContext, request: () => Promise<T>): Promise<T> {
-  const retryDelayMs = (): number => RATE_LIMITED_RETRY_MS + ctx.random() * RATE_LIMITED_JITTER_MS;
+  const retryDelayMs = (): number => RATE_LIMITED_RETRY_MS + ctx.random() * RATE_LIMITED_RETRY_JITTER_MS;
   return retryWhileRateLimited(
     { clock: ctx.clock, retryDelayMs, isStillWanted: () => !ctx.isEnded() },
     request,
@@ -39,32 +41,32 @@
 }
 
 /** Reads the parts of what doesn't fit the job's own record. */
-async function readParts<T>(
+async function readRecordValues<T>(
   ctx: LeaderContext,
   id: JobId,
   count: number,
   keyOf: (id: JobId, index: number) => string,
 ): Promise<T[]> {
-  const parts: T[] = [];
+  const values: T[] = [];
   for (let index = 0; index < count; index++) {
     const key = keyOf(id, index);
     const row = await withRateLimitRetry(ctx, () => ctx.store.get(key));
     if (!row) throw new InvalidRecordError(`${key} is missing`);
-    parts.push(row.value as T);
+    values.push(row.value as T);
   }
-  return parts;
+  return values;
 }
 
 /** Reads the dependencies of a job whose own record has no room for them. Throws if a record is missing. */
 export async function readDependencies(ctx: LeaderContext, id: JobId, recordCount: number): Promise<JobId[]> {
-  return (await readParts<JobId[]>(ctx, id, recordCount, keys.dependencies)).flat();
+  return (await readRecordValues<JobId[]>(ctx, id, recordCount, keys.dependencies)).flat();
 }
 
 /** Completes a job's record with the names that didn't fit it. Throws if a record is missing. */
 export async function readDescription(ctx: LeaderContext, record: JobRecord): Promise<JobRecord> {
   const { id, descriptionRecordCount } = record.spec;
   if (descriptionRecordCount === 0) return record;
-  const parts = await readParts<string>(ctx, id, descriptionRecordCount, keys.description);
+  const parts = await readRecordValues<string>(ctx, id, descriptionRecordCount, keys.description);
   return withDescription(record, parts);
 }
 
@@ -84,13 +86,17 @@
 /** Reads the recorded machines, and hands the stored forecasts to the fleet. */
 export async function loadFleet(ctx: LeaderContext, fleet: FleetManager): Promise<LoadedFleet> {
   const { rows } = await loadRecords(ctx, keys.fleet);
-  const machines = rows.flatMap((row) => readMachines(ctx, row)).map((record) => loadedMachine(ctx, record));
+  const machines = rows
+    .flatMap((row) => readMachines(ctx, row))
+    .map((record) => toLoadedMachine(ctx, record));
   const forecasts = (await loadRecords(ctx, keys.forecast)).rows;
   for (const { key, value } of forecasts) fleet.restoreForecast(key.slice(keys.forecast.length), value);
   return { machines, records: [...rows, ...forecasts] };
 }
 
-/** The machines of a record; none of one that cannot be read: heartbeats, tasks and the cloud's list name them as well. */
+/**
+ * The machines of a record; none of one that cannot be read: heartbeats, tasks and the cloud's list name them as well.
+ */
 function readMachines({ log }: LeaderContext, { key, value }: KeyValue): MachineRecord[] {
   try {
     return decodeFleetChunk(value);
@@ -101,7 +107,7 @@
   }
 }
 
-function loadedMachine({ clock }: LeaderContext, record: MachineRecord): LoadedMachine {
-  const age = Math.max(0, clock.wall() - record.rentedAt);
-  return { record, rentedAt: (clock.now() - age) as MonotonicTime };
+function toLoadedMachine({ clock }: LeaderContext, record: MachineRecord): LoadedMachine {
+  const ageMs = Math.max(0, clock.wall() - record.rentedAt);
+  return { record, rentedAt: (clock.now() - ageMs) as MonotonicTime };
 }
--- a/src/leader/retry.ts
+++ b/src/leader/retry.ts
@@ -7,7 +7,9 @@
   readonly onFailure: (error: unknown) => void;
 }
 
-/** Repeats an attempt until it succeeds, whatever error it throws, and returns its result; null: the term ended first. */
+/**
+ * Repeats an attempt until it succeeds, whatever error it throws, and returns its result; null: the term ended first.
+ */
 export async function retryUntilTermEnds<T>(
   ctx: Pick<LeaderContext, 'clock' | 'isEnded'>,
   { retryMs, onFailure }: RetryOptions,
--- a/src/leader/state-restorer.ts
+++ b/src/leader/state-restorer.ts
@@ -51,7 +51,7 @@
     const startedAt = this.ctx.clock.now();
     const jobs = await loadOpenJobs(this.ctx);
     this.restore(jobs, await loadFleet(this.ctx, this.parts.fleet));
-    this.parts.workerLeasePolicy.observedCancellationsUpTo(startedAt);
+    this.parts.workerLeasePolicy.recordCancellationsObservedUpTo(startedAt);
     this.hasUnreadableRecords = jobs.hasUnreadable;
     this.logRestored(jobs, startedAt);
     return jobs.revision;
@@ -66,8 +66,11 @@
     log.info({ epoch, revision, durationMs, jobs: jobs.length, machines }, 'state restored');
   }
 
-  /** Returns the workers in the order in which a new leader contacts them: with production work, with free capacity, others. */
-  inContactOrder(): Worker[] {
+  /**
+   * Returns the workers in the order in which a new leader contacts them: with production work, with free capacity,
+   * others.
+   */
+  workersInContactOrder(): Worker[] {
     return [...this.ctx.workers.values()]
       .filter((worker) => worker.isUp || !worker.isEmpty)
       .map((worker) => ({ worker, rank: contactRank(worker) }))
@@ -77,11 +80,11 @@
 
   private restore(loadedJobs: LoadedJobs, loadedFleet: LoadedFleet): void {
     const { intake, fleetRecordWriter } = this.parts;
-    for (const job of loadedJobs.jobs) intake.addOpen(job);
-    fleetRecordWriter.adopt(loadedFleet.records);
+    for (const job of loadedJobs.jobs) intake.addOpenJob(job);
+    fleetRecordWriter.adoptRecords(loadedFleet.records);
     this.restoreMachines(loadedFleet);
     this.assignPlacedTasks();
-    intake.dropFinished(loadedJobs);
+    intake.processFinishedJobs(loadedJobs);
   }
 
   private restoreMachines({ machines }: LoadedFleet): void {
@@ -97,7 +100,7 @@
 
   private assignPlacedTasks(): void {
     for (const job of this.ctx.jobs.values()) {
-      for (const task of job.assignedTasks()) this.holdOnMachine(task);
+      for (const task of job.assignedTasks()) this.restoreAssignment(task);
     }
   }
 
@@ -105,7 +108,7 @@
    * A task that an earlier leader placed on a machine keeps its capacity there. A machine that no record names is
    * fenced like an unresponsive one unless it is heard; until its facts are learned, nothing is assumed of it.
    */
-  holdOnMachine(task: Task): void {
+  restoreAssignment(task: Task): void {
     const { workers, startedAt, clock } = this.ctx;
     if (task.machine === null) return;
     const worker = workers.get(task.machine) ?? this.parts.fleet.registerUnknown(task.machine, startedAt);
--- a/test/unit/retry.test.ts
+++ b/test/unit/retry.test.ts
@@ -5,7 +5,7 @@
 const RETRY_MS = 200;
 
 /** An attempt that fails so many times, in a term that ends after `termMs`. */
-async function attemptsOf(failures: number, termMs: number) {
+async function runAttempts(failures: number, termMs: number) {
   const clock = new VirtualClock();
   const failedWith: unknown[] = [];
   let attempts = 0;
@@ -22,14 +22,14 @@
 
 describe('retryUntilTermEnds', () => {
   it('returns the first result, and reports each failure before it', async () => {
-    const { result, attempts, failedWith } = await attemptsOf(2, 10_000);
+    const { result, attempts, failedWith } = await runAttempts(2, 10_000);
     expect(result).toBe('done');
     expect(attempts).toBe(3);
     expect(failedWith).toEqual([new Error('attempt 1'), new Error('attempt 2')]);
   });
 
   it('gives up with null when the term has ended', async () => {
-    const { result, attempts } = await attemptsOf(100, 1000);
+    const { result, attempts } = await runAttempts(100, 1000);
     expect(result).toBeNull();
     expect(attempts).toBe(1000 / RETRY_MS);
   });
--- a/test/unit/task-failure-policy.test.ts
+++ b/test/unit/task-failure-policy.test.ts
@@ -11,7 +11,7 @@
 
 const NOW = 5000 as MonotonicTime;
 
-function worker(id: string): Worker {
+function createWorker(id: string): Worker {
   const machine = {
     id: id as MachineId,
     type: 'small' as MachineTypeId,
@@ -21,7 +21,7 @@
   return confirmedWorker(machine, NOW);
 }
 
-const job = (): ActiveJob => new ActiveJob(submission({}), 1 as Revision, 0 as WallTime, 300);
+const createJob = (): ActiveJob => new ActiveJob(submission({}), 1 as Revision, 0 as WallTime, 300);
 
 /** For how long the job backs off from now on; null: it does not. */
 function backoffMs({ failures }: ActiveJob): number | null {
@@ -35,18 +35,18 @@
   const policy = new TaskFailurePolicy({ log: silentLogger, operators });
 
   it('counts failures against the machine, and cordons it once there are too many', () => {
-    const failing = worker('a');
+    const failing = createWorker('a');
     for (let failures = 1; failures <= operators.workers.maxTaskFailures; failures++) {
       expect(failing.cordon).toBeNull();
-      policy.recordFailure(failing, job(), NOW);
+      policy.recordFailure(failing, createJob(), NOW);
       policy.cordonIfFailing(failing);
     }
     expect(failing.cordon).toBe('failing');
   });
 
   it('holds a job that fails on several machines at fault itself: it backs off for longer each time', () => {
-    const faulty = job();
-    const workers = ['a', 'b', 'c', 'd'].map(worker);
+    const faulty = createJob();
+    const workers = ['a', 'b', 'c', 'd'].map(createWorker);
     const backoffs = workers.map((failedOn) => {
       policy.recordFailure(failedOn, faulty, NOW);
       return backoffMs(faulty);
--- a/test/unit/worker-lease-policy.test.ts
+++ b/test/unit/worker-lease-policy.test.ts
@@ -11,7 +11,7 @@
 type PeerAnswer = PeerStatus | null;
 
 /** A leader with a valid lease, a cancellation limit of so many seconds, and peers that answer like this. */
-function leader(cancellationLimitS: number, peerAnswers: () => PeerAnswer[]) {
+function createLeader(cancellationLimitS: number, peerAnswers: () => PeerAnswer[]) {
   const clock = new VirtualClock();
   const cancellations = new ConfirmedCancellations(clock, seconds(cancellationLimitS));
   let expiredFor: Millis | null = null;
@@ -26,7 +26,7 @@
   };
   const lease = { isLeaseValid: () => expiredFor === null, timeSinceLeaseExpiry: () => expiredFor ?? ms(0) };
   const policy = new WorkerLeasePolicy(ctx, lease, (epoch) => observedEpochs.push(epoch));
-  policy.observedCancellationsUpTo(clock.now());
+  policy.recordCancellationsObservedUpTo(clock.now());
   /** Lets the lease expire and polls the peers as a leader does for so long; returns up to when it renewed, in seconds. */
   const renewedForS = async (durationS: number): Promise<number> => {
     let renewedUpToS = 0;
@@ -41,7 +41,7 @@
   return { policy, renewedForS, clock, cancellations, observedEpochs };
 }
 
-const peerStatus = (uptimeMs: number, more: Partial<PeerStatus> = {}): PeerAnswer => ({
+const createPeerStatus = (uptimeMs: number, more: Partial<PeerStatus> = {}): PeerAnswer => ({
   uptime: ms(uptimeMs),
   leadingEpoch: null,
   cancellations: [],
@@ -52,24 +52,37 @@
 describe('WorkerLeasePolicy without a valid leader lease renews worker leases', () => {
   it('for as long as every peer confirms that it leads nothing and has confirmed no cancellation', async () => {
     expect(
-      await leader(40, () => [peerStatus(LONG_UPTIME_MS), peerStatus(LONG_UPTIME_MS)]).renewedForS(120),
+      await createLeader(40, () => [
+        createPeerStatus(LONG_UPTIME_MS),
+        createPeerStatus(LONG_UPTIME_MS),
+      ]).renewedForS(120),
     ).toBeGreaterThan(119);
   });
 
   it('for maxRenewalWithoutQuorum once a peer doesn’t answer: it may lead, however long the cancellation limit is', async () => {
-    expect(await leader(400, () => [peerStatus(LONG_UPTIME_MS), null]).renewedForS(120)).toBe(14.5);
+    expect(await createLeader(400, () => [createPeerStatus(LONG_UPTIME_MS), null]).renewedForS(120)).toBe(
+      14.5,
+    );
   });
 
   it('until an unknown cancellation’s limit leaves a lease no time, once a peer has restarted', async () => {
     // 40 s, less a lease of 20 s and 5 s.
-    expect(await leader(40, () => [peerStatus(LONG_UPTIME_MS), peerStatus(100)]).renewedForS(120)).toBe(14.5);
-    expect(await leader(33, () => [peerStatus(LONG_UPTIME_MS), peerStatus(100)]).renewedForS(120)).toBe(7.5);
+    expect(
+      await createLeader(40, () => [createPeerStatus(LONG_UPTIME_MS), createPeerStatus(100)]).renewedForS(
+        120,
+      ),
+    ).toBe(14.5);
+    expect(
+      await createLeader(33, () => [createPeerStatus(LONG_UPTIME_MS), createPeerStatus(100)]).renewedForS(
+        120,
+      ),
+    ).toBe(7.5);
   });
 
   it('not at all after a observedEpochs epoch was named, and learns what the others have told', async () => {
     const confirmed = [{ id: 'j-000007' as JobId, age: ms(900) }];
-    const { renewedForS, observedEpochs, cancellations } = leader(40, () => [
-      peerStatus(LONG_UPTIME_MS, { leadingEpoch: 9 as Epoch, cancellations: confirmed }),
+    const { renewedForS, observedEpochs, cancellations } = createLeader(40, () => [
+      createPeerStatus(LONG_UPTIME_MS, { leadingEpoch: 9 as Epoch, cancellations: confirmed }),
     ]);
     await renewedForS(1);
     expect(observedEpochs).toContain(9);
@@ -79,7 +92,7 @@
 
 describe('WorkerLeasePolicy with a valid leader lease', () => {
   it('stops renewing too when it hasn’t observed cancellations for long', async () => {
-    const { policy, clock } = leader(40, () => []);
+    const { policy, clock } = createLeader(40, () => []);
     await clock.advance(14_900);
     expect(policy.mayRenew(clock.now())).toBe(true);
     await clock.advance(200);
