--- a/src/leader/chunk-resizer.ts
+++ b/src/leader/chunk-resizer.ts
@@ -2,7 +2,10 @@
 import type { MonotonicTime } from '../model/time.js';
 import type { Committer } from './committer.js';
 
-/** Moves progress to smaller records as soon as every controller reads them, or the store's limits require them. */
+/**
+ * Resizes the progress chunks of jobs when every controller can read smaller records or the store's limits require
+ * them.
+ */
 export class ChunkResizer {
   private lastChunkTasks = 0;
 
@@ -11,7 +14,7 @@
     private readonly committer: Committer,
   ) {}
 
-  /** Resizes the chunks of all jobs if the size that the limits allow has changed. */
+  /** Resizes the progress chunks of all jobs if the chunk size that the store limits allow has changed. */
   tick(now: MonotonicTime): void {
     const { storeLimits, jobs } = this.ctx;
     const chunkTasks = storeLimits.chunkSize(Infinity);
--- a/src/leader/commit-conflicts.ts
+++ b/src/leader/commit-conflicts.ts
@@ -1,4 +1,4 @@
-/** Brings the leader's view up to date after a transaction of the group commit was refused. */
+/** Updates the leader's state after a compare of a group commit transaction has failed. */
 import type { LeaderContext } from '../core/context.js';
 import { errorMessage } from '../log/logger.js';
 import type { JobId } from '../model/ids.js';
@@ -9,16 +9,17 @@
 import type { CommitBatch } from './commit-batch.js';
 import { fetchRevision, stepDownIfDeposed } from './write-conflicts.js';
 
+/** Delay after a conflicting key could not be read. */
 const CONFLICT_RETRY_MS = 100;
 
-/** Resolves the failed compares of a batch; the batch's changes are written again as things then stand. */
+/** Resolves the failed compares of a batch. A later batch writes the changes again from the updated state. */
 export class CommitConflictResolver {
   constructor(
     private readonly ctx: LeaderContext,
     private readonly closeJob: (job: ActiveJob) => void,
   ) {}
 
-  /** Reads what another writer has changed. A key that can't be read now fails again with the next batch. */
+  /** Reads the keys whose compares failed. A key that cannot be read now fails again with the next batch. */
   async resolve(failedKeys: readonly string[], batch: CommitBatch): Promise<void> {
     if (stepDownIfDeposed(this.ctx, failedKeys, 'a commit found a newer epoch')) return;
     for (const key of failedKeys) {
@@ -33,12 +34,12 @@
 
   private async resolveKey(key: string, batch: CommitBatch): Promise<void> {
     const chunk = batch.chunks.find((write) => write.chunk.key === key)?.chunk;
-    // An earlier commit without an answer was carried out after all.
+    // An earlier commit whose answer was lost has been applied.
     if (chunk) chunk.revision = await fetchRevision(this.ctx.store, key);
     else await this.refreshJob(key.slice(keys.jobs.length) as JobId);
   }
 
-  /** The job's record was changed: it was cancelled, or a commit without an answer has closed it. */
+  /** Applies a changed job record: the job was cancelled, or a commit whose answer was lost has closed the job. */
   private async refreshJob(id: JobId): Promise<void> {
     const row = await this.ctx.store.get(keys.job(id));
     const job = this.ctx.jobs.get(id);
--- a/src/leader/dependency-tracker.ts
+++ b/src/leader/dependency-tracker.ts
@@ -1,4 +1,4 @@
-/** Holds jobs back until every job that they depend on is durably done. */
+/** Blocks jobs until every job that they depend on is durably done. */
 import type { Mutex } from 'async-mutex';
 import type { LeaderContext } from '../core/context.js';
 import { errorMessage } from '../log/logger.js';
@@ -12,18 +12,20 @@
 import { readDependencies } from './record-loader.js';
 import { retryUntilTermEnds } from './retry.js';
 
-/** A further record of a job that could not be read is read again after this. */
+/** Delay before the retry after a failed read of a job's dependency records. */
 const DEPENDENCIES_RETRY_MS = 300;
-/** The record of a dependency is read again after this and up to as long again. */
+/**
+ * Minimum delay before the retry after a failed read of a dependency's job record; jitter adds up to the same again.
+ */
 const LOOKUP_RETRY_MS = 100;
 
-/** Is told of each job that has just become able to start. */
+/** Receives each job that has become ready to start. */
 export interface DemandListener {
-  /** Records a job that may start from now on. */
+  /** Records the demand of a job that may start from now on. */
   recordDemand(job: ActiveJob): void;
 }
 
-/** The parts of the leader that `DependencyTracker` works with. */
+/** The leader components that `DependencyTracker` uses. */
 interface DependencyTrackerParts {
   readonly graph: DependencyGraph;
   readonly canceller: JobCanceller;
@@ -32,11 +34,12 @@
 }
 
 /**
- * Tracks the dependencies between jobs. A job is blocked while one of its dependencies is not known to be done; `done`
- * is final, so it needs no compare once it was seen. All of this follows from the records alone.
+ * Tracks the dependencies between jobs. A job is blocked while one of its dependencies is not known to be done. The
+ * state `done` is final, so no transaction has to compare a dependency that is done. The tracker's state follows from
+ * the stored records alone.
  */
 export class DependencyTracker {
-  /** Dependencies that are not in the job store: over, or not seen yet. */
+  /** Dependencies that are not in the job store, because they have ended or have not been loaded yet. */
   private readonly unresolvedIds = new Set<JobId>();
   private isLookingUp = false;
   private isStarted = false;
@@ -46,16 +49,16 @@
     private readonly parts: DependencyTrackerParts,
   ) {}
 
-  /** The records have been read: dependencies that are still unresolved are looked up from now on. */
+  /** Enables the lookup of unresolved dependencies; called after the stored records have been loaded. */
   start(): void {
     this.isStarted = true;
     void this.lookUpUnresolved();
   }
 
-  /** Adds a job: finds out what it has to wait for, and passes on what jobs that depend on it require of it. */
+  /** Adds a job: records its unmet dependencies and updates the priorities that jobs inherit from their dependents. */
   add(job: ActiveJob): void {
     const { id, dependencies, dependencyRecordCount } = job.spec;
-    // Once it has started, all its dependencies were done: that is final.
+    // All dependencies of a job that has started are done, and `done` is final.
     if (job.tasks.size === 0) {
       for (const dependency of dependencies) this.addDependency(job, dependency);
       if (dependencyRecordCount > 0) {
@@ -68,7 +71,7 @@
     void this.lookUpUnresolved();
   }
 
-  /** A job is durably done: what waited only for it may start. */
+  /** Marks a job as durably done and releases the jobs that have no other unmet dependency. */
   markDone(id: JobId): void {
     this.releaseJobs(this.parts.graph.complete(id));
   }
@@ -81,8 +84,8 @@
   }
 
   /**
-   * Cancels the job if one of its dependencies was cancelled before it was known here: that cancellation found no
-   * dependent to cancel. A controller whose view is a moment old accepts such a job as one that waits.
+   * Cancels the job if one of its dependencies was cancelled before this leader knew the job, so that the cancellation
+   * did not include the job. A controller with an outdated view accepts such a job.
    */
   private cancelIfDependencyCancelled(job: ActiveJob): void {
     if (job.isCancelled) return;
@@ -120,7 +123,7 @@
     if (!job.isBlocked && !job.isCancelled) this.releaseJobs([job]);
   }
 
-  /** Reads the records of dependencies that are over, or were accepted a moment ago. Never throws. */
+  /** Reads the job records of unresolved dependencies, which have ended or were accepted recently. Never throws. */
   private async lookUpUnresolved(): Promise<void> {
     if (this.isLookingUp || !this.isStarted) return;
     this.isLookingUp = true;
@@ -137,7 +140,7 @@
     try {
       const row = this.ctx.jobs.has(id) ? null : await this.ctx.store.get(keys.job(id));
       this.unresolvedIds.delete(id);
-      // One that is still accepted is in the job store by now, or the watch brings it.
+      // A dependency that is still `accepted` is already in the job store or will be added by the job watch.
       const state = row ? decodeJob(id, row.value).state : 'accepted';
       await this.parts.lock.runExclusive(() => {
         if (state === 'done') this.markDone(id);
@@ -149,7 +152,7 @@
     }
   }
 
-  /** All dependencies of these jobs are durably done: they may start, and their waiting time counts from now. */
+  /** Releases jobs whose dependencies are all durably done; the waiting time of the jobs counts from now. */
   private releaseJobs(jobs: readonly ActiveJob[]): void {
     if (jobs.length === 0) return;
     for (const job of jobs) {
--- a/src/leader/job-canceller.ts
+++ b/src/leader/job-canceller.ts
@@ -1,4 +1,4 @@
-/** Stops the tasks of cancelled jobs, and of all jobs that depend on them. */
+/** Stops the tasks of cancelled jobs and of all jobs that depend on cancelled jobs. */
 import type { FleetManager } from '../fleet/fleet-manager.js';
 import type { Lifetimes } from '../forecast/lifetimes.js';
 import type { JobId } from '../model/ids.js';
@@ -11,10 +11,10 @@
 import type { Worker } from '../workers/state/worker.js';
 import type { LeaderContext } from '../core/context.js';
 
-/** The share of a cancellation's limit after which a worker that still has the task is fenced. */
+/** Share of the cancellation time limit after which a worker that still has a cancelled task is fenced. */
 const FENCE_AFTER_RATIO = 0.4;
 
-/** The parts of the leader that cancellations are carried out with. */
+/** The leader components that `JobCanceller` uses. */
 interface JobCancellerParts {
   readonly graph: DependencyGraph;
   readonly lifetimes: Lifetimes;
@@ -23,7 +23,7 @@
   readonly fleet: FleetManager;
 }
 
-/** Carries out confirmed cancellations, which are final whoever leads. */
+/** Applies confirmed cancellations, which are final for this leader and every later leader. */
 export class JobCanceller {
   constructor(
     private readonly ctx: LeaderContext,
@@ -31,8 +31,8 @@
   ) {}
 
   /**
-   * Carries out a confirmed cancellation. The jobs that depend on it are cancelled, too: nothing of them can have
-   * started.
+   * Applies the confirmed cancellation of a job. Jobs that depend on the job are cancelled too; none of their tasks can
+   * have started.
    */
   cancel(id: JobId): void {
     this.ctx.cancellations.learn([{ id, age: ms(0) }]);
@@ -42,16 +42,16 @@
     if (job && !job.isCancelled) this.stopTasks(job);
   }
 
-  /** Cancels a job with one that it depends on; its own record doesn't say so yet. */
+  /** Cancels a job because of a cancelled dependency; the job's stored record does not show the cancellation yet. */
   cancelDependent(job: ActiveJob): void {
     job.isCancelledByDependency = true;
     this.stopTasks(job);
   }
 
   /**
-   * Fences workers that still have a cancelled task well before the cancellation's limit, with or without a valid
-   * lease: a machine that hangs goes on with the task otherwise, and while the store is unavailable no leader's lease
-   * is valid.
+   * Fences workers that still have a cancelled task, well before the cancellation time limit. Otherwise a hanging
+   * machine would keep running the task. Fencing needs no valid leader lease, because no leader has a valid lease while
+   * the store is unavailable.
    */
   fenceWorkersWithOverdueStops(now: MonotonicTime): void {
     const maxAgeMs = this.ctx.settings.cancellationLimit * FENCE_AFTER_RATIO;
@@ -66,7 +66,7 @@
   private stopTasks(job: ActiveJob): void {
     const now = this.ctx.clock.now();
     this.parts.graph.remove(job);
-    // Counted from when this process learned of it, not from our takeover.
+    // The time limit runs from when this process learned of the cancellation, not from the takeover.
     const cancelledAt = this.ctx.cancellations.learnedAt(job.spec.id) ?? now;
     job.isCancelled = true;
     const stoppingWorkers = new Set<Worker>();
@@ -87,14 +87,14 @@
     this.ctx.requestDecision();
   }
 
-  /** The replicas of a service run until it is cancelled: that is their lifetime. */
+  /** Records the lifetime of a service replica, which runs until its service is cancelled. */
   private recordLifetime({ job, runningAt }: Task, now: MonotonicTime): void {
     if (job.spec.kind !== 'service' || runningAt === null) return;
     this.parts.lifetimes.recordRun(job.spec.jobClass, now - runningAt);
   }
 }
 
-/** Whether no start command has left: the task cannot be on the machine. */
+/** Returns whether no start command was sent, so that the task cannot be on the machine. */
 function isStartUnsent(task: Task): boolean {
   return task.phase === 'committing' || (task.startSentIncarnation === null && !task.isInherited);
 }
--- a/src/leader/job-intake.ts
+++ b/src/leader/job-intake.ts
@@ -6,7 +6,7 @@
 import type { JobCanceller } from './job-canceller.js';
 import type { LoadedJobs } from './open-job-loader.js';
 
-/** The parts of the leader that `JobIntake` works with. */
+/** The leader components that `JobIntake` uses. */
 interface JobIntakeParts {
   readonly committer: Committer;
   readonly canceller: JobCanceller;
@@ -14,31 +14,29 @@
   readonly demand: DemandListener;
 }
 
-/** Takes in what the records say of jobs: once when the state is restored, then as it changes. */
+/** Applies stored job records to the leader's state: once during state restore, then after each change of a record. */
 export class JobIntake {
   constructor(
     private readonly ctx: LeaderContext,
     private readonly parts: JobIntakeParts,
   ) {}
 
-  /** A job is not over; it may be known already. */
+  /** Adds an unfinished job; does nothing if the leader already knows the job. */
   addOpenJob(job: ActiveJob): void {
     const { canceller, dependencies, demand } = this.parts;
     if (!this.ctx.jobs.add(job)) return;
     dependencies.add(job);
     if (this.ctx.cancellations.has(job.spec.id)) canceller.cancel(job.spec.id);
-    // A job that waits for its dependencies is demand from its release on.
+    // The demand of a blocked job is recorded when its dependencies are done.
     else if (job.tasks.size === 0 && !job.isBlocked && !job.isCancelled) demand.recordDemand(job);
   }
 
-  /** A job's cancellation is confirmed; the job may be unknown. */
+  /** Applies the confirmed cancellation of a job, which may be unknown to the leader. */
   cancel(id: JobId): void {
     this.parts.canceller.cancel(id);
   }
 
-  /**
-   * Drops the remaining records of jobs that are over, and cancels jobs that were cancelled since they were accepted.
-   */
+  /** Deletes the remaining records of ended jobs and cancels loaded jobs whose stored record is already cancelled. */
   processFinishedJobs({ staleKeys, cancelled }: LoadedJobs): void {
     this.parts.committer.deleteStaleKeys(staleKeys);
     for (const id of cancelled) this.parts.canceller.cancel(id);
--- a/src/leader/job-outcomes.ts
+++ b/src/leader/job-outcomes.ts
@@ -1,4 +1,4 @@
-/** Learns from jobs that are over, and logs them. */
+/** Logs ended jobs and adjusts the slack factors of job classes from their outcomes. */
 import type { FleetManager } from '../fleet/fleet-manager.js';
 import type { Lifetimes } from '../forecast/lifetimes.js';
 import { type MonotonicTime, since } from '../model/time.js';
@@ -7,7 +7,7 @@
 import type { SloTargets } from '../scheduler/slo-targets.js';
 import type { LeaderContext } from '../core/context.js';
 
-/** The parts of the leader that are adjusted by the outcome of jobs. */
+/** The leader components that `JobOutcomes` reads or updates. */
 interface JobOutcomesParts {
   readonly fleet: FleetManager;
   readonly lifetimes: Lifetimes;
@@ -20,14 +20,14 @@
   return Math.round(durationMs / 100) / 10;
 }
 
-/** Measures each job that ends against the objectives of its class. */
+/** Compares each ended job with the service-level objectives of its class. */
 export class JobOutcomes {
   constructor(
     private readonly ctx: LeaderContext,
     private readonly parts: JobOutcomesParts,
   ) {}
 
-  /** Records a job whose end is durable. */
+  /** Records and logs a job whose final state is durable. */
   recordClosed(job: ActiveJob): void {
     if (!job.isCancelled) this.recordObjective(job);
     const { id, jobClass, taskCount, estimatedRunS } = job.spec;
@@ -51,7 +51,7 @@
     );
   }
 
-  /** Records whether the job missed the first objective that a machine rented for it could have met. */
+  /** Records whether the job missed the first objective that a machine rented for the job could have met. */
   private recordObjective(job: ActiveJob): void {
     const { fleet, lifetimes, sloTargets, slackFactors } = this.parts;
     const objective = sloTargets.nextTarget(
--- a/src/leader/job-watcher.ts
+++ b/src/leader/job-watcher.ts
@@ -1,4 +1,4 @@
-/** Brings the leader every job that is accepted or cancelled while it leads. */
+/** Watches the job records and applies every acceptance and cancellation of a job to the leader's state. */
 import type { Mutex } from 'async-mutex';
 import type { LeaderContext } from '../core/context.js';
 import { errorMessage } from '../log/logger.js';
@@ -13,29 +13,32 @@
 import { retryUntilTermEnds } from './retry.js';
 import { watchedUpTo, type WorkerLeasePolicy } from './worker-lease-policy.js';
 
-/** Each answer of the watch proves that nothing was missed up to then: see `WorkerLeasePolicy`. */
+/**
+ * Time that the store waits for job events before it answers a watch request. Each answer proves that no event was
+ * missed up to a known time (see `WorkerLeasePolicy`).
+ */
 const WATCH_TIMEOUT_MS = 5000;
 const WATCH_RETRY_MS = 100;
 const WATCH_RETRY_JITTER_MS = 150;
 const DESCRIPTION_RETRY_MS = 300;
 
-/** The parts of the leader that `JobWatcher` works with. */
+/** The leader components that `JobWatcher` uses. */
 interface JobWatcherParts {
   readonly intake: JobIntake;
   readonly workerLeasePolicy: WorkerLeasePolicy;
   readonly lock: Mutex;
 }
 
-/** Watches the jobs' records. */
+/** Watches the job records in the store. */
 export class JobWatcher {
   constructor(
     private readonly ctx: LeaderContext,
     private readonly parts: JobWatcherParts,
   ) {}
 
-  /** Follows every change after this revision until the term ends. */
+  /** Starts a watch loop that applies every change after the given revision until the term ends. */
   start(after: Revision): void {
-    // The loop handles its own failures.
+    // The watch loop handles its own errors.
     void this.watchUntilTermEnds(after);
   }
 
@@ -51,7 +54,7 @@
     }
   }
 
-  /** Waits for the next changes; returns the revision that has been followed up to. */
+  /** Waits for the next changes, applies them, and returns the revision up to which changes have been applied. */
   private async watchOnce(after: Revision): Promise<Revision> {
     const { clock, store } = this.ctx;
     const { lock, workerLeasePolicy } = this.parts;
@@ -69,7 +72,7 @@
     return revision;
   }
 
-  /** The watch has missed changes: everything is read again. */
+  /** Reloads all unfinished jobs after the watch has missed changes, and returns the loaded revision. */
   private async resync(): Promise<Revision> {
     const { intake, workerLeasePolicy } = this.parts;
     const startedAt = this.ctx.clock.now();
@@ -82,7 +85,7 @@
   }
 
   private logUnreadable(key: string, error: Error): void {
-    this.ctx.log.error({ key, error: errorMessage(error) }, 'job record unreadable, change left out');
+    this.ctx.log.error({ key, error: errorMessage(error) }, 'job record unreadable; change ignored');
   }
 
   private apply({ id, record, revision }: JobChange): void {
--- a/src/leader/leader-summary.ts
+++ b/src/leader/leader-summary.ts
@@ -1,10 +1,10 @@
-/** Sums up a leader's state for the log line `summary`. */
+/** Summarizes a leader's state for the log line `summary`. */
 import { seriesKey } from '../fleet/capacity-plan.js';
 import type { JobStore } from '../scheduler/job-store.js';
 import type { Worker } from '../workers/state/worker.js';
 import type { WorkerRegistry } from '../workers/state/worker-registry.js';
 
-/** Machines that are up, of one type and kind. */
+/** Counts of the running machines of one type and purchase option (spot or on-demand). */
 interface PoolSummary {
   up: number;
   empty: number;
@@ -12,7 +12,7 @@
   withReplicas: number;
 }
 
-/** Returns jobs, tasks and machines in numbers. */
+/** Returns counts of jobs, tasks and machines, and CPU totals. */
 export function summaryOf(jobs: JobStore, workers: WorkerRegistry): object {
   return { ...jobSummary(jobs), ...workerSummary(workers) };
 }
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -1,4 +1,4 @@
-/** Runs one term: restores what earlier leaders left, then keeps the leader's parts going until the term ends. */
+/** Runs one leadership term: restores the stored state, then runs the leader's components until the term ends. */
 import type { ControllerContext } from '../core/context.js';
 import type { LeaseValidity } from '../leadership/lease.js';
 import type { LeadershipTerm } from '../leadership/term.js';
@@ -13,16 +13,16 @@
 import { TermLifetime } from './term-lifetime.js';
 
 const TICK_INTERVAL_MS = 500;
-/** By then a new leader has been in contact with the workers that are alive. */
+/** Time after the start of a term within which the leader contacts all running workers. */
 const INITIAL_CONTACT_PERIOD_MS = 4000;
 
-/** The leader of one epoch. */
+/** The leader for one epoch. */
 export class Leader {
   readonly epoch: Epoch;
   private readonly lifetime: TermLifetime;
   private readonly parts: LeaderParts;
 
-  /** `onEnded` is called once, with the reason, when the term ends. */
+  /** Creates the leader of a term; `onEnded` is called once, with the reason, when the term ends. */
   constructor(
     controller: ControllerContext,
     term: LeadershipTerm,
@@ -37,12 +37,12 @@
     this.parts = createLeaderParts({ controller, term, lease, lifetime: this.lifetime });
   }
 
-  /** Ends the term: nothing is decided or answered from now on. */
+  /** Ends the term; the leader makes no more decisions and refuses heartbeats from now on. */
   end(reason: TermEndReason): void {
     this.lifetime.end(reason);
   }
 
-  /** Restores what earlier leaders left, and begins to decide. Resolves then, or when the term ends before. */
+  /** Restores the stored state and starts decisions. Resolves after that, or earlier if the term ends. */
   async start(): Promise<void> {
     const { ctx, restorer, heartbeats, dependencies, dispatcher, watcher } = this.parts;
     const restoredUpTo = await restorer.run();
@@ -59,8 +59,9 @@
   }
 
   /**
-   * Tasks that stand in an unreadable record count for no quota. Nothing is started until their machines have shown
-   * them, and stopped them as unwanted, or their worker leases have surely expired.
+   * Enables decisions, after a delay if records could not be read. Tasks in unreadable records count toward no quota,
+   * so no task is started until the workers have reported those tasks and stopped them as unwanted, or until the leases
+   * of the workers have certainly expired.
    */
   private startDecisions(): void {
     const { ctx, restorer, failureDetector, decisions } = this.parts;
@@ -69,7 +70,10 @@
       return;
     }
     const delayMs = Math.max(0, since(failureDetector.earlierLeasesEndAt, ctx.clock.now()));
-    ctx.log.info({ epoch: ctx.epoch, delayMs: Math.round(delayMs) }, 'unreadable records, starts delayed');
+    ctx.log.info(
+      { epoch: ctx.epoch, delayMs: Math.round(delayMs) },
+      'unreadable records; task starts delayed',
+    );
     this.lifetime.addCleanup(ctx.clock.after(delayMs, () => decisions.start()));
   }
 
@@ -81,7 +85,7 @@
       return;
     }
     chunkResizer.tick(now);
-    // A leader that has just begun has not heard yet which tasks are gone.
+    // A new leader has not yet received the heartbeats that show which cancelled tasks have stopped.
     if (since(now, readyAt) >= INITIAL_CONTACT_PERIOD_MS) canceller.fenceWorkersWithOverdueStops(now);
     if (ctx.isLeaseValid()) this.tickWithLease(now);
     else this.tickWithoutLease(now);
@@ -99,11 +103,11 @@
   private tickWithoutLease(now: MonotonicTime): void {
     const { failureDetector, workerLeasePolicy } = this.parts;
     failureDetector.checkLeases(now);
-    // Handles its own failures.
+    // `pollPeers` handles its own errors.
     void workerLeasePolicy.pollPeers();
   }
 
-  /** Cancellations were confirmed to users, as told by another controller or seen in the records. */
+  /** Applies cancellations that were confirmed to users, as reported by another controller or read from the records. */
   onCancellationsConfirmed(ids: readonly JobId[]): void {
     const { lock, canceller } = this.parts;
     if (!this.lifetime.isEnded) void lock.runExclusive(() => ids.forEach((id) => canceller.cancel(id)));
@@ -114,14 +118,14 @@
     return this.parts.heartbeats.handle(heartbeat, receivedBy);
   }
 
-  /** Returns how many tasks of each job are done and running. */
+  /** Returns the numbers of done and running tasks of each job that is not cancelled. */
   progress(): JobTaskCounts[] {
     return [...this.parts.ctx.jobs.values()]
       .filter((job) => !job.isCancelled)
       .map((job) => ({ id: job.spec.id, done: job.doneCount, running: job.runningCount }));
   }
 
-  /** Returns the term in numbers, for the log. */
+  /** Returns the counters and state totals of the term for the log. */
   summary(): object {
     const { ctx, writeCounts, decisionLog, issuer, fleet } = this.parts;
     return {
--- a/src/leader/lost-tasks.ts
+++ b/src/leader/lost-tasks.ts
@@ -3,30 +3,32 @@
 import type { Worker } from '../workers/state/worker.js';
 import type { Committer } from './committer.js';
 
-/** How many task ids a log line names. */
+/** Maximum number of task IDs in one log line. */
 const MAX_LOGGED_TASK_COUNT = 4;
 
-/** Releases the tasks of workers that can no longer run them, so that they are placed again. */
+/** Releases the tasks of workers that can no longer run them, so that the tasks are placed again. */
 export class LostTaskReleaser {
   constructor(
     private readonly ctx: LeaderContext,
     private readonly committer: Committer,
   ) {}
 
-  /** The machine, and everything on it, is proven gone. */
+  /** Releases all tasks of a machine that certainly no longer exists. */
   onMachineGone(worker: Worker): void {
     const lostTasks = releaseAllTasks(worker, this.ctx.clock.now());
     if (lostTasks.length > 0) {
       const taskIds = lostTasks.slice(0, MAX_LOGGED_TASK_COUNT).map((task) => task.id);
       this.ctx.log.info(
         { machine: worker.id, tasks: lostTasks.length, taskIds },
-        'tasks of a gone machine released',
+        'tasks of a removed machine released',
       );
     }
     this.committer.schedule();
   }
 
-  /** The worker's lease has expired: it has stopped its tasks by itself. */
+  /**
+   * Releases all tasks of a worker whose lease has expired; the worker has stopped the tasks when its lease expired.
+   */
   onLeaseExpired(worker: Worker): void {
     const lostTasks = releaseAllTasks(worker, this.ctx.clock.now());
     if (lostTasks.length === 0) return;
--- a/src/leader/open-job-loader.ts
+++ b/src/leader/open-job-loader.ts
@@ -1,4 +1,4 @@
-/** Reads all unfinished jobs with their progress, as earlier leaders have recorded them. */
+/** Loads all unfinished jobs and their progress from the records of earlier leaders. */
 import type { LeaderContext } from '../core/context.js';
 import { errorMessage } from '../log/logger.js';
 import type { JobId, Revision } from '../model/ids.js';
@@ -9,28 +9,28 @@
 import type { Compare, KeyValue } from '../wire/key-value-store.js';
 import { createActiveJob, loadRecords, readDescription, withRateLimitRetry } from './record-loader.js';
 
-/** The log line of a job whose progress was read from records of several chunk sizes. */
+/** Message logged for a job whose progress was read from records of several chunk sizes. */
 export const MIXED_CHUNK_SIZES = 'progress records of several chunk sizes merged';
-/** A transaction without writes may carry this many times the compares of one with writes. */
+/** Maximum number of compares in a transaction without writes, as a multiple of the store's operation limit. */
 const COMPARES_PER_TXN_OP = 4;
 
-/** All unfinished jobs, as they are recorded. */
+/** The unfinished jobs that were loaded from the stored records. */
 export interface LoadedJobs {
   readonly jobs: readonly ActiveJob[];
-  /** Those of them that were cancelled since they were accepted. */
+  /** IDs of loaded jobs whose job record was changed by a cancellation after the job was accepted. */
   readonly cancelled: readonly JobId[];
-  /** Keys of progress whose jobs are over. */
+  /** Keys of progress records whose jobs have ended. */
   readonly staleKeys: readonly string[];
-  /** Some records cannot be read: tasks may run of which nothing is known. */
+  /** Whether some records cannot be read, so that unknown tasks may be running. */
   readonly hasUnreadable: boolean;
-  /** Changes after this revision are not included. */
+  /** The revision up to which changes are included. */
   readonly revision: Revision;
 }
 
-/** Reads all unfinished jobs with their progress, and which of them were cancelled since. */
+/** Loads all unfinished jobs with their progress, and determines which of the jobs have been cancelled. */
 export async function loadOpenJobs(ctx: LeaderContext): Promise<LoadedJobs> {
   const { rows, revision } = await loadRecords(ctx, keys.open);
-  // A record is only split once every controller can read split records.
+  // Progress records are split only after every controller can read split records.
   if (rows.some(isSplitProgress)) ctx.storeLimits.allowSmallChunks();
   const loader = new OpenJobLoader(ctx);
   for (const row of rows) await loader.add(row);
@@ -39,7 +39,7 @@
   return { jobs, cancelled: await findCancelled(ctx, jobs), staleKeys, hasUnreadable, revision };
 }
 
-/** Puts the rows under `open/` together. A job's head comes before its progress. */
+/** Builds jobs from the rows under `open/`. The head record of a job precedes its progress records. */
 class OpenJobLoader {
   readonly staleKeys: string[] = [];
   hasUnreadable = false;
@@ -55,7 +55,7 @@
     else this.addProgress(openKey, row);
   }
 
-  /** All rows were added. */
+  /** Applies the stored progress and returns the jobs; called after all rows have been added. */
   finish(): ActiveJob[] {
     const jobs = [...this.jobs.values()];
     for (const job of jobs) applyProgress(this.ctx, job);
@@ -65,12 +65,12 @@
   private async addHead(id: JobId, { key, value, revision }: KeyValue): Promise<void> {
     try {
       const record = await readDescription(this.ctx, decodeJob(id, value));
-      // The head is written once, together with the job's record: their revisions are the same.
+      // The head record is written once, in the same transaction as the job record, so both have the same revision.
       this.jobs.set(id, createActiveJob(this.ctx, record, revision));
     } catch (error) {
       if (!(error instanceof InvalidRecordError)) throw error;
-      // Its progress stays where it is for whoever repairs the record.
-      this.ctx.log.error({ key, error: errorMessage(error) }, 'job record unreadable, job left out');
+      // The progress records of the skipped job are kept, so that an operator can repair the job record.
+      this.ctx.log.error({ key, error: errorMessage(error) }, 'job record unreadable; job skipped');
       this.skippedJobIds.add(id);
       this.hasUnreadable = true;
     }
@@ -88,10 +88,14 @@
     }
   }
 
-  /** A key of a form that no version writes: what it says of its job is unknown. */
+  /** Holds back the job of a key whose format no version writes, because the meaning of the record is unknown. */
   private addUnrecognizedKey(key: string): void {
     const id = jobOfUnknownOpenKey(key);
-    this.holdBackJob(id === null ? undefined : this.jobs.get(id), key, 'a key of an unknown form');
+    this.holdBackJob(
+      id === null ? undefined : this.jobs.get(id),
+      key,
+      'the key does not have a known format',
+    );
   }
 
   private holdBackJob(job: ActiveJob | undefined, key: string, error: unknown): void {
@@ -115,7 +119,7 @@
   return openKey !== null && openKey.size < DEFAULT_CHUNK_SIZE;
 }
 
-/** Returns the jobs whose record has changed since they were accepted: they were cancelled. */
+/** Returns the IDs of cancelled jobs: the jobs whose job record has changed since the job was accepted. */
 async function findCancelled(ctx: LeaderContext, jobs: readonly ActiveJob[]): Promise<JobId[]> {
   const cancelled: JobId[] = [];
   const batchSize = ctx.storeLimits.txnOps * COMPARES_PER_TXN_OP;
--- a/src/leader/placement-views.ts
+++ b/src/leader/placement-views.ts
@@ -1,4 +1,4 @@
-/** Builds the snapshot that placement decides over. */
+/** Builds the snapshot of jobs and machines from which placement decides. */
 import type { MonotonicTime } from '../model/time.js';
 import type { ActiveJob } from '../scheduler/active-job.js';
 import type { ConfirmedFacts } from '../model/machine-facts.js';
@@ -6,22 +6,22 @@
 import type { JobView, MachineView, Victim } from '../scheduler/snapshot.js';
 import type { Worker } from '../workers/state/worker.js';
 
-/** How urgent a waiting job is. */
+/** The urgency of a waiting job. */
 interface JobUrgency {
   readonly waitedMs: number;
-  /** How long it may still wait; null: no objective is left. */
+  /** Time that the job may still wait, in milliseconds; null if no objective can be met any more. */
   readonly slackMs: number | null;
   readonly isStarving: boolean;
 }
 
-/** Returns a job as placement sees it. */
+/** Returns the placement view of a job. */
 export function jobView(
   job: ActiveJob,
   now: MonotonicTime,
   { waitedMs, slackMs, isStarving }: JobUrgency,
 ): JobView {
   const isZoneBound = hasZoneConstraint(job.spec);
-  // A task on a machine of which only the id is known may be in any zone: the job waits.
+  // A task on a machine with a known ID but unknown facts may be in any zone, so the job is not placed.
   const hasUnknownZone = isZoneBound && job.zoneTally.unknownZoneCount > 0;
   return {
     spec: job.effectiveSpec,
@@ -36,7 +36,7 @@
   };
 }
 
-/** Returns the tasks that could be preempted on a worker, those that lose the least work first. */
+/** Returns the preemptible tasks of a worker, sorted by priority and then by the amount of lost work. */
 export function victimsOn(worker: Worker, now: MonotonicTime): Victim[] {
   const victims: Victim[] = [];
   for (const task of worker.tasks) {
@@ -47,12 +47,11 @@
     const job = task.job.spec.id;
     victims.push({ task: task.id, job, team, priority, cpus, gpus, memoryGb, lostMs });
   }
-  return victims.sort((one, other) => one.priority - other.priority || one.lostMs - other.lostMs);
+  return victims.sort((left, right) => left.priority - right.priority || left.lostMs - right.lostMs);
 }
 
 /**
- * Returns a machine as placement sees it, by its confirmed facts. Its free capacity is a copy: placement allocates from
- * it.
+ * Returns the placement view of a machine with confirmed facts; free capacity is copied because placement changes it.
  */
 export function machineView(worker: Worker, { machine, type }: ConfirmedFacts): MachineView {
   return {
--- a/src/leader/record-loader.ts
+++ b/src/leader/record-loader.ts
@@ -1,6 +1,4 @@
-/**
- * Reads what earlier leaders have recorded: descriptions of jobs, machines, forecasts (`open-job-loader`: open jobs).
- */
+/** Loads job descriptions, machines and forecasts from the stored records; `open-job-loader` loads open jobs. */
 import type { LeaderContext } from '../core/context.js';
 import type { FleetManager } from '../fleet/fleet-manager.js';
 import { errorMessage } from '../log/logger.js';
@@ -15,11 +13,12 @@
 import { type RecordSet, readRecords, retryWhileRateLimited } from '../store/records.js';
 import type { KeyValue } from '../wire/key-value-store.js';
 
-/** A rate-limited request is repeated after this and up to as long again as the jitter. */
+/** Minimum delay before the retry of a rate-limited request. */
 const RATE_LIMITED_RETRY_MS = 40;
+/** Maximum random addition to the retry delay of a rate-limited request. */
 const RATE_LIMITED_RETRY_JITTER_MS = 60;
 
-/** A rate-limited request is no reason to begin the whole takeover again: it alone waits a moment. */
+/** Retries a rate-limited request after a short delay, so that rate limiting does not restart the whole takeover. */
 export function withRateLimitRetry<T>(ctx: LeaderContext, request: () => Promise<T>): Promise<T> {
   const retryDelayMs = (): number => RATE_LIMITED_RETRY_MS + ctx.random() * RATE_LIMITED_RETRY_JITTER_MS;
   return retryWhileRateLimited(
@@ -28,19 +27,19 @@
   );
 }
 
-/** Returns the records under a prefix: those that were read ahead of the takeover, or else the store's. */
+/** Returns the records under a prefix, either prefetched before the takeover or read from the store. */
 export async function loadRecords(ctx: LeaderContext, prefix: string): Promise<RecordSet> {
   const prefetched = await withRateLimitRetry(ctx, () => ctx.prefetchedRecords(prefix));
   return prefetched ?? readRecords(ctx.store, prefix, (request) => withRateLimitRetry(ctx, request));
 }
 
-/** Creates an unfinished job, with its progress in chunks of the size that the store's limits allow. */
+/** Creates an unfinished job whose progress chunks have the size that the store's limits allow. */
 export function createActiveJob(ctx: LeaderContext, record: JobRecord, revision: Revision): ActiveJob {
   const { spec, acceptedAt } = record;
   return new ActiveJob(spec, revision, acceptedAt, ctx.storeLimits.chunkSize(spec.taskCount));
 }
 
-/** Reads the parts of what doesn't fit the job's own record. */
+/** Reads the values of a job's overflow records, which hold data that does not fit into the job record. */
 async function readRecordValues<T>(
   ctx: LeaderContext,
   id: JobId,
@@ -51,18 +50,20 @@
   for (let index = 0; index < count; index++) {
     const key = keyOf(id, index);
     const row = await withRateLimitRetry(ctx, () => ctx.store.get(key));
-    if (!row) throw new InvalidRecordError(`${key} is missing`);
+    if (!row) throw new InvalidRecordError(`record ${key} is missing from the store`);
     values.push(row.value as T);
   }
   return values;
 }
 
-/** Reads the dependencies of a job whose own record has no room for them. Throws if a record is missing. */
+/** Reads dependencies that do not fit into the job record. Throws `InvalidRecordError` if a record is missing. */
 export async function readDependencies(ctx: LeaderContext, id: JobId, recordCount: number): Promise<JobId[]> {
   return (await readRecordValues<JobId[]>(ctx, id, recordCount, keys.dependencies)).flat();
 }
 
-/** Completes a job's record with the names that didn't fit it. Throws if a record is missing. */
+/**
+ * Completes a job record with the names from its overflow records. Throws `InvalidRecordError` if a record is missing.
+ */
 export async function readDescription(ctx: LeaderContext, record: JobRecord): Promise<JobRecord> {
   const { id, descriptionRecordCount } = record.spec;
   if (descriptionRecordCount === 0) return record;
@@ -70,20 +71,20 @@
   return withDescription(record, parts);
 }
 
-/** A machine of an earlier leader's record. */
+/** A machine loaded from the record of an earlier leader. */
 interface LoadedMachine {
   readonly record: MachineRecord;
-  /** When it was rented, by this process's clock. */
+  /** Rental time of the machine on this process's clock. */
   readonly rentedAt: MonotonicTime;
 }
 
-/** The recorded machines, and the records of machines and forecasts that a new leader takes over. */
+/** The recorded machines, and the machine and forecast records that a new leader adopts. */
 export interface LoadedFleet {
   readonly machines: readonly LoadedMachine[];
   readonly records: readonly KeyValue[];
 }
 
-/** Reads the recorded machines, and hands the stored forecasts to the fleet. */
+/** Loads the recorded machines and restores the stored forecasts in the fleet manager. */
 export async function loadFleet(ctx: LeaderContext, fleet: FleetManager): Promise<LoadedFleet> {
   const { rows } = await loadRecords(ctx, keys.fleet);
   const machines = rows
@@ -95,14 +96,15 @@
 }
 
 /**
- * The machines of a record; none of one that cannot be read: heartbeats, tasks and the cloud's list name them as well.
+ * Returns the machines of a fleet record, or none if the record cannot be read: heartbeats, tasks and the cloud's
+ * machine list identify the machines as well.
  */
 function readMachines({ log }: LeaderContext, { key, value }: KeyValue): MachineRecord[] {
   try {
     return decodeFleetChunk(value);
   } catch (error) {
     if (!(error instanceof InvalidRecordError)) throw error;
-    log.error({ key, error: errorMessage(error) }, 'machine record unreadable, left out');
+    log.error({ key, error: errorMessage(error) }, 'machine record unreadable; record skipped');
     return [];
   }
 }
--- a/src/leader/retry.ts
+++ b/src/leader/retry.ts
@@ -1,15 +1,13 @@
 import type { LeaderContext } from '../core/context.js';
 import { sleep } from '../model/time.js';
 
-/** How a failed attempt is reported and when the next one follows. */
+/** The delay after a failed attempt, and the callback that receives its error. */
 export interface RetryOptions {
   readonly retryMs: number;
   readonly onFailure: (error: unknown) => void;
 }
 
-/**
- * Repeats an attempt until it succeeds, whatever error it throws, and returns its result; null: the term ended first.
- */
+/** Retries an operation after any error until it succeeds and returns its result, or null if the term ends first. */
 export async function retryUntilTermEnds<T>(
   ctx: Pick<LeaderContext, 'clock' | 'isEnded'>,
   { retryMs, onFailure }: RetryOptions,
--- a/src/leader/state-restorer.ts
+++ b/src/leader/state-restorer.ts
@@ -1,4 +1,4 @@
-/** Restores the state of a new leader from the records: jobs, machines, and which task may be on which machine. */
+/** Restores a new leader's state from the stored records: jobs, machines, and the assignments of tasks to machines. */
 import type { LeaderContext } from '../core/context.js';
 import type { FleetManager } from '../fleet/fleet-manager.js';
 import { errorMessage } from '../log/logger.js';
@@ -17,10 +17,10 @@
 
 const RESTORE_RETRY_MS = 200;
 
-/** The order in which a new leader contacts the machines. */
+/** The order in which a new leader contacts workers; lower values are contacted first. */
 const ContactRank = { ProductionWork: 0, FreeCapacity: 1, Full: 2 } as const;
 
-/** The parts of the leader that `StateRestorer` works with. */
+/** The leader components that `StateRestorer` uses. */
 interface StateRestorerParts {
   readonly fleet: FleetManager;
   readonly fleetRecordWriter: FleetRecordWriter;
@@ -28,9 +28,9 @@
   readonly workerLeasePolicy: WorkerLeasePolicy;
 }
 
-/** Reads the records until it has them all, or the term is over. */
+/** Loads the stored records, with retries until all are loaded or the term ends. */
 export class StateRestorer {
-  /** Some records cannot be read: tasks may run that nobody counts. */
+  /** Whether some records cannot be read, so that unknown tasks may be running. */
   hasUnreadableRecords = false;
 
   constructor(
@@ -38,7 +38,9 @@
     private readonly parts: StateRestorerParts,
   ) {}
 
-  /** Restores the state; returns the revision from which changes are to be followed, or null: the term is over. */
+  /**
+   * Restores the state and returns the revision after which changes must be watched, or null if the term ended first.
+   */
   run(): Promise<Revision | null> {
     const onFailure = (error: unknown): void =>
       this.ctx.log.info({ error: errorMessage(error) }, 'state restore failed');
@@ -57,7 +59,7 @@
     return jobs.revision;
   }
 
-  /** Logs what was read, at which revision, and of how many machines the facts are not confirmed yet. */
+  /** Logs the revision and duration of the restore, and the numbers of jobs and of machines by state of their facts. */
   private logRestored({ jobs, revision }: LoadedJobs, startedAt: MonotonicTime): void {
     const { clock, epoch, workers, log } = this.ctx;
     const machines = { confirmed: 0, unconfirmed: 0, unknown: 0 };
@@ -66,10 +68,7 @@
     log.info({ epoch, revision, durationMs, jobs: jobs.length, machines }, 'state restored');
   }
 
-  /**
-   * Returns the workers in the order in which a new leader contacts them: with production work, with free capacity,
-   * others.
-   */
+  /** Returns the workers in contact order: workers with production tasks, workers with free capacity, other workers. */
   workersInContactOrder(): Worker[] {
     return [...this.ctx.workers.values()]
       .filter((worker) => worker.isUp || !worker.isEmpty)
@@ -105,15 +104,16 @@
   }
 
   /**
-   * A task that an earlier leader placed on a machine keeps its capacity there. A machine that no record names is
-   * fenced like an unresponsive one unless it is heard; until its facts are learned, nothing is assumed of it.
+   * Reserves capacity for a task on the machine to which a stored record assigns it. A machine without its own record
+   * is fenced like an unresponsive machine unless its worker reports; nothing is assumed about the machine until its
+   * facts are learned.
    */
   restoreAssignment(task: Task): void {
     const { workers, startedAt, clock } = this.ctx;
     if (task.machine === null) return;
     const worker = workers.get(task.machine) ?? this.parts.fleet.registerUnknown(task.machine, startedAt);
     if (worker) worker.assign(task);
-    // The machine was proven gone in this term, and the task with it.
+    // The machine, and therefore the task, was proven gone in this term.
     else task.job.releaseTask(task, clock.now());
   }
 }
--- a/src/leader/task-failure-policy.ts
+++ b/src/leader/task-failure-policy.ts
@@ -1,17 +1,17 @@
-/** Decides whether a failed task counts against its machine, and cordons machines that fail too often. */
+/** Attributes task failures to machines or jobs, and cordons machines with too many failures. */
 import type { LeaderContext } from '../core/context.js';
 import type { MonotonicTime } from '../model/time.js';
 import type { TaskJob } from '../scheduler/task.js';
 import type { Worker } from '../workers/state/worker.js';
 
-/** Decides whether a failed task is counted against its machine or its job, and what follows. */
+/** Counts a failed task against its machine or its job, and cordons failing machines. */
 export class TaskFailurePolicy {
   constructor(private readonly ctx: Pick<LeaderContext, 'log' | 'operators'>) {}
 
   /**
-   * Counts a failure of one of the job's tasks on this worker. Mostly the machine is at fault. A job that fails on a
-   * second machine is more likely at fault itself: it counts against no further machine, and after a third it backs off
-   * (`JobFailures`).
+   * Counts a failure of one of the job's tasks on this worker. The first machine on which a job fails is assumed to be
+   * at fault. A job that fails on a second machine is more likely at fault itself: its failures count against no
+   * further machine without earlier failures, and after a third machine the job backs off (`JobFailures`).
    */
   recordFailure(worker: Worker, job: TaskJob, now: MonotonicTime): void {
     job.failures.record(worker.id, now);
@@ -19,8 +19,8 @@
   }
 
   /**
-   * Cordons a worker with too many failures. Replicas that still run there are left alone: the machine is returned once
-   * they have ended.
+   * Cordons a worker with too many failures. Its running replicas continue; the machine is returned after they have
+   * ended.
    */
   cordonIfFailing(worker: Worker): void {
     const { log, operators } = this.ctx;
--- a/src/leader/term-lifetime.ts
+++ b/src/leader/term-lifetime.ts
@@ -1,7 +1,7 @@
 import type { TermEndReason } from '../model/term-end-reason.js';
 import type { Cancel } from '../model/time.js';
 
-/** The lifetime of one term: any part may end it, and what runs for its duration is stopped then. */
+/** The lifetime of one leadership term. Any component may end the term, which runs the registered cleanups. */
 export class TermLifetime {
   private hasEnded = false;
   private readonly cleanups: Cancel[] = [];
@@ -12,12 +12,12 @@
     return this.hasEnded;
   }
 
-  /** Runs the cleanup when the term ends. */
+  /** Registers a cleanup that runs when the term ends. */
   addCleanup(cleanup: Cancel): void {
     this.cleanups.push(cleanup);
   }
 
-  /** Ends the term; later calls do nothing. */
+  /** Ends the term, runs the cleanups, and reports the reason; later calls do nothing. */
   end(reason: TermEndReason): void {
     if (this.hasEnded) return;
     this.hasEnded = true;
--- a/src/leader/worker-drainer.ts
+++ b/src/leader/worker-drainer.ts
@@ -1,4 +1,4 @@
-/** Stops the tasks on machines that are to become empty: reclaimed by the cloud, or returned to it. */
+/** Stops the tasks on machines that are reclaimed by the cloud or are to be returned. */
 import type { MachineId } from '../model/ids.js';
 import type { MonotonicTime } from '../model/time.js';
 import type { Task } from '../scheduler/task.js';
@@ -6,19 +6,19 @@
 import type { Worker } from '../workers/state/worker.js';
 import type { LeaderContext } from '../core/context.js';
 
-/** The time for a command to reach the machine, and for its answer to come back. */
+/** Time allowed for a command to reach the machine and for the answer to return. */
 const COMMAND_ROUND_TRIP_S = 4;
-/** The time that a checkpoint may take beyond what the job's owner says. */
+/** Time that a checkpoint may take beyond the duration that the job specifies. */
 const CHECKPOINT_MARGIN_S = 1;
 
-/** Stops tasks so that they can write a checkpoint, and contacts machines that have not been heard yet. */
+/** Stops tasks in time to write a checkpoint, and contacts workers that have not reported yet in this term. */
 export class WorkerDrainer {
   constructor(
     private readonly ctx: LeaderContext,
     private readonly dispatcher: CommandDispatcher,
   ) {}
 
-  /** Drains machines that the cloud reclaims, and dispatches to those that have not been heard yet. */
+  /** Checkpoints tasks on machines that the cloud reclaims, and contacts workers that have not reported yet. */
   tick(now: MonotonicTime): void {
     for (const worker of this.ctx.workers.values()) {
       if (worker.interruptionAt !== null) this.checkpointBeforeReclaim(worker, worker.interruptionAt, now);
@@ -26,7 +26,7 @@
     }
   }
 
-  /** Drains a worker: its tasks are stopped and start again elsewhere. */
+  /** Cordons a worker and stops its tasks, which start again on other machines. */
   drain(id: MachineId): void {
     const worker = this.ctx.workers.get(id);
     if (!worker || worker.cordon) return;
@@ -36,7 +36,7 @@
     this.dispatcher.dispatch(worker);
   }
 
-  /** Stops the tasks that can write a checkpoint in time to do so before the cloud takes the machine. */
+  /** Stops tasks that can write checkpoints, just in time to write one before the cloud reclaims the machine. */
   private checkpointBeforeReclaim(worker: Worker, reclaimedAt: MonotonicTime, now: MonotonicTime): void {
     for (const task of worker.tasks) {
       const { checkpointIntervalS, checkpointWriteS } = task.job.spec;
@@ -48,13 +48,13 @@
   }
 }
 
-/** Whether the worker is likely to run and has not been heard in this term. */
+/** Returns whether the worker is probably running and has not reported in this term. */
 function mustContact(worker: Worker): boolean {
   if (worker.hasReported || worker.address === '') return false;
   return worker.isListedRunning || worker.isUp || !worker.isEmpty;
 }
 
-/** Whether the task is on the machine and not being stopped yet. */
+/** Returns whether the task is placed on the machine and has no pending stop. */
 function canStop(task: Task): boolean {
   return task.phase === 'placed' && task.pendingStop === null;
 }
--- a/src/leader/write-conflicts.ts
+++ b/src/leader/write-conflicts.ts
@@ -1,11 +1,13 @@
-/** What every writer of the leader does when a compare-and-swap has failed. */
+/** Functions with which the leader's store writers handle a failed compare-and-swap. */
 import type { LeaderContext } from '../core/context.js';
 import { NO_REVISION, type Revision } from '../model/ids.js';
 import type { TermEndReason } from '../model/term-end-reason.js';
 import type { KeyValueStore } from '../store/client.js';
 import { keys } from '../store/keys.js';
 
-/** Ends the term if the compare on the epoch failed: another leader has been elected. Returns whether it did. */
+/**
+ * Ends the term if the compare of the epoch failed, because another leader was elected; returns whether the term ended.
+ */
 export function stepDownIfDeposed(
   ctx: LeaderContext,
   failedKeys: readonly string[],
@@ -16,7 +18,7 @@
   return true;
 }
 
-/** Reads the revision that a key has now, for the next compare; `NO_REVISION` if it doesn't exist. */
+/** Reads the current revision of a key for the next compare; returns `NO_REVISION` if the key does not exist. */
 export async function fetchRevision(store: KeyValueStore, key: string): Promise<Revision> {
   const row = await store.get(key);
   return row?.revision ?? NO_REVISION;
--- a/src/leader/write-counts.ts
+++ b/src/leader/write-counts.ts
@@ -1,13 +1,13 @@
-/** Counts the writes that a leader asks of the store, by their purpose. */
+/** Counts the store writes that a leader requests, by purpose. */
 export class WriteCounts {
   starts = 0;
   progress = 0;
   closings = 0;
-  /** Drops of keys of jobs that are over. */
+  /** Deletions of the keys of ended jobs. */
   staleKeys = 0;
   fleet = 0;
 
-  /** Returns the counts since the last call, for the log. */
+  /** Returns the counts since the last call for the log and resets them. */
   take(): Record<string, number> {
     const { starts, progress, closings, staleKeys, fleet } = this;
     this.starts = 0;
--- a/test/unit/retry.test.ts
+++ b/test/unit/retry.test.ts
@@ -4,7 +4,7 @@
 
 const RETRY_MS = 200;
 
-/** An attempt that fails so many times, in a term that ends after `termMs`. */
+/** Retries an operation that fails `failures` times, in a term that ends after `termMs`. */
 async function runAttempts(failures: number, termMs: number) {
   const clock = new VirtualClock();
   const failedWith: unknown[] = [];
@@ -28,7 +28,7 @@
     expect(failedWith).toEqual([new Error('attempt 1'), new Error('attempt 2')]);
   });
 
-  it('gives up with null when the term has ended', async () => {
+  it('returns null when the term has ended', async () => {
     const { result, attempts } = await runAttempts(100, 1000);
     expect(result).toBeNull();
     expect(attempts).toBe(1000 / RETRY_MS);
--- a/test/unit/task-failure-policy.test.ts
+++ b/test/unit/task-failure-policy.test.ts
@@ -23,7 +23,7 @@
 
 const createJob = (): ActiveJob => new ActiveJob(submission({}), 1 as Revision, 0 as WallTime, 300);
 
-/** For how long the job backs off from now on; null: it does not. */
+/** Returns how long the job backs off from `NOW`, in milliseconds; null if the job does not back off. */
 function backoffMs({ failures }: ActiveJob): number | null {
   let durationMs = 0;
   while (failures.isBackingOff((NOW + durationMs) as MonotonicTime)) durationMs++;
@@ -34,7 +34,7 @@
   const operators = defaultOperators();
   const policy = new TaskFailurePolicy({ log: silentLogger, operators });
 
-  it('counts failures against the machine, and cordons it once there are too many', () => {
+  it('counts failures against the machine and cordons it at the maximum number of failures', () => {
     const failing = createWorker('a');
     for (let failures = 1; failures <= operators.workers.maxTaskFailures; failures++) {
       expect(failing.cordon).toBeNull();
@@ -44,7 +44,7 @@
     expect(failing.cordon).toBe('failing');
   });
 
-  it('holds a job that fails on several machines at fault itself: it backs off for longer each time', () => {
+  it('counts failures on several machines against the job, which backs off longer after each failure', () => {
     const faulty = createJob();
     const workers = ['a', 'b', 'c', 'd'].map(createWorker);
     const backoffs = workers.map((failedOn) => {
--- a/test/unit/term-lifetime.test.ts
+++ b/test/unit/term-lifetime.test.ts
@@ -2,7 +2,7 @@
 import { TermLifetime } from '../../src/leader/term-lifetime.js';
 
 describe('TermLifetime', () => {
-  it('runs its cleanups and reports the reason once, with the first end', () => {
+  it('runs the cleanups and reports the reason once, when the term is first ended', () => {
     const events: string[] = [];
     const lifetime = new TermLifetime((reason) => events.push(`ended: ${reason}`));
     lifetime.addCleanup(() => events.push('first cleanup'));
--- a/test/unit/worker-lease-policy.test.ts
+++ b/test/unit/worker-lease-policy.test.ts
@@ -10,7 +10,7 @@
 
 type PeerAnswer = PeerStatus | null;
 
-/** A leader with a valid lease, a cancellation limit of so many seconds, and peers that answer like this. */
+/** Creates a leader with a valid lease, a cancellation limit in seconds, and peers that return the given answers. */
 function createLeader(cancellationLimitS: number, peerAnswers: () => PeerAnswer[]) {
   const clock = new VirtualClock();
   const cancellations = new ConfirmedCancellations(clock, seconds(cancellationLimitS));
@@ -27,7 +27,10 @@
   const lease = { isLeaseValid: () => expiredFor === null, timeSinceLeaseExpiry: () => expiredFor ?? ms(0) };
   const policy = new WorkerLeasePolicy(ctx, lease, (epoch) => observedEpochs.push(epoch));
   policy.recordCancellationsObservedUpTo(clock.now());
-  /** Lets the lease expire and polls the peers as a leader does for so long; returns up to when it renewed, in seconds. */
+  /**
+   * Lets the leader lease expire and polls the peers every 500 ms for `durationS`; returns the last time at which
+   * worker leases were renewed, in seconds after the expiry.
+   */
   const renewedForS = async (durationS: number): Promise<number> => {
     let renewedUpToS = 0;
     for (let elapsedS = 0; elapsedS < durationS; elapsedS += 0.5) {
@@ -50,7 +53,7 @@
 const LONG_UPTIME_MS = 3_600_000;
 
 describe('WorkerLeasePolicy without a valid leader lease renews worker leases', () => {
-  it('for as long as every peer confirms that it leads nothing and has confirmed no cancellation', async () => {
+  it('while every peer reports that it is not leader and has confirmed no cancellation', async () => {
     expect(
       await createLeader(40, () => [
         createPeerStatus(LONG_UPTIME_MS),
@@ -59,13 +62,13 @@
     ).toBeGreaterThan(119);
   });
 
-  it('for maxRenewalWithoutQuorum once a peer doesn’t answer: it may lead, however long the cancellation limit is', async () => {
+  it('for maxRenewalWithoutQuorum after a peer stops answering, however long the cancellation limit is: the peer may be leader', async () => {
     expect(await createLeader(400, () => [createPeerStatus(LONG_UPTIME_MS), null]).renewedForS(120)).toBe(
       14.5,
     );
   });
 
-  it('until an unknown cancellation’s limit leaves a lease no time, once a peer has restarted', async () => {
+  it('until a lease could outlast the limit of an unknown cancellation, after a peer has restarted', async () => {
     // 40 s, less a lease of 20 s and 5 s.
     expect(
       await createLeader(40, () => [createPeerStatus(LONG_UPTIME_MS), createPeerStatus(100)]).renewedForS(
@@ -79,7 +82,7 @@
     ).toBe(7.5);
   });
 
-  it('not at all after a observedEpochs epoch was named, and learns what the others have told', async () => {
+  it('and learns the epoch of a leading peer and the cancellations that peers have confirmed', async () => {
     const confirmed = [{ id: 'j-000007' as JobId, age: ms(900) }];
     const { renewedForS, observedEpochs, cancellations } = createLeader(40, () => [
       createPeerStatus(LONG_UPTIME_MS, { leadingEpoch: 9 as Epoch, cancellations: confirmed }),
@@ -91,7 +94,7 @@
 });
 
 describe('WorkerLeasePolicy with a valid leader lease', () => {
-  it('stops renewing too when it hasn’t observed cancellations for long', async () => {
+  it('stops renewing when it has not observed cancellations for 15 s', async () => {
     const { policy, clock } = createLeader(40, () => []);
     await clock.advance(14_900);
     expect(policy.mayRenew(clock.now())).toBe(true);
