--- a/src/leader/job-watcher.ts
+++ b/src/leader/job-watcher.ts
@@ -1,4 +1,4 @@
-/** Brings the leader every job that is accepted or cancelled while it leads. */
+/** Watches the job records and applies every acceptance and cancellation of a job to the leader's state. */
 import type { Mutex } from 'async-mutex';
 import type { LeaderContext } from '../core/context.js';
 import { errorMessage } from '../log/logger.js';
@@ -13,34 +13,37 @@
 import { retryUntilTermEnds } from './retry.js';
 import { watchedUpTo, type WorkerLeasePolicy } from './worker-lease-policy.js';
 
-/** Each answer of the watch proves that nothing was missed up to then: see `WorkerLeasePolicy`. */
+/**
+ * Time that the store waits for job events before it answers a watch request. Each answer proves that no event was
+ * missed up to a known time (see `WorkerLeasePolicy`).
+ */
 const WATCH_TIMEOUT_MS = 5000;
 const WATCH_RETRY_MS = 100;
 const WATCH_RETRY_JITTER_MS = 150;
 const DESCRIPTION_RETRY_MS = 300;
 
-/** The parts of the leader that `JobWatcher` works with. */
+/** The leader components that `JobWatcher` uses. */
 interface JobWatcherParts {
   readonly intake: JobIntake;
   readonly workerLeasePolicy: WorkerLeasePolicy;
   readonly lock: Mutex;
 }
 
-/** Watches the jobs' records. */
+/** Watches the job records in the store. */
 export class JobWatcher {
   constructor(
     private readonly ctx: LeaderContext,
     private readonly parts: JobWatcherParts,
   ) {}
 
-  /** Follows every change after this revision until the term ends. */
+  /** Starts a watch loop that applies every change after the given revision until the term ends. */
   start(after: Revision): void {
-    // The loop handles its own failures.
-    void this.follow(after);
+    // The watch loop handles its own errors.
+    void this.watchUntilTermEnds(after);
   }
 
-  private async follow(from: Revision): Promise<void> {
-    let after = from;
+  private async watchUntilTermEnds(startRevision: Revision): Promise<void> {
+    let after = startRevision;
     while (!this.ctx.isEnded()) {
       try {
         after = await this.watchOnce(after);
@@ -51,7 +54,7 @@
     }
   }
 
-  /** Waits for the next changes; returns the revision that has been followed up to. */
+  /** Waits for the next changes, applies them, and returns the revision up to which changes have been applied. */
   private async watchOnce(after: Revision): Promise<Revision> {
     const { clock, store } = this.ctx;
     const { lock, workerLeasePolicy } = this.parts;
@@ -63,26 +66,26 @@
     const hasEvents = changes.length > 0;
     const jobChanges = decodeJobChanges(changes, (key, error) => this.logUnreadable(key, error));
     await lock.runExclusive(() => jobChanges.forEach((change) => this.apply(change)));
-    workerLeasePolicy.observedCancellationsUpTo(
+    workerLeasePolicy.recordCancellationsObservedUpTo(
       watchedUpTo({ sentAt, waitMs: WATCH_TIMEOUT_MS, hasEvents, answeredAt: clock.now() }),
     );
     return revision;
   }
 
-  /** The watch has missed changes: everything is read again. */
+  /** Reloads all unfinished jobs after the watch has missed changes, and returns the loaded revision. */
   private async resync(): Promise<Revision> {
     const { intake, workerLeasePolicy } = this.parts;
     const startedAt = this.ctx.clock.now();
     const loaded = await loadOpenJobs(this.ctx);
-    for (const job of loaded.jobs) intake.addOpen(job);
-    intake.dropFinished(loaded);
-    workerLeasePolicy.observedCancellationsUpTo(startedAt);
+    for (const job of loaded.jobs) intake.addOpenJob(job);
+    intake.processFinishedJobs(loaded);
+    workerLeasePolicy.recordCancellationsObservedUpTo(startedAt);
     this.ctx.requestDecision();
     return loaded.revision;
   }
 
   private logUnreadable(key: string, error: Error): void {
-    this.ctx.log.error({ key, error: errorMessage(error) }, 'job record unreadable, change left out');
+    this.ctx.log.error({ key, error: errorMessage(error) }, 'job record unreadable; change ignored');
   }
 
   private apply({ id, record, revision }: JobChange): void {
@@ -105,7 +108,7 @@
   }
 
   private add(record: JobRecord, revision: Revision): void {
-    this.parts.intake.addOpen(createActiveJob(this.ctx, record, revision));
+    this.parts.intake.addOpenJob(createActiveJob(this.ctx, record, revision));
     this.ctx.requestDecision();
   }
 }
