--- a/src/scheduler/candidate-index.ts
+++ b/src/scheduler/candidate-index.ts
@@ -1,11 +1,11 @@
-/** The order in which first-fit tries machines. */
+/** An incrementally maintained index of machines in the order in which first-fit placement tries them. */
 import type { ImageId } from '../model/ids.js';
 import { fits, type Resources } from '../model/job.js';
 import type { MachineView } from './snapshot.js';
 
 interface Candidate {
   readonly machine: MachineView;
-  /** Its free CPUs when it was last put in order. */
+  /** The machine's free CPUs when the candidate was last sorted. */
   freeCpus: number;
 }
 
@@ -27,26 +27,31 @@
   a.freeCpus - b.freeCpus ||
   compareIds(a.machine, b.machine);
 
-/** From so many changed machines on, all are sorted again. */
-const FULL_SORT_CHANGES = 16;
+/**
+ * The index is sorted in full if more machines than this have changed since the last job; fewer are reinserted one by
+ * one.
+ */
+const MAX_INCREMENTAL_CHANGE_COUNT = 16;
 
 /**
- * The machines that first-fit tries, in order (ours): reachable ones first; spot ones for jobs that allow them; then,
- * for such jobs, the fuller ones, so that whole machines become idle and can be scaled in, and of equally full ones
- * those that have the image. Other jobs prefer machines with their image, then small ones: replicas stay long, and
- * must not keep a big one.
+ * Orders the machines for first-fit placement (ours). Reachable machines come first.
  *
- * One index serves all jobs of a placement round. It holds only machines with free capacity for any of them, and moves
- * those that have changed between two jobs: most jobs change one or two.
+ * For jobs that allow spot machines, spot machines come next, then fuller ones, so that whole machines become idle and
+ * can be scaled in; of equally full machines, those that have the image come first. Other jobs prefer machines that
+ * have their image, then small ones: service replicas run for a long time and must not keep a large machine in use.
+ *
+ * One index serves all jobs of a placement round. The index holds only machines with enough free capacity for the
+ * smallest request of these jobs. Between two jobs only the machines that have changed are reinserted, since most jobs
+ * change one or two.
  */
 export class CandidateIndex {
   private candidates: Candidate[];
   private readonly compare: Comparator;
   private isSorted = false;
-  private readonly changed = new Set<MachineView>();
+  private readonly changedMachines = new Set<MachineView>();
 
   /**
-   * @param allowsSpot Whether it serves the jobs that may use spot machines, or those that may not.
+   * @param allowsSpot Whether the index serves the jobs that may use spot machines, or those that may not.
    * @param minimumFree Machines with less free capacity are left out.
    */
   constructor(
@@ -60,20 +65,20 @@
       .map((machine) => ({ machine, freeCpus: machine.free.cpus }));
   }
 
-  /** The machine's free capacity has changed: it is put in order again before the next job. */
+  /** Marks a machine whose free capacity has changed; the machine is reordered before the next job is placed. */
   markChanged(machine: MachineView): void {
-    if (this.allowsSpot || !machine.spot) this.changed.add(machine);
+    if (this.allowsSpot || !machine.spot) this.changedMachines.add(machine);
   }
 
   private applyChanges(): void {
-    if (!this.isSorted || this.changed.size > FULL_SORT_CHANGES) this.sortAll();
-    else for (const machine of this.changed) this.reposition(machine);
-    this.changed.clear();
+    if (!this.isSorted || this.changedMachines.size > MAX_INCREMENTAL_CHANGE_COUNT) this.sortAll();
+    else for (const machine of this.changedMachines) this.reposition(machine);
+    this.changedMachines.clear();
   }
 
   private sortAll(): void {
     const listed = new Set(this.candidates.map(({ machine }) => machine));
-    for (const machine of this.changed) {
+    for (const machine of this.changedMachines) {
       if (!listed.has(machine)) this.candidates.push({ machine, freeCpus: machine.free.cpus });
     }
     this.candidates = this.candidates.filter(({ machine }) => fits(this.minimumFree, machine.free));
@@ -90,7 +95,10 @@
     this.candidates.splice(this.insertionIndex(candidate), 0, candidate);
   }
 
-  /** By binary search: all candidates before the index come before this one. */
+  /**
+   * Returns the index at which a candidate keeps the order, by binary search: all candidates before the index sort
+   * before it.
+   */
   private insertionIndex(candidate: Candidate): number {
     let low = 0;
     let high = this.candidates.length;
@@ -102,7 +110,10 @@
     return low;
   }
 
-  /** Machines for a job in first-fit order; of machines of equal rank those with its image come first. */
+  /**
+   * Yields the machines for a job in first-fit order; of machines of equal rank, those that have the job's image come
+   * first.
+   */
   *inOrder(image: ImageId): Generator<MachineView> {
     this.applyChanges();
     const { candidates } = this;
--- a/src/scheduler/placement.ts
+++ b/src/scheduler/placement.ts
@@ -1,4 +1,4 @@
-/** Places waiting tasks: first fit over an ordered list of machines, and preemption where that is allowed. */
+/** Places waiting tasks on machines: first fit over an ordered index, and preemption where the rules allow it. */
 import type { TeamId } from '../model/ids.js';
 import { fits, release, Priority, type Resources, allocate } from '../model/job.js';
 import { CandidateIndex } from './candidate-index.js';
@@ -8,8 +8,8 @@
 import type { JobView, MachineView, PlacementPlan, PlacementSnapshot, Victim } from './snapshot.js';
 import type { TeamUsage } from './team-usage.js';
 
-/** The part of a starving job's tasks that may go ahead of other work. */
-const STARVING_SHARE = 0.25;
+/** Bounds the ratio of a starving job's tasks that one round places ahead of other work. */
+const STARVING_JOB_TASK_RATIO = 0.25;
 
 type MachineFilter = (machine: MachineView) => boolean;
 
@@ -18,7 +18,10 @@
   readonly victims: Victim[];
 }
 
-/** One round of placement over one snapshot. Takes the free capacity of the snapshot's machines as it goes. */
+/**
+ * Runs one round of placement over one snapshot, and deducts the placed tasks from the free capacity of the snapshot's
+ * machines.
+ */
 class PlacementRound {
   readonly plan: PlacementPlan = { starts: [], preemptions: [], unmet: [] };
   private readonly usageByTeam = new Map<TeamId, TeamUsage>();
@@ -28,7 +31,7 @@
 
   constructor(private readonly snapshot: PlacementSnapshot) {
     for (const [team, usage] of snapshot.teamUsage) this.usageByTeam.set(team, { ...usage });
-    const minimumFree = smallestRequest(snapshot.jobs);
+    const minimumFree = minimumRequest(snapshot.jobs);
     this.spotIndex = new CandidateIndex(snapshot.machines, true, minimumFree);
     this.onDemandIndex = new CandidateIndex(snapshot.machines, false, minimumFree);
   }
@@ -40,9 +43,11 @@
     const teamUsage = this.usageByTeam.get(spec.team) ?? { cpus: 0, gpus: 0 };
     this.usageByTeam.set(spec.team, teamUsage);
     let remaining = Math.min(job.waitingCount, remainingQuota(team, teamUsage, spec));
-    // A starving job goes first with a part of its tasks only: it begins, and the others go on.
-    if (job.isStarving) remaining = Math.min(remaining, Math.ceil(spec.taskCount * STARVING_SHARE));
-    // A replica starts at once only where its image is: preempting there beats a fetch elsewhere.
+    // A starving job gets only part of its tasks placed ahead of its rank: the job makes progress, and other jobs are
+    // not blocked.
+    if (job.isStarving) remaining = Math.min(remaining, Math.ceil(spec.taskCount * STARVING_JOB_TASK_RATIO));
+    // A service replica starts without delay only on a machine that has its image, so preempting there takes precedence
+    // over an image fetch on a free machine.
     if (spec.priority === Priority.Production) {
       const hasImage: MachineFilter = (machine) => machine.images.has(spec.image);
       remaining = this.firstFit(job, teamUsage, remaining, hasImage);
@@ -68,7 +73,7 @@
     this.onDemandIndex.markChanged(machine);
   }
 
-  /** Starts tasks on machines with free capacity. Returns how many still remain. */
+  /** Starts tasks on machines with free capacity. Returns how many tasks are still to be placed. */
   private firstFit(job: JobView, teamUsage: TeamUsage, remaining: number, isEligible: MachineFilter): number {
     if (remaining <= 0) return remaining;
     const { spec } = job;
@@ -89,7 +94,7 @@
     return remaining;
   }
 
-  /** Machines with tasks that could be preempted, looked up once. */
+  /** Returns the reachable machines with tasks that could be preempted, computed once per round. */
   private preemptible(): PreemptibleMachine[] {
     this.preemptibleMachines ??= this.snapshot.machines
       .filter((machine) => machine.isReachable)
@@ -98,7 +103,7 @@
     return this.preemptibleMachines;
   }
 
-  /** Starts tasks where preemption costs least, one at a time. Returns how many still remain. */
+  /** Starts one task after the other where preemption costs least. Returns how many tasks are still to be placed. */
   private preempt(job: JobView, teamUsage: TeamUsage, remaining: number, isEligible: MachineFilter): number {
     const canPreempt = remaining > 0 ? preemptionFilter(job, this.snapshot.guaranteed) : null;
     if (!canPreempt) return remaining;
@@ -114,7 +119,7 @@
       const index = cheapestOption(options, job);
       const option = options[index];
       if (!option) break;
-      this.takeOption(job, teamUsage, option);
+      this.applyOption(job, teamUsage, option);
       remaining--;
       const next = preemptionOption(spec, option.machine, option.candidates, canPreempt);
       if (next) options[index] = next;
@@ -123,7 +128,7 @@
     return remaining;
   }
 
-  private takeOption(job: JobView, teamUsage: TeamUsage, option: PreemptionOption): void {
+  private applyOption(job: JobView, teamUsage: TeamUsage, option: PreemptionOption): void {
     const { machine, candidates, victims } = option;
     for (const victim of victims) {
       this.plan.preemptions.push({ machine: machine.id, task: victim.task, preemptor: job.spec.id });
@@ -134,7 +139,7 @@
   }
 }
 
-/** The index of the first option of least cost in a zone that the job may use; -1: there is none. */
+/** Returns the index of the first option with the least cost in a zone that the job may use; -1: there is none. */
 function cheapestOption(options: readonly PreemptionOption[], job: JobView): number {
   let cheapest = -1;
   let leastCost = Infinity;
@@ -147,8 +152,8 @@
   return cheapest;
 }
 
-/** The least of each resource that any task takes: a machine with less has no capacity for any of them. */
-function smallestRequest(jobs: readonly JobView[]): Resources {
+/** Returns the minimum of each resource over all requests: a machine with less free capacity fits no task. */
+function minimumRequest(jobs: readonly JobView[]): Resources {
   const smallest = { cpus: Infinity, gpus: Infinity, memoryGb: Infinity };
   for (const { spec } of jobs) {
     smallest.cpus = Math.min(smallest.cpus, spec.cpus);
@@ -158,7 +163,7 @@
   return smallest;
 }
 
-/** Places the waiting tasks of a snapshot, job by job in queue order. */
+/** Places the waiting tasks of a snapshot, one job after the other in queue order. */
 export function place(snapshot: PlacementSnapshot): PlacementPlan {
   const round = new PlacementRound(snapshot);
   for (const job of queueOrder(snapshot.jobs, snapshot.guaranteed)) round.place(job);
--- a/src/scheduler/preemption.ts
+++ b/src/scheduler/preemption.ts
@@ -1,34 +1,38 @@
-/** Which running tasks may be preempted for a job, and what that costs. */
+/** Selects the running tasks that may be preempted for a job, and computes the cost of preempting them. */
 import type { JobId } from '../model/ids.js';
 import { fits, release, type JobSpec, Priority } from '../model/job.js';
 import type { JobView, MachineView, Victim } from './snapshot.js';
 
-/** What a preempted task loses besides its work: its next start, mostly with its image. */
-const RESTART_MS = 3000;
 /**
- * Urgent work is mostly a stage of something that others wait for: one task that starts again delays all of
- * it. Its cost counts so many times.
+ * The time that a preempted task loses on top of its unsaved work: its restart, usually on a machine that has its
+ * image.
+ */
+const RESTART_COST_MS = 3000;
+/**
+ * Multiplies the cost of preempting a task of high priority. Such a task is usually part of a pipeline stage for which
+ * other jobs wait, so that its restart delays all of them.
  */
 const URGENT_COST_FACTOR = 8;
 
-/** The cost of preempting a task, in lost CPU milliseconds. */
+/** Returns the cost of preempting a task, in lost CPU milliseconds. */
 function preemptionCost(victim: Victim): number {
   const factor = victim.priority >= Priority.High ? URGENT_COST_FACTOR : 1;
-  return (victim.lostMs + RESTART_MS) * victim.cpus * factor;
+  return (victim.lostMs + RESTART_COST_MS) * victim.cpus * factor;
 }
 
 /**
- * A job within its team's guaranteed quota first waits this long for capacity that becomes free by itself: on a full
- * fleet that is thousands of tasks a minute, and each one that is preempted loses its work.
+ * Delays preemption for a job within its team's guaranteed quota, so that the job can first use capacity that ending
+ * tasks free: thousands of tasks end per minute on a full fleet, and each preempted task loses its work.
  */
 const GUARANTEE_PREEMPTION_DELAY_MS = 1000;
 
-/** Whether a task may be preempted. */
+/** Returns whether a task may be preempted. */
 export type PreemptionFilter = (victim: Victim) => boolean;
 
 /**
- * Which tasks may be preempted for a job (PROTOCOL, "Preemption"): for production work those of lower priorities; for
- * a team's guaranteed quota, what other teams run beyond theirs. Null: none at all.
+ * Returns a filter for the tasks that may be preempted for a job (PROTOCOL, "Preemption"): for production work, tasks
+ * of lower priorities; for a job within its team's guaranteed quota, tasks below production priority that other teams
+ * run beyond their quota. Null: no task may be preempted.
  */
 export function preemptionFilter(job: JobView, guaranteed: ReadonlySet<JobId>): PreemptionFilter | null {
   const { spec } = job;
@@ -43,17 +47,20 @@
       !guaranteed.has(victim.job));
 }
 
-/** A way to make one task fit on a machine by preempting others there. */
+/** A set of tasks on one machine whose preemption makes room for one task of a job. */
 export interface PreemptionOption {
   readonly machine: MachineView;
-  /** The machine's tasks that could be preempted, for a job that the rules allow it to. */
+  /** The machine's tasks that are candidates for preemption; the job's `PreemptionFilter` may exclude some of them. */
   readonly candidates: Victim[];
-  /** Those that would be. */
+  /** The tasks to be preempted. */
   readonly victims: readonly Victim[];
   readonly cost: number;
 }
 
-/** Takes victims in the order given until the task fits; null: not even all of them would do. */
+/**
+ * Selects victims in the given order until the task fits; null: the task does not fit even if all permitted candidates
+ * are preempted.
+ */
 export function preemptionOption(
   spec: JobSpec,
   machine: MachineView,
--- a/src/scheduler/queue.ts
+++ b/src/scheduler/queue.ts
@@ -1,4 +1,4 @@
-/** The order in which jobs are served, and how much of a team's quota is left. */
+/** The order in which jobs are served, and the remaining quota of a team. */
 import type { JobId, TeamId } from '../model/ids.js';
 import { type JobSpec, Priority } from '../model/job.js';
 import type { Team } from '../model/team.js';
@@ -6,14 +6,20 @@
 import type { JobView } from './snapshot.js';
 import type { TeamUsage } from './team-usage.js';
 
-/** Tolerance for sums of fractional CPUs. */
-const EPSILON = 1e-9;
+/** Tolerance for rounding errors in sums of fractional CPUs or GPUs. */
+const QUOTA_EPSILON = 1e-9;
 
-/** Ranks of jobs that don't depend on their priority alone. */
+/**
+ * Ranks of production and starving jobs, above the ranks of all other jobs (priority times two, plus one within the
+ * guaranteed quota).
+ */
 const PRODUCTION_RANK = 10;
 const STARVING_RANK = 9;
 
-/** The jobs that fit into their team's guaranteed quota, together with all of its earlier unfinished jobs. */
+/**
+ * Returns the jobs that fit into their team's guaranteed quota together with all of the team's jobs that were ready
+ * earlier.
+ */
 export function guaranteedJobs(
   jobs: Iterable<{ readonly spec: JobSpec; readonly readyAt: WallTime }>,
   teams: ReadonlyMap<TeamId, Team>,
@@ -27,12 +33,16 @@
     demand.cpus += spec.taskCount * spec.cpus;
     demand.gpus += spec.taskCount * spec.gpus;
     demandByTeam.set(spec.team, demand);
-    if (demand.cpus <= team.cpus + EPSILON && demand.gpus <= team.gpus + EPSILON) guaranteed.add(spec.id);
+    if (demand.cpus <= team.cpus + QUOTA_EPSILON && demand.gpus <= team.gpus + QUOTA_EPSILON)
+      guaranteed.add(spec.id);
   }
   return guaranteed;
 }
 
-/** Sorts jobs in the order in which they are served: by priority, guaranteed quota, slack and age. */
+/**
+ * Sorts jobs in the order in which they are served: by rank (production work, starving jobs, then priority and
+ * guaranteed quota), then slack, then the time at which they became ready.
+ */
 export function queueOrder(jobs: readonly JobView[], guaranteed: ReadonlySet<JobId>): JobView[] {
   const rankOf = ({ spec, isStarving }: JobView): number => {
     if (spec.priority === Priority.Production) return PRODUCTION_RANK;
@@ -49,14 +59,14 @@
     .map(({ job }) => job);
 }
 
-/** How many more tasks of the job its team's quota limit allows. */
+/** Returns how many more tasks of the job the quota limit of its team allows. */
 export function remainingQuota(team: Team, usage: TeamUsage, spec: JobSpec): number {
   let remaining = Infinity;
   if (team.cpusMax !== null && spec.cpus > 0) {
-    remaining = Math.floor((team.cpusMax - usage.cpus + EPSILON) / spec.cpus);
+    remaining = Math.floor((team.cpusMax - usage.cpus + QUOTA_EPSILON) / spec.cpus);
   }
   if (team.gpusMax !== null && spec.gpus > 0) {
-    remaining = Math.min(remaining, Math.floor((team.gpusMax - usage.gpus + EPSILON) / spec.gpus));
+    remaining = Math.min(remaining, Math.floor((team.gpusMax - usage.gpus + QUOTA_EPSILON) / spec.gpus));
   }
   return Math.max(0, remaining);
 }
--- a/src/scheduler/slo-targets.ts
+++ b/src/scheduler/slo-targets.ts
@@ -1,49 +1,50 @@
-/** Service-level objectives (SLOs) as targets for single jobs, and the slack that they leave. */
+/** Targets for single jobs, derived from service-level objectives (SLOs), and the slack that these targets leave. */
 import type { JobSpec } from '../model/job.js';
 import type { Objective } from '../wire/settings.js';
 
-/** Allowance for a task that runs longer than expected, and for the fetch of its image. */
-const RUN_TIME_FACTOR = 1.25;
-const FETCH_MS = 4000;
-/** The share of a class's jobs that should meet a target where the objective does not say. */
-const DEFAULT_SHARE = 0.9;
+/** Allowances for a task that runs longer than expected (a factor), and for the fetch of its image (milliseconds). */
+const RUN_TIME_MARGIN_FACTOR = 1.25;
+const IMAGE_FETCH_ALLOWANCE_MS = 4000;
+/** The share of a class's jobs that should meet a target if the objective does not specify a share. */
+const DEFAULT_TARGET_SHARE = 0.9;
 
-/** A time by which a job should be complete, or its tasks should have started. */
+/** A time limit for the completion of a job, or for the start of its tasks. */
 export interface Target {
-  /** Counted from when the job was ready, ms. */
+  /** The time limit in milliseconds, counted from when the job became ready. */
   readonly withinMs: number;
-  /** The share of its class that may miss it. */
+  /** The share of the class's jobs that may miss the target. */
   readonly allowedMissShare: number;
 }
 
-/** The first target that can still be met. */
+/** The first of a job's targets that can still be met. */
 export interface NextTarget extends Target {
-  /** How long the job's tasks may still wait for their start. */
+  /** How long the start of the job's tasks may still be delayed without missing the target, in milliseconds. */
   readonly slackMs: number;
 }
 
 type TargetsByClass = Map<string, Target[]>;
 
 function addTarget(targets: TargetsByClass, jobClass: string, target: Target): void {
-  const ofClass = targets.get(jobClass);
-  if (ofClass) ofClass.push(target);
+  const classTargets = targets.get(jobClass);
+  if (classTargets) classTargets.push(target);
   else targets.set(jobClass, [target]);
 }
 
 /**
- * How long a job may still wait, by its own deadline and its class's objectives. A target that can
- * no longer be met gives way to the next one: hopeless work must not push aside what can be saved.
+ * Computes how long a job may still wait, from its own deadline and the objectives of its class. A target that can no
+ * longer be met is replaced by the next one, so that work whose target is lost does not displace work whose target can
+ * still be met.
  */
 export class SloTargets {
   private readonly completionTargets: TargetsByClass = new Map();
   private readonly startTargets: TargetsByClass = new Map();
-  /** The share of each class that may miss its own deadlines. */
+  /** The share of jobs that may miss their own deadline, by job class. */
   private readonly deadlineMissShares = new Map<string, number>();
 
   constructor(objectives: readonly Objective[]) {
     for (const { kind, jobClass, target, share } of objectives) {
       if (jobClass === null) continue;
-      const allowedMissShare = 1 - (share ?? DEFAULT_SHARE);
+      const allowedMissShare = 1 - (share ?? DEFAULT_TARGET_SHARE);
       if (kind === 'deadline') this.deadlineMissShares.set(jobClass, allowedMissShare);
       if (target === null) continue;
       const classTarget = { withinMs: target, allowedMissShare };
@@ -52,28 +53,34 @@
     }
   }
 
-  /** All targets for the job's completion, the earliest first. */
+  /** Returns all targets for the job's completion, earliest first. */
   private completionTargetsOf(spec: JobSpec): Target[] {
     const targets = [...(this.completionTargets.get(spec.jobClass) ?? [])];
     if (spec.deadlineS !== null) {
-      const allowedMissShare = this.deadlineMissShares.get(spec.jobClass) ?? 1 - DEFAULT_SHARE;
+      const allowedMissShare = this.deadlineMissShares.get(spec.jobClass) ?? 1 - DEFAULT_TARGET_SHARE;
       targets.push({ withinMs: spec.deadlineS * 1000, allowedMissShare });
     }
     return targets.sort((a, b) => a.withinMs - b.withinMs);
   }
 
-  /** Whether a task that is stopped now and starts again leaves its job the target that it would meet otherwise. */
+  /**
+   * Whether the job still meets the completion target that it would meet otherwise if one of its tasks is stopped now
+   * and restarted. True if the job would meet no target anyway.
+   */
   canRestartInTime(spec: JobSpec, ageMs: number, remainingMs: number, expectedRunMs: number): boolean {
     const target = this.completionTargetsOf(spec).find(({ withinMs }) => ageMs + remainingMs <= withinMs);
     return !target || ageMs + this.estimatedDurationMs(expectedRunMs) <= target.withinMs;
   }
 
-  /** How long a job with tasks of this length is estimated to take from its start. */
+  /**
+   * Returns the estimated time in milliseconds from the start of a job's tasks to its completion, given the tasks'
+   * expected run time.
+   */
   estimatedDurationMs(expectedRunMs: number): number {
-    return expectedRunMs * RUN_TIME_FACTOR + FETCH_MS;
+    return expectedRunMs * RUN_TIME_MARGIN_FACTOR + IMAGE_FETCH_ALLOWANCE_MS;
   }
 
-  /** The first target for the job's completion that can still be met; null: none is left. */
+  /** Returns the first target for the job's completion that can still be met; null: no target is left. */
   nextTarget(spec: JobSpec, ageMs: number, expectedRunMs: number): NextTarget | null {
     for (const target of this.completionTargetsOf(spec)) {
       const slackMs = target.withinMs - ageMs - this.estimatedDurationMs(expectedRunMs);
@@ -83,16 +90,16 @@
   }
 
   /**
-   * How long the job's waiting tasks may still wait, by the targets for its completion and for their start, whichever
-   * comes first: a job that has lost one target for its completion would otherwise wait for the next one's sake past
-   * the time at which all tasks of its class should have started. Null: no target is left.
+   * Returns how long the job's waiting tasks may still wait, in milliseconds, by the targets for completion and for
+   * start, whichever comes first. Without the start targets, a job that has lost one completion target would wait for
+   * the next one beyond the time by which all tasks of its class should have started. Null: no target is left.
    */
   slackMs(spec: JobSpec, ageMs: number, expectedRunMs: number): number | null {
     let minSlackMs = this.nextTarget(spec, ageMs, expectedRunMs)?.slackMs ?? null;
-    // Replicas go first in any case, and of them the oldest.
+    // Start targets do not apply to service replicas, which are placed before all other work, oldest first.
     const startTargets = spec.kind === 'array' ? this.startTargets.get(spec.jobClass) : undefined;
     for (const { withinMs } of startTargets ?? []) {
-      const slackMs = withinMs - ageMs - FETCH_MS;
+      const slackMs = withinMs - ageMs - IMAGE_FETCH_ALLOWANCE_MS;
       if (slackMs > 0 && (minSlackMs === null || slackMs < minSlackMs)) minSlackMs = slackMs;
     }
     return minSlackMs;
--- a/src/scheduler/snapshot.ts
+++ b/src/scheduler/snapshot.ts
@@ -1,92 +1,98 @@
-/** The input and output of placement: a snapshot in, a plan out. */
+/** The input (`PlacementSnapshot`) and output (`PlacementPlan`) of a placement round. */
 import type { MachineId, ImageId, JobId, TaskId, TeamId, MachineTypeId, ZoneId } from '../model/ids.js';
 import type { JobSpec, Priority, Resources, FreeCapacity } from '../model/job.js';
 import type { Team } from '../model/team.js';
 import type { WallTime } from '../model/time.js';
 import type { TeamUsage } from './team-usage.js';
 
-/** A machine that accepts tasks. */
+/** A machine that accepts tasks, as input to placement. */
 export interface MachineView {
   readonly id: MachineId;
   readonly type: MachineTypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
   readonly cpus: number;
-  /** A copy: placement takes from it as it goes. */
+  /** A copy of the machine's free capacity, from which placement deducts the tasks that it starts. */
   readonly free: FreeCapacity;
-  /** The images in its cache. */
+  /** The images in the machine's cache. */
   readonly images: { has(image: ImageId): boolean };
-  /** Whether commands reach it directly. */
+  /** Whether the leader can send commands to the machine directly. */
   readonly isReachable: boolean;
 }
 
-/** A running task, as a candidate for preemption. */
+/** A running task that is a candidate for preemption. */
 export interface Victim extends Resources {
   readonly task: TaskId;
   readonly job: JobId;
   readonly team: TeamId;
   readonly priority: Priority;
-  /** The run time since its last checkpoint, which preemption would lose. */
+  /** The run time since the task's last checkpoint, which preemption would lose, in milliseconds. */
   readonly lostMs: number;
 }
 
-/** A job with waiting tasks. */
+/** A job with waiting tasks, as input to placement. */
 export interface JobView {
   readonly spec: JobSpec;
-  /** From when it could have started (`ActiveJob.readyAt`). */
+  /** The time at which the job became ready to start (`ActiveJob.readyAt`). */
   readonly readyAt: WallTime;
-  /** How long ago that is. */
+  /** The time since `readyAt`, in milliseconds. */
   readonly waitedMs: number;
   waitingCount: number;
-  /** Tasks that may be on a machine, by zone. */
+  /** The number of the job's tasks that may be on machines, by zone. */
   readonly zones: Map<ZoneId, number>;
   readonly avoidedMachines: ReadonlySet<MachineId>;
-  /** None of its tasks may start: its zones are unknown, or it backs off after failures. */
+  /**
+   * Whether none of the job's tasks may start for now: zones that its placement rule depends on are unknown, or the job
+   * backs off after failures.
+   */
   readonly isHeldBack: boolean;
-  /** How long it may still wait (`SloTargets`); null: no target is left. */
+  /** How long the job may still wait, in milliseconds (`SloTargets`); null: no target is left. */
   readonly slackMs: number | null;
-  /** Whether it has waited so long without a start that it goes before all but production work. */
+  /**
+   * Whether the job has waited past the starvation threshold without a placement (`isStarving`), and is therefore
+   * served before all but production work.
+   */
   readonly isStarving: boolean;
 }
 
-/** A task of the job is to start on the machine. */
+/** A decision to start one task of a job on a machine. */
 interface TaskStart {
   readonly job: JobId;
   readonly machine: MachineId;
 }
 
-/** A task is to be stopped for another job. */
+/** A decision to stop a task so that a task of another job can start on its machine. */
 export interface Preemption {
   readonly machine: MachineId;
   readonly task: TaskId;
-  /** The job that gets its place. */
+  /** The job for which the task is stopped. */
   readonly preemptor: JobId;
 }
 
-/** Waiting tasks of a job that could not be placed. */
+/** The number of a job's waiting tasks that could not be placed. */
 interface UnmetDemand {
   readonly job: JobView;
   readonly tasks: number;
 }
 
-/** The decisions of one round of placement. */
+/** The decisions of one placement round. */
 export interface PlacementPlan {
   readonly starts: TaskStart[];
   readonly preemptions: Preemption[];
-  /** In queue order. */
+  /** Demand that could not be placed, in queue order. */
   readonly unmet: UnmetDemand[];
 }
 
-/** Everything that one round of placement depends on. */
+/** The complete input of one placement round. */
 export interface PlacementSnapshot {
-  /** Jobs with waiting tasks. */
+  /** The jobs with waiting tasks, in any order. */
   readonly jobs: readonly JobView[];
-  /** Machines that accept tasks: each is tried only while it has free capacity. */
+  /** The machines that accept tasks. A machine without free capacity is considered for preemption only. */
   readonly machines: readonly MachineView[];
-  /** Every unfinished job that fits into its team's guaranteed quota (`guaranteedJobs`). */
+  /** All unfinished jobs that fit into their team's guaranteed quota (`guaranteedJobs`). */
   readonly guaranteed: ReadonlySet<JobId>;
   readonly teams: ReadonlyMap<TeamId, Team>;
   readonly teamUsage: ReadonlyMap<TeamId, TeamUsage>;
-  /** The tasks of a machine that could be preempted, least loss first. Called only where preemption is allowed. */
+  /** Returns the tasks of a machine that could be preempted, least loss first. Called only if preemption is allowed. */
   victimsOf(id: MachineId): Victim[];
 }
--- a/src/scheduler/starvation.ts
+++ b/src/scheduler/starvation.ts
@@ -1,13 +1,13 @@
-/** Detects jobs that would never be served by their rank alone. */
+/** Detects jobs that might never be served by their rank alone. */
 import { type JobSpec, Priority } from '../model/job.js';
 import { type MonotonicTime, since } from '../model/time.js';
 
-/** A job none of whose tasks was placed for this long goes ahead of its rank. */
-const STARVATION_MS = 120_000;
+/** The time without a placement after which a job without placed tasks goes ahead of its rank. */
+const STARVATION_THRESHOLD_MS = 120_000;
 
 /**
- * Whether a job has waited without being served for too long. Work whose targets are lost goes last, and low
- * priorities go behind high ones; on a full cluster both could wait for ever.
+ * Whether a job has waited for longer than the starvation threshold without a placement. Work whose targets are lost is
+ * served last, and low priorities are served after high ones; on a full cluster both could otherwise wait forever.
  */
 export function isStarving(
   job: {
@@ -19,6 +19,6 @@
   now: MonotonicTime,
 ): boolean {
   if (job.spec.priority === Priority.Production) return false;
-  if (job.assignedCount > 0 || ageMs <= STARVATION_MS) return false;
-  return job.lastPlacedAt === null || since(now, job.lastPlacedAt) > STARVATION_MS;
+  if (job.assignedCount > 0 || ageMs <= STARVATION_THRESHOLD_MS) return false;
+  return job.lastPlacedAt === null || since(now, job.lastPlacedAt) > STARVATION_THRESHOLD_MS;
 }
--- a/src/scheduler/team-usage.ts
+++ b/src/scheduler/team-usage.ts
@@ -1,4 +1,4 @@
-/** What a team's tasks use that may be on machines. */
+/** The resources used by a team's tasks that may be on machines. */
 export interface TeamUsage {
   cpus: number;
   gpus: number;
--- a/src/scheduler/zone-tally.ts
+++ b/src/scheduler/zone-tally.ts
@@ -1,13 +1,16 @@
-/** Counts a job's tasks by zone, so that the placement rule costs the same at every size of a job. */
+/** Counts a job's tasks by zone, so that the cost of the placement rule does not depend on the number of tasks. */
 import type { ZoneId } from '../model/ids.js';
 import type { ZoneCounts } from './placement-rule.js';
 
-/** The zones of a job's tasks that may be on machines. A zone of null: the task's machine is unknown. */
+/**
+ * The number of a job's tasks that may be on machines, by zone. A zone of null: the task's machine, and so the zone, is
+ * unknown.
+ */
 export class ZoneTally {
   private readonly countByZone = new Map<ZoneId, number>();
   private tasksInUnknownZones = 0;
 
-  /** Tasks on machines whose zone is unknown. */
+  /** The number of tasks on machines whose zone is unknown. */
   get unknownZoneCount(): number {
     return this.tasksInUnknownZones;
   }
@@ -17,14 +20,14 @@
   }
 
   add(zone: ZoneId | null): void {
-    this.change(zone, 1);
+    this.adjust(zone, 1);
   }
 
   remove(zone: ZoneId | null): void {
-    this.change(zone, -1);
+    this.adjust(zone, -1);
   }
 
-  /** A copy of the counts without one task in this zone. */
+  /** Returns a copy of the counts minus one task in the given zone. */
   without(zone: ZoneId | null): ZoneCounts {
     const others = new Map(this.countByZone);
     if (zone === null) return others;
@@ -32,12 +35,12 @@
     return others;
   }
 
-  private change(zone: ZoneId | null, difference: number): void {
+  private adjust(zone: ZoneId | null, delta: number): void {
     if (zone === null) {
-      this.tasksInUnknownZones += difference;
+      this.tasksInUnknownZones += delta;
       return;
     }
-    const count = (this.countByZone.get(zone) ?? 0) + difference;
+    const count = (this.countByZone.get(zone) ?? 0) + delta;
     if (count > 0) this.countByZone.set(zone, count);
     else this.countByZone.delete(zone);
   }
--- a/test/unit/placement.test.ts
+++ b/test/unit/placement.test.ts
@@ -124,18 +124,18 @@
 const FULL = { cpus: 0, gpus: 0, memoryGb: 0 };
 
 describe('place', () => {
-  it('never exceeds a team’s quota limit, whatever is free', () => {
+  it('never exceeds a team’s quota limit, even if machines have free capacity', () => {
     const plan = place([job({ taskCount: 9 })], [machine('a'), machine('b')], TEAMS, new Map());
     expect(plan.starts).toHaveLength(4);
   });
 
-  it('keeps jobs that don’t allow spot off spot machines', () => {
+  it('places jobs that don’t allow spot machines on on-demand machines only', () => {
     const plan = place([job({ allowsSpot: false })], [machine('a', { spot: true })], TEAMS, new Map());
     expect(plan.starts).toEqual([]);
     expect(plan.unmet).toHaveLength(1);
   });
 
-  it('preempts lower priorities for a replica where its image is, the least loss first', () => {
+  it('preempts lower priorities for a service replica on a machine that has its image, the least loss first', () => {
     const warm = machine('warm', {
       free: { ...FULL },
       images: new Set(['img' as ImageId]),
@@ -147,23 +147,23 @@
     expect(plan.preemptions).toEqual([{ machine: 'warm', task: 'j-000009/0', preemptor: 'j-000001' }]);
   });
 
-  it('gives a team its guaranteed quota from what others run beyond theirs, and no more', () => {
+  it('preempts tasks beyond other teams’ quotas for a team’s guaranteed quota only', () => {
     const full = machine('a', { free: { ...FULL }, victims: [victim('j-000009/0')] });
-    const within = place([job({ taskCount: 2 })], [full], TEAMS, new Map());
-    expect(within.preemptions).toHaveLength(1);
+    const planWithinQuota = place([job({ taskCount: 2 })], [full], TEAMS, new Map());
+    expect(planWithinQuota.preemptions).toHaveLength(1);
     const fullAgain = machine('a', { free: { ...FULL }, victims: [victim('j-000009/0')] });
-    const beyond = place([job({ taskCount: 3 })], [fullAgain], TEAMS, new Map());
-    expect(beyond.preemptions).toEqual([]);
+    const planBeyondQuota = place([job({ taskCount: 3 })], [fullAgain], TEAMS, new Map());
+    expect(planBeyondQuota.preemptions).toEqual([]);
   });
 
-  it('lets a guaranteed job wait for a moment before it preempts others', () => {
+  it('does not preempt for a guaranteed job that has waited for less than 1 s', () => {
     const full = machine('a', { free: { ...FULL }, victims: [victim('j-000009/0')] });
     expect(place([job({ taskCount: 2 }, { waitedMs: 900 })], [full], TEAMS, new Map()).preemptions).toEqual(
       [],
     );
   });
 
-  it('preempts urgent work last: what depends on it waits as well', () => {
+  it('preempts urgent work last, since its dependents wait as well', () => {
     const machineWith = (id: string, lostMs: number, priority: Priority): MachineWithVictims =>
       machine(id, { free: { ...FULL }, victims: [victim(`j-00000${id}/0`, { lostMs, priority })] });
     const machines = [machineWith('7', 2000, Priority.High), machineWith('8', 20_000, Priority.Normal)];
@@ -172,82 +172,82 @@
     expect(plan.preemptions.map((preemption) => preemption.machine)).toEqual(['8']);
   });
 
-  it('starts nothing of a job that is held back', () => {
+  it('starts no task of a job that is held back', () => {
     const plan = place([job({ zoneAffinity: true }, { isHeldBack: true })], [machine('a')], TEAMS, new Map());
     expect(plan.starts).toEqual([]);
   });
 });
 
-describe('place at size', () => {
+describe('place on large snapshots', () => {
   const generator = xoroshiro128plus(11);
-  /** A number from 0 up to but not including the bound. */
-  const draw = (bound: number): number => uniformInt(generator, 0, bound - 1);
+  /** Returns a random integer from 0 up to but not including the bound. */
+  const randomBelow = (bound: number): number => uniformInt(generator, 0, bound - 1);
 
-  /** A drawn cluster: machines part full, jobs of all kinds, teams near their limits. */
-  function drawSnapshot(): PlacementSnapshot {
+  /** Returns a random cluster: partly full machines, jobs of all kinds, teams near their quota limits. */
+  function randomSnapshot(): PlacementSnapshot {
     const machines = Array.from({ length: 30 }, (_machine, index) => {
-      const cpus = draw(3) === 0 ? 64 : 8;
-      const victims = Array.from({ length: draw(4) }, (_victim, number) =>
+      const cpus = randomBelow(3) === 0 ? 64 : 8;
+      const victims = Array.from({ length: randomBelow(4) }, (_victim, number) =>
         victim(`j-000009/${index * 10 + number}`, {
-          lostMs: draw(60_000),
+          lostMs: randomBelow(60_000),
           cpus: 2,
-          priority: draw(3) as Priority,
-          job: `j-90000${draw(4)}` as JobId,
-          team: (draw(2) ? 'red' : 'blue') as TeamId,
+          priority: randomBelow(3) as Priority,
+          job: `j-90000${randomBelow(4)}` as JobId,
+          team: (randomBelow(2) ? 'red' : 'blue') as TeamId,
         }),
       ).sort((a, b) => a.priority - b.priority || a.lostMs - b.lostMs);
-      return machine(`host-${String(draw(900_000)).padStart(6, '0')}-${index}`, {
+      return machine(`host-${String(randomBelow(900_000)).padStart(6, '0')}-${index}`, {
         cpus,
-        zone: (draw(2) ? 'north' : 'south') as ZoneId,
-        spot: draw(2) === 0,
-        free: { cpus: draw(5) * 2, gpus: 0, memoryGb: draw(30) },
-        images: new Set(draw(2) ? [`img-${draw(3)}` as ImageId] : []),
-        isReachable: draw(8) > 0,
+        zone: (randomBelow(2) ? 'north' : 'south') as ZoneId,
+        spot: randomBelow(2) === 0,
+        free: { cpus: randomBelow(5) * 2, gpus: 0, memoryGb: randomBelow(30) },
+        images: new Set(randomBelow(2) ? [`img-${randomBelow(3)}` as ImageId] : []),
+        isReachable: randomBelow(8) > 0,
         victims,
       });
     });
     const jobs = Array.from({ length: 12 }, (_job, index) => {
-      const isProduction = draw(4) === 0;
-      const taskCount = 1 + draw(9);
+      const isProduction = randomBelow(4) === 0;
+      const taskCount = 1 + randomBelow(9);
       return job(
         {
           id: `j-${String(index).padStart(6, '0')}` as JobId,
-          team: (draw(2) ? 'red' : 'blue') as TeamId,
-          priority: isProduction ? Priority.Production : draw(2),
+          team: (randomBelow(2) ? 'red' : 'blue') as TeamId,
+          priority: isProduction ? Priority.Production : randomBelow(2),
           kind: isProduction ? 'service' : 'array',
           allowsSpot: !isProduction,
           taskCount,
-          cpus: 1 + draw(4),
-          memoryGb: 1 + draw(6),
-          image: `img-${draw(3)}` as ImageId,
-          zoneAffinity: draw(5) === 0,
-          zoneAntiAffinity: draw(5) === 0,
+          cpus: 1 + randomBelow(4),
+          memoryGb: 1 + randomBelow(6),
+          image: `img-${randomBelow(3)}` as ImageId,
+          zoneAffinity: randomBelow(5) === 0,
+          zoneAntiAffinity: randomBelow(5) === 0,
         },
         {
-          readyAt: draw(1000) as WallTime,
-          waitedMs: draw(3000),
-          waitingCount: 1 + draw(taskCount),
-          slackMs: draw(3) ? draw(90_000) : null,
+          readyAt: randomBelow(1000) as WallTime,
+          waitedMs: randomBelow(3000),
+          waitingCount: 1 + randomBelow(taskCount),
+          slackMs: randomBelow(3) ? randomBelow(90_000) : null,
         },
       );
     });
     const teams = new Map([team('red', 10, 40), team('blue', 30, 90)]);
-    return snapshot(jobs, machines, teams, new Map([['red' as TeamId, { cpus: draw(20), gpus: 0 }]]));
+    return snapshot(jobs, machines, teams, new Map([['red' as TeamId, { cpus: randomBelow(20), gpus: 0 }]]));
   }
 
-  it('decides the same as the reference without indices', () => {
+  it('makes the same decisions as the reference implementation without indices', () => {
     let starts = 0;
     let preemptions = 0;
     for (let round = 0; round < 300; round++) {
-      const drawn = drawSnapshot();
-      const reference = referencePlacement(copySnapshot(drawn));
-      const plan = placeSnapshot(drawn);
+      const snapshotToPlace = randomSnapshot();
+      const reference = referencePlacement(copySnapshot(snapshotToPlace));
+      const plan = placeSnapshot(snapshotToPlace);
       expect(plan.starts).toEqual(reference.starts);
       expect(plan.preemptions).toEqual(reference.preemptions);
       starts += plan.starts.length;
       preemptions += plan.preemptions.length;
     }
-    // With fewer the draws would prove nothing.
+    // Fewer decisions would mean that the random snapshots hardly exercise placement and preemption.
     expect(starts).toBeGreaterThan(3000);
     expect(preemptions).toBeGreaterThan(100);
   });
@@ -266,11 +266,11 @@
     const jobs = Array.from({ length: 200 }, (_, index) => job({ id: `j-${index}` as JobId, taskCount: 50 }));
     const plan = place(jobs, machines, new Map([team('red', 0, null)]), new Map());
     expect(plan.unmet).toHaveLength(200);
-    // One read for each of the two orders.
+    // One read of the free capacity for each of the two indices (spot and on-demand).
     expect(reads).toBeLessThanOrEqual(2 * machines.length);
   });
 
-  it('lets a starving job go first, with a part of its tasks', () => {
+  it('places part of a starving job’s tasks before all other work', () => {
     const starving = job({ id: 'j-000002' as JobId, taskCount: 8 }, { slackMs: null, isStarving: true });
     const urgent = job({ id: 'j-000001' as JobId, taskCount: 8, priority: Priority.High }, { slackMs: 1 });
     const plan = place([urgent, starving], [machine('a')], new Map([team('red', 0, null)]), new Map());
@@ -279,7 +279,7 @@
 });
 
 describe('isStarving', () => {
-  it('holds once a job without placed tasks has waited for two minutes', () => {
+  it('is true once a job without placed tasks has waited for two minutes', () => {
     expect(
       isStarving({ spec: spec({}), lastPlacedAt: null, assignedCount: 0 }, 119_000, 0 as MonotonicTime),
     ).toBe(false);
@@ -298,7 +298,7 @@
     { type: MACHINE_TYPES[0] as (typeof MACHINE_TYPES)[0], zone: 'north' as ZoneId, spot: false },
   ];
 
-  it('takes the cheapest pool and counts pending machines', () => {
+  it('rents from the cheapest pool and counts pending machines as capacity', () => {
     const pending = [
       {
         type: 'small' as MachineTypeId,
@@ -308,17 +308,17 @@
       },
     ];
     const requests = planScaleOut([{ spec: spec({}), tasks: 7, zones: new Map() }], pending, pools, 100);
-    // two of seven fit the pending machine; five more need two machines of four
+    // Two of seven tasks fit on the pending machine; the other five need two machines with room for four tasks each.
     expect(requests.map(({ pool, count }) => [pool.spot, count])).toEqual([[true, 2]]);
   });
 
-  it('counts as overdue only what the fleet would not work off in time', () => {
+  it('counts as overdue only the demand that the fleet cannot complete in time', () => {
     const queue = (slackMs: number) => [
       { spec: spec({}), tasks: 10, zones: new Map(), runMs: 30_000, slackMs, slackFactor: 1 },
     ];
-    // 600 CPU-seconds on 0.8 · 10 CPUs last 75 s
+    // 600 CPU-seconds on 0.8 · 10 CPUs take 75 s.
     expect(overdueDemand(queue(60_000), 10, 0)).toEqual([]);
-    // in 20 s + 30 s they take 12 CPUs: 4 are missing, 2 tasks' worth
+    // Completing them within 20 s + 30 s takes 12 CPUs: 4 CPUs, the demand of 2 tasks, are missing.
     expect(overdueDemand(queue(20_000), 10, 0).map(({ tasks }) => tasks)).toEqual([2]);
   });
 });
--- a/test/unit/reference-placement.ts
+++ b/test/unit/reference-placement.ts
@@ -1,10 +1,10 @@
-/** Placement in its plainest form, as a reference for the real one: every job tries every machine and every victim. */
+/** A reference implementation of placement without indices: every job tries every machine and every victim. */
 import { fits, release, type JobSpec, Priority, allocate } from '../../src/model/job.js';
 import { machineRefusal, zoneRefusal } from '../../src/scheduler/placement-rule.js';
 import { queueOrder, remainingQuota } from '../../src/scheduler/queue.js';
 import type { MachineView, PlacementPlan, PlacementSnapshot, Victim } from '../../src/scheduler/snapshot.js';
 
-/** A copy of a snapshot on which a round of placement leaves no trace in the original. */
+/** Copies a snapshot so that a placement round on the copy does not change the original. */
 export function copySnapshot(snapshot: PlacementSnapshot): PlacementSnapshot {
   return {
     ...snapshot,
@@ -23,7 +23,7 @@
   return 0;
 }
 
-/** The documented order, sorted in full for every job. */
+/** Returns the machines that a job may use in the documented first-fit order, sorted in full for every job. */
 function machineOrder(spec: JobSpec, machines: readonly MachineView[]): MachineView[] {
   const keyOf = (machine: MachineView): SortKey => {
     const reachability = machine.isReachable ? 0 : 1;
@@ -57,14 +57,14 @@
   return fits(spec, free) ? chosen : null;
 }
 
-interface Option {
+interface PreemptionOption {
   readonly machine: MachineView;
   readonly victims: readonly Victim[];
   readonly cost: number;
 }
 
-/** Work lost and a start of 3 s, eight times as much for urgent work. */
-function costOf(victim: Victim): number {
+/** Returns the lost work plus a restart of 3 s, in CPU milliseconds; eight times as much for urgent work. */
+function preemptionCost(victim: Victim): number {
   return (victim.lostMs + 3000) * victim.cpus * (victim.priority >= Priority.High ? 8 : 1);
 }
 
@@ -114,12 +114,12 @@
       machineRefusal(spec, machine) === null &&
       !job.avoidedMachines.has(machine.id) &&
       zoneRefusal(spec, job.zones, machine.zone) === null;
-    const cheapestOption = (isEligible: (machine: MachineView) => boolean): Option | null => {
-      let cheapest: Option | null = null;
+    const cheapestOption = (isEligible: (machine: MachineView) => boolean): PreemptionOption | null => {
+      let cheapest: PreemptionOption | null = null;
       for (const machine of snapshot.machines) {
         if (!isEligible(machine) || !mayUse(machine)) continue;
         const victims = chooseVictims(spec, machine, victimsByMachine.get(machine.id) ?? [], canPreempt);
-        const cost = victims?.reduce((sum, victim) => sum + costOf(victim), 0) ?? Infinity;
+        const cost = victims?.reduce((sum, victim) => sum + preemptionCost(victim), 0) ?? Infinity;
         if (victims && (!cheapest || cost < cheapest.cost)) cheapest = { machine, victims, cost };
       }
       return cheapest;
