--- a/src/scheduler/attempt-history.ts
+++ b/src/scheduler/attempt-history.ts
@@ -1,33 +1,33 @@
-/** What became of a job's attempts, for the log line that is written when the job is closed. */
+/** Statistics of a job's attempts for the log line that is written when the job is closed. */
 import type { MonotonicTime } from '../model/time.js';
 
-/** When a job's tasks started to run, and how many of its attempts were lost. */
+/** Records when a job's tasks started to run, and how many of the job's attempts ended without success. */
 export class AttemptHistory {
-  private firstStart: MonotonicTime | null = null;
-  private lastStart: MonotonicTime | null = null;
-  private lost = 0;
+  private firstRunTime: MonotonicTime | null = null;
+  private lastRunTime: MonotonicTime | null = null;
+  private lostAttemptCount = 0;
 
-  /** When the first attempt was seen running; null: none was. */
+  /** The time of the first heartbeat that reported an attempt as running; null: none did. */
   get firstRunAt(): MonotonicTime | null {
-    return this.firstStart;
+    return this.firstRunTime;
   }
 
-  /** When the last attempt was seen running; null: none was. */
+  /** The time at which a heartbeat last reported a newly running attempt; null: none did. */
   get lastRunAt(): MonotonicTime | null {
-    return this.lastStart;
+    return this.lastRunTime;
   }
 
-  /** Attempts that ended without success. */
+  /** The number of attempts that ended without success. */
   get lostCount(): number {
-    return this.lost;
+    return this.lostAttemptCount;
   }
 
   recordRun(now: MonotonicTime): void {
-    this.firstStart ??= now;
-    this.lastStart = now;
+    this.firstRunTime ??= now;
+    this.lastRunTime = now;
   }
 
   recordLost(): void {
-    this.lost++;
+    this.lostAttemptCount++;
   }
 }
--- a/src/scheduler/dependency-graph.ts
+++ b/src/scheduler/dependency-graph.ts
@@ -1,27 +1,27 @@
-/** Which unfinished jobs depend on which others, and what they inherit from them. */
+/** The dependencies between unfinished jobs, and the priorities and deadlines that dependencies inherit. */
 import type { JobId } from '../model/ids.js';
 import type { Priority } from '../model/job.js';
 import type { WallTime } from '../model/time.js';
 import type { ActiveJob } from './active-job.js';
 
 /**
- * The dependencies between unfinished jobs. Only accepted jobs can be named as dependencies, so the graph has no
- * cycles. The cost of a change is that of the edges that it affects.
+ * Tracks the dependencies between unfinished jobs. A job can only name accepted jobs as dependencies, so the graph has
+ * no cycles. The cost of a change is proportional to the number of affected edges.
  *
- * Along the edges a job passes on its priority and the latest time at which its dependencies may end (priority
- * inheritance), so that they are not served behind work of lower rank.
+ * Each job passes its priority, and the latest time at which its dependencies may end, on to its dependencies (priority
+ * inheritance), so that they are not served after work of lower priority.
  */
 export class DependencyGraph {
-  /** The direct dependents of each job, whether or not the job itself is known. */
+  /** The direct dependents of each job, including jobs that are not in `jobs`. */
   private readonly dependents = new Map<JobId, Set<ActiveJob>>();
 
   constructor(
     private readonly jobs: { get(id: JobId): ActiveJob | undefined },
-    /** How long a job is estimated to take once it may start. */
+    /** Returns the estimated duration of a job from the start of its tasks, in milliseconds. */
     private readonly estimatedDurationMs: (job: ActiveJob) => number,
   ) {}
 
-  /** Adds a job with its unmet dependencies; others may have named it before. */
+  /** Adds a job with its unmet dependencies. Other jobs may already depend on the added job. */
   add(job: ActiveJob): void {
     for (const id of job.dependencies.unmet) {
       const dependents = this.dependents.get(id);
@@ -31,18 +31,18 @@
     this.tightenPriority(job);
   }
 
-  /** A job is done for good. Returns the jobs that are not blocked any more. */
+  /** Marks a job as durably done. Returns the dependents that have no other unmet dependency and can start. */
   complete(id: JobId): ActiveJob[] {
-    const released: ActiveJob[] = [];
+    const unblockedJobs: ActiveJob[] = [];
     for (const job of this.dependents.get(id) ?? []) {
       job.dependencies.unmet.delete(id);
-      if (!job.isBlocked) released.push(job);
+      if (!job.isBlocked) unblockedJobs.push(job);
     }
     this.dependents.delete(id);
-    return released;
+    return unblockedJobs;
   }
 
-  /** All jobs that depend on this one, directly or through others: they are cancelled together with it. */
+  /** Returns all jobs that depend on the given job, directly or transitively; they are cancelled together with it. */
   dependentsOf(id: JobId): ActiveJob[] {
     const dependents = new Set<ActiveJob>();
     const pending: JobId[] = [id];
@@ -56,7 +56,7 @@
     return [...dependents];
   }
 
-  /** Removes the dependencies of a job that was cancelled. */
+  /** Removes the dependencies of a cancelled job, and recomputes what these had inherited from the job. */
   remove(job: ActiveJob): void {
     for (const id of job.dependencies.unmet) {
       const dependents = this.dependents.get(id);
@@ -68,7 +68,7 @@
     job.dependencies.unmet.clear();
   }
 
-  /** Whether the dependency may have its priority or its latest end from this dependent. */
+  /** Whether the dependency may have inherited its priority or its latest end from this dependent. */
   private mayHaveInheritedFrom(dependent: ActiveJob, dependency: ActiveJob): boolean {
     const latestEnd = this.latestEndOfDependencies(dependent);
     const inherited = dependency.inheritedPriority;
@@ -78,23 +78,29 @@
     );
   }
 
-  /** When the jobs that this one depends on have to end for this one to be in time. */
+  /** The time by which the dependencies of a job have to end for the job to meet its own latest end; null: no limit. */
   private latestEndOfDependencies(job: ActiveJob): WallTime | null {
     const { latestEnd } = job.inheritedPriority;
     return latestEnd === null ? null : ((latestEnd - this.estimatedDurationMs(job)) as WallTime);
   }
 
-  /** Lets the job inherit from all its dependents, besides what it has; stricter values go on to its dependencies. */
+  /**
+   * Merges the priorities and deadlines of all dependents into those that the job already has. Stricter values
+   * propagate to the job's dependencies.
+   */
   private tightenPriority(job: ActiveJob): void {
     const { priority, latestEnd } = job.inheritedPriority;
     this.inheritFromDependents(job, priority, latestEnd);
     for (const id of job.dependencies.unmet) {
       const dependency = this.jobs.get(id);
-      if (dependency && this.isStricter(job, dependency)) this.passOn(job, dependency);
+      if (dependency && this.tightensPriorityOf(job, dependency)) this.propagatePriority(job, dependency);
     }
   }
 
-  /** Derives the job's priority anew from its own and that of all its dependents, and goes on to its dependencies. */
+  /**
+   * Recomputes the inherited priority and deadline of a job from its own and those of all its dependents, then those of
+   * the job's dependencies.
+   */
   private recomputePriority(job: ActiveJob): void {
     this.inheritFromDependents(job, job.spec.priority, job.ownDeadline);
     for (const id of job.dependencies.unmet) {
@@ -108,34 +114,36 @@
     let latestEnd = ownLatestEnd;
     for (const dependent of this.dependents.get(job.spec.id) ?? []) {
       priority = Math.max(priority, dependent.inheritedPriority.priority);
-      latestEnd = earlier(latestEnd, this.latestEndOfDependencies(dependent));
+      latestEnd = earlierDeadline(latestEnd, this.latestEndOfDependencies(dependent));
     }
     const previous = job.inheritedPriority;
     if (priority === previous.priority && latestEnd === previous.latestEnd) return;
     job.inheritPriority(priority, latestEnd);
   }
 
-  private passOn(dependent: ActiveJob, dependency: ActiveJob): void {
+  private propagatePriority(dependent: ActiveJob, dependency: ActiveJob): void {
     const inherited = dependency.inheritedPriority;
     dependency.inheritPriority(
       Math.max(inherited.priority, dependent.inheritedPriority.priority),
-      earlier(inherited.latestEnd, this.latestEndOfDependencies(dependent)),
+      earlierDeadline(inherited.latestEnd, this.latestEndOfDependencies(dependent)),
     );
     for (const id of dependency.dependencies.unmet) {
       const next = this.jobs.get(id);
-      if (next && this.isStricter(dependency, next)) this.passOn(dependency, next);
+      if (next && this.tightensPriorityOf(dependency, next)) this.propagatePriority(dependency, next);
     }
   }
 
-  /** Whether the dependency has to inherit a higher priority or an earlier end from this dependent. */
-  private isStricter(dependent: ActiveJob, dependency: ActiveJob): boolean {
+  /** Whether this dependent gives the dependency a higher priority or an earlier latest end. */
+  private tightensPriorityOf(dependent: ActiveJob, dependency: ActiveJob): boolean {
     const inherited = dependency.inheritedPriority;
     if (dependent.inheritedPriority.priority > inherited.priority) return true;
-    return earlier(inherited.latestEnd, this.latestEndOfDependencies(dependent)) !== inherited.latestEnd;
+    return (
+      earlierDeadline(inherited.latestEnd, this.latestEndOfDependencies(dependent)) !== inherited.latestEnd
+    );
   }
 }
 
-function earlier(a: WallTime | null, b: WallTime | null): WallTime | null {
+function earlierDeadline(a: WallTime | null, b: WallTime | null): WallTime | null {
   if (a === null || b === null) return a ?? b;
   return a < b ? a : b;
 }
--- a/src/scheduler/job-failures.ts
+++ b/src/scheduler/job-failures.ts
@@ -1,48 +1,50 @@
-/** Failed attempts of one job, and how long the job backs off for them. */
+/** The failed attempts of one job, and the backoff of the job that follows from them. */
 import type { MachineId } from '../model/ids.js';
 import { type MonotonicTime, plus } from '../model/time.js';
 
-/** Machines on which a job's tasks fail before the job itself is held to be at fault. */
-const FAULTY_JOB_MACHINES = 3;
-const FIRST_BACKOFF_MS = 1000;
+/** The number of machines on which tasks of a job have to fail before the job itself counts as faulty. */
+const FAULTY_JOB_MACHINE_COUNT = 3;
+/** A faulty job backs off for `BASE_BACKOFF_MS` doubled once per failure after the second, within both limits. */
+const BASE_BACKOFF_MS = 1000;
 const MAX_BACKOFF_MS = 60_000;
-const MAX_BACKOFF_DOUBLINGS = 6;
+const MAX_BACKOFF_DOUBLING_COUNT = 6;
 
 const NO_MACHINES: ReadonlySet<MachineId> = new Set();
 
 /**
- * Where a job's tasks failed. Mostly the machine is at fault, and the job avoids it. One that fails on several is
- * more likely at fault itself: it avoids no machine any more, and waits for longer after each further failure.
+ * Records the machines on which a job's tasks failed. Usually the machine is at fault, and the job avoids it. A job
+ * that has failed on `FAULTY_JOB_MACHINE_COUNT` machines is more likely at fault itself: it no longer avoids any
+ * machine, and backs off for longer after each further failure.
  */
 export class JobFailures {
-  private count = 0;
-  private readonly machines = new Set<MachineId>();
+  private failureCount = 0;
+  private readonly failedMachines = new Set<MachineId>();
   private backoffUntil: MonotonicTime | null = null;
 
-  /** On how many machines the job's tasks failed. */
+  /** The number of machines on which the job's tasks failed. */
   get machineCount(): number {
-    return this.machines.size;
+    return this.failedMachines.size;
   }
 
   private get isJobFaulty(): boolean {
-    return this.machines.size >= FAULTY_JOB_MACHINES;
+    return this.failedMachines.size >= FAULTY_JOB_MACHINE_COUNT;
   }
 
-  /** Machines on which none of the job's tasks should start. */
+  /** The machines on which no task of the job should start; empty once the job itself counts as faulty. */
   get avoidedMachines(): ReadonlySet<MachineId> {
-    return this.isJobFaulty ? NO_MACHINES : this.machines;
+    return this.isJobFaulty ? NO_MACHINES : this.failedMachines;
   }
 
-  /** Records a task that failed on a machine. */
+  /** Records a task that failed on a machine, and extends the backoff of a faulty job. */
   record(machine: MachineId, now: MonotonicTime): void {
-    this.count++;
-    this.machines.add(machine);
+    this.failureCount++;
+    this.failedMachines.add(machine);
     if (!this.isJobFaulty) return;
-    const doublings = Math.min(MAX_BACKOFF_DOUBLINGS, this.count - 2);
-    this.backoffUntil = plus(now, Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** doublings));
+    const doublings = Math.min(MAX_BACKOFF_DOUBLING_COUNT, this.failureCount - 2);
+    this.backoffUntil = plus(now, Math.min(MAX_BACKOFF_MS, BASE_BACKOFF_MS * 2 ** doublings));
   }
 
-  /** Whether none of the job's tasks may start yet. */
+  /** Whether the job is backing off after failures, so that none of its tasks may start yet. */
   isBackingOff(now: MonotonicTime): boolean {
     return this.backoffUntil !== null && this.backoffUntil > now;
   }
--- a/src/scheduler/job-priority.ts
+++ b/src/scheduler/job-priority.ts
@@ -1,39 +1,47 @@
-/** The priority and deadline of a job, its own and those that it inherits from the jobs that depend on it. */
+/** A job's own priority and deadline, merged with those inherited from the jobs that depend on the job. */
 import type { JobSpec, Priority } from '../model/job.js';
 import type { WallTime } from '../model/time.js';
 
-/** What a job inherits from all jobs that depend on it, directly or not, and its own where that is stricter. */
+/** The strictest priority and deadline among a job's own and those of all its direct and transitive dependents. */
 export interface InheritedPriority {
-  /** The highest priority of them. */
+  /** The highest priority of the job and its dependents. */
   readonly priority: Priority;
-  /** The latest end of this job that lets all of them be in time; null: none of them has a deadline. */
+  /**
+   * The latest end of this job with which it and all its dependents meet their deadlines; null: none has a deadline.
+   */
   readonly latestEnd: WallTime | null;
 }
 
-/** Keeps a job's inherited priority, and its description as it follows from that. */
+/** Holds a job's inherited priority, and derives the job's effective description from that priority. */
 export class JobPriority {
   private inheritedPriority: InheritedPriority;
-  private readySince: WallTime;
-  /** Made when it is first asked for, and again after a change. */
-  private cachedSpec: JobSpec | null = null;
+  private readyTime: WallTime;
+  /** The effective description, built on first use and cleared by each change. */
+  private cachedEffectiveSpec: JobSpec | null = null;
 
   constructor(
     private readonly spec: JobSpec,
     private readonly acceptedAt: WallTime,
   ) {
-    this.readySince = acceptedAt;
+    this.readyTime = acceptedAt;
     this.inheritedPriority = { priority: spec.priority, latestEnd: this.ownDeadline };
   }
 
-  /** When the job should be complete by its own deadline, which counts from its submission. */
+  /**
+   * The time by which the job should be complete by its own deadline, which counts from the job's acceptance; null:
+   * none.
+   */
   get ownDeadline(): WallTime | null {
     const { deadlineS } = this.spec;
     return deadlineS === null ? null : ((this.acceptedAt + deadlineS * 1000) as WallTime);
   }
 
-  /** From when the job's times count, deadlines aside: its acceptance, or the end of its last dependency. */
+  /**
+   * The time from which the waiting time and the class targets of the job count: its acceptance, or the end of its last
+   * dependency. The job's own deadline counts from its acceptance instead.
+   */
   get readyAt(): WallTime {
-    return this.readySince;
+    return this.readyTime;
   }
 
   get inherited(): InheritedPriority {
@@ -42,28 +50,26 @@
 
   inherit(inherited: InheritedPriority): void {
     this.inheritedPriority = inherited;
-    this.cachedSpec = null;
+    this.cachedEffectiveSpec = null;
   }
 
   markReady(now: WallTime): void {
-    this.readySince = now;
-    this.cachedSpec = null;
+    this.readyTime = now;
+    this.cachedEffectiveSpec = null;
   }
 
-  /** The description as placement and scale-out see it: with the inherited priority and deadline. */
+  /** The job's description for placement and scale-out, with the inherited priority and deadline. */
   get effectiveSpec(): JobSpec {
-    this.cachedSpec ??= this.makeEffectiveSpec();
-    return this.cachedSpec;
+    this.cachedEffectiveSpec ??= this.buildEffectiveSpec();
+    return this.cachedEffectiveSpec;
   }
 
-  private makeEffectiveSpec(): JobSpec {
+  private buildEffectiveSpec(): JobSpec {
     const { priority, latestEnd } = this.inheritedPriority;
-    const isOwn =
-      priority === this.spec.priority &&
-      latestEnd === this.ownDeadline &&
-      this.readySince === this.acceptedAt;
-    if (isOwn) return this.spec;
-    const deadlineS = latestEnd === null ? null : (latestEnd - this.readySince) / 1000;
+    const isUnchanged =
+      priority === this.spec.priority && latestEnd === this.ownDeadline && this.readyTime === this.acceptedAt;
+    if (isUnchanged) return this.spec;
+    const deadlineS = latestEnd === null ? null : (latestEnd - this.readyTime) / 1000;
     return { ...this.spec, priority, deadlineS };
   }
 }
