--- a/src/scheduler/candidate-index.ts
+++ b/src/scheduler/candidate-index.ts
@@ -28,8 +28,8 @@
   compareIds(a.machine, b.machine);
 
 /**
- * The index is sorted in full if more machines than this have changed since the last job; fewer are reinserted one by
- * one.
+ * Bounds the number of changed machines that are reinserted one by one before the next job is placed. If more machines
+ * have changed, the whole index is sorted again.
  */
 const MAX_INCREMENTAL_CHANGE_COUNT = 16;
 
--- a/src/scheduler/snapshot.ts
+++ b/src/scheduler/snapshot.ts
@@ -38,7 +38,10 @@
   /** The time since `readyAt`, in milliseconds. */
   readonly waitedMs: number;
   waitingCount: number;
-  /** The number of the job's tasks that may be on machines, by zone. */
+  /**
+   * The number of the job's tasks that may be on machines, by zone. Empty at the start of a round if the job has no
+   * zone constraint.
+   */
   readonly zones: Map<ZoneId, number>;
   readonly avoidedMachines: ReadonlySet<MachineId>;
   /**
--- a/test/unit/placement.test.ts
+++ b/test/unit/placement.test.ts
@@ -318,7 +318,7 @@
     ];
     // 600 CPU-seconds on 0.8 · 10 CPUs take 75 s.
     expect(overdueDemand(queue(60_000), 10, 0)).toEqual([]);
-    // Completing them within 20 s + 30 s takes 12 CPUs: 4 CPUs, the demand of 2 tasks, are missing.
+    // 600 CPU-seconds within 20 s + 30 s take 12 CPUs: 4 CPUs, the demand of 2 tasks, are missing.
     expect(overdueDemand(queue(20_000), 10, 0).map(({ tasks }) => tasks)).toEqual([2]);
   });
 });
--- a/test/unit/progress-merge.test.ts
+++ b/test/unit/progress-merge.test.ts
@@ -407,8 +407,8 @@
     const records = series.shuffled(plan.order);
     if (plan.isEarlierVersion) {
       const states = readBySize(records);
-      // An earlier version that misreads the records writes wrong progress, which this series does not cover: the test
-      // of contradicting placements that may be running does.
+      // An earlier version that misreads the records also writes wrong progress, which cannot be compared with the
+      // model. The tests of unproven placements cover this case.
       if (JSON.stringify(asObject(states)) === JSON.stringify(series.durableStates))
         series.startTerm(earlierVersionJob(series, states, plan.size), plan);
       continue;
