--- a/src/core/confirmed-cancellations.ts
+++ b/src/core/confirmed-cancellations.ts
@@ -2,14 +2,15 @@
 import type { JobId } from '../model/ids.js';
 import { type Clock, type Millis, type MonotonicTime, since } from '../model/time.js';
 
-/** Cancellations older than this many times their limit have been carried out or are violated already. */
-const RETENTION_LIMITS = 3;
-const MAX_ENTRIES = 20_000;
+/** The retention of an entry as a multiple of the cancellation limit; by then the limit has been met or violated. */
+const RETENTION_LIMIT_COUNT = 3;
+const MAX_ENTRY_COUNT = 20_000;
 
 /**
- * The confirmed cancellations that this process has learned of lately, whoever confirmed them: by its own answers, by
- * watching the records, or from another controller. A confirmed cancellation is final. So an entry may be acted upon,
- * by a stop command, without the store and without a valid lease.
+ * The confirmed cancellations that this process has recently received, whichever controller confirmed them. The sources
+ * are this process's own answers to users, a watch on the job records, and other controllers.
+ *
+ * A confirmed cancellation is final, so stop commands for its tasks need neither the store nor a valid lease.
  */
 export class ConfirmedCancellations {
   private readonly learnedAtById = new Map<JobId, MonotonicTime>();
@@ -21,21 +22,21 @@
     private readonly clock: Clock,
     cancellationLimit: Millis,
   ) {
-    this.retention = cancellationLimit * RETENTION_LIMITS;
+    this.retention = cancellationLimit * RETENTION_LIMIT_COUNT;
     this.startedAt = clock.now();
   }
 
-  /** How long this process has been collecting cancellations. */
+  /** The time for which this process has been collecting cancellations. */
   get uptime(): Millis {
     return since(this.clock.now(), this.startedAt);
   }
 
-  /** Calls the listener with the ids of cancellations that are new here. */
+  /** Registers a listener that is called with the ids of cancellations that are new to this process. */
   onLearned(listener: (ids: readonly JobId[]) => void): void {
     this.listeners.push(listener);
   }
 
-  /** Adds cancellations; returns whether any of them is new. */
+  /** Adds cancellations and returns whether any of them is new. */
   learn(cancellations: readonly ConfirmedCancellation[]): boolean {
     const now = this.clock.now();
     const learned: JobId[] = [];
@@ -54,12 +55,12 @@
     return this.learnedAtById.has(id);
   }
 
-  /** Since when the job is known to be cancelled; undefined: it isn't. */
+  /** Returns the time since which the job is known to be cancelled, or undefined if no cancellation is known. */
   learnedAt(id: JobId): MonotonicTime | undefined {
     return this.learnedAtById.get(id);
   }
 
-  /** Returns all of them, or those of the given jobs. */
+  /** Returns all confirmed cancellations, or only those of the given jobs. */
   list(ids: Iterable<JobId> = this.learnedAtById.keys()): ConfirmedCancellation[] {
     const now = this.clock.now();
     this.removeExpired(now);
@@ -73,8 +74,8 @@
 
   private removeExpired(now: MonotonicTime): void {
     for (const [id, learnedAt] of this.learnedAtById) {
-      // In the order of arrival; the ages of entries from peers may differ from it by the time of their transfer.
-      if (since(now, learnedAt) <= this.retention && this.learnedAtById.size <= MAX_ENTRIES) return;
+      // Entries are in the order of arrival; entries from peers may be out of order by the time of their transfer.
+      if (since(now, learnedAt) <= this.retention && this.learnedAtById.size <= MAX_ENTRY_COUNT) return;
       this.learnedAtById.delete(id);
     }
   }
--- a/src/core/context.ts
+++ b/src/core/context.ts
@@ -1,4 +1,4 @@
-/** What the parts of a controller, and those of a leader, are handed. */
+/** The dependencies that the components of a controller and of a leader share. */
 import type { Cloud } from '../cloud/client.js';
 import type { OperatorSettings } from '../config/operators.js';
 import type { Logger } from '../log/logger.js';
@@ -16,68 +16,72 @@
 import type { WorkerRegistry } from '../workers/state/worker-registry.js';
 import type { ConfirmedCancellations } from './confirmed-cancellations.js';
 
-/** Asks the other controllers what they know of leadership and of confirmed cancellations. */
+/** Requests from the other controllers their view of leadership and their confirmed cancellations. */
 export interface PeerStatusSource {
   /**
-   * Asks each of them, for at most `deadlineMs` milliseconds. The list has one entry for each peer in the settings,
-   * whether or not it was ever heard; null for one that doesn't answer or has a version without this request.
+   * Requests the status of every peer, with a deadline of `deadlineMs` milliseconds.
+   *
+   * The result has one entry for each peer in the settings, reachable or not. The entry is null for a peer that doesn't
+   * answer or whose version does not support this request.
    */
   collectStatus(deadlineMs: number): Promise<(PeerStatus | null)[]>;
 }
 
-/** What the parts of one controller share, leader or not. */
+/** The dependencies shared by the components of one controller, whether or not it leads. */
 export interface ControllerContext {
-  /** This controller. */
+  /** The id of this controller. */
   readonly member: MemberId;
   readonly clock: Clock;
   readonly log: Logger;
-  /** What the platform says of this site. */
+  /** The settings of this site as provided by the platform. */
   readonly settings: Settings;
-  /** What the operators have configured. */
+  /** The settings configured by the operators. */
   readonly operators: OperatorSettings;
   readonly store: KeyValueStore;
   readonly cloud: Cloud;
   readonly workerClient: WorkerClient;
-  /** Returns a number from 0 up to 1. */
+  /** Returns a random number from 0 (inclusive) to 1 (exclusive). */
   readonly random: () => number;
-  /** Filled when the catalog has been read. */
+  /** The machine types by id; empty until the catalog has been read. */
   readonly machineTypes: Map<MachineTypeId, MachineType>;
-  /** The number of direct calls to workers that may be in flight at once. */
+  /** The maximum number of concurrent direct calls to workers. */
   readonly maxConcurrentWorkerCalls: number;
   /** Returns the share of its processor time that this process uses, from 0 to 1. */
   readonly load: () => number;
   readonly storeLimits: StoreLimits;
   readonly cancellations: ConfirmedCancellations;
   readonly peers: PeerStatusSource;
-  /** Whether the leader and every controller that could take over have this protocol version, as far as this one knows. */
+  /** Whether the leader and every controller that may take over are known to support the protocol version. */
   readonly allPeersSupport: (version: number) => boolean;
-  /** Records under a prefix that were read ahead of a takeover, brought up to date; null: they have to be read. */
+  /** Returns the prefetched records under a prefix, brought up to date; null if the records must be read in full. */
   readonly prefetchedRecords: (prefix: string) => Promise<RecordSet | null>;
 }
 
-/** What the parts of the leader share during one term. */
+/** The dependencies shared by the components of the leader during one term. */
 export interface LeaderContext extends ControllerContext {
   readonly epoch: Epoch;
-  /** The revision of the epoch's record, which every write of this term is compared with. */
+  /** The revision of the epoch's record, which every write of this term compares. */
   readonly epochRevision: Revision;
-  /** When the answer to the takeover's transaction had arrived. */
+  /** The time at which the answer to the takeover's transaction arrived. */
   readonly startedAt: MonotonicTime;
   readonly jobs: JobStore;
   readonly workers: WorkerRegistry;
   /**
-   * Whether the leader's lease is certain to be held at this moment. Without it no machine is rented or deleted: behind
-   * a partition the network may delay such calls and deliver them long after another leader has placed work there.
+   * Whether the leader certainly holds its lease at this moment.
+   *
+   * Without a valid lease, no machine is rented or deleted: during a partition, the network may delay such calls and
+   * deliver them long after another leader has placed tasks on the machine.
    */
   isLeaseValid(): boolean;
-  /** Ends this term at once: there is a newer one. */
+  /** Ends this term immediately because there is a newer one. */
   stepDown(reason: TermEndReason): void;
   isEnded(): boolean;
-  /** Requests a decision: something has changed that decisions depend on. */
+  /** Requests a scheduling decision after a change to any of its inputs. */
   requestDecision(): void;
   /** Carries out a confirmed cancellation. */
   cancelJob(job: JobId): void;
-  /** Drains a worker: its tasks are stopped and start again elsewhere. */
+  /** Drains a worker: its tasks are stopped and restarted on other workers. */
   drainWorker(worker: MachineId): void;
-  /** Sends the worker the commands that wait for it. */
+  /** Sends the worker its pending commands. */
   dispatchCommands(worker: MachineId): void;
 }
