--- a/src/workers/state/heartbeat-cursor.ts
+++ b/src/workers/state/heartbeat-cursor.ts
@@ -1,30 +1,30 @@
 import type { AgentIncarnation, HeartbeatSequence } from '../../model/ids.js';
 import type { Heartbeat } from '../../model/heartbeat.js';
 
-/** The position in a worker's heartbeats up to which they were taken in: incarnation, then sequence. */
+/** The position of the last processed heartbeat of a worker, ordered by incarnation, then by sequence number. */
 export class HeartbeatCursor {
-  /** Most agents are in their first incarnation: assuming it, the first direct call is accepted. */
-  private current = 1 as AgentIncarnation;
+  /** The incarnation of the agent; 1 is assumed initially, since most agents then accept the first direct call. */
+  private currentIncarnation = 1 as AgentIncarnation;
   private lastSequence = 0 as HeartbeatSequence;
 
   get incarnation(): AgentIncarnation {
-    return this.current;
+    return this.currentIncarnation;
   }
 
   beginIncarnation(incarnation: AgentIncarnation): void {
-    this.current = incarnation;
+    this.currentIncarnation = incarnation;
   }
 
-  /** Moves on to a heartbeat of the present incarnation. */
+  /** Advances to a heartbeat of the current incarnation. */
   advance(sequence: HeartbeatSequence): void {
     this.lastSequence = sequence;
   }
 
-  /** Whether the heartbeat was sent after all that were taken in. */
+  /** Whether the heartbeat was sent after every processed heartbeat. */
   isBefore(heartbeat: Heartbeat): boolean {
     return (
-      heartbeat.incarnation > this.current ||
-      (heartbeat.incarnation === this.current && heartbeat.sequence > this.lastSequence)
+      heartbeat.incarnation > this.currentIncarnation ||
+      (heartbeat.incarnation === this.currentIncarnation && heartbeat.sequence > this.lastSequence)
     );
   }
 }
--- a/src/workers/state/image-cache.ts
+++ b/src/workers/state/image-cache.ts
@@ -1,15 +1,15 @@
 import type { ImageId } from '../../model/ids.js';
 
-/** The images that a machine is expected to have cached: the least recently used ones are evicted. */
+/** A model of the image cache on a machine, with eviction of the least recently used images. */
 export class ImageCache {
-  /** Sizes in GB, least recently used first. */
+  /** Image sizes in GB, least recently used first. */
   private readonly sizes = new Map<ImageId, number>();
 
   has(image: ImageId): boolean {
     return this.sizes.has(image);
   }
 
-  /** Records that the image was used, and evicts others until the rest fits into `capacityGb`. */
+  /** Records a use of the image, and evicts other images until the total size is at most `capacityGb`. */
   use(image: ImageId, sizeGb: number, capacityGb: number): void {
     this.sizes.delete(image);
     this.sizes.set(image, sizeGb);
--- a/src/workers/state/probe-state.ts
+++ b/src/workers/state/probe-state.ts
@@ -1,18 +1,18 @@
-/** The probes of one worker: at most one series of them is under way. */
+/** The probe state of one worker, for which at most one series of probes runs at a time. */
 export class ProbeState {
-  /** Probes without an answer since the worker was last found responsive. */
-  private failed = 0;
+  /** The number of unanswered probes since the worker was last responsive. */
+  private consecutiveFailures = 0;
   isInProgress = false;
 
   get failedCount(): number {
-    return this.failed;
+    return this.consecutiveFailures;
   }
 
   recordFailure(): void {
-    this.failed++;
+    this.consecutiveFailures++;
   }
 
   reset(): void {
-    this.failed = 0;
+    this.consecutiveFailures = 0;
   }
 }
--- a/src/workers/state/worker-capacity.ts
+++ b/src/workers/state/worker-capacity.ts
@@ -1,22 +1,22 @@
 import { allocate, type FreeCapacity, type Resources } from '../../model/job.js';
 import type { Task } from '../../scheduler/task.js';
 
-/** The tasks that may be on a machine, and the resources that they leave free. */
+/** The tasks that may be on a machine, and the resources left free by these tasks. */
 export class WorkerCapacity {
   private readonly assignedTasks = new Set<Task>();
-  /** Computed on demand; null: a task or the total has changed since. */
+  /** The free resources, computed on demand; null after a change of the tasks or of the total resources. */
   private cachedFree: FreeCapacity | null = null;
 
-  constructor(private total: Resources) {}
+  constructor(private totalResources: Resources) {}
 
   get tasks(): ReadonlySet<Task> {
     return this.assignedTasks;
   }
 
-  /** What the tasks leave of the machine; negative where they need more than it has. */
+  /** The resources that the tasks leave free; negative where the tasks need more than the machine has. */
   get free(): Readonly<FreeCapacity> {
     if (this.cachedFree) return this.cachedFree;
-    const { cpus, gpus, memoryGb } = this.total;
+    const { cpus, gpus, memoryGb } = this.totalResources;
     const free = { cpus, gpus, memoryGb };
     for (const task of this.assignedTasks) allocate(free, task.job.spec);
     this.cachedFree = free;
@@ -24,7 +24,7 @@
   }
 
   setTotal(total: Resources): void {
-    this.total = total;
+    this.totalResources = total;
     this.cachedFree = null;
   }
 
--- a/src/workers/state/worker-fence.ts
+++ b/src/workers/state/worker-fence.ts
@@ -6,18 +6,21 @@
   MAX_FENCE_GENERATION,
 } from '../../model/ids.js';
 
-/** The fencing token of commands to one worker: raising it makes the worker refuse commands that left before. */
+/** The fencing token of commands to one worker; raising the token makes the worker refuse commands sent earlier. */
 export class WorkerFence {
-  /** Whether something that is counted as being there can only be proven gone under a higher token. */
+  /** Whether a task assigned to the worker can only be proven gone under a higher token. */
   needsHigherToken = false;
   private generation = 0 as FenceGeneration;
 
-  /** The token that commands carry now. */
+  /** Returns the current token of commands to the worker. */
   token(epoch: Epoch): FencingToken {
     return fencingTokenOf(epoch, this.generation);
   }
 
-  /** From the next answer on the worker refuses every command that left before. False: the token is at its maximum. */
+  /**
+   * Raises the token, so that the worker refuses all earlier commands once the next answer reaches it. Returns false if
+   * the token is at its maximum.
+   */
   raise(): boolean {
     if (this.generation >= MAX_FENCE_GENERATION) return false;
     this.generation = (this.generation + 1) as FenceGeneration;
--- a/src/workers/state/worker-registry.ts
+++ b/src/workers/state/worker-registry.ts
@@ -1,14 +1,14 @@
 import type { MachineId } from '../../model/ids.js';
 import type { Worker } from './worker.js';
 
-/** So many removed machines are remembered; the oldest are forgotten first. */
-const MAX_REMEMBERED_GONE = 5000;
+/** The maximum number of removed machines to remember; the oldest entries are dropped first. */
+const MAX_GONE_MACHINE_COUNT = 5000;
 
-/** All machines that may exist, by id, and those that were lately proven gone. */
+/** All machines that may exist, by id, and the machines that were recently proven gone. */
 export class WorkerRegistry {
   private readonly workers = new Map<MachineId, Worker>();
-  /** Machines proven gone: a late heartbeat or list must not bring them back. */
-  private readonly gone = new Set<MachineId>();
+  /** Machines proven gone, which a delayed heartbeat or an outdated list from the cloud must not add again. */
+  private readonly goneMachines = new Set<MachineId>();
 
   get size(): number {
     return this.workers.size;
@@ -28,20 +28,20 @@
 
   /** Whether the machine was proven gone. */
   isGone(id: MachineId): boolean {
-    return this.gone.has(id);
+    return this.goneMachines.has(id);
   }
 
   /** Adds the worker, unless its machine was proven gone. */
   add(worker: Worker): void {
-    if (!this.gone.has(worker.id)) this.workers.set(worker.id, worker);
+    if (!this.goneMachines.has(worker.id)) this.workers.set(worker.id, worker);
   }
 
-  /** Removes a machine that is proven gone; it cannot be added again. */
+  /** Removes a machine that is proven gone and prevents `add` from adding the machine again. */
   remove(id: MachineId): void {
     this.workers.delete(id);
-    this.gone.add(id);
-    if (this.gone.size <= MAX_REMEMBERED_GONE) return;
-    const oldest = this.gone.values().next().value;
-    if (oldest !== undefined) this.gone.delete(oldest);
+    this.goneMachines.add(id);
+    if (this.goneMachines.size <= MAX_GONE_MACHINE_COUNT) return;
+    const oldest = this.goneMachines.values().next().value;
+    if (oldest !== undefined) this.goneMachines.delete(oldest);
   }
 }
--- a/src/workers/worker-connections.ts
+++ b/src/workers/worker-connections.ts
@@ -1,40 +1,46 @@
-/** HTTP connections to the workers' own addresses, of which a process keeps a bounded number. */
+/** A bounded pool of HTTP connections to the workers' own addresses. */
 import type { CallVerb } from '../peer/worker-call.js';
 import { HttpTarget, NoSocketError, type HttpReply, SocketCount } from '../net/http-client.js';
 
-interface Target {
+interface WorkerTarget {
   readonly http: HttpTarget;
   inFlight: number;
 }
 
-/** A command and a probe may be on their way to one worker at the same time. */
+/** The maximum number of sockets to one worker, for a command call and a probe at the same time. */
 const MAX_SOCKETS_PER_WORKER = 2;
 
 /**
- * Calls workers over kept-alive connections; where a new one would exceed the maximum, the least recently used worker's
- * are closed. Few workers need their second connection: with two reserved for each, half of the calls had to connect anew.
+ * Calls workers over keep-alive connections. If a new connection would exceed the maximum, the connections of the least
+ * recently used worker are closed.
+ *
+ * Connections are not reserved per worker, since few workers need a second one: with two reserved for each worker, half
+ * of the calls had to open a new connection.
  */
 export class WorkerConnections {
-  private readonly targets = new Map<string, Target>();
+  private readonly targets = new Map<string, WorkerTarget>();
   private readonly openSockets = new SocketCount();
 
-  /** `maxSockets`: to all workers together. */
+  /** `maxSockets` is the maximum number of sockets to all workers together. */
   constructor(private readonly maxSockets: number) {}
 
-  private acquire(address: string): Target {
+  private acquireTarget(address: string): WorkerTarget {
     const target = this.targets.get(address) ?? {
       http: new HttpTarget(address, MAX_SOCKETS_PER_WORKER, this.openSockets),
       inFlight: 0,
     };
     while (!target.http.hasIdleConnection && this.openSockets.open >= this.maxSockets)
       this.closeLeastRecentlyUsed();
-    // The last in the map is the most recently used.
+    // Reinserting the target keeps the map in order of use, with the most recently used target last.
     this.targets.delete(address);
     this.targets.set(address, target);
     return target;
   }
 
-  /** A call that is under way is never cut off: whether its commands were sent would then be unknown. */
+  /**
+   * Closes the connections of the least recently used worker without calls in flight. A call in flight is never aborted,
+   * since it would be unknown whether its commands were sent.
+   */
   private closeLeastRecentlyUsed(): void {
     for (const [address, { http, inFlight }] of this.targets) {
       if (inFlight > 0) continue;
@@ -42,12 +48,12 @@
       this.targets.delete(address);
       return;
     }
-    throw new NoSocketError('no socket is free');
+    throw new NoSocketError('all sockets for calls to workers are in use by calls in flight');
   }
 
-  /** Calls a worker. Throws `NoSocketError` where nothing was sent for want of a socket. */
+  /** Calls a worker. Throws `NoSocketError` if nothing was sent because no socket is available. */
   async call(verb: CallVerb, address: string, body: unknown, deadlineMs: number): Promise<HttpReply> {
-    const target = this.acquire(address);
+    const target = this.acquireTarget(address);
     target.inFlight++;
     try {
       return await target.http.call(verb === 'show' ? 'GET' : 'POST', `/${verb}`, body, deadlineMs);
