--- a/src/workers/command-dispatcher.ts
+++ b/src/workers/command-dispatcher.ts
@@ -1,4 +1,4 @@
-/** Sends commands straight to the workers, beside the answers to their heartbeats. */
+/** Sends commands to workers in direct calls, in addition to the answers to their heartbeats. */
 import type { LeaderContext } from '../core/context.js';
 import { errorMessage } from '../log/logger.js';
 import { NoSocketError } from '../net/http-client.js';
@@ -8,32 +8,32 @@
 import type { CommandIssuer } from './command-issuer.js';
 
 const COMMAND_TIMEOUT_MS = 1500;
-/** After a call that brought no answer, commands wait for the worker's heartbeats this long. */
-const BACKOFF_MS = 3000;
+/** How long a worker gets no direct calls after an unanswered call; its commands wait for its heartbeats meanwhile. */
+const UNANSWERED_CALL_BACKOFF_MS = 3000;
 const MAX_COMMANDS_PER_CALL = 200;
 /**
- * The part of the calls that may be first contacts. A new leader has to contact every worker; their heartbeats
- * come by themselves, and commands to those that it knows must not queue behind the rest.
+ * The maximum ratio of first contacts to all concurrent calls. A new leader has no heartbeat from any worker yet. First
+ * contacts only speed up heartbeats that arrive anyway, so they must not delay commands to workers that have reported.
  */
-const FIRST_CONTACT_SHARE = 0.25;
+const FIRST_CONTACT_CALL_RATIO = 0.25;
 
-/** What a `CommandDispatcher` is made with. */
+/** Collaborators and limits of a `CommandDispatcher`. */
 export interface CommandDispatcherOptions {
   readonly issuer: CommandIssuer;
-  /** Called with the heartbeat that a worker sent in its answer to a call. */
+  /** Called with the heartbeat that a worker includes in its answer to a call. */
   readonly onHeartbeat: (worker: Worker, heartbeat: Heartbeat) => void;
-  /** Calls that may be under way at once, to all workers together. */
+  /** The maximum number of concurrent calls to all workers together. */
   readonly maxConcurrentCalls: number;
 }
 
-/** Sends commands in direct calls: one call at a time to each worker, a bounded number to all of them. */
+/** Sends commands in direct calls, with at most one concurrent call per worker and a bounded number in total. */
 export class CommandDispatcher {
-  /** When workers whose calls went unanswered may be called again. */
+  /** The time at which a worker may be called again after an unanswered call, by worker id. */
   private readonly backoffUntil = new Map<string, MonotonicTime>();
-  /** Workers whose commands wait for a free call. */
-  private readonly waiting = new Set<Worker>();
-  /** Workers that have not reported under our epoch yet, and wait for a first contact. */
-  private readonly unregistered = new Set<Worker>();
+  /** Workers whose commands are queued because the maximum number of concurrent calls is reached. */
+  private readonly workersAwaitingCall = new Set<Worker>();
+  /** Workers that have sent no heartbeat in this epoch and are queued for a first contact. */
+  private readonly workersAwaitingFirstContact = new Set<Worker>();
   private callsInFlight = 0;
   private firstContactsInFlight = 0;
 
@@ -42,33 +42,33 @@
     private readonly options: CommandDispatcherOptions,
   ) {}
 
-  /** Sends the worker what it has to be sent now, or as soon as a call is free. */
+  /** Sends the worker its pending commands now, or as soon as the limit on concurrent calls allows. */
   dispatch(worker: Worker): void {
-    if (worker.pendingCommands.isInFlight) {
-      worker.pendingCommands.requestAnother();
+    if (worker.commandCall.isInFlight) {
+      worker.commandCall.requestFollowUp();
       return;
     }
-    if (!this.mayCall(worker)) return;
+    if (!this.canCall(worker)) return;
     if (worker.hasReported) this.sendPending(worker);
     else {
-      this.unregistered.add(worker);
-      this.contactUnregistered();
+      this.workersAwaitingFirstContact.add(worker);
+      this.sendFirstContacts();
     }
   }
 
-  private get hasFreeCall(): boolean {
+  private get hasCallCapacity(): boolean {
     return this.callsInFlight < this.options.maxConcurrentCalls;
   }
 
-  private mayCall(worker: Worker): boolean {
+  private canCall(worker: Worker): boolean {
     if (worker.address === '' || this.ctx.isEnded()) return false;
     const backoffUntil = this.backoffUntil.get(worker.id);
     return backoffUntil === undefined || backoffUntil <= this.ctx.clock.now();
   }
 
   private sendPending(worker: Worker): void {
-    if (!this.hasFreeCall) {
-      this.waiting.add(worker);
+    if (!this.hasCallCapacity) {
+      this.workersAwaitingCall.add(worker);
       return;
     }
     const isLeaseValid = this.ctx.isLeaseValid();
@@ -76,37 +76,37 @@
     if (commands.length > 0) void this.send(worker, commands);
   }
 
-  /** Contacts workers that have not reported: an empty call tells them our epoch and brings a heartbeat. */
-  private contactUnregistered(): void {
-    for (const worker of this.unregistered) {
-      if (this.firstContactsInFlight >= this.maxFirstContacts() || !this.hasFreeCall) return;
-      this.unregistered.delete(worker);
-      // It may have reported by itself meanwhile.
-      if (worker.hasReported || worker.pendingCommands.isInFlight || !this.mayCall(worker)) continue;
+  /** Sends calls without commands to workers that have not reported; a call carries the epoch and returns a heartbeat. */
+  private sendFirstContacts(): void {
+    for (const worker of this.workersAwaitingFirstContact) {
+      if (this.firstContactsInFlight >= this.maxFirstContacts() || !this.hasCallCapacity) return;
+      this.workersAwaitingFirstContact.delete(worker);
+      // The worker may have sent a heartbeat since it was queued.
+      if (worker.hasReported || worker.commandCall.isInFlight || !this.canCall(worker)) continue;
       this.firstContactsInFlight++;
       void this.send(worker, []).finally(() => {
         this.firstContactsInFlight--;
-        this.contactUnregistered();
+        this.sendFirstContacts();
       });
     }
   }
 
-  /** The busier this process is, the more workers are left to report by themselves. */
+  /** Returns the maximum number of concurrent first contacts, which falls as the load of this process rises. */
   private maxFirstContacts(): number {
-    return Math.max(1, this.options.maxConcurrentCalls * FIRST_CONTACT_SHARE * (1 - this.ctx.load()));
+    return Math.max(1, this.options.maxConcurrentCalls * FIRST_CONTACT_CALL_RATIO * (1 - this.ctx.load()));
   }
 
-  private dispatchWaiting(): void {
-    for (const worker of this.waiting) {
-      if (!this.hasFreeCall) return;
-      this.waiting.delete(worker);
+  private dispatchAwaitingWorkers(): void {
+    for (const worker of this.workersAwaitingCall) {
+      if (!this.hasCallCapacity) return;
+      this.workersAwaitingCall.delete(worker);
       this.dispatch(worker);
     }
   }
 
   private async send(worker: Worker, commands: WorkerCommand[]): Promise<void> {
     const token = worker.fencingToken(this.ctx.epoch);
-    worker.pendingCommands.begin();
+    worker.commandCall.begin();
     this.callsInFlight++;
     const sentAt = this.ctx.clock.now();
     try {
@@ -122,24 +122,27 @@
       if (answer.heartbeat) this.options.onHeartbeat(worker, answer.heartbeat);
     } catch (error) {
       if (error instanceof NoSocketError) {
-        // Nothing has left; the next heartbeat's answer brings the commands if no socket is free before.
-        worker.pendingCommands.cancelRequest();
+        // Nothing was sent. The answer to the next heartbeat carries the commands if no socket becomes free before.
+        worker.commandCall.cancelFollowUp();
         return;
       }
       this.recordUnanswered(worker, sentAt, error);
     } finally {
-      const isAnotherRequested = worker.pendingCommands.finish();
+      const isFollowUpRequested = worker.commandCall.finish();
       this.callsInFlight--;
-      if (isAnotherRequested) this.dispatch(worker);
-      this.dispatchWaiting();
+      if (isFollowUpRequested) this.dispatch(worker);
+      this.dispatchAwaitingWorkers();
     }
   }
 
-  /** The commands may still arrive, minutes late: until the worker's fencing token is raised. */
+  /**
+   * Records a call without an answer. The commands of the call may still arrive minutes later, and take effect until the
+   * worker's fencing token is raised.
+   */
   private recordUnanswered(worker: Worker, sentAt: MonotonicTime, error: unknown): void {
     const now = this.ctx.clock.now();
     worker.contact.recordCallFailed(now);
-    this.backoffUntil.set(worker.id, (now + BACKOFF_MS) as MonotonicTime);
+    this.backoffUntil.set(worker.id, (now + UNANSWERED_CALL_BACKOFF_MS) as MonotonicTime);
     this.ctx.log.debug(
       { machine: worker.id, error: errorMessage(error), durationMs: since(now, sentAt) },
       'command call unanswered',
--- a/src/workers/command-issuer.ts
+++ b/src/workers/command-issuer.ts
@@ -1,6 +1,8 @@
 /**
- * The one place where commands to workers are issued. A start command that the placement rule forbids, by what is known at
- * that moment, is withheld: nothing is forgotten or stopped, the task is proven gone like any that never started, and its job goes on.
+ * Issues all commands to workers and checks each start command against the placement rule.
+ *
+ * A start command that the rule forbids on the current machine facts is withheld, and no stop or forget command is sent
+ * in its place. The task is proven gone like any task that never started, and its job continues.
  */
 import type { LeaderContext } from '../core/context.js';
 import type { DecisionLog } from '../log/decision-log.js';
@@ -11,23 +13,23 @@
 import type { Worker } from './state/worker.js';
 import { commandsFor, markStartsSent } from './worker-commands.js';
 
-/** The log line of a start command that was withheld. */
+/** The message of the log line for a withheld start command. */
 export const START_WITHHELD = 'start command withheld: placement rule violated';
 
-/** Returns the part of the rule that forbids the task on this machine now; null: it may start. */
-function refusalOf(task: Task, worker: Worker): PlacementRefusal | null {
+/** Returns the part of the placement rule that forbids the task on this machine now, or null if the task may start. */
+function findPlacementRefusal(task: Task, worker: Worker): PlacementRefusal | null {
   const { spec, zoneTally } = task.job;
   if (!worker.confirmedFacts) return PlacementRefusal.MachineUnknown;
   const { machine } = worker.confirmedFacts;
   if (!hasZoneConstraint(spec)) return placementRefusal(spec, machine, zoneTally.counts);
-  // The task's own zone is known, as its machine is: it is counted there, and any other may be elsewhere.
+  // The tally counts this task in its own zone, which is known; any task of unknown zone must belong to another machine.
   if (zoneTally.unknownZoneCount > 0) return PlacementRefusal.ZoneUnknown;
   return placementRefusal(spec, machine, zoneTally.without(task.zone));
 }
 
-/** Chooses the commands that a worker gets now, and records which starts were sent. */
+/** Selects the commands to send to a worker now, and records which start commands were sent. */
 export class CommandIssuer {
-  /** Start commands withheld in this leadership term. */
+  /** The number of start commands withheld in this leadership term. */
   withheld = 0;
 
   constructor(
@@ -43,13 +45,20 @@
     maxCommands: number,
   ): WorkerCommand[] {
     const now = this.ctx.clock.now();
-    const wanted = [...commandsFor(worker, now, isLeaseValid), ...forgetCommands].slice(0, maxCommands);
-    const commands = this.permitted(worker, wanted, now);
+    const neededCommands = [...commandsFor(worker, now, isLeaseValid), ...forgetCommands].slice(
+      0,
+      maxCommands,
+    );
+    const commands = this.filterPermitted(worker, neededCommands, now);
     markStartsSent(worker, commands, worker.fencingToken(this.ctx.epoch));
     return commands;
   }
 
-  private permitted(worker: Worker, commands: readonly WorkerCommand[], now: MonotonicTime): WorkerCommand[] {
+  private filterPermitted(
+    worker: Worker,
+    commands: readonly WorkerCommand[],
+    now: MonotonicTime,
+  ): WorkerCommand[] {
     const tasks = new Map<string, Task>();
     if (commands.some(({ kind }) => kind !== 'forget'))
       for (const task of worker.tasks) tasks.set(task.id, task);
@@ -57,16 +66,16 @@
       if (command.kind === 'forget') return true;
       const task = tasks.get(command.task);
       if (command.kind === 'stop') this.logStop(command, worker, task);
-      // The start command of a task that is stopped with it was checked when it was first sent.
-      else if (task && task.pendingStop === null) return this.mayStart(task, worker, now);
+      // A start command that accompanies a stop of the same task was checked when it was first sent.
+      else if (task && task.pendingStop === null) return this.checkStart(task, worker, now);
       return true;
     });
   }
 
-  private mayStart(task: Task, worker: Worker, now: MonotonicTime): boolean {
-    const refusal = refusalOf(task, worker);
+  private checkStart(task: Task, worker: Worker, now: MonotonicTime): boolean {
+    const refusal = findPlacementRefusal(task, worker);
     if (refusal !== null) {
-      this.withhold(task, worker, refusal, now);
+      this.withholdStart(task, worker, refusal, now);
       return false;
     }
     if (task.startSentIncarnation === null)
@@ -74,10 +83,11 @@
     return true;
   }
 
-  private withhold(task: Task, worker: Worker, refusal: PlacementRefusal, now: MonotonicTime): void {
+  private withholdStart(task: Task, worker: Worker, refusal: PlacementRefusal, now: MonotonicTime): void {
     this.withheld++;
     this.ctx.log.error({ refusal, ...this.decisionBasis(task, worker, now) }, START_WITHHELD);
-    // A task that was never sent is gone once a heartbeat lacks it; one that was, once its start commands are refused.
+    // A task whose start was never sent is gone once a heartbeat lacks it. A task whose start was sent is gone only
+    // once the worker refuses that start command under a higher token.
     if (task.startSentIncarnation === null) task.pendingStop = { graceS: 0, reason: 'misplaced', since: now };
     else worker.fence.needsHigherToken = true;
   }
@@ -94,7 +104,7 @@
     }));
   }
 
-  /** All that the decision to start the task rested on, for the log. */
+  /** Returns the inputs of the placement check for the task, for the log. */
   private decisionBasis(task: Task, worker: Worker, now: MonotonicTime): object {
     const { allowedTypes, zone, allowsSpot, zoneAffinity, zoneAntiAffinity, taskCount } = task.job.spec;
     const { confirmedFacts, facts } = worker;
--- a/src/workers/failure-detection-context.ts
+++ b/src/workers/failure-detection-context.ts
@@ -2,7 +2,7 @@
 
 type Settings = LeaderContext['settings'];
 
-/** The part of the leader's context that failure detection needs: narrow, so that tests can make one. */
+/** The subset of `LeaderContext` that failure detection needs, small enough for tests to construct. */
 export interface FailureDetectionContext extends Pick<
   LeaderContext,
   'clock' | 'isEnded' | 'load' | 'maxConcurrentWorkerCalls' | 'operators' | 'startedAt' | 'workers'
--- a/src/workers/failure-detector.ts
+++ b/src/workers/failure-detector.ts
@@ -2,11 +2,11 @@
 import { type MonotonicTime, since } from '../model/time.js';
 import type { FailureDetectionContext } from './failure-detection-context.js';
 import {
-  countUp,
-  emptySnapshot,
+  recordUpWorker,
+  createFleetSnapshot,
   type FleetHealthSnapshot,
   isLikelyPartitioned,
-  isSingleUnresponsive,
+  isIndividuallyUnresponsive,
   type ZoneHealth,
 } from './fleet-health.js';
 import { HeartbeatTimeouts } from './heartbeat-timeouts.js';
@@ -15,28 +15,28 @@
 import type { Worker } from './state/worker.js';
 import { hasFailedProbes, WorkerProber } from './worker-prober.js';
 
-/** A tick that comes later than this finds its own process held up: nobody is judged by it. */
+/** The maximum time between two ticks; if a tick is later, this process was delayed, and the tick fences no worker. */
 const MAX_TICK_DELAY_MS = 700;
-/** Replicas do not run on a machine that hangs: such a machine is probed when it has been silent for this long. */
-const EARLY_PROBE_MS = 2000;
-/** The part of a lease after which machines behind a partition are given up. */
-const PARTITION_PATIENCE = 0.7;
+/** The silence after which a machine with replicas is probed, since replicas do not run on a machine that hangs. */
+const EARLY_PROBE_SILENCE_MS = 2000;
+/** Machines behind a likely partition are fenced this ratio of the worker lease duration after their last answer. */
+const PARTITION_FENCING_LEASE_RATIO = 0.7;
 
-/** What a `WorkerFailureDetector` is made with. */
+/** Settings and callbacks of a `WorkerFailureDetector`. */
 export interface WorkerFailureDetectorOptions {
-  /** For how long an earlier leader may renew worker leases after our takeover, in ms. */
+  /** How long an earlier leader may renew worker leases after the takeover of this leader, in ms. */
   readonly predecessorRenewalMs: number;
   /** Called with the heartbeat that answers a probe. */
   readonly onHeartbeat: (worker: Worker, heartbeat: Heartbeat) => void;
-  /** Called again and again until the machine is gone. */
+  /** Fences the worker's machine; called on every tick until the machine is gone. */
   readonly fence: (worker: Worker, reason: string) => void;
-  /** Called for a worker with tasks: they were surely killed. */
+  /** Called for a worker with tasks whose lease has certainly expired, so that the worker has killed them. */
   readonly onLeaseExpired: (worker: Worker) => void;
 }
 
 /**
- * Detects workers that are silent, or heard and not reached, and fences their machines; notices when it
- * is the leader who receives nothing.
+ * Detects workers that send no heartbeats or receive no answers, and fences their machines. Also detects that the leader
+ * itself receives no heartbeats.
  */
 export class WorkerFailureDetector {
   private readonly timeouts: HeartbeatTimeouts;
@@ -62,56 +62,56 @@
     this.lastTickAt = ctx.startedAt;
   }
 
-  /** A worker was heard from under our epoch. */
+  /** Records a heartbeat that the worker sent in this epoch. */
   recordHeartbeat(worker: Worker, now: MonotonicTime): void {
     worker.contact.recordHeartbeat(now);
     this.inboundPartition.recordHeartbeat(now);
-    // One that is heard and not reached stays under suspicion: only a contact clears it.
+    // A worker that sends heartbeats but receives no answers remains suspected until a delivery is recorded.
     if (this.timeouts.isSuspected(worker, now)) return;
     worker.probes.reset();
     if (worker.cordon === 'unresponsive' && !worker.isRemoving) worker.cordon = null;
   }
 
-  /** A machine was answered before we had read that it exists. */
+  /** Records an answer to a machine whose record this leader has not read yet. */
   recordAnswerToUnknownMachine(now: MonotonicTime): void {
     this.leaseExpiry.recordAnswerToUnknownMachine(now);
   }
 
-  /** From when on nothing runs of which no heartbeat has told us (`LeaseExpiry`). */
+  /** The time after which no task runs that no heartbeat has reported to this leader (`LeaseExpiry`). */
   get earlierLeasesEndAt(): MonotonicTime {
-    return this.leaseExpiry.earlierLeasesEndAt;
+    return this.leaseExpiry.untrackedLeasesEndAt;
   }
 
-  /** The tick without a valid leader lease: nobody is judged meanwhile, but worker leases still expire. */
+  /** Replaces `tick` while the leader lease is invalid: no worker is fenced, but worker leases still expire. */
   checkLeases(now: MonotonicTime): void {
     this.lastTickAt = now;
     for (const worker of this.ctx.workers.values()) this.checkLease(worker, now);
   }
 
-  /** Whether the leader hears none of the workers that are up. To be called before each tick. */
+  /** Whether the leader receives heartbeats from none of the workers that are up. Must be called before each tick. */
   isInboundPartitioned(now: MonotonicTime): boolean {
     const delay = since(now, this.lastTickAt);
     if (delay > MAX_TICK_DELAY_MS) this.inboundPartition.recordDelay(delay);
     return this.inboundPartition.isPartitioned(now);
   }
 
-  /** Checks every worker, probes those under suspicion, and fences those that have failed. */
+  /** Checks every worker, probes suspected workers, and fences failed ones. */
   tick(now: MonotonicTime): void {
     const snapshot = this.takeSnapshot(now);
     this.prober.probeEarly(snapshot.probeCandidates, now);
     for (const worker of snapshot.unresponsive) {
-      if (isSingleUnresponsive(worker, snapshot)) this.fence(worker, 'unresponsive');
+      if (isIndividuallyUnresponsive(worker, snapshot)) this.fence(worker, 'unresponsive');
     }
-    for (const worker of snapshot.suspected) this.judgeSuspected(worker, snapshot, now);
+    for (const worker of snapshot.suspected) this.handleSuspected(worker, snapshot, now);
   }
 
   private takeSnapshot(now: MonotonicTime): FleetHealthSnapshot {
     const isDelayed = since(now, this.lastTickAt) > MAX_TICK_DELAY_MS;
     this.lastTickAt = now;
-    const snapshot = emptySnapshot();
+    const snapshot = createFleetSnapshot();
     for (const worker of this.ctx.workers.values()) {
       if (!worker.isUp && worker.isEmpty) continue;
-      const zone = countUp(snapshot, worker);
+      const zone = recordUpWorker(snapshot, worker);
       if (isDelayed) worker.probes.reset();
       else this.classify(worker, zone, snapshot, now);
     }
@@ -129,29 +129,29 @@
       zone.suspected++;
       return;
     }
-    if (!isProbedEarly(worker)) return;
+    if (!isEligibleForEarlyProbe(worker)) return;
     zone.probedEarly++;
-    if (this.timeouts.silenceOf(worker, now) < EARLY_PROBE_MS) return;
+    if (this.timeouts.timeSinceHeartbeat(worker, now) < EARLY_PROBE_SILENCE_MS) return;
     if (hasFailedProbes(worker)) {
       snapshot.unresponsive.push(worker);
       zone.unresponsive++;
     } else snapshot.probeCandidates.push(worker);
   }
 
-  private judgeSuspected(worker: Worker, snapshot: FleetHealthSnapshot, now: MonotonicTime): void {
+  private handleSuspected(worker: Worker, snapshot: FleetHealthSnapshot, now: MonotonicTime): void {
     if (!hasFailedProbes(worker)) this.prober.probe(worker);
-    else if (!isLikelyPartitioned(worker, snapshot) || this.isGivenUp(worker, now))
+    else if (!isLikelyPartitioned(worker, snapshot) || this.isPartitionFencingDue(worker, now))
       this.fence(worker, 'unreachable');
     this.checkLease(worker, now);
   }
 
   /**
-   * Behind a partition the work goes on, and what it completes is kept: its machines are fenced only
-   * shortly before their leases would end it.
+   * Whether a machine behind a likely partition is due for fencing. Tasks behind a partition keep running, and their
+   * results are kept, so their machines are fenced only shortly before the worker leases expire.
    */
-  private isGivenUp(worker: Worker, now: MonotonicTime): boolean {
-    const givenUpAfter = this.ctx.settings.workerLeaseDuration * PARTITION_PATIENCE;
-    return since(now, worker.lease.lastAnsweredAt ?? this.ctx.startedAt) > givenUpAfter;
+  private isPartitionFencingDue(worker: Worker, now: MonotonicTime): boolean {
+    const fencingDelayMs = this.ctx.settings.workerLeaseDuration * PARTITION_FENCING_LEASE_RATIO;
+    return since(now, worker.lease.lastAnsweredAt ?? this.ctx.startedAt) > fencingDelayMs;
   }
 
   private fence(worker: Worker, reason: string): void {
@@ -164,8 +164,8 @@
   }
 }
 
-/** Whether the worker is probed between its heartbeats: it holds replicas, and direct calls reach it at all. */
-function isProbedEarly(worker: Worker): boolean {
+/** Whether the worker is probed between its heartbeats: it has replicas, and its last direct call did not fail. */
+function isEligibleForEarlyProbe(worker: Worker): boolean {
   if (!worker.hasReported || worker.address === '') return false;
   if (worker.contact.hasFailedCall || worker.isRemoving) return false;
   return worker.hasReplicas;
--- a/src/workers/fleet-health.ts
+++ b/src/workers/fleet-health.ts
@@ -1,44 +1,47 @@
-/** One snapshot of all workers' health, and what it says of a failure: a single machine's, or a network partition. */
+/** A snapshot of all workers' health, which tells the failure of individual machines from a network partition. */
 import type { ZoneId } from '../model/ids.js';
 import type { Worker } from './state/worker.js';
 
-/** More machines suspected at once than this share are no machines' failure, but the network's. */
-const PARTITION_SHARE = 0.4;
-const ZONE_PARTITION_SHARE = 0.8;
-/** Fewer suspected machines than this are no partition, whatever their share. */
-const MIN_PARTITION = 3;
-/** The same for machines that do not answer early probes. */
-const UNRESPONSIVE_PARTITION_SHARE = 0.3;
-const MIN_UNRESPONSIVE_PARTITION = 2;
+/** The largest ratio of suspected to running machines that counts as machine failures; a larger one is a partition. */
+const MAX_INDIVIDUAL_FAILURE_RATIO = 0.4;
+/** The same bound as `MAX_INDIVIDUAL_FAILURE_RATIO`, for the machines of one zone. */
+const ZONE_MAX_INDIVIDUAL_FAILURE_RATIO = 0.8;
+/** The number of suspected machines up to which there is no partition, whatever their ratio. */
+const MAX_INDIVIDUAL_FAILURE_COUNT = 3;
+/** The largest ratio of machines without an answer to early probes that counts as machine failures. */
+const MAX_INDIVIDUAL_UNRESPONSIVE_RATIO = 0.3;
+/** The number of machines without an answer to early probes that counts as machine failures, whatever their ratio. */
+const MAX_INDIVIDUAL_UNRESPONSIVE_COUNT = 2;
 
-/** The workers of one zone in numbers. */
+/** Worker counts of one zone. */
 export interface ZoneHealth {
   up: number;
   suspected: number;
-  /** Workers that are probed between their heartbeats, and those of them that do not answer. */
+  /** Workers that are eligible for probes between their heartbeats. */
   probedEarly: number;
+  /** Workers that have failed their probes between heartbeats. */
   unresponsive: number;
 }
 
-/** What one pass over all workers has found. */
+/** The result of one pass over all workers. */
 export interface FleetHealthSnapshot {
   up: number;
-  /** Overdue, or heard and not reached. */
+  /** Workers whose heartbeats are overdue, or whose heartbeats arrive while no answer reaches them. */
   readonly suspected: Worker[];
-  /** Not overdue, but early probes brought no answer. */
+  /** Workers whose heartbeats are not overdue, but that have failed their early probes. */
   readonly unresponsive: Worker[];
-  /** Workers with replicas that were silent for a while: to be probed between their heartbeats. */
+  /** Workers with replicas that are due for a probe before their next heartbeat is overdue. */
   readonly probeCandidates: Worker[];
   readonly zones: Map<ZoneId, ZoneHealth>;
 }
 
-/** Returns an empty snapshot, to be filled. */
-export function emptySnapshot(): FleetHealthSnapshot {
+/** Returns a snapshot without workers, to be filled with `recordUpWorker`. */
+export function createFleetSnapshot(): FleetHealthSnapshot {
   return { up: 0, suspected: [], unresponsive: [], probeCandidates: [], zones: new Map() };
 }
 
-/** Counts a worker that is up, and returns its zone's entry; where the zone is not known, an entry of its own. */
-export function countUp(snapshot: FleetHealthSnapshot, worker: Worker): ZoneHealth {
+/** Counts a worker as up and returns its zone's entry, or an entry for this worker alone if the zone is unknown. */
+export function recordUpWorker(snapshot: FleetHealthSnapshot, worker: Worker): ZoneHealth {
   snapshot.up++;
   const zone = zoneHealthOf(worker, snapshot) ?? { up: 0, suspected: 0, probedEarly: 0, unresponsive: 0 };
   if (worker.presumedFacts) snapshot.zones.set(worker.presumedFacts.machine.zone, zone);
@@ -46,29 +49,41 @@
   return zone;
 }
 
-/** Returns what was found of the worker's zone; undefined: the zone is not known. */
+/** Returns the entry of the worker's zone, or undefined if the zone is unknown or has no entry yet. */
 function zoneHealthOf(worker: Worker, { zones }: FleetHealthSnapshot): ZoneHealth | undefined {
   const id = worker.presumedFacts?.machine.zone;
   return id === undefined ? undefined : zones.get(id);
 }
 
 /**
- * Whether a suspected worker is more likely behind a partition than failed, since many are suspected at once: a part
- * of the network, or our own, has failed. Their heartbeats may come another way.
- * All at once, however few: a leader that receives nothing would fence healthy machines before it gives way.
+ * Whether a suspected worker is more likely behind a partition than failed, because many workers are suspected at once.
+ * Either a part of the network or the leader's own connection has failed; heartbeats may still arrive on another route.
+ *
+ * If all workers are suspected, a partition is assumed for any count from two: a leader that receives nothing would
+ * otherwise fence healthy machines before it steps down.
  */
 export function isLikelyPartitioned(worker: Worker, snapshot: FleetHealthSnapshot): boolean {
   const { up, suspected } = snapshot;
   const areAllSuspected = up >= 2 && suspected.length === up;
-  if (areAllSuspected || suspected.length > Math.max(MIN_PARTITION, up * PARTITION_SHARE)) return true;
+  if (
+    areAllSuspected ||
+    suspected.length > Math.max(MAX_INDIVIDUAL_FAILURE_COUNT, up * MAX_INDIVIDUAL_FAILURE_RATIO)
+  )
+    return true;
   const zone = zoneHealthOf(worker, snapshot);
-  return zone !== undefined && zone.suspected > Math.max(MIN_PARTITION, zone.up * ZONE_PARTITION_SHARE);
+  return (
+    zone !== undefined &&
+    zone.suspected > Math.max(MAX_INDIVIDUAL_FAILURE_COUNT, zone.up * ZONE_MAX_INDIVIDUAL_FAILURE_RATIO)
+  );
 }
 
-/** Whether a worker that answers no early probes has failed by itself. Several at once may be behind a partition. */
-export function isSingleUnresponsive(worker: Worker, snapshot: FleetHealthSnapshot): boolean {
+/** Whether a worker that answers no early probes has failed alone, since several at once may be behind a partition. */
+export function isIndividuallyUnresponsive(worker: Worker, snapshot: FleetHealthSnapshot): boolean {
   const zone = zoneHealthOf(worker, snapshot);
   if (!zone) return false;
-  const maxSingle = Math.max(MIN_UNRESPONSIVE_PARTITION, zone.probedEarly * UNRESPONSIVE_PARTITION_SHARE);
-  return zone.unresponsive <= maxSingle;
+  const maxIndividualCount = Math.max(
+    MAX_INDIVIDUAL_UNRESPONSIVE_COUNT,
+    zone.probedEarly * MAX_INDIVIDUAL_UNRESPONSIVE_RATIO,
+  );
+  return zone.unresponsive <= maxIndividualCount;
 }
--- a/src/workers/heartbeat-timeouts.ts
+++ b/src/workers/heartbeat-timeouts.ts
@@ -2,43 +2,47 @@
 import type { FailureDetectionContext } from './failure-detection-context.js';
 import type { Worker } from './state/worker.js';
 
-/** A healthy worker's heartbeats lie up to a quarter more than `report_s` apart (PROTOCOL). */
-const MAX_INTERVAL_FACTOR = 1.25;
-/** A heartbeat's way here. */
-const TRANSIT_MS = 250;
-/** How long a worker waits for an answer before it tries another controller (PROTOCOL). */
+/** The longest interval between two heartbeats of a healthy worker, as a multiple of `report_s` (PROTOCOL). */
+const MAX_HEARTBEAT_INTERVAL_RATIO = 1.25;
+/** The network delay of a heartbeat that the silence timeout allows for. */
+const MAX_HEARTBEAT_TRANSIT_MS = 250;
+/** How long a worker waits for an answer to its heartbeat before it switches to another controller (PROTOCOL). */
 const WORKER_ANSWER_TIMEOUT_MS = 5000;
 
-/** Decides how long a worker may be silent, or heard and not reached, before it is suspected to have failed. */
+/** Decides whether a worker is suspected, either because its heartbeats are overdue or because no answer reaches it. */
 export class HeartbeatTimeouts {
-  /** Heartbeats that take longer than this are overdue. */
+  /** The time since the last heartbeat after which the next heartbeat is overdue. */
   private readonly silenceTimeout: Millis;
-  /** One change of controller and two heartbeats: by then an answered worker has shown that it is. */
-  private readonly contactTimeout: Millis;
+  /**
+   * The time without a recorded delivery after which a worker is suspected. The timeout covers one switch of controller
+   * and two heartbeats: within that time, a worker that receives answers has shown so.
+   */
+  private readonly deliveryTimeout: Millis;
 
   constructor(private readonly ctx: Pick<FailureDetectionContext, 'operators' | 'settings' | 'startedAt'>) {
     const { silenceTimeout } = ctx.operators.workers;
     this.silenceTimeout =
-      silenceTimeout ?? ms(ctx.settings.heartbeatInterval * MAX_INTERVAL_FACTOR + TRANSIT_MS);
-    this.contactTimeout = ms(2 * this.silenceTimeout + WORKER_ANSWER_TIMEOUT_MS);
+      silenceTimeout ??
+      ms(ctx.settings.heartbeatInterval * MAX_HEARTBEAT_INTERVAL_RATIO + MAX_HEARTBEAT_TRANSIT_MS);
+    this.deliveryTimeout = ms(2 * this.silenceTimeout + WORKER_ANSWER_TIMEOUT_MS);
   }
 
-  /** The time since the last heartbeat. */
-  silenceOf(worker: Worker, now: MonotonicTime): Millis {
-    // A worker that holds a predecessor's tasks and was never heard from counts from the takeover.
+  /** Returns the time since the worker's last heartbeat. */
+  timeSinceHeartbeat(worker: Worker, now: MonotonicTime): Millis {
+    // The silence of a worker that has sent no heartbeat to this leader counts from the takeover.
     return since(now, worker.contact.lastHeartbeatAt ?? this.ctx.startedAt);
   }
 
   /** Whether the worker's next heartbeat should have arrived. */
   isOverdue(worker: Worker, now: MonotonicTime): boolean {
-    return this.silenceOf(worker, now) > this.silenceTimeout;
+    return this.timeSinceHeartbeat(worker, now) > this.silenceTimeout;
   }
 
-  /** Whether the worker is overdue, or heard without a sign that our answers arrive. */
+  /** Whether the worker's heartbeat is overdue, or its heartbeats have not shown for too long that answers reach it. */
   isSuspected(worker: Worker, now: MonotonicTime): boolean {
     if (this.isOverdue(worker, now)) return true;
     const { contact } = worker;
-    const lastContactAt = contact.lastContactAt ?? contact.firstHeartbeatAt ?? this.ctx.startedAt;
-    return since(now, lastContactAt) > this.contactTimeout;
+    const deliveryTimeoutStart = contact.lastDeliveryAt ?? contact.firstHeartbeatAt ?? this.ctx.startedAt;
+    return since(now, deliveryTimeoutStart) > this.deliveryTimeout;
   }
 }
--- a/src/workers/inbound-partition.ts
+++ b/src/workers/inbound-partition.ts
@@ -2,40 +2,39 @@
 import type { FailureDetectionContext } from './failure-detection-context.js';
 import type { HeartbeatTimeouts } from './heartbeat-timeouts.js';
 
-/**
- * Hearing nobody for as long as so many heartbeats should have taken means that the fault is ours;
- * but within these bounds.
- */
-const EXPECTED_HEARTBEATS = 40;
+/** The number of missed heartbeats, of all workers together, after which the leader assumes an inbound partition. */
+const MISSED_HEARTBEAT_COUNT = 40;
+/** The lower bound on the time without heartbeats after which an inbound partition is assumed. */
 const MIN_SILENCE_MS = 2000;
+/** The upper bound on the time without heartbeats after which an inbound partition is assumed. */
 const MAX_SILENCE_MS = 7000;
-/** And so many machines must have let a heartbeat's time pass. */
-const MIN_OVERDUE_SHARE = 0.03;
+/** The minimum ratio of workers with overdue heartbeats for an inbound partition. */
+const MIN_OVERDUE_WORKER_RATIO = 0.03;
 
-/** Notices when the leader itself receives nothing: an inbound partition. */
+/** Detects an inbound partition, in which the leader receives no heartbeats from any worker. */
 export class InboundPartitionDetector {
-  private lastHeardAt: MonotonicTime;
-  private hasHeardAny = false;
+  private lastHeartbeatAt: MonotonicTime;
+  private hasReceivedHeartbeat = false;
 
   constructor(
     private readonly ctx: Pick<FailureDetectionContext, 'settings' | 'startedAt' | 'workers'>,
     private readonly timeouts: HeartbeatTimeouts,
   ) {
-    this.lastHeardAt = ctx.startedAt;
+    this.lastHeartbeatAt = ctx.startedAt;
   }
 
-  /** A heartbeat was received, whoever sent it. */
+  /** Records a heartbeat of any worker. */
   recordHeartbeat(now: MonotonicTime): void {
-    this.lastHeardAt = now;
-    this.hasHeardAny = true;
+    this.lastHeartbeatAt = now;
+    this.hasReceivedHeartbeat = true;
   }
 
-  /** This process was held up for so long, and has not listened either. */
+  /** Excludes from the silence a time during which this process was delayed and could not receive heartbeats. */
   recordDelay(delay: Millis): void {
-    this.lastHeardAt = plus(this.lastHeardAt, delay);
+    this.lastHeartbeatAt = plus(this.lastHeartbeatAt, delay);
   }
 
-  /** Whether the leader hears none of the workers that are up. */
+  /** Whether the leader receives heartbeats from none of the workers that are up. */
   isPartitioned(now: MonotonicTime): boolean {
     let up = 0;
     let overdue = 0;
@@ -45,10 +44,10 @@
       if (this.timeouts.isOverdue(worker, now)) overdue++;
     }
     if (up < 2) return false;
-    // After a takeover all workers may report at the same moments, and between these nobody is heard.
-    if (this.hasHeardAny && overdue < up * MIN_OVERDUE_SHARE) return false;
-    const expected = (this.ctx.settings.heartbeatInterval / up) * EXPECTED_HEARTBEATS;
-    const maxSilence = Math.min(MAX_SILENCE_MS, Math.max(MIN_SILENCE_MS, expected));
-    return since(now, this.lastHeardAt) > maxSilence;
+    // After a takeover, the workers may send their heartbeats at the same times, with no heartbeats in between.
+    if (this.hasReceivedHeartbeat && overdue < up * MIN_OVERDUE_WORKER_RATIO) return false;
+    const missedHeartbeatsMs = (this.ctx.settings.heartbeatInterval / up) * MISSED_HEARTBEAT_COUNT;
+    const maxSilence = Math.min(MAX_SILENCE_MS, Math.max(MIN_SILENCE_MS, missedHeartbeatsMs));
+    return since(now, this.lastHeartbeatAt) > maxSilence;
   }
 }
--- a/src/workers/lease-expiry.ts
+++ b/src/workers/lease-expiry.ts
@@ -2,46 +2,52 @@
 import type { FailureDetectionContext } from './failure-detection-context.js';
 import type { Worker } from './state/worker.js';
 
-/** Added to a lease before it counts as expired. */
+/** A safety margin added to a lease before it counts as expired. */
 const EXPIRY_MARGIN_MS = 1000;
 
-/** Decides when a worker's lease has surely expired: its tasks were killed by the worker itself then. */
+/** Decides when a worker's lease has certainly expired, at which point the worker has killed its own tasks. */
 export class LeaseExpiry {
-  private unknownAnsweredAt: MonotonicTime;
+  private unknownMachineAnsweredAt: MonotonicTime;
 
-  /** `predecessorRenewalMs`: for how long an earlier leader may renew leases after our takeover. */
+  /** `predecessorRenewalMs` is how long an earlier leader may renew leases after this leader's takeover. */
   constructor(
     private readonly ctx: Pick<FailureDetectionContext, 'settings' | 'startedAt'>,
     private readonly predecessorRenewalMs: number,
   ) {
-    this.unknownAnsweredAt = ctx.startedAt;
+    this.unknownMachineAnsweredAt = ctx.startedAt;
   }
 
-  /** A machine was answered before we had read that it exists: any lease may run from then. */
+  /** Records an answer to a machine whose record is not read yet; any worker's lease may start at this time. */
   recordAnswerToUnknownMachine(now: MonotonicTime): void {
-    this.unknownAnsweredAt = now;
+    this.unknownMachineAnsweredAt = now;
   }
 
   /**
-   * Whether the worker holds tasks and its lease has surely expired. An earlier leader may have gone
-   * on answering for `predecessorRenewalMs` after our takeover, or after its own lease was valid for the last time.
+   * Whether the worker has tasks and its lease has certainly expired. An earlier leader may have answered heartbeats
+   * for `predecessorRenewalMs` after this leader's takeover, or after its own lease was last valid.
    */
   hasExpired(worker: Worker, now: MonotonicTime): boolean {
     if (worker.isEmpty) return false;
-    return now > worker.lease.expiry(this.earlierAnswersUntil, this.duration);
+    return now > worker.lease.latestExpiry(this.untrackedAnswersEndAt, this.maxLeaseDurationMs);
   }
 
-  /** From when on no lease runs that an earlier leader has renewed: what we have not heard of by then runs nowhere. */
-  get earlierLeasesEndAt(): MonotonicTime {
-    return plus(this.earlierAnswersUntil, this.duration);
+  /**
+   * The time at which the last lease ends that may rest on an untracked answer: an answer of an earlier leader, or an
+   * answer to a machine whose record was not read yet. A task that no heartbeat has shown by then runs nowhere.
+   */
+  get untrackedLeasesEndAt(): MonotonicTime {
+    return plus(this.untrackedAnswersEndAt, this.maxLeaseDurationMs);
   }
 
-  private get earlierAnswersUntil(): MonotonicTime {
-    const predecessorUntil = plus(this.ctx.startedAt, maxLocalDuration(this.predecessorRenewalMs));
-    return this.unknownAnsweredAt > predecessorUntil ? this.unknownAnsweredAt : predecessorUntil;
+  /** The latest time at which a heartbeat may have been answered without a record in the worker's own lease. */
+  private get untrackedAnswersEndAt(): MonotonicTime {
+    const predecessorAnswersEndAt = plus(this.ctx.startedAt, maxLocalDuration(this.predecessorRenewalMs));
+    return this.unknownMachineAnsweredAt > predecessorAnswersEndAt
+      ? this.unknownMachineAnsweredAt
+      : predecessorAnswersEndAt;
   }
 
-  private get duration(): number {
+  private get maxLeaseDurationMs(): number {
     return maxLocalDuration(this.ctx.settings.workerLeaseDuration) + EXPIRY_MARGIN_MS;
   }
 }
--- a/src/workers/reconciliation.ts
+++ b/src/workers/reconciliation.ts
@@ -1,4 +1,4 @@
-/** Reconciliation: compares what a worker's heartbeat shows with what the leader has assigned to it. */
+/** Reconciles the attempts in a worker's heartbeat with the tasks that the leader has assigned to the worker. */
 import { type Epoch, epochOfFencingToken, parseTaskId } from '../model/ids.js';
 import type { Attempt, Heartbeat } from '../model/heartbeat.js';
 import type { MonotonicTime } from '../model/time.js';
@@ -6,10 +6,10 @@
 import type { Task } from '../scheduler/task.js';
 import { type EndedAttempt, type Worker } from './state/worker.js';
 
-/** A task that has ended with success. */
+/** A task that has ended successfully. */
 interface FinishedTask {
   readonly task: Task;
-  /** Null: it was never seen running. */
+  /** The time that the task ran, in ms, or null if no heartbeat has shown the task running. */
   readonly ranMs: number | null;
 }
 
@@ -19,15 +19,15 @@
   readonly cause: string | null;
 }
 
-/** What a heartbeat has changed, for those who act on it. */
+/** The changes that a heartbeat has caused, for the caller to act on. */
 export interface ReconciliationResult {
-  /** Whether tasks now wait, or capacity became free. */
+  /** Whether a new scheduling decision is needed, since tasks were released or capacity changed. */
   readonly changed: boolean;
   readonly finished: readonly FinishedTask[];
   readonly failed: readonly FailedTask[];
-  /** Tasks proven gone that had not ended. */
+  /** Tasks that the heartbeat proves gone without having ended. */
   readonly lost: readonly Task[];
-  /** Tasks that now run. */
+  /** Tasks that the heartbeat shows running for the first time. */
   readonly started: readonly Task[];
 }
 
@@ -35,9 +35,9 @@
   `${attempt.task}#${attempt.attemptNumber}`;
 
 /**
- * Takes in a heartbeat that was made under our epoch and is newer than the last one; of any other it changes nothing.
+ * Reconciles the worker's state with a heartbeat of this epoch that is newer than the last one, and ignores any other.
  *
- * Only such a heartbeat proves a task gone: an older one may have been held back by the network
+ * Only a heartbeat that is newer and of this epoch proves a task gone: the network may have delayed an older one
  * while the task started.
  */
 export function reconcile(
@@ -52,7 +52,7 @@
   return reconciliation;
 }
 
-/** One heartbeat's reconciliation, and its result: one object, since there is one for each heartbeat. */
+/** The reconciliation of one heartbeat and its result, combined to allocate a single object for each heartbeat. */
 class Reconciliation implements ReconciliationResult {
   changed = false;
   readonly finished: FinishedTask[] = [];
@@ -77,11 +77,11 @@
     const reported = new Set(heartbeat.attempts.map(attemptKey));
     this.applyAttempts(assigned);
     for (const key of worker.endedAttempts.keys()) if (!reported.has(key)) worker.endedAttempts.delete(key);
-    this.releaseMissing(assigned, reported);
+    this.releaseMissingTasks(assigned, reported);
     worker.idleSince = worker.isEmpty ? (worker.idleSince ?? this.now) : null;
   }
 
-  /** What the heartbeat says of the worker itself. */
+  /** Applies the fields of the heartbeat that describe the worker itself. */
   private updateWorker(): void {
     const { worker, heartbeat, now } = this;
     const isNewIncarnation = worker.hasReported && heartbeat.incarnation > worker.incarnation;
@@ -95,10 +95,10 @@
     if (isNewIncarnation) worker.endedAttempts.clear();
   }
 
-  /** The earliest time that was announced counts. */
-  private applyInterruptionNotice(notice: number): void {
+  /** Records when the machine will be reclaimed; of several interruption notices, the earliest time applies. */
+  private applyInterruptionNotice(timeToReclaimMs: number): void {
     const { worker } = this;
-    const reclaimedAt = (this.now + notice) as MonotonicTime;
+    const reclaimedAt = (this.now + timeToReclaimMs) as MonotonicTime;
     if (worker.interruptionAt === null) this.changed = true;
     if (worker.interruptionAt === null || reclaimedAt < worker.interruptionAt)
       worker.interruptionAt = reclaimedAt;
@@ -106,15 +106,16 @@
 
   private applyAttempts(assigned: ReadonlyMap<string, Task>): void {
     const { worker } = this;
-    const unwanted: Attempt[] = [];
+    const unassignedAttempts: Attempt[] = [];
     for (const attempt of this.heartbeat.attempts) {
       const key = attemptKey(attempt);
       const task = assigned.get(key);
       if (task) this.applyAttempt(task, attempt);
-      else if (attempt.state !== 'exited') unwanted.push(attempt);
-      else if (!worker.endedAttempts.has(key)) worker.endedAttempts.set(key, this.endedUnassigned(attempt));
+      else if (attempt.state !== 'exited') unassignedAttempts.push(attempt);
+      else if (!worker.endedAttempts.has(key))
+        worker.endedAttempts.set(key, this.describeUnassignedEndedAttempt(attempt));
     }
-    worker.unwantedAttempts = unwanted;
+    worker.unassignedAttempts = unassignedAttempts;
   }
 
   private applyAttempt(task: Task, attempt: Attempt): void {
@@ -158,10 +159,10 @@
   }
 
   /**
-   * An ended attempt that is not the current one of its task: nothing of it is still wanted. What start
-   * commands it had is not known any more: any of ours may have been one.
+   * Describes an ended attempt that is not the current attempt of its task, so that its result is not needed. The tokens
+   * of its start commands are no longer known, so the current token, the highest one sent, is assumed.
    */
-  private endedUnassigned(attempt: Attempt): EndedAttempt {
+  private describeUnassignedEndedAttempt(attempt: Attempt): EndedAttempt {
     const id = parseTaskId(attempt.task);
     const job = id ? this.jobs.get(id.job) : undefined;
     const chunk = job && id ? job.chunkOf(id.index) : null;
@@ -174,8 +175,8 @@
     };
   }
 
-  /** Releases the tasks that the heartbeat lacks and that it proves gone. */
-  private releaseMissing(assigned: ReadonlyMap<string, Task>, reported: ReadonlySet<string>): void {
+  /** Releases the assigned tasks that are missing from the heartbeat and that the heartbeat proves gone. */
+  private releaseMissingTasks(assigned: ReadonlyMap<string, Task>, reported: ReadonlySet<string>): void {
     const { worker, now } = this;
     for (const [key, task] of assigned) {
       if (reported.has(key) || task.phase !== 'placed') continue;
@@ -189,24 +190,24 @@
   }
 }
 
-/** Whether a heartbeat that lacks the task proves that it does not run there, and never will. */
+/** Whether a heartbeat without the task proves that the task does not run on the worker and never will. */
 function isProvenGone(task: Task, heartbeat: Heartbeat): boolean {
-  // Commands of earlier epochs are refused by a worker that has seen ours.
+  // A worker that has seen this epoch refuses commands of earlier epochs.
   if (task.isInherited) return true;
-  // No start command has left yet; it will, unless the task is to be stopped.
+  // No start command has been sent yet, and none will be if the task is to be stopped.
   if (task.startSentIncarnation === null) return task.pendingStop !== null;
-  // Commands to an earlier incarnation are refused, and that incarnation's tasks were killed.
+  // The worker refuses commands addressed to an earlier incarnation, and has killed that incarnation's tasks.
   if (heartbeat.incarnation > task.startSentIncarnation) return true;
-  // Every start command that left, and every copy of one, is refused from now on.
+  // Under a higher token, the worker refuses every start command sent so far, including duplicates.
   return task.startSentToken === null || heartbeat.token > task.startSentToken;
 }
 
-/** Releases the tasks of a machine that is proven gone with everything on it. Returns them. */
+/** Releases all placed tasks of a machine that is proven gone, and returns them. */
 export function releaseAllTasks(worker: Worker, now: MonotonicTime): Task[] {
   const lost: Task[] = [];
   for (const task of [...worker.tasks]) {
-    // A start that is still being committed keeps its place: dropped here it would, once committed, be
-    // sent by nobody and proven gone by nobody, and its job would wait for ever.
+    // A task whose start is still being committed stays assigned. If it were released here, no start command would be
+    // sent after the commit and nothing would prove the task gone, so its job would wait forever.
     if (task.phase !== 'placed') continue;
     worker.unassign(task);
     task.job.releaseTask(task, now);
--- a/src/workers/state/pending-commands.ts
+++ b/src/workers/state/pending-commands.ts
@@ -1,30 +1,30 @@
-/** Whether a command call to one worker is under way, and whether another has to follow it. */
-export class PendingCommands {
+/** Tracks whether a command call to one worker is in flight, and whether another call must follow. */
+export class CommandCallState {
   private state: 'idle' | 'in flight' | 'in flight, another requested' = 'idle';
 
   get isInFlight(): boolean {
     return this.state !== 'idle';
   }
 
-  /** A call leaves. */
+  /** Records that a call is sent. */
   begin(): void {
     this.state = 'in flight';
   }
 
-  /** Asks for another call after the one in flight. */
-  requestAnother(): void {
+  /** Requests another call after the call in flight; has no effect while no call is in flight. */
+  requestFollowUp(): void {
     if (this.state === 'in flight') this.state = 'in flight, another requested';
   }
 
-  /** Withdraws what `requestAnother` asked for. */
-  cancelRequest(): void {
+  /** Cancels a request made with `requestFollowUp`. */
+  cancelFollowUp(): void {
     if (this.state === 'in flight, another requested') this.state = 'in flight';
   }
 
-  /** The call is over. Returns whether another was requested meanwhile. */
+  /** Records that the call has ended, and returns whether another call was requested in the meantime. */
   finish(): boolean {
-    const isAnotherRequested = this.state === 'in flight, another requested';
+    const isFollowUpRequested = this.state === 'in flight, another requested';
     this.state = 'idle';
-    return isAnotherRequested;
+    return isFollowUpRequested;
   }
 }
--- a/src/workers/state/worker-contact.ts
+++ b/src/workers/state/worker-contact.ts
@@ -2,81 +2,85 @@
 import type { Heartbeat } from '../../model/heartbeat.js';
 import type { MonotonicTime } from '../../model/time.js';
 
-/** The last heartbeat that was answered, and the controller that it came through. */
+/** The last answered heartbeat and the controller that received it. */
 interface AnsweredHeartbeat {
-  readonly via: MemberId;
+  readonly receivedBy: MemberId;
   readonly sequence: HeartbeatSequence;
 }
 
-/** Tracks when a worker was last heard from, and when something of ours last reached it: these can differ. */
+/**
+ * Tracks when a worker's last heartbeat was received, and when an answer or a direct call was last known to reach the
+ * worker. The two directions are tracked separately, since a network fault may affect only one of them.
+ */
 export class WorkerContact {
-  private heartbeatAt: MonotonicTime | null = null;
-  private firstAt: MonotonicTime | null = null;
-  private reachedAt: MonotonicTime | null = null;
-  /** When the last direct call went unanswered; null: the last one was answered, or none was made. */
+  private latestHeartbeatAt: MonotonicTime | null = null;
+  private earliestHeartbeatAt: MonotonicTime | null = null;
+  private deliveredAt: MonotonicTime | null = null;
+  /** The time of the last unanswered direct call; null if the last call was answered or none was made. */
   private callFailedAt: MonotonicTime | null = null;
-  private answered: AnsweredHeartbeat | null = null;
+  private lastAnswered: AnsweredHeartbeat | null = null;
 
-  /** When the worker was last heard from under this epoch. */
+  /** The time of the worker's last heartbeat in this epoch. */
   get lastHeartbeatAt(): MonotonicTime | null {
-    return this.heartbeatAt;
+    return this.latestHeartbeatAt;
   }
 
-  /** When the worker was first heard from under this epoch. */
+  /** The time of the worker's first heartbeat in this epoch. */
   get firstHeartbeatAt(): MonotonicTime | null {
-    return this.firstAt;
+    return this.earliestHeartbeatAt;
   }
 
-  /** When the worker last showed that something of ours had reached it. */
-  get lastContactAt(): MonotonicTime | null {
-    return this.reachedAt;
+  /** The last time at which the worker showed that it had received an answer or a direct call. */
+  get lastDeliveryAt(): MonotonicTime | null {
+    return this.deliveredAt;
   }
 
-  /** Whether the last direct call brought no answer: commands then wait for heartbeats. */
+  /** Whether the last direct call was unanswered; commands then wait for the answers to heartbeats. */
   get hasFailedCall(): boolean {
     return this.callFailedAt !== null;
   }
 
-  /** Whether direct calls fail, and no heartbeat has shown since that our answers arrive. */
+  /** Whether the last direct call failed, and nothing has shown since then that answers reach the worker. */
   get isUnreachable(): boolean {
-    return this.callFailedAt !== null && (this.reachedAt === null || this.reachedAt < this.callFailedAt);
+    return this.callFailedAt !== null && (this.deliveredAt === null || this.deliveredAt < this.callFailedAt);
   }
 
   recordHeartbeat(now: MonotonicTime): void {
-    this.heartbeatAt = now;
-    this.firstAt ??= now;
+    this.latestHeartbeatAt = now;
+    this.earliestHeartbeatAt ??= now;
   }
 
-  /** Something of ours has reached the worker. */
-  recordContact(now: MonotonicTime): void {
-    this.reachedAt = now;
+  /** Records that an answer or a direct call has reached the worker. */
+  recordDelivery(now: MonotonicTime): void {
+    this.deliveredAt = now;
   }
 
-  /** A direct call was answered. */
+  /** Records an answered direct call. */
   recordCallAnswered(now: MonotonicTime): void {
-    this.reachedAt = now;
+    this.deliveredAt = now;
     this.callFailedAt = null;
   }
 
-  /** A direct call brought no answer. */
+  /** Records an unanswered direct call. */
   recordCallFailed(now: MonotonicTime): void {
     this.callFailedAt = now;
   }
 
-  /** A heartbeat that came through `via` was answered. */
-  recordAnswer(heartbeat: Heartbeat, via: MemberId): void {
-    this.answered = { via, sequence: heartbeat.sequence };
+  /** Records an answer to a heartbeat that the controller `receivedBy` received from the worker. */
+  recordAnswer(heartbeat: Heartbeat, receivedBy: MemberId): void {
+    this.lastAnswered = { receivedBy: receivedBy, sequence: heartbeat.sequence };
   }
 
   /**
-   * Recognizes by a new heartbeat that the answer to the one before has arrived.
+   * Detects from a new heartbeat that the answer to the previous heartbeat was delivered.
    *
-   * A worker that got our answer stays with its controller, one that did not tries another. So a
-   * heartbeat that follows the last one through the same controller, with no message between them,
-   * shows that its answer arrived. Heartbeats alone show nothing: a machine may be heard and not reached.
+   * A worker that receives an answer stays with its controller; a worker that receives none switches to another one.
+   * Therefore, the next heartbeat in sequence through the same controller shows that the answer was delivered. Other
+   * heartbeats show nothing, since a machine whose heartbeats arrive may still receive no answers.
    */
-  recognizeDeliveredAnswer(heartbeat: Heartbeat, via: MemberId, now: MonotonicTime): void {
-    const before = this.answered;
-    if (before && before.via === via && heartbeat.sequence === before.sequence + 1) this.recordContact(now);
+  detectAnswerDelivery(heartbeat: Heartbeat, receivedBy: MemberId, now: MonotonicTime): void {
+    const previous = this.lastAnswered;
+    if (previous && previous.receivedBy === receivedBy && heartbeat.sequence === previous.sequence + 1)
+      this.recordDelivery(now);
   }
 }
--- a/src/workers/state/worker-lease.ts
+++ b/src/workers/state/worker-lease.ts
@@ -1,12 +1,12 @@
 import { type MonotonicTime, plus } from '../../model/time.js';
 
-/** Tracks from when a worker's lease may run: until its expiry the worker may keep what it runs. */
+/** Tracks when a worker's lease may have started; the worker may keep its tasks running until the lease expires. */
 export class WorkerLease {
   private answeredAt: MonotonicTime | null = null;
-  /** When we first heard of its present incarnation, which began before: its lease may run from then, too. */
+  /** The time at which the current incarnation, which started earlier, was first reported; its lease may start then. */
   private incarnationSeenAt: MonotonicTime | null = null;
 
-  /** When we last answered a heartbeat of this worker: its lease may run from then. */
+  /** The time of this leader's last answer to a heartbeat of the worker, at which its lease may have started. */
   get lastAnsweredAt(): MonotonicTime | null {
     return this.answeredAt;
   }
@@ -15,19 +15,23 @@
     this.answeredAt = now;
   }
 
-  /** An incarnation of the agent is heard of for the first time. */
+  /** Records the first report of an incarnation of the agent. */
   recordIncarnation(now: MonotonicTime): void {
     this.incarnationSeenAt = now;
   }
 
   /**
-   * Returns the latest time at which a lease of `lease` ms ends that did not begin before `start`.
+   * Returns the latest time at which a lease of `leaseDurationMs` may end that starts at `earliestStart` or later.
    *
-   * The incarnation counts as well as the answers: a machine that reaches no controller goes through its incarnations
-   * unanswered, and runs what direct commands bring it in each.
+   * Besides the answers, the start of an incarnation counts as a start of the lease: a machine that reaches no controller
+   * gets no answers in any of its incarnations, but runs tasks that direct commands start in each of them.
    */
-  expiry(start: MonotonicTime, lease: number): MonotonicTime {
-    const from = Math.max(start, this.answeredAt ?? start, this.incarnationSeenAt ?? start) as MonotonicTime;
-    return plus(from, lease);
+  latestExpiry(earliestStart: MonotonicTime, leaseDurationMs: number): MonotonicTime {
+    const latestStart = Math.max(
+      earliestStart,
+      this.answeredAt ?? earliestStart,
+      this.incarnationSeenAt ?? earliestStart,
+    ) as MonotonicTime;
+    return plus(latestStart, leaseDurationMs);
   }
 }
--- a/src/workers/state/worker.ts
+++ b/src/workers/state/worker.ts
@@ -16,7 +16,7 @@
 import type { DurableProgress, Task } from '../../scheduler/task.js';
 import { HeartbeatCursor } from './heartbeat-cursor.js';
 import { ImageCache } from './image-cache.js';
-import { PendingCommands } from './pending-commands.js';
+import { CommandCallState } from './pending-commands.js';
 import { ProbeState } from './probe-state.js';
 import { WorkerCapacity } from './worker-capacity.js';
 import { WorkerContact } from './worker-contact.js';
@@ -25,25 +25,25 @@
 
 const NO_RESOURCES: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
 
-/** An attempt that has ended and that the worker still lists in its heartbeats. */
+/** An ended attempt that the worker still lists in its heartbeats. */
 export interface EndedAttempt {
   readonly task: TaskId;
   readonly attemptNumber: AttemptNumber;
-  /** The outcome is durable once this chunk has reached `version`; null: nothing is left to be written. */
+  /** The chunk whose `version` must be durable before the attempt's outcome is; null if nothing needs to be written. */
   readonly chunk: DurableProgress | null;
   readonly version: number;
-  /** A start command with this token, or a copy of it, may still arrive; null: only with earlier epochs' ones. */
+  /** The highest token of a start command that may still arrive; null if only start commands of earlier epochs may. */
   readonly startSentToken: FencingToken | null;
 }
 
-/** Why nothing more is placed on a machine. */
+/** The reason why no tasks are placed on a machine. */
 export type CordonReason = 'failing' | 'draining' | 'scaling in' | 'unresponsive';
 
-/** A machine that may exist, the agent on it, and the tasks that may be there. */
+/** A machine that may exist, the agent on the machine, and the tasks that may run there. */
 export class Worker {
-  /** Where the agent takes direct commands; empty: not known yet. */
+  /** The address at which the agent accepts direct calls; empty while unknown. */
   address = '';
-  /** Whether it was heard from under our epoch. */
+  /** Whether the worker has sent a heartbeat in this epoch. */
   hasReported = false;
   isUp = false;
   readonly contact = new WorkerContact();
@@ -51,17 +51,17 @@
   readonly heartbeats = new HeartbeatCursor();
   readonly fence = new WorkerFence();
   readonly images = new ImageCache();
-  readonly pendingCommands = new PendingCommands();
+  readonly commandCall = new CommandCallState();
   readonly probes = new ProbeState();
-  /** When the cloud reclaims the machine, by its interruption notice. */
+  /** The time at which the cloud reclaims the machine, according to an interruption notice. */
   interruptionAt: MonotonicTime | null = null;
-  /** Nothing more is placed here while this is set. */
+  /** The reason why no tasks are placed on the machine; null if placement is allowed. */
   cordon: CordonReason | null = null;
   readonly endedAttempts = new Map<string, EndedAttempt>();
-  /** Attempts in the last heartbeat that belong to no assigned task: each set of commands stops them. */
-  unwantedAttempts: Attempt[] = [];
+  /** Attempts in the last heartbeat that belong to no assigned task; every batch of commands includes a stop for each. */
+  unassignedAttempts: Attempt[] = [];
   idleSince: MonotonicTime | null = null;
-  /** Tasks that failed here since the last success. */
+  /** The number of task failures on the machine since the last success. */
   failures = 0;
   isRemoving = false;
   /** Whether the cloud's list shows the machine as running. */
@@ -80,12 +80,12 @@
     return this.knownFacts;
   }
 
-  /** What placement may rest on; null: nothing yet. */
+  /** The facts that placement may use; null if the facts are not confirmed yet. */
   get confirmedFacts(): ConfirmedFacts | null {
     return this.knownFacts.state === 'confirmed' ? this.knownFacts : null;
   }
 
-  /** What planning may rest on, confirmed or not. */
+  /** The facts that capacity planning may use, confirmed or not; null if nothing is known of the machine. */
   get presumedFacts(): ConfirmedFacts | UnconfirmedFacts | null {
     return this.knownFacts.state === 'unknown' ? null : this.knownFacts;
   }
@@ -94,7 +94,7 @@
     return this.presumedFacts?.type ?? null;
   }
 
-  /** Takes over what the cloud, the worker or a leader's record has confirmed of the machine. */
+  /** Sets the facts of the machine that the cloud, the worker or a leader's record has confirmed. */
   learn(facts: ConfirmedFacts): void {
     this.knownFacts = facts;
     this.capacity.setTotal(facts.type);
@@ -119,7 +119,7 @@
     return this.capacity.free;
   }
 
-  /** Whether the machine holds no task that has not been proven gone. */
+  /** Whether every task that was assigned to the machine is proven gone. */
   get isEmpty(): boolean {
     return this.tasks.size === 0;
   }
@@ -129,12 +129,15 @@
     return false;
   }
 
-  /** The token that commands to this worker carry. */
+  /** Returns the current fencing token of commands to the worker. */
   fencingToken(epoch: Epoch): FencingToken {
     return this.fence.token(epoch);
   }
 
-  /** Makes the worker refuse every command that left before. False: the token is at its maximum. */
+  /**
+   * Raises the fencing token, so that the worker refuses all commands sent earlier. Returns false if the token is at its
+   * maximum.
+   */
   raiseFence(): boolean {
     return this.fence.raise();
   }
@@ -144,15 +147,15 @@
     return this.heartbeats.incarnation;
   }
 
-  /** An incarnation of the agent is heard of for the first time. */
+  /** Records the first report of an incarnation of the agent. */
   beginIncarnation(incarnation: AgentIncarnation, now: MonotonicTime): void {
     this.heartbeats.beginIncarnation(incarnation);
     this.lease.recordIncarnation(now);
   }
 
   /**
-   * Learns the incarnation to address from a heartbeat of an earlier epoch, which proves nothing else yet.
-   * Returns whether it is another one than was assumed.
+   * Reads the incarnation to address from a heartbeat of an earlier epoch, which proves nothing else. Returns whether the
+   * incarnation differs from the assumed one.
    */
   learnIncarnation(heartbeat: Heartbeat, now: MonotonicTime): boolean {
     if (this.hasReported || heartbeat.incarnation <= this.incarnation) return false;
@@ -160,28 +163,28 @@
     return true;
   }
 
-  /** Whether the heartbeat was sent after all that were taken in. */
+  /** Whether the heartbeat was sent after every processed heartbeat. */
   isNewer(heartbeat: Heartbeat): boolean {
     return this.heartbeats.isBefore(heartbeat);
   }
 
-  /** Takes in which controller a new heartbeat came through: it may show that our last answer has arrived. */
-  recordHeartbeat(heartbeat: Heartbeat, via: MemberId, now: MonotonicTime): void {
-    this.contact.recognizeDeliveredAnswer(heartbeat, via, now);
+  /** Records the controller that received a new heartbeat, which may show that the last answer was delivered. */
+  recordHeartbeat(heartbeat: Heartbeat, receivedBy: MemberId, now: MonotonicTime): void {
+    this.contact.detectAnswerDelivery(heartbeat, receivedBy, now);
   }
 
-  /** A heartbeat is answered through `via`: the worker's lease may run from now. */
-  recordAnswer(heartbeat: Heartbeat, via: MemberId, now: MonotonicTime): void {
+  /** Records an answer to a heartbeat through the controller `receivedBy`; the worker's lease may start at this time. */
+  recordAnswer(heartbeat: Heartbeat, receivedBy: MemberId, now: MonotonicTime): void {
     this.lease.recordAnswer(now);
-    this.contact.recordAnswer(heartbeat, via);
+    this.contact.recordAnswer(heartbeat, receivedBy);
   }
 
-  /** Whether direct calls fail, and no heartbeat has shown since that our answers arrive. */
+  /** Whether the last direct call failed, and nothing has shown since then that answers reach the worker. */
   get isUnreachable(): boolean {
     return this.contact.isUnreachable;
   }
 
-  /** The machine has used the image: it is cached there now. */
+  /** Records a use of the image by the machine, which has the image cached afterwards. */
   cacheImage(image: ImageId, sizeGb: number): void {
     this.images.use(image, sizeGb, this.type?.cacheGb ?? 0);
   }
--- a/src/workers/worker-commands.ts
+++ b/src/workers/worker-commands.ts
@@ -1,24 +1,24 @@
-/** What commands a worker needs, by what its last heartbeat showed and by what is known of late copies. */
+/** Derives the commands that a worker needs from its last heartbeat and from start commands that may still arrive. */
 import { type Epoch, type JobId, parseTaskId, type FencingToken } from '../model/ids.js';
 import type { WorkerCommand, Heartbeat } from '../model/heartbeat.js';
 import type { MonotonicTime } from '../model/time.js';
 import type { Task } from '../scheduler/task.js';
 import type { EndedAttempt, Worker } from './state/worker.js';
 
-/** A cancelled task whose start may be on its way is tombstoned only this long; then its machine is fenced. */
-const TOMBSTONE_MS = 15_000;
+/** How long a cancelled task whose start command may still arrive is tombstoned; then its machine is fenced. */
+const TOMBSTONE_MAX_AGE_MS = 15_000;
 
 /**
- * Returns the commands that a worker needs now: stops first, then starts.
+ * Returns the commands that a worker needs now, with stop commands before start commands.
  *
- * A start that may have left is never simply dropped: a late one would start a task that we had
- * given up on. When such a task has to go, start and stop leave together as its tombstone: the attempt then
- * stands as ended on the machine, and a late start does nothing.
+ * A task whose start command may have been sent is never just dropped, since a delayed start command would start the
+ * abandoned task. To stop such a task, a start and a stop command are sent together as a tombstone: the worker then
+ * lists the attempt as ended, and a delayed start command has no effect.
  */
 export function commandsFor(worker: Worker, now: MonotonicTime, isLeaseValid: boolean): WorkerCommand[] {
   if (!isLeaseValid) return stopCommandsWithoutLease(worker);
   return [
-    ...worker.unwantedAttempts.map(({ task, attemptNumber }): WorkerCommand => ({
+    ...worker.unassignedAttempts.map(({ task, attemptNumber }): WorkerCommand => ({
       kind: 'stop',
       task,
       attemptNumber,
@@ -26,12 +26,15 @@
     })),
     ...[...worker.tasks].flatMap((task) => stopCommandsFor(task, now)),
     ...[...worker.tasks]
-      .filter(mayStart)
+      .filter(needsStart)
       .map((task): WorkerCommand => ({ kind: 'start', task: task.id, attemptNumber: task.attemptNumber })),
   ];
 }
 
-/** A cancelled task is of no use whoever leads; without a valid lease nothing else is commanded, no start above all. */
+/**
+ * Returns the commands that are allowed without a valid leader lease: stop commands for cancelled tasks, which are safe
+ * whichever controller leads. In particular, no start command is allowed.
+ */
 function stopCommandsWithoutLease(worker: Worker): WorkerCommand[] {
   return [...worker.tasks]
     .filter(
@@ -47,15 +50,15 @@
   const stop: WorkerCommand = { kind: 'stop', task: id, attemptNumber, graceS: pendingStop.graceS };
   if (observedState !== null) return [stop];
   if (startSentIncarnation === null) return [];
-  if (pendingStop.reason === 'cancelled' && now - pendingStop.since > TOMBSTONE_MS) return [];
+  if (pendingStop.reason === 'cancelled' && now - pendingStop.since > TOMBSTONE_MAX_AGE_MS) return [];
   return [{ kind: 'start', task: id, attemptNumber }, stop];
 }
 
-function mayStart({ phase, pendingStop, observedState, isInherited }: Task): boolean {
+function needsStart({ phase, pendingStop, observedState, isInherited }: Task): boolean {
   return phase === 'placed' && pendingStop === null && observedState === null && !isInherited;
 }
 
-/** Returns stops for what a heartbeat shows of cancelled jobs, whoever started it. */
+/** Returns stop commands for the attempts of cancelled jobs in a heartbeat, whichever leader started the attempts. */
 export function stopCommandsForCancelled(
   heartbeat: Heartbeat,
   isCancelled: (id: JobId) => boolean,
@@ -69,8 +72,10 @@
 }
 
 /**
- * Whether a start of a cancelled task may still be on its way to the worker. Without a valid lease a leader sends no
- * tombstone; a higher token, which the worker takes over with the answer, makes it refuse such a start.
+ * Whether a start command of a cancelled task may still arrive at the worker and must be fenced by a higher token.
+ *
+ * Without a valid lease, a leader sends no tombstone. The worker adopts a higher token from the answer to its heartbeat
+ * and refuses the start command.
  */
 export function mustFenceLateStarts(worker: Worker, epoch: Epoch): boolean {
   const token = worker.fencingToken(epoch);
@@ -81,7 +86,7 @@
   return false;
 }
 
-/** Returns the ended attempts whose outcome is durable: the worker need not keep them. */
+/** Returns the ended attempts whose outcome is durable, so that the worker may forget them. */
 function durableEndedAttempts(worker: Worker): EndedAttempt[] {
   return [...worker.endedAttempts.values()].filter(
     ({ chunk, version }) => !chunk || chunk.isDurable(version),
@@ -89,12 +94,11 @@
 }
 
 /**
- * Returns the forget commands that may leave under `token`.
+ * Returns the forget commands that may be sent under `token`.
  *
- * They leave only in answers to heartbeats, and only under a higher token than any that a start command of
- * the attempt left with. A worker keeps nothing of what it forgets: a start command that arrives afterwards, late
- * or as a copy of one that was carried out, would start the attempt again. Under the higher token,
- * which the worker takes over with the forget command itself, it is refused.
+ * Forget commands are sent only in answers to heartbeats, and only under a higher token than every start command of the
+ * attempt. A worker keeps no state of an attempt that it forgets, so a delayed or duplicated start command would start
+ * the attempt again. The worker adopts the higher token together with the forget command and refuses such a start.
  */
 export function forgetCommandsFor(worker: Worker, token: FencingToken): WorkerCommand[] {
   return durableEndedAttempts(worker)
@@ -102,10 +106,10 @@
     .map(({ task, attemptNumber }) => ({ kind: 'forget', task, attemptNumber }));
 }
 
-/** Whether the worker's fencing token should be raised before its heartbeat is answered. */
+/** Whether the worker's fencing token must be raised before its heartbeat is answered. */
 export function mustRaiseFence(worker: Worker, token: FencingToken): boolean {
-  // Commands on their way would be refused: the next heartbeat is soon enough.
-  if (worker.pendingCommands.isInFlight) return false;
+  // A raised token would make the worker refuse the commands in flight; the token can be raised at the next heartbeat.
+  if (worker.commandCall.isInFlight) return false;
   return (
     worker.fence.needsHigherToken ||
     durableEndedAttempts(worker).some(
@@ -114,7 +118,7 @@
   );
 }
 
-/** Records which start commands leave, for which incarnation and with which token. */
+/** Records the incarnation and the token with which start commands are sent. */
 export function markStartsSent(
   worker: Worker,
   commands: readonly WorkerCommand[],
--- a/src/workers/worker-prober.ts
+++ b/src/workers/worker-prober.ts
@@ -6,32 +6,34 @@
 import type { HeartbeatTimeouts } from './heartbeat-timeouts.js';
 import type { Worker } from './state/worker.js';
 
-/** A worker that has failed so many probes is held to have failed. */
-const MAX_FAILED_PROBES = 2;
-/** A probe that took so many times its timeout tells of our own process. */
-const HELD_UP_FACTOR = 1.25;
-/** The part of the direct calls that early probes may be. */
-const EARLY_CALLS_SHARE = 0.5;
-/** The part of our processor time that early probes may take, and what one takes; a busy leader makes none. */
-const EARLY_PROCESSOR_SHARE = 0.1;
-const PROBE_PROCESSOR_MS = 0.4;
-/** The interval of `probeEarly`'s calls. */
-const TICK_MS = 500;
-const BUSY_LOAD = 0.75;
+/** The number of consecutive unanswered probes after which a worker counts as failed. */
+const MAX_FAILED_PROBE_COUNT = 2;
+/** The multiple of the probe timeout beyond which a failed probe indicates a delay of this process, not of the worker. */
+const LATE_TIMEOUT_RATIO = 1.25;
+/** The maximum ratio of early probes to all concurrent direct calls. */
+const MAX_EARLY_PROBE_CALL_RATIO = 0.5;
+/** The maximum ratio of this process's processor time that early probes may use. */
+const MAX_EARLY_PROBE_CPU_RATIO = 0.1;
+/** The processor time of one probe. */
+const PROBE_CPU_MS = 0.4;
+/** The interval between two calls of `probeEarly`. */
+const TICK_INTERVAL_MS = 500;
+/** The processor load of the leader above which no early probes are sent. */
+const MAX_EARLY_PROBE_LOAD_RATIO = 0.75;
 
-/** What a `WorkerProber` is made with. */
+/** Collaborators and callbacks of a `WorkerProber`. */
 interface WorkerProberOptions {
   readonly timeouts: HeartbeatTimeouts;
   /** Called with the heartbeat that answers a probe. */
   readonly onAnswer: (worker: Worker, heartbeat: Heartbeat, now: MonotonicTime) => void;
 }
 
-/** Whether so many probes in a row brought no answer that the worker is held to have failed. */
+/** Whether the worker counts as failed because of consecutive unanswered probes. */
 export function hasFailedProbes(worker: Worker): boolean {
-  return worker.probes.failedCount >= MAX_FAILED_PROBES;
+  return worker.probes.failedCount >= MAX_FAILED_PROBE_COUNT;
 }
 
-/** Asks workers for a heartbeat in direct calls, a bounded number at once. */
+/** Probes workers with direct calls that request a heartbeat, with a bounded number of concurrent calls. */
 export class WorkerProber {
   private inFlight = 0;
   private earlyInFlight = 0;
@@ -41,11 +43,11 @@
     private readonly ctx: FailureDetectionContext,
     private readonly options: WorkerProberOptions,
   ) {
-    const processorMs = TICK_MS * usableShare(ctx.settings) * EARLY_PROCESSOR_SHARE;
-    this.maxEarlyPerTick = Math.max(1, Math.floor(processorMs / PROBE_PROCESSOR_MS));
+    const processorMs = TICK_INTERVAL_MS * usableShare(ctx.settings) * MAX_EARLY_PROBE_CPU_RATIO;
+    this.maxEarlyPerTick = Math.max(1, Math.floor(processorMs / PROBE_CPU_MS));
   }
 
-  /** Probes a worker until it answers or has failed too many probes, unless that is under way. */
+  /** Probes a worker until it answers or counts as failed, unless a series of probes is already in progress. */
   probe(worker: Worker, onFinished?: () => void): void {
     if (worker.probes.isInProgress) return;
     if (worker.address === '') {
@@ -63,20 +65,23 @@
   }
 
   /**
-   * Probes those that were silent longest, before their heartbeats are overdue. A worker that hangs
-   * rises to the head of the list. With every silent worker probed, the probes were estimated to
-   * take a third of a leader's time on a tenth of a core, and heartbeats and decisions waited.
+   * Probes the workers with the longest time since their last heartbeat, before their heartbeats are overdue.
+   *
+   * A worker that hangs moves to the front of the list over time. The number of probes is bounded, since probing every
+   * silent worker takes an estimated third of a leader's time on a tenth of a core and delays heartbeats and decisions.
    */
   probeEarly(workers: Worker[], now: MonotonicTime): void {
-    if (this.ctx.load() > BUSY_LOAD) return;
+    if (this.ctx.load() > MAX_EARLY_PROBE_LOAD_RATIO) return;
     const { timeouts } = this.options;
-    workers.sort((one, other) => timeouts.silenceOf(other, now) - timeouts.silenceOf(one, now));
-    for (const worker of workers.slice(0, this.maxEarlyPerTick)) this.probeOneEarly(worker);
+    workers.sort(
+      (left, right) => timeouts.timeSinceHeartbeat(right, now) - timeouts.timeSinceHeartbeat(left, now),
+    );
+    for (const worker of workers.slice(0, this.maxEarlyPerTick)) this.startEarlyProbe(worker);
   }
 
-  private probeOneEarly(worker: Worker): void {
+  private startEarlyProbe(worker: Worker): void {
     const { maxConcurrentWorkerCalls } = this.ctx;
-    const maxEarly = Math.max(1, maxConcurrentWorkerCalls * EARLY_CALLS_SHARE);
+    const maxEarly = Math.max(1, maxConcurrentWorkerCalls * MAX_EARLY_PROBE_CALL_RATIO);
     if (worker.probes.isInProgress || this.earlyInFlight >= maxEarly) return;
     if (this.inFlight >= maxConcurrentWorkerCalls) return;
     this.earlyInFlight++;
@@ -85,31 +90,32 @@
     });
   }
 
-  /** Probes follow each other at once: every second counts for the replicas on a dead machine. */
+  /** Sends probes without a pause in between, so that replicas on a dead machine are replaced as early as possible. */
   private async probeUntilDecided(worker: Worker): Promise<void> {
-    const heartbeatBefore = worker.contact.lastHeartbeatAt;
+    const previousHeartbeatAt = worker.contact.lastHeartbeatAt;
     while (!hasFailedProbes(worker) && !this.ctx.isEnded()) {
       const startedAt = this.ctx.clock.now();
       try {
         const heartbeat = await this.fetchHeartbeat(worker);
-        if (!heartbeat || heartbeat.machine !== worker.id) throw new Error('not the probed worker');
+        if (!heartbeat || heartbeat.machine !== worker.id)
+          throw new Error('the answer to the probe has no heartbeat of the probed worker');
         const now = this.ctx.clock.now();
         worker.contact.recordCallAnswered(now);
         this.options.onAnswer(worker, heartbeat, now);
         return;
       } catch (error) {
-        if (!this.isWorkersFailure(error, startedAt)) return;
-        if (!this.recordFailure(worker, heartbeatBefore)) return;
+        if (!this.isAttributableToWorker(error, startedAt)) return;
+        if (!this.recordFailure(worker, previousHeartbeatAt)) return;
       }
     }
   }
 
   /**
-   * The last probe, and any of an overdue worker, goes through the other controllers as well: a direct one that fails
-   * may be a partition between the worker and us alone.
+   * Requests a heartbeat from the worker. The last probe of a series, and every probe of a worker whose heartbeat is
+   * overdue, also goes through the other controllers, since only the direct route from this leader may be partitioned.
    */
   private fetchHeartbeat(worker: Worker): Promise<Heartbeat | null> {
-    const isLast = worker.probes.failedCount === MAX_FAILED_PROBES - 1;
+    const isLast = worker.probes.failedCount === MAX_FAILED_PROBE_COUNT - 1;
     return this.ctx.workerClient.fetchHeartbeat(
       worker.address,
       this.ctx.operators.workers.probeTimeout,
@@ -117,21 +123,21 @@
     );
   }
 
-  private isWorkersFailure(error: unknown, startedAt: MonotonicTime): boolean {
-    // Our own lack of sockets says nothing of the worker.
+  private isAttributableToWorker(error: unknown, startedAt: MonotonicTime): boolean {
+    // A lack of sockets in this process says nothing about the worker.
     if (error instanceof NoSocketError) return false;
-    // Nor does a timeout that we noticed late: the answer may lie unread, as after a takeover.
+    // A timeout that is processed late says nothing either: the answer may be received but unread, as after a takeover.
     const { probeTimeout } = this.ctx.operators.workers;
-    return since(this.ctx.clock.now(), startedAt) <= probeTimeout * HELD_UP_FACTOR;
+    return since(this.ctx.clock.now(), startedAt) <= probeTimeout * LATE_TIMEOUT_RATIO;
   }
 
-  /** Returns whether to probe on. */
-  private recordFailure(worker: Worker, heartbeatBefore: MonotonicTime | null): boolean {
+  /** Records an unanswered probe and returns whether to continue probing. */
+  private recordFailure(worker: Worker, previousHeartbeatAt: MonotonicTime | null): boolean {
     worker.probes.recordFailure();
     const now = this.ctx.clock.now();
-    const hasReported = worker.contact.lastHeartbeatAt !== heartbeatBefore;
-    if (!hasReported || this.options.timeouts.isSuspected(worker, now)) return true;
-    // It reports and is not reached: from now on its heartbeats alone tell whether it lives.
+    const hasReportedDuringProbes = worker.contact.lastHeartbeatAt !== previousHeartbeatAt;
+    if (!hasReportedDuringProbes || this.options.timeouts.isSuspected(worker, now)) return true;
+    // The worker sends heartbeats but direct calls do not reach it, so its heartbeats alone decide from now on.
     worker.contact.recordCallFailed(now);
     worker.probes.reset();
     return false;
--- a/test/unit/failure-detector.test.ts
+++ b/test/unit/failure-detector.test.ts
@@ -17,7 +17,7 @@
 
 const ZONE = 'north' as ZoneId;
 
-/** A worker that is up and can be called. */
+/** Returns a worker that is up and accepts direct calls. */
 function runningWorker(name: string, now: MonotonicTime): Worker {
   const machine = { id: name as MachineId, type: 'small' as MachineTypeId, zone: ZONE, spot: false };
   const worker = confirmedWorker(machine, now);
@@ -27,7 +27,7 @@
   return worker;
 }
 
-function contextOf(
+function createContext(
   clock: VirtualClock,
   overrides: Pick<FailureDetectionContext, 'settings' | 'workerClient'> & Partial<FailureDetectionContext>,
 ): FailureDetectionContext {
@@ -43,7 +43,7 @@
   };
 }
 
-const optionsWith = (
+const createOptions = (
   overrides: Partial<WorkerFailureDetectorOptions> = {},
 ): WorkerFailureDetectorOptions => ({
   predecessorRenewalMs: 0,
@@ -53,14 +53,16 @@
   ...overrides,
 });
 
-/** Three workers, one of them silent: returns whether its machine is fenced when probes fail after `failsMs`. */
-async function isSilentWorkerFenced(failsMs: number): Promise<boolean> {
+/** Returns whether the machine of one silent worker out of three is fenced if probes fail after `probeFailureDelayMs`. */
+async function isSilentWorkerFenced(probeFailureDelayMs: number): Promise<boolean> {
   const clock = new VirtualClock();
-  const ctx = contextOf(clock, {
+  const ctx = createContext(clock, {
     settings: { heartbeatInterval: seconds(3), workerLeaseDuration: seconds(20), cpuShare: null },
     workerClient: {
       fetchHeartbeat: () =>
-        new Promise((_, reject) => clock.after(failsMs, () => reject(new NoAnswerError('deadline passed')))),
+        new Promise((_, reject) =>
+          clock.after(probeFailureDelayMs, () => reject(new NoAnswerError('deadline passed'))),
+        ),
     },
   });
   for (const name of ['a', 'b', 'c']) ctx.workers.add(runningWorker(name, clock.now()));
@@ -68,12 +70,12 @@
   const fence = (): void => {
     isFenced = true;
   };
-  const detector = new WorkerFailureDetector(ctx, optionsWith({ fence }));
+  const detector = new WorkerFailureDetector(ctx, createOptions({ fence }));
   for (let tick = 0; tick < 24; tick++) {
     await clock.advance(500);
     for (const id of ['b', 'c']) {
       const worker = ctx.workers.get(id as MachineId) as Worker;
-      worker.contact.recordContact(clock.now());
+      worker.contact.recordDelivery(clock.now());
       detector.recordHeartbeat(worker, clock.now());
     }
     detector.tick(clock.now());
@@ -86,7 +88,7 @@
     expect(await isSilentWorkerFenced(800)).toBe(true);
   });
 
-  it('does not count probes whose timeout was noticed late: the answer may lie unread', async () => {
+  it('does not count probes whose timeout is processed late, since the answer may be unread', async () => {
     expect(await isSilentWorkerFenced(2000)).toBe(false);
   });
 });
@@ -97,11 +99,11 @@
   worker.assign(job.beginAttempt(worker.id, ZONE, now));
 }
 
-/** The workers probed in two ticks, of 300 with replicas whose last heartbeats are some seconds old. */
-async function earlyProbes(cpuShare: number | null, load: number): Promise<MachineId[]> {
+/** Returns the workers probed in two ticks, out of 300 with replicas whose last heartbeats are over 2 seconds old. */
+async function workersProbedEarly(cpuShare: number | null, load: number): Promise<MachineId[]> {
   const clock = new VirtualClock();
   const probed: MachineId[] = [];
-  const ctx = contextOf(clock, {
+  const ctx = createContext(clock, {
     settings: { heartbeatInterval: seconds(6), workerLeaseDuration: seconds(34), cpuShare },
     maxConcurrentWorkerCalls: 1000,
     load: () => load,
@@ -112,7 +114,7 @@
       },
     },
   });
-  const detector = new WorkerFailureDetector(ctx, optionsWith());
+  const detector = new WorkerFailureDetector(ctx, createOptions());
   await clock.advance(4000);
   for (let index = 0; index < 300; index++) {
     const worker = runningWorker(`host-${index}`, clock.now());
@@ -128,18 +130,18 @@
 }
 
 describe('early probes of workers with replicas', () => {
-  // With all of them probed, they took a third of a leader's processor time on a tenth of a core.
-  it('take a bounded part of the processor time, the longest silent first', async () => {
-    const small = await earlyProbes(0.1, 0);
+  // Guards against probing all silent workers early, which takes a third of a leader's processor time on a tenth of a core.
+  it('use a bounded ratio of the processor time and start with the longest silent worker', async () => {
+    const small = await workersProbedEarly(0.1, 0);
     expect(small.length).toBeGreaterThan(0);
     expect(small.length).toBeLessThanOrEqual(26);
     expect(small[0]).toBe('host-299');
-    const whole = await earlyProbes(1, 0);
+    const whole = await workersProbedEarly(1, 0);
     expect(whole.length).toBeGreaterThan(100);
-    expect((await earlyProbes(null, 0)).length).toBe(whole.length);
+    expect((await workersProbedEarly(null, 0)).length).toBe(whole.length);
   });
 
-  it('are not made by a leader that is behind with its work', async () => {
-    expect(await earlyProbes(0.1, 0.9)).toEqual([]);
+  it('are not sent by a leader under high load', async () => {
+    expect(await workersProbedEarly(0.1, 0.9)).toEqual([]);
   });
 });
--- a/test/unit/worker-lease.test.ts
+++ b/test/unit/worker-lease.test.ts
@@ -39,29 +39,30 @@
   attempts: [],
 });
 
-describe('the expiry of a worker’s lease', () => {
-  it('counts from the last answer', () => {
+describe('WorkerLease.latestExpiry', () => {
+  it('counts from the last answer to a heartbeat', () => {
     const worker = newWorker();
     reconcile(worker, heartbeat(1, 1), EPOCH, new JobStore(), at(5));
     worker.recordAnswer(heartbeat(1, 2), 'node-0' as never, at(60));
-    expect(worker.lease.expiry(at(15), LEASE_MS)).toBe(at(88));
+    expect(worker.lease.latestExpiry(at(15), LEASE_MS)).toBe(at(88));
   });
 
-  // Seen on a day with workers that got no answers: their tasks of a second incarnation were taken for gone (ran_twice).
-  it('counts from when the incarnation was first heard of: unanswered, it runs what direct commands bring', () => {
+  // Guards against tasks that run twice (ran_twice): a worker that gets no answers runs tasks from direct commands in its
+  // second incarnation, and these tasks were taken for gone while they still ran.
+  it('counts from the first report of an incarnation, which may run tasks without any answer', () => {
     const worker = newWorker();
     reconcile(worker, heartbeat(1, 1), EPOCH, new JobStore(), at(5));
     worker.recordAnswer(heartbeat(1, 2), 'node-0' as never, at(60));
     reconcile(worker, heartbeat(2, 9), EPOCH, new JobStore(), at(94));
-    expect(worker.lease.expiry(at(15), LEASE_MS)).toBe(at(122));
-    // The same incarnation heard again moves nothing.
+    expect(worker.lease.latestExpiry(at(15), LEASE_MS)).toBe(at(122));
+    // A further heartbeat of the same incarnation does not extend the lease.
     reconcile(worker, heartbeat(2, 10), EPOCH, new JobStore(), at(100));
-    expect(worker.lease.expiry(at(15), LEASE_MS)).toBe(at(122));
+    expect(worker.lease.latestExpiry(at(15), LEASE_MS)).toBe(at(122));
   });
 
-  it('counts so for a worker that comes up long after the takeover and is never answered', () => {
+  it('counts from the first report of a worker that starts long after the takeover and is never answered', () => {
     const worker = newWorker();
     reconcile(worker, heartbeat(1, 1), EPOCH, new JobStore(), at(200));
-    expect(worker.lease.expiry(at(15), LEASE_MS)).toBe(at(228));
+    expect(worker.lease.latestExpiry(at(15), LEASE_MS)).toBe(at(228));
   });
 });
--- a/test/unit/worker-state.test.ts
+++ b/test/unit/worker-state.test.ts
@@ -3,9 +3,9 @@
 import type { HeartbeatSequence, AgentIncarnation, FencingToken } from '../../src/model/ids.js';
 import type { Heartbeat } from '../../src/model/heartbeat.js';
 import type { MonotonicTime } from '../../src/model/time.js';
-import { countUp, emptySnapshot, isLikelyPartitioned } from '../../src/workers/fleet-health.js';
+import { recordUpWorker, createFleetSnapshot, isLikelyPartitioned } from '../../src/workers/fleet-health.js';
 import { ImageCache } from '../../src/workers/state/image-cache.js';
-import { PendingCommands } from '../../src/workers/state/pending-commands.js';
+import { CommandCallState } from '../../src/workers/state/pending-commands.js';
 import { HeartbeatCursor } from '../../src/workers/state/heartbeat-cursor.js';
 import { WorkerContact } from '../../src/workers/state/worker-contact.js';
 import { WorkerFence } from '../../src/workers/state/worker-fence.js';
@@ -29,26 +29,26 @@
 });
 
 describe('WorkerContact', () => {
-  it('recognizes by the next heartbeat through the same controller that an answer arrived', () => {
+  it('detects the delivery of an answer by the next heartbeat through the same controller', () => {
     const contact = new WorkerContact();
     contact.recordAnswer(heartbeat(1), node0);
-    contact.recognizeDeliveredAnswer(heartbeat(2), node0, at(10));
-    expect(contact.lastContactAt).toBe(10);
+    contact.detectAnswerDelivery(heartbeat(2), node0, at(10));
+    expect(contact.lastDeliveryAt).toBe(10);
   });
 
-  it('recognizes nothing by one through another controller, or after a gap', () => {
+  it('detects no delivery by a heartbeat through another controller or after a gap in the sequence', () => {
     const contact = new WorkerContact();
     contact.recordAnswer(heartbeat(1), node0);
-    contact.recognizeDeliveredAnswer(heartbeat(2), node1, at(10));
-    contact.recognizeDeliveredAnswer(heartbeat(3), node0, at(20));
-    expect(contact.lastContactAt).toBeNull();
+    contact.detectAnswerDelivery(heartbeat(2), node1, at(10));
+    contact.detectAnswerDelivery(heartbeat(3), node0, at(20));
+    expect(contact.lastDeliveryAt).toBeNull();
   });
 
-  it('is unreachable after a failed call, until a contact', () => {
+  it('is unreachable after a failed call until a delivery is recorded', () => {
     const contact = new WorkerContact();
     contact.recordCallFailed(at(10));
     expect(contact.isUnreachable).toBe(true);
-    contact.recordContact(at(20));
+    contact.recordDelivery(at(20));
     expect(contact.isUnreachable).toBe(false);
     expect(contact.hasFailedCall).toBe(true);
     contact.recordCallAnswered(at(30));
@@ -68,29 +68,29 @@
   });
 });
 
-describe('PendingCommands', () => {
-  it('remembers a request only while a call is in flight', () => {
-    const pending = new PendingCommands();
-    pending.requestAnother();
-    expect(pending.isInFlight).toBe(false);
-    pending.begin();
-    pending.requestAnother();
-    expect(pending.finish()).toBe(true);
-    expect(pending.finish()).toBe(false);
+describe('CommandCallState', () => {
+  it('records a follow-up request only while a call is in flight', () => {
+    const callState = new CommandCallState();
+    callState.requestFollowUp();
+    expect(callState.isInFlight).toBe(false);
+    callState.begin();
+    callState.requestFollowUp();
+    expect(callState.finish()).toBe(true);
+    expect(callState.finish()).toBe(false);
   });
 
-  it('forgets a request that is withdrawn', () => {
-    const pending = new PendingCommands();
-    pending.begin();
-    pending.requestAnother();
-    pending.cancelRequest();
-    expect(pending.isInFlight).toBe(true);
-    expect(pending.finish()).toBe(false);
+  it('drops a follow-up request that is cancelled', () => {
+    const callState = new CommandCallState();
+    callState.begin();
+    callState.requestFollowUp();
+    callState.cancelFollowUp();
+    expect(callState.isInFlight).toBe(true);
+    expect(callState.finish()).toBe(false);
   });
 });
 
 describe('ImageCache', () => {
-  it('evicts the least recently used images, but never the one in use', () => {
+  it('evicts the least recently used images, but never the image in use', () => {
     const cache = new ImageCache();
     const [one, two, three] = ['one', 'two', 'three'] as ImageId[] as [ImageId, ImageId, ImageId];
     cache.use(one, 4, 10);
@@ -104,7 +104,7 @@
 });
 
 describe('WorkerFence', () => {
-  it('raises the token within its epoch, and needs no higher one then', () => {
+  it('raises the token within its epoch and then needs no higher token', () => {
     const fence = new WorkerFence();
     const epoch = 3 as Epoch;
     const before = fence.token(epoch);
@@ -117,9 +117,9 @@
 });
 
 describe('isLikelyPartitioned', () => {
-  /** A snapshot of so many workers, the first ones of them suspected; and one of these. */
+  /** Returns whether the first of `up` workers is likely partitioned if the first `suspected` of these are suspected. */
   function isPartitioned(up: number, suspected: number): boolean {
-    const snapshot = emptySnapshot();
+    const snapshot = createFleetSnapshot();
     const workers = Array.from({ length: up }, (_, index) =>
       confirmedWorker(
         {
@@ -132,7 +132,7 @@
       ),
     );
     workers.forEach((worker, index) => {
-      const zone = countUp(snapshot, worker);
+      const zone = recordUpWorker(snapshot, worker);
       if (index >= suspected) return;
       snapshot.suspected.push(worker);
       zone.suspected++;
@@ -141,13 +141,13 @@
     return worker !== undefined && isLikelyPartitioned(worker, snapshot);
   }
 
-  it('takes few suspected workers for failed machines', () => {
+  it('takes a small ratio of suspected workers for failed machines', () => {
     expect(isPartitioned(20, 1)).toBe(false);
     expect(isPartitioned(5, 3)).toBe(false);
     expect(isPartitioned(20, 8)).toBe(false);
   });
 
-  it('takes many at once, or all of them, for a partition', () => {
+  it('takes a large ratio of suspected workers, or all workers, for a partition', () => {
     expect(isPartitioned(20, 9)).toBe(true);
     expect(isPartitioned(2, 2)).toBe(true);
   });
