--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -1,4 +1,4 @@
-/** The cloud's HTTP interface, by which machines are created, listed and deleted. */
+/** A client of the cloud's HTTP API, which creates, lists and deletes machines. */
 import type { MachineId } from '../model/ids.js';
 import type { ListedMachine, MachineType } from '../model/machine.js';
 import type { HttpCaller, HttpReply } from '../net/http-client.js';
@@ -13,44 +13,51 @@
 
 const HTTP_OK = 200;
 const HTTP_TOO_MANY_REQUESTS = 429;
-const HTTP_UNAVAILABLE = 503;
+const HTTP_SERVICE_UNAVAILABLE = 503;
+/** The maximum number of machines per page of the machine list. */
 const LIST_PAGE_SIZE = 500;
 
-/** Why the cloud refused: too many requests (429), or trouble of its own (503 and other statuses). */
+/** The reason why the cloud refused a request: rate limit exceeded (429), or any other status, such as 503. */
 export type CloudErrorCode = 'CLOUD_RATE_LIMITED' | 'CLOUD_REQUEST_REFUSED';
 
-/** The cloud did not carry the request out. */
+/** Thrown when the cloud responds with a status other than 200, except where the status reports missing capacity. */
 export class CloudRequestRefusedError extends Error {
   override readonly name = 'CloudRequestRefusedError';
   readonly code: CloudErrorCode;
 
   constructor(readonly status: number) {
-    super(`cloud answered ${status}`);
+    super(`cloud API request failed with HTTP status ${status}`);
     this.code = status === HTTP_TOO_MANY_REQUESTS ? 'CLOUD_RATE_LIMITED' : 'CLOUD_REQUEST_REFUSED';
   }
 }
 
-/** What came of a request for machines: those that were created, which may be fewer than requested. */
+/** The result of a scale-out request: the created machines, which may be fewer than requested, or `no capacity`. */
 export type ScaleOutResult = { readonly machines: readonly MachineId[] } | 'no capacity';
 
-/** One page of the machine list; `more`: others follow its last machine. */
+/** One page of the machine list. `more` is true if further machines follow the last machine of the page. */
 export interface MachineListPage {
   readonly machines: readonly ListedMachine[];
   readonly more: boolean;
 }
 
-/** What the controllers need of the cloud. All calls reject with `CloudRequestRefusedError` where it refuses. */
+/**
+ * The cloud API as used by the controllers. Calls reject with `CloudRequestRefusedError` if the cloud refuses the
+ * request.
+ */
 export interface Cloud {
   listMachineTypes(): Promise<MachineType[]>;
-  /** Repeating the same request is safe; one that rejected may still be carried out. */
+  /**
+   * Creates machines. The call is idempotent by request name; the cloud may still carry out a request whose call
+   * rejected.
+   */
   createMachines(request: ScaleOutRequest): Promise<ScaleOutResult>;
-  /** Resolves only when the machines and everything on them are gone. */
+  /** Deletes machines. Resolves only when the machines and everything on them have stopped. */
   deleteMachines(machines: readonly MachineId[]): Promise<void>;
-  /** The page of the list that follows the machine `after`; empty: the first. */
+  /** Returns the page of the machine list that follows the machine `after`; an empty `after` returns the first page. */
   listMachines(after: string): Promise<MachineListPage>;
 }
 
-/** Calls the cloud's HTTP interface, with a deadline on every call. */
+/** Calls the cloud's HTTP API with a deadline on every call. */
 export class CloudClient implements Cloud {
   constructor(
     private readonly http: HttpCaller,
@@ -58,22 +65,24 @@
   ) {}
 
   async listMachineTypes(): Promise<MachineType[]> {
-    return readMachineTypes(bodyOf(await this.call('GET', '/machine_types')));
+    return readMachineTypes(successBody(await this.call('GET', '/machine_types')));
   }
 
   async createMachines(request: ScaleOutRequest): Promise<ScaleOutResult> {
     const reply = await this.call('POST', '/machines', scaleOutBody(request));
     if (isOutOfCapacity(reply)) return 'no capacity';
-    return { machines: readCreatedMachines(bodyOf(reply)) };
+    return { machines: readCreatedMachines(successBody(reply)) };
   }
 
   async deleteMachines(machines: readonly MachineId[]): Promise<void> {
-    bodyOf(await this.call('POST', '/machines/delete', deleteMachinesBody(machines)));
+    successBody(await this.call('POST', '/machines/delete', deleteMachinesBody(machines)));
   }
 
   async listMachines(after: string): Promise<MachineListPage> {
-    const position = after === '' ? '' : `after=${after}&`;
-    return readMachineList(bodyOf(await this.call('GET', `/machines?${position}most=${LIST_PAGE_SIZE}`)));
+    const cursorParameter = after === '' ? '' : `after=${after}&`;
+    return readMachineList(
+      successBody(await this.call('GET', `/machines?${cursorParameter}most=${LIST_PAGE_SIZE}`)),
+    );
   }
 
   private call(method: string, path: string, body?: unknown): Promise<HttpReply> {
@@ -81,13 +90,13 @@
   }
 }
 
-/** Returns the body of a reply. Throws `CloudRequestRefusedError` unless the cloud carried the request out. */
-function bodyOf(reply: HttpReply): unknown {
+/** Returns the body of a reply with status 200. Throws `CloudRequestRefusedError` for any other status. */
+function successBody(reply: HttpReply): unknown {
   if (reply.status !== HTTP_OK) throw new CloudRequestRefusedError(reply.status);
   return reply.body;
 }
 
 function isOutOfCapacity({ status, body }: HttpReply): boolean {
-  if (status !== HTTP_UNAVAILABLE) return false;
+  if (status !== HTTP_SERVICE_UNAVAILABLE) return false;
   return (body as { error?: unknown } | null | undefined)?.error === 'no capacity';
 }
--- a/test/unit/cloud-wire.test.ts
+++ b/test/unit/cloud-wire.test.ts
@@ -59,7 +59,11 @@
     const { client } = cloudClient({ error: 'trouble' }, status);
     const error: unknown = await client.deleteMachines([]).catch((reason: unknown) => reason);
     expect(error).toBeInstanceOf(CloudRequestRefusedError);
-    expect(error).toMatchObject({ code, status, message: `cloud answered ${status}` });
+    expect(error).toMatchObject({
+      code,
+      status,
+      message: `cloud API request failed with HTTP status ${status}`,
+    });
   });
 
   it('tell a pool without capacity from a refusal', async () => {
@@ -73,6 +77,8 @@
     expect(await cloudClient({ error: 'no capacity' }, 503).client.createMachines(request)).toBe(
       'no capacity',
     );
-    await expect(cloudClient(null, 503).client.createMachines(request)).rejects.toThrow('cloud answered 503');
+    await expect(cloudClient(null, 503).client.createMachines(request)).rejects.toThrow(
+      'cloud API request failed with HTTP status 503',
+    );
   });
 });
