--- a/src/fleet/consolidation.ts
+++ b/src/fleet/consolidation.ts
@@ -1,4 +1,4 @@
-/** Which mostly idle machines to drain, as one pure decision. */
+/** The decision which underused machines to drain, as a pure function. */
 import type { JobId, MachineId, ZoneId } from '../model/ids.js';
 import {
   machineRefusal,
@@ -8,129 +8,135 @@
   type ZoneCounts,
 } from '../scheduler/placement-rule.js';
 
-/** Where a task may start again, if not everywhere. */
-export interface MovableTaskRule {
+/** The placement constraint of a task that may not restart on every machine. */
+export interface MovableTaskConstraint {
   readonly job: JobId;
   readonly spec: PlacementSpec;
-  /** The job's tasks that may be on other machines, by zone. */
-  readonly others: ZoneCounts;
+  /** The number of the job's tasks that may be running on other machines, by zone. */
+  readonly otherTasksByZone: ZoneCounts;
 }
 
-/** A task on a machine that might be drained. */
+/** A task on a candidate for draining. */
 export interface MovableTask {
   readonly cpus: number;
   readonly memoryGb: number;
-  /** Work that a stop would lose. */
+  /** The run time that is lost when the task is stopped, in milliseconds. */
   readonly lostMs: number;
-  /** How long it is still expected to run. */
-  readonly leftMs: number;
-  /** Whether its job still comes in time when the task starts again now; false also for what must not move. */
+  /** The expected remaining run time, in milliseconds. */
+  readonly remainingMs: number;
+  /** Whether the task may be stopped and its job still meets its target if the task restarts now. */
   readonly mayMove: boolean;
-  /** Left out: the task may start on any machine. */
-  readonly rule?: MovableTaskRule;
+  /** Absent if the task may start on any machine. */
+  readonly constraint?: MovableTaskConstraint;
 }
 
-/** A machine that might be drained. */
+/** A machine that is considered for draining. */
 export interface DrainCandidate extends Partial<PlacementMachine> {
   readonly id: MachineId;
   readonly cpus: number;
   readonly freeCpus: number;
   readonly freeMemoryGb: number;
-  /** Per hour. */
+  /** The price of the machine per hour. */
   readonly price: number;
   readonly tasks: readonly MovableTask[];
 }
 
-/** Draining pays only if it saves this many times what the lost work costs. */
-const MIN_BENEFIT_FACTOR = 3;
-/** Free capacity is fragmented: this part of it can be counted on. */
-const PACKING_EFFICIENCY = 0.7;
-/** A fuller machine is left alone: too much work would be done twice. */
-const MAX_USED_SHARE = 0.6;
-/** Starting again takes a moment, and mostly an image. */
-const RESTART_MS = 3000;
+/** The minimum ratio of the machine cost that a drain saves to the cost of the work that is repeated. */
+const MIN_BENEFIT_RATIO = 3;
+/** The part of free capacity that is assumed to be usable, because free capacity is fragmented over machines. */
+const PACKING_EFFICIENCY_RATIO = 0.7;
+/** The maximum CPU utilization of a drained machine; draining a fuller machine would repeat too much work. */
+const MAX_USED_CPU_RATIO = 0.6;
+/** The estimated overhead of restarting a task, which usually includes fetching its image. */
+const RESTART_OVERHEAD_MS = 3000;
 
 /**
- * Returns the machines to be drained so that they can be deleted: the last tasks of a machine keep all of it for
- * as long as the slowest runs. Their work starts again in the capacity that others have free.
+ * Returns the machines to drain so that they can be deleted. Without a drain, a machine is paid for in full until the
+ * slowest of its last tasks ends. The stopped tasks restart in the free capacity of other machines.
  *
- * `surplusCpus`: idle CPUs beyond the reserve that the forecast wants. `cpuPrice`: what an hour of one
- * CPU costs where the work is done again.
+ * `surplusCpus` is the number of idle CPUs beyond the forecast's reserve; `cpuPrice` is the hourly price of one CPU
+ * that repeats the lost work.
  */
 export function machinesToDrain(
   machines: readonly DrainCandidate[],
   surplusCpus: number,
   cpuPrice: number,
 ): MachineId[] {
-  const chosen: MachineId[] = [];
-  let hasChosenRuled = false;
-  let surplusLeft = surplusCpus;
+  const chosenIds: MachineId[] = [];
+  let hasChosenConstrained = false;
+  let remainingSurplusCpus = surplusCpus;
   let freeCpus = machines.reduce((sum, machine) => sum + machine.freeCpus, 0);
   let freeMemoryGb = machines.reduce((sum, machine) => sum + machine.freeMemoryGb, 0);
-  for (const machine of byWaste(machines)) {
-    if (machine.cpus > surplusLeft || !isWorthDraining(machine, cpuPrice)) continue;
+  for (const machine of drainOrder(machines)) {
+    if (machine.cpus > remainingSurplusCpus || !isWorthDraining(machine, cpuPrice)) continue;
     const usedCpus = machine.cpus - machine.freeCpus;
     const usedMemoryGb = machine.tasks.reduce((sum, task) => sum + task.memoryGb, 0);
-    const hasCpus = usedCpus <= (freeCpus - machine.freeCpus) * PACKING_EFFICIENCY;
-    const hasMemory = usedMemoryGb <= (freeMemoryGb - machine.freeMemoryGb) * PACKING_EFFICIENCY;
+    const hasCpus = usedCpus <= (freeCpus - machine.freeCpus) * PACKING_EFFICIENCY_RATIO;
+    const hasMemory = usedMemoryGb <= (freeMemoryGb - machine.freeMemoryGb) * PACKING_EFFICIENCY_RATIO;
     if (!hasCpus || !hasMemory) continue;
-    const ruled = ruledTasks(machine);
-    if (ruled.length > 0) {
-      // The room that they count on may be the same: the next ones follow once these have been placed.
-      if (hasChosenRuled || !haveAllowedRoom(ruled, machine, machines, chosen)) continue;
-      hasChosenRuled = true;
+    const constrainedGroups = constrainedTasksByJob(machine);
+    if (constrainedGroups.length > 0) {
+      // Two groups with constraints may rely on the same free capacity, so only one machine with constrained tasks is
+      // drained at a time; the next one follows once these tasks have been placed.
+      if (hasChosenConstrained || !allGroupsFit(constrainedGroups, machine, machines, chosenIds)) continue;
+      hasChosenConstrained = true;
     }
-    chosen.push(machine.id);
-    surplusLeft -= machine.cpus;
+    chosenIds.push(machine.id);
+    remainingSurplusCpus -= machine.cpus;
     freeCpus -= machine.cpus;
     freeMemoryGb -= machine.freeMemoryGb + usedMemoryGb;
   }
-  return chosen;
+  return chosenIds;
 }
 
-/** Tasks of one job that would move together, with the rule for where they may start. */
-interface RuledTasks {
-  readonly rule: MovableTaskRule;
-  readonly task: MovableTask;
+/** The tasks of one job on a drained machine, with the constraint on where they may restart. */
+interface ConstrainedTasks {
+  readonly constraint: MovableTaskConstraint;
+  readonly sampleTask: MovableTask;
   count: number;
 }
 
-/** The tasks of a machine that may not start everywhere, by job. */
-function ruledTasks({ tasks }: DrainCandidate): RuledTasks[] {
-  const byJob = new Map<JobId, RuledTasks>();
+/** Returns the tasks of a machine that have a placement constraint, grouped by job. */
+function constrainedTasksByJob({ tasks }: DrainCandidate): ConstrainedTasks[] {
+  const byJob = new Map<JobId, ConstrainedTasks>();
   for (const task of tasks) {
-    if (!task.rule) continue;
-    const group = byJob.get(task.rule.job);
+    if (!task.constraint) continue;
+    const group = byJob.get(task.constraint.job);
     if (group) group.count++;
-    else byJob.set(task.rule.job, { rule: task.rule, task, count: 1 });
+    else byJob.set(task.constraint.job, { constraint: task.constraint, sampleTask: task, count: 1 });
   }
   return [...byJob.values()];
 }
 
-/** Whether each of the groups has room on machines that the placement rule allows. */
-function haveAllowedRoom(
-  groups: readonly RuledTasks[],
-  drained: DrainCandidate,
+/** Reports whether each group of tasks, taken by itself, fits on the remaining machines that its constraint allows. */
+function allGroupsFit(
+  groups: readonly ConstrainedTasks[],
+  drainedMachine: DrainCandidate,
   machines: readonly DrainCandidate[],
-  chosen: readonly MachineId[],
+  chosenIds: readonly MachineId[],
 ): boolean {
-  const others = machines.filter((machine) => machine !== drained && !chosen.includes(machine.id));
-  return groups.every((group) => hasAllowedRoom(group, others));
+  const remainingMachines = machines.filter(
+    (machine) => machine !== drainedMachine && !chosenIds.includes(machine.id),
+  );
+  return groups.every((group) => groupFits(group, remainingMachines));
 }
 
-function hasAllowedRoom({ rule, task, count }: RuledTasks, machines: readonly DrainCandidate[]): boolean {
-  const { spec, others } = rule;
-  const roomByZone = [...slotsByZone(spec, task, machines)].map(([zone, slots]) =>
-    Math.min(Math.floor(slots * PACKING_EFFICIENCY), remainingInZone(spec, others, zone)),
+function groupFits(
+  { constraint, sampleTask, count }: ConstrainedTasks,
+  machines: readonly DrainCandidate[],
+): boolean {
+  const { spec, otherTasksByZone } = constraint;
+  const availableSlotsByZone = [...freeSlotsByZone(spec, sampleTask, machines)].map(([zone, slots]) =>
+    Math.min(Math.floor(slots * PACKING_EFFICIENCY_RATIO), remainingInZone(spec, otherTasksByZone, zone)),
   );
-  const room = spec.zoneAffinity
-    ? Math.max(0, ...roomByZone)
-    : roomByZone.reduce((sum, zoneRoom) => sum + zoneRoom, 0);
-  return room >= count;
+  const availableSlots = spec.zoneAffinity
+    ? Math.max(0, ...availableSlotsByZone)
+    : availableSlotsByZone.reduce((sum, zoneSlots) => sum + zoneSlots, 0);
+  return availableSlots >= count;
 }
 
-/** How many such tasks the free capacity of the allowed machines takes, by zone. */
-function slotsByZone(
+/** Returns how many tasks like this one fit into the free capacity of the allowed machines, by zone. */
+function freeSlotsByZone(
   spec: PlacementSpec,
   task: MovableTask,
   machines: readonly DrainCandidate[],
@@ -139,31 +145,34 @@
   for (const { type, zone, spot, freeCpus, freeMemoryGb } of machines) {
     if (type === undefined || zone === undefined || spot === undefined) continue;
     if (machineRefusal(spec, { type, zone, spot }) !== null) continue;
-    const fitting = Math.min(timesIn(freeCpus, task.cpus), timesIn(freeMemoryGb, task.memoryGb));
-    slots.set(zone, (slots.get(zone) ?? 0) + fitting);
+    const fittingTasks = Math.min(maxFitCount(freeCpus, task.cpus), maxFitCount(freeMemoryGb, task.memoryGb));
+    slots.set(zone, (slots.get(zone) ?? 0) + fittingTasks);
   }
   return slots;
 }
 
-function timesIn(free: number, needed: number): number {
+function maxFitCount(free: number, needed: number): number {
   return needed > 0 ? Math.floor(free / needed) : Infinity;
 }
 
-/** Machines that are used, but not by much: those that cost most for what is idle of them come first. */
-function byWaste(machines: readonly DrainCandidate[]): DrainCandidate[] {
-  const wastedPrice = (machine: DrainCandidate): number => (machine.price * machine.freeCpus) / machine.cpus;
+/** Returns the underused machines that still run tasks, in descending order of the hourly price of their idle CPUs. */
+function drainOrder(machines: readonly DrainCandidate[]): DrainCandidate[] {
+  const idleHourlyPrice = (machine: DrainCandidate): number =>
+    (machine.price * machine.freeCpus) / machine.cpus;
   return machines
-    .filter(({ tasks, cpus, freeCpus }) => tasks.length > 0 && cpus - freeCpus <= cpus * MAX_USED_SHARE)
-    .sort((one, other) => wastedPrice(other) - wastedPrice(one) || (one.id < other.id ? -1 : 1));
+    .filter(({ tasks, cpus, freeCpus }) => tasks.length > 0 && cpus - freeCpus <= cpus * MAX_USED_CPU_RATIO)
+    .sort(
+      (first, second) => idleHourlyPrice(second) - idleHourlyPrice(first) || (first.id < second.id ? -1 : 1),
+    );
 }
 
 function isWorthDraining({ tasks, price }: DrainCandidate, cpuPrice: number): boolean {
   let lostCost = 0;
-  let leftMs = 0;
+  let longestRemainingMs = 0;
   for (const task of tasks) {
     if (!task.mayMove) return false;
-    lostCost += (task.lostMs + RESTART_MS) * task.cpus * cpuPrice;
-    leftMs = Math.max(leftMs, task.leftMs);
+    lostCost += (task.lostMs + RESTART_OVERHEAD_MS) * task.cpus * cpuPrice;
+    longestRemainingMs = Math.max(longestRemainingMs, task.remainingMs);
   }
-  return leftMs * price > lostCost * MIN_BENEFIT_FACTOR;
+  return longestRemainingMs * price > lostCost * MIN_BENEFIT_RATIO;
 }
--- a/src/fleet/consolidator.ts
+++ b/src/fleet/consolidator.ts
@@ -1,4 +1,4 @@
-/** Drains machines that are mostly idle, where their work fits elsewhere. */
+/** Periodic consolidation: drains underused machines whose tasks fit on other machines. */
 import type { LeaderContext } from '../core/context.js';
 import type { Lifetimes } from '../forecast/lifetimes.js';
 import type { ConfirmedFacts } from '../model/machine-facts.js';
@@ -12,15 +12,15 @@
   type DrainCandidate,
   machinesToDrain,
   type MovableTask,
-  type MovableTaskRule,
+  type MovableTaskConstraint,
 } from './consolidation.js';
 
-/** Between two consolidations; the work of the last one's machines has been placed by then. */
-const INTERVAL_MS = 2000;
-/** A machine costs this much of its time however soon it is deleted (PROTOCOL). */
+/** The interval between two consolidations; by then the tasks of the machines drained last have been placed again. */
+const CONSOLIDATION_INTERVAL_MS = 2000;
+/** The minimum time that is billed for a machine, however early the machine is deleted (PROTOCOL). */
 export const MIN_BILLED_MS = 60_000;
 
-/** Chooses machines to drain, every few seconds while nothing waits. */
+/** Selects underused machines and drains them. The caller runs the consolidation only while no task waits. */
 export class Consolidator {
   private lastRunAt: MonotonicTime | null = null;
 
@@ -30,22 +30,26 @@
     private readonly sloTargets: SloTargets,
   ) {}
 
-  /** Whether it is time for another consolidation. */
+  /** Reports whether `CONSOLIDATION_INTERVAL_MS` has passed since the last consolidation. */
   isDue(now: MonotonicTime): boolean {
-    return this.lastRunAt === null || since(now, this.lastRunAt) >= INTERVAL_MS;
+    return this.lastRunAt === null || since(now, this.lastRunAt) >= CONSOLIDATION_INTERVAL_MS;
   }
 
-  /** `surplusCpus`: idle CPUs beyond the reserve that the forecast wants. */
+  /**
+   * Drains the machines that consolidation selects. `surplusCpus` is the number of idle CPUs beyond the forecast's
+   * reserve.
+   */
   run(surplusCpus: number, now: MonotonicTime): void {
     this.lastRunAt = now;
     const candidates: DrainCandidate[] = [];
     for (const worker of this.ctx.workers.values()) {
-      if (worker.confirmedFacts && mayDrain(worker, now))
+      if (worker.confirmedFacts && isDrainable(worker, now))
         candidates.push(this.candidateOf(worker, worker.confirmedFacts, now));
     }
-    const chosen = machinesToDrain(candidates, surplusCpus, this.lowestCpuPrice());
-    if (chosen.length > 0) this.ctx.log.info({ count: chosen.length, surplusCpus }, 'draining machines');
-    for (const id of chosen) this.ctx.drainWorker(id);
+    const chosenIds = machinesToDrain(candidates, surplusCpus, this.lowestCpuPrice());
+    if (chosenIds.length > 0)
+      this.ctx.log.info({ count: chosenIds.length, surplusCpus }, 'draining machines');
+    for (const id of chosenIds) this.ctx.drainWorker(id);
   }
 
   private candidateOf(worker: Worker, { machine, type }: ConfirmedFacts, now: MonotonicTime): DrainCandidate {
@@ -71,10 +75,10 @@
     const { effectiveSpec: spec, readyAt } = task.job;
     const runMs = this.lifetimes.expectedRunMs(spec);
     const ranMs = task.runningAt === null ? 0 : since(now, task.runningAt);
-    const leftMs = this.lifetimes.expectedRemainingMs(spec, ranMs);
+    const remainingMs = this.lifetimes.expectedRemainingMs(spec, ranMs);
     const ageMs = Math.max(0, this.ctx.clock.wall() - readyAt);
-    const rule = ruleOf(task, worker);
-    const mayStop =
+    const constraint = placementConstraintOf(task, worker);
+    const canStop =
       spec.allowsSpot &&
       spec.kind === 'array' &&
       task.phase === 'placed' &&
@@ -84,33 +88,36 @@
       cpus: spec.cpus,
       memoryGb: spec.memoryGb,
       lostMs: spec.checkpointIntervalS > 0 ? Math.min(ranMs, spec.checkpointIntervalS * 1000) : ranMs,
-      leftMs,
-      mayMove: mayStop && this.sloTargets.canRestartInTime(spec, ageMs, leftMs, runMs),
-      ...(rule ? { rule } : {}),
+      remainingMs,
+      mayMove: canStop && this.sloTargets.canRestartInTime(spec, ageMs, remainingMs, runMs),
+      ...(constraint ? { constraint } : {}),
     };
   }
 }
 
-/** Whether it cannot be told where the task may start again: nothing is known of another task's machine. */
+/**
+ * Reports whether the zones in which the task may restart are undetermined: the job has a zone constraint, and the zone
+ * of a machine that runs another of its tasks is unknown.
+ */
 function hasUnknownZones({ job: { spec, zoneTally } }: Task): boolean {
   return hasZoneConstraint(spec) && zoneTally.unknownZoneCount > 0;
 }
 
-/** The rule for where a task may start again once its machine is drained; null: anywhere. */
-function ruleOf({ job }: Task, worker: Worker): MovableTaskRule | null {
+/** Returns the placement constraint for restarting a task once its machine is drained; null: any machine is allowed. */
+function placementConstraintOf({ job }: Task, worker: Worker): MovableTaskConstraint | null {
   const { spec, zoneTally } = job;
   if (spec.zone === null && spec.allowedTypes === null && !hasZoneConstraint(spec)) return null;
-  const others = new Map(zoneTally.counts);
+  const otherTasksByZone = new Map(zoneTally.counts);
   const zone = worker.confirmedFacts?.machine.zone;
   if (zone !== undefined) {
-    let moved = 0;
-    for (const task of worker.tasks) if (task.job === job) moved++;
-    others.set(zone, Math.max(0, (others.get(zone) ?? 0) - moved));
+    let movedTaskCount = 0;
+    for (const task of worker.tasks) if (task.job === job) movedTaskCount++;
+    otherTasksByZone.set(zone, Math.max(0, (otherTasksByZone.get(zone) ?? 0) - movedTaskCount));
   }
-  return { job: spec.id, spec, others };
+  return { job: spec.id, spec, otherTasksByZone };
 }
 
-function mayDrain(worker: Worker, now: MonotonicTime): boolean {
+function isDrainable(worker: Worker, now: MonotonicTime): boolean {
   if (!worker.isUp || !worker.hasReported || worker.contact.hasFailedCall) return false;
   if (worker.cordon || worker.interruptionAt !== null) return false;
   return since(now, worker.rentedAt) >= MIN_BILLED_MS;
--- a/test/unit/consolidation.test.ts
+++ b/test/unit/consolidation.test.ts
@@ -3,13 +3,13 @@
 import type { MachineId } from '../../src/model/ids.js';
 
 describe('machinesToDrain', () => {
-  const task = (over = {}) => ({
+  const task = (overrides = {}) => ({
     cpus: 4,
     memoryGb: 4,
     lostMs: 5000,
-    leftMs: 60_000,
+    remainingMs: 60_000,
     mayMove: true,
-    ...over,
+    ...overrides,
   });
   const machine = (
     id: string,
@@ -25,7 +25,7 @@
     tasks,
   });
 
-  it('takes the ones that waste most, while the others have capacity for their work', () => {
+  it('drains the machines with the most costly idle CPUs while other machines have capacity for their tasks', () => {
     const chosen = machinesToDrain(
       [machine('a', 60, [task()]), machine('b', 60, [task()], 1), machine('c', 40, [])],
       200,
@@ -34,22 +34,29 @@
     expect(chosen).toEqual(['a', 'b']);
   });
 
-  it('leaves alone what the forecast wants, what a target needs and what costs more to do again', () => {
-    const other = machine('c', 60, []);
-    expect(machinesToDrain([machine('a', 60, [task()]), other], 50, 0.02)).toEqual([]);
-    expect(machinesToDrain([machine('a', 60, [task({ mayMove: false })]), other], 200, 0.02)).toEqual([]);
+  it('does not drain a machine that the forecast, a target, the cost of lost work or a lack of capacity keeps', () => {
+    const emptyMachine = machine('c', 60, []);
+    expect(machinesToDrain([machine('a', 60, [task()]), emptyMachine], 50, 0.02)).toEqual([]);
+    expect(machinesToDrain([machine('a', 60, [task({ mayMove: false })]), emptyMachine], 200, 0.02)).toEqual(
+      [],
+    );
     expect(
-      machinesToDrain([machine('a', 60, [task({ lostMs: 90_000, leftMs: 500 })]), other], 200, 0.02),
+      machinesToDrain(
+        [machine('a', 60, [task({ lostMs: 90_000, remainingMs: 500 })]), emptyMachine],
+        200,
+        0.02,
+      ),
     ).toEqual([]);
-    // no capacity elsewhere
+    // No other machine has free capacity.
     expect(machinesToDrain([machine('a', 60, [task()])], 200, 0.02)).toEqual([]);
   });
 
-  // A task that is stopped and finds no room where its job allows it waits, and its work is lost.
-  describe('asks the placement rule for the tasks that it moves', () => {
+  // Guards against draining a machine whose tasks fit only on machines that their job does not allow: a stopped task
+  // would lose its work and then wait for capacity.
+  describe('applies the placement constraints of the tasks that it moves', () => {
     const north = { type: 'bara', zone: 'north', spot: false };
     const south = { ...north, zone: 'south' };
-    const placement = {
+    const unconstrainedSpec = {
       allowedTypes: null,
       zone: null,
       allowsSpot: true,
@@ -57,42 +64,55 @@
       zoneAntiAffinity: false,
       taskCount: 4,
     };
-    const ruled = (over: object, zones: Record<string, number> = {}) =>
+    const constrainedTask = (overrides: object, zones: Record<string, number> = {}) =>
       task({
-        rule: { job: 'j-000001', spec: { ...placement, ...over }, others: new Map(Object.entries(zones)) },
+        constraint: {
+          job: 'j-000001',
+          spec: { ...unconstrainedSpec, ...overrides },
+          otherTasksByZone: new Map(Object.entries(zones)),
+        },
       });
-    const at = (place: object, drained: DrainCandidate): DrainCandidate => ({ ...drained, ...place });
+    const at = (placement: object, candidate: DrainCandidate): DrainCandidate => ({
+      ...candidate,
+      ...placement,
+    });
     const drain = (tasks: ReturnType<typeof task>[], elsewhere: object): MachineId[] =>
       machinesToDrain([at(north, machine('a', 56, tasks)), at(elsewhere, machine('c', 40, []))], 200, 0.02);
 
     it.each([
-      ['one zone, where others of the job are', ruled({ zoneAffinity: true }, { north: 2 })],
-      ['its only zone', ruled({ zone: 'north' })],
-      ['half of the tasks in the other zone already', ruled({ zoneAntiAffinity: true }, { south: 2 })],
-      ['another type', ruled({ allowedTypes: ['chota'] })],
-    ])('leaves a machine alone whose task may not go where there is room: %s', (_name, moved) => {
-      expect(drain([moved], south)).toEqual([]);
+      ['zone affinity with tasks in the drained zone', constrainedTask({ zoneAffinity: true }, { north: 2 })],
+      ['required zone', constrainedTask({ zone: 'north' })],
+      [
+        'zone anti-affinity with half of the tasks in the other zone',
+        constrainedTask({ zoneAntiAffinity: true }, { south: 2 }),
+      ],
+      ['another machine type', constrainedTask({ allowedTypes: ['chota'] })],
+    ])('does not drain a machine whose task may not run where capacity is free: %s', (_name, movedTask) => {
+      expect(drain([movedTask], south)).toEqual([]);
     });
 
     it.each([
-      ['one zone, where others of the job are', ruled({ zoneAffinity: true }, { south: 2 })],
-      ['all of the job moves with it', ruled({ zoneAffinity: true })],
-      ['its only zone', ruled({ zone: 'south' })],
-      ['less than half of the tasks in the other zone', ruled({ zoneAntiAffinity: true }, { south: 1 })],
-      ['its type', ruled({ allowedTypes: ['bara'] })],
-    ])('drains a machine whose task may go there: %s', (_name, moved) => {
-      expect(drain([moved], south)).toEqual(['a']);
+      ['zone affinity with tasks in the other zone', constrainedTask({ zoneAffinity: true }, { south: 2 })],
+      ['zone affinity without tasks elsewhere', constrainedTask({ zoneAffinity: true })],
+      ['required zone', constrainedTask({ zone: 'south' })],
+      [
+        'zone anti-affinity with less than half of the tasks in the other zone',
+        constrainedTask({ zoneAntiAffinity: true }, { south: 1 }),
+      ],
+      ['required machine type', constrainedTask({ allowedTypes: ['bara'] })],
+    ])('drains a machine whose task may run where capacity is free: %s', (_name, movedTask) => {
+      expect(drain([movedTask], south)).toEqual(['a']);
     });
 
-    it('leaves a machine alone whose tasks together are more than the other zone may have', () => {
-      const moved = ruled({ zoneAntiAffinity: true }, { south: 1 });
-      expect(drain([moved, moved], south)).toEqual([]);
+    it('does not drain a machine whose tasks together exceed what zone anti-affinity allows in the other zone', () => {
+      const movedTask = constrainedTask({ zoneAntiAffinity: true }, { south: 1 });
+      expect(drain([movedTask, movedTask], south)).toEqual([]);
     });
 
-    it('leaves a machine alone where one zone has no room for all that have to be together', () => {
-      const moved = ruled({ zoneAffinity: true });
+    it('does not drain a machine whose tasks with zone affinity do not fit into a single zone', () => {
+      const movedTask = constrainedTask({ zoneAffinity: true });
       const machines = [
-        at(north, machine('a', 56, [moved, moved])),
+        at(north, machine('a', 56, [movedTask, movedTask])),
         at(north, { ...machine('b', 40, []), freeCpus: 7 }),
         at(south, { ...machine('c', 40, []), freeCpus: 7 }),
       ];
