--- a/src/fleet/backlog-scaler.ts
+++ b/src/fleet/backlog-scaler.ts
@@ -1,4 +1,4 @@
-/** Scales out for the queue's unmet demand. */
+/** Scale-out for the unmet demand of the queue. */
 import type { LeaderContext } from '../core/context.js';
 import type { Lifetimes } from '../forecast/lifetimes.js';
 import { type MonotonicTime, plus, since } from '../model/time.js';
@@ -7,22 +7,26 @@
 import type { CloudCallQueue } from './cloud-call-queue.js';
 import type { ScaleOut } from './scale-out.js';
 
-/** Unmet demand is turned into this many requests at a time, so that each knows the last one's refusal. */
+/**
+ * The maximum number of pending scale-out requests; later requests then take sold-out pools of earlier ones into
+ * account.
+ */
 const MAX_PENDING_REQUESTS = 2;
-/** The pause after planning requests: at least this, or so many times what planning took. */
-const MIN_PAUSE_MS = 150;
-const PAUSE_FACTOR = 10;
-/** Added to a wait, so that it is surely over when its timer runs out. */
+/** The minimum pause between two rounds of planning. */
+const MIN_PLANNING_PAUSE_MS = 150;
+/** The minimum ratio of the pause after a round of planning to the time that the round took. */
+const PLANNING_PAUSE_RATIO = 10;
+/** Added to the delay of a timer, so that the wait has ended when the timer fires. */
 const TIMER_MARGIN_MS = 1;
 
-/** What a `BacklogScaler` is made with. */
+/** The components that a `BacklogScaler` uses. */
 export interface BacklogScalerOptions {
   readonly scaleOut: ScaleOut;
   readonly cloudCalls: CloudCallQueue;
   readonly lifetimes: Lifetimes;
 }
 
-/** Requests machines for the waiting tasks that no machine has capacity for. */
+/** Requests machines for waiting tasks that do not fit on the machines of the fleet. */
 export class BacklogScaler {
   private backlog: readonly QueuedWork[] = [];
   private readonly slackFactorDecay = new SlackFactorDecay();
@@ -39,14 +43,17 @@
     return this.backlog;
   }
 
-  /** Replaces the queue by what the last decision left. */
+  /** Replaces the queue with the unmet demand of the last scheduling decision. */
   setQueue(queue: readonly QueuedWork[]): void {
     this.backlog = queue;
     if (queue.length === 0) this.slackFactorDecay.update(false, this.ctx.clock.now());
     this.requestUnmet();
   }
 
-  /** Requests machines for the queue now, or when it is time to. */
+  /**
+   * Requests machines for the queue, now or as soon as the cloud's rate limit and the planning pause allow. Does
+   * nothing while `MAX_PENDING_REQUESTS` requests are pending.
+   */
   requestUnmet(): void {
     const { scaleOut, cloudCalls } = this.options;
     const { pending } = scaleOut;
@@ -54,7 +61,7 @@
     const startedAt = this.ctx.clock.now();
     const waitMs = Math.max(cloudCalls.waitMs, (this.nextPlanAt ?? startedAt) - startedAt);
     if (waitMs > 0) {
-      this.requestAfter(waitMs);
+      this.scheduleRequest(waitMs);
       return;
     }
     const maxMachines = this.ctx.operators.fleet.maxMachines - this.ctx.workers.size - pending.size;
@@ -62,10 +69,13 @@
     for (const request of requests.slice(0, MAX_PENDING_REQUESTS - pending.size))
       scaleOut.request(request, 'queue');
     const now = this.ctx.clock.now();
-    this.nextPlanAt = plus(now, Math.max(MIN_PAUSE_MS, since(now, startedAt) * PAUSE_FACTOR));
+    this.nextPlanAt = plus(
+      now,
+      Math.max(MIN_PLANNING_PAUSE_MS, since(now, startedAt) * PLANNING_PAUSE_RATIO),
+    );
   }
 
-  private requestAfter(waitMs: number): void {
+  private scheduleRequest(waitMs: number): void {
     if (this.isTimerRunning) return;
     this.isTimerRunning = true;
     this.ctx.clock.after(waitMs + TIMER_MARGIN_MS, () => {
@@ -75,8 +85,8 @@
   }
 
   /**
-   * Spot machines for all that waits; on-demand ones, which cost several times as much, for what
-   * must run on them and for what the fleet would start too late.
+   * Plans spot machines for all work that may run on them, and on-demand machines, which cost several times as much,
+   * only for work that must run on them and for spot work that the current fleet would start too late.
    */
   private planRequests(maxMachines: number): CapacityRequest[] {
     const pendingMachines = this.options.scaleOut.pendingMachines();
@@ -93,15 +103,15 @@
   }
 
   private overdueSpotWork(spotWork: readonly QueuedWork[], pendingMachines: readonly PendingMachine[]) {
-    const cpus = this.spotWorkCpus(pendingMachines);
-    const busyCpuMs = this.busyCpuMs();
-    const isOverdue = overdueDemand(spotWork, cpus, busyCpuMs, 0).length > 0;
-    const slackFactorLeft = this.slackFactorDecay.update(isOverdue, this.ctx.clock.now());
-    return overdueDemand(spotWork, cpus, busyCpuMs, slackFactorLeft);
+    const cpus = this.cpusForSpotWork(pendingMachines);
+    const remainingCpuMs = this.remainingSpotCpuMs();
+    const isOverdue = overdueDemand(spotWork, cpus, remainingCpuMs, 0).length > 0;
+    const slackFactorScale = this.slackFactorDecay.update(isOverdue, this.ctx.clock.now());
+    return overdueDemand(spotWork, cpus, remainingCpuMs, slackFactorScale);
   }
 
-  /** The CPUs that work off the queue of spot work: of machines up and pending, less what other work holds there. */
-  private spotWorkCpus(pendingMachines: readonly PendingMachine[]): number {
+  /** Returns the CPUs of running and pending machines that are available to spot work: those not used by other work. */
+  private cpusForSpotWork(pendingMachines: readonly PendingMachine[]): number {
     let cpus = pendingMachines.reduce((sum, machine) => sum + machine.free.cpus, 0);
     for (const worker of this.ctx.workers.values()) {
       if (!worker.isUp || worker.cordon) continue;
@@ -111,18 +121,18 @@
     return cpus;
   }
 
-  /** The expected remaining CPU time of the spot work on the machines. */
-  private busyCpuMs(): number {
+  /** Returns the expected remaining CPU time of the spot tasks that are assigned to machines, in CPU milliseconds. */
+  private remainingSpotCpuMs(): number {
     const now = this.ctx.clock.now();
-    let sum = 0;
+    let remainingCpuMs = 0;
     for (const worker of this.ctx.workers.values()) {
       for (const task of worker.tasks) {
         const { spec } = task.job;
         if (!spec.allowsSpot) continue;
         const ranMs = task.runningAt === null ? 0 : now - task.runningAt;
-        sum += this.options.lifetimes.expectedRemainingMs(spec, ranMs) * spec.cpus;
+        remainingCpuMs += this.options.lifetimes.expectedRemainingMs(spec, ranMs) * spec.cpus;
       }
     }
-    return sum;
+    return remainingCpuMs;
   }
 }
--- a/src/fleet/capacity-plan.ts
+++ b/src/fleet/capacity-plan.ts
@@ -1,4 +1,4 @@
-/** Which machines to request for waiting tasks: bin packing over the pools that the cloud offers. */
+/** Planning of machine requests for waiting tasks, by bin packing onto the pools that the cloud offers. */
 import type { MachineTypeId, ZoneId } from '../model/ids.js';
 import { allocate, fits, type FreeCapacity, type JobSpec, type Resources } from '../model/job.js';
 import type { MachineType } from '../model/machine.js';
@@ -9,57 +9,63 @@
   zoneRefusal,
 } from '../scheduler/placement-rule.js';
 
-/** One kind of machine that can be requested: a type in a zone, spot or on-demand. */
+/** A pool of identical machines that the cloud offers: a machine type in one zone, either spot or on-demand. */
 export interface Pool {
   readonly type: MachineType;
   readonly zone: ZoneId;
   readonly spot: boolean;
 }
 
-/** A pool named by its machine type. */
+/** Identifies a pool by the id of its machine type instead of the full type. */
 interface PoolId {
   readonly type: MachineTypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
 }
 
-/** Formats a pool as a map key, and for a log line. */
+/** Formats a pool as a key for maps and log lines. */
 export const poolKey = ({ type, zone, spot }: PoolId): string =>
   `${type}|${zone}|${spot ? 'spot' : 'on-demand'}`;
 
-/** Ends the keys of spot series. These keys are stored: the text stays. */
+/** The suffix of the keys of spot series. Stored data contains these keys: do not change the suffix. */
 const SPOT_SUFFIX = '~spot';
 
-/** Returns the key of the series that a forecast is made for: a machine type, spot and on-demand need apart. */
+/**
+ * Returns the key of a forecast series. Each machine type has two series, one for spot and one for on-demand
+ * machines.
+ */
 export const seriesKey = (type: MachineTypeId, spot: boolean): string =>
   spot ? `${type}${SPOT_SUFFIX}` : type;
 
-/** Returns the machine type and kind that a series is about. */
-export function readSeriesKey(key: string): { type: MachineTypeId; spot: boolean } {
+/** Parses a series key into the machine type and whether the series is for spot machines. */
+export function parseSeriesKey(key: string): { type: MachineTypeId; spot: boolean } {
   const spot = key.endsWith(SPOT_SUFFIX);
   return { type: (spot ? key.slice(0, -SPOT_SUFFIX.length) : key) as MachineTypeId, spot };
 }
 
-/** A machine that is not up yet, with the capacity of it that is not assigned. */
+/** A machine that is requested or booting, with the capacity that is not yet assigned to tasks. */
 export interface PendingMachine extends PoolId {
   readonly free: FreeCapacity;
 }
 
-/** Tasks of one job that need capacity. */
+/** The tasks of one job for which capacity is needed. */
 export interface CapacityDemand {
   readonly spec: JobSpec;
   readonly tasks: number;
-  /** Where its other tasks may be: a machine in a zone that takes no more of them is of no use. */
+  /**
+   * The job's other tasks by zone. The job's zone constraints may rule out machines in a zone that has enough of its
+   * tasks.
+   */
   readonly zones: ZoneCounts;
 }
 
-/** Machines to be requested from one pool. */
+/** A number of machines to request from one pool. */
 export interface CapacityRequest {
   readonly pool: Pool;
   readonly count: number;
 }
 
-/** Returns every pool that the machine types allow. */
+/** Returns the pools of all machine types: spot and on-demand, in each zone of the type. */
 export function allPools(types: Iterable<MachineType>): Pool[] {
   const pools: Pool[] = [];
   for (const type of types) {
@@ -71,47 +77,56 @@
   return pools;
 }
 
-/** Returns the price of one of the pool's machines per hour. */
+/** Returns the price per hour of one machine of a pool. */
 export const hourlyPrice = (pool: { type: MachineType; spot: boolean }): number =>
   pool.spot ? pool.type.spotPrice : pool.type.price;
 
-/** Tasks that need nothing of a machine still have a limit for each. */
+/** The maximum number of tasks that one machine is planned to take if the tasks request no resources. */
 const MAX_TASKS_PER_MACHINE = 1000;
+/** Absorbs floating-point errors where a resource is an exact multiple of a task's request. */
 const FRACTION_TOLERANCE = 1e-9;
+/** Price differences up to this count as rounding errors, so that the first of equally cheap pools is used. */
 const PRICE_TOLERANCE = 1e-12;
 
-function timesContained(need: number, available: number): number {
+function maxFitCount(need: number, available: number): number {
   return need > 0 ? Math.floor(available / need + FRACTION_TOLERANCE) : Infinity;
 }
 
-/** Returns how many of the tasks one empty machine takes. */
+/** Returns the number of tasks of this job that fit on one empty machine with the resources `total`. */
 export function tasksPerMachine(spec: JobSpec, total: Resources): number {
   const tasks = Math.min(
-    timesContained(spec.cpus, total.cpus),
-    timesContained(spec.gpus, total.gpus),
-    timesContained(spec.memoryGb, total.memoryGb),
+    maxFitCount(spec.cpus, total.cpus),
+    maxFitCount(spec.gpus, total.gpus),
+    maxFitCount(spec.memoryGb, total.memoryGb),
   );
   return tasks === Infinity ? MAX_TASKS_PER_MACHINE : tasks;
 }
 
-/** Returns the pool where these tasks cost least: the machine's price shared by as many of them as it takes. */
+/**
+ * Returns the pool with the lowest price per task, which is the machine's price divided by the number of these tasks
+ * that fit on one machine. Null: no pool can run the tasks.
+ */
 export function cheapestPool({ spec, tasks, zones }: CapacityDemand, pools: readonly Pool[]): Pool | null {
-  let best: Pool | null = null;
-  let bestCost = Infinity;
+  let cheapest: Pool | null = null;
+  let lowestTaskPrice = Infinity;
   for (const pool of pools) {
     if (machineRefusal(spec, { type: pool.type.id, zone: pool.zone, spot: pool.spot }) !== null) continue;
-    const taken = Math.min(tasks, tasksPerMachine(spec, pool.type), remainingInZone(spec, zones, pool.zone));
-    if (taken === 0) continue;
-    const cost = hourlyPrice(pool) / taken;
-    if (cost < bestCost - PRICE_TOLERANCE) {
-      best = pool;
-      bestCost = cost;
+    const fittingTasks = Math.min(
+      tasks,
+      tasksPerMachine(spec, pool.type),
+      remainingInZone(spec, zones, pool.zone),
+    );
+    if (fittingTasks === 0) continue;
+    const taskPrice = hourlyPrice(pool) / fittingTasks;
+    if (taskPrice < lowestTaskPrice - PRICE_TOLERANCE) {
+      cheapest = pool;
+      lowestTaskPrice = taskPrice;
     }
   }
-  return best;
+  return cheapest;
 }
 
-/** One job's tasks while they are packed onto machines, by the same rule as placement will use. */
+/** Packs the tasks of one job onto machines, under the same placement rule that the scheduler applies. */
 class BinPacking {
   private readonly zones: Map<ZoneId, number>;
   private remainingTasks: number;
@@ -125,12 +140,12 @@
     return this.remainingTasks <= 0;
   }
 
-  /** The tasks that still need capacity, and where the others are. */
+  /** The tasks that still need capacity, with the job's packed and placed tasks by zone. */
   get remaining(): CapacityDemand {
     return { spec: this.demand.spec, tasks: this.remainingTasks, zones: this.zones };
   }
 
-  fill(machine: PendingMachine): void {
+  packOnto(machine: PendingMachine): void {
     const { spec } = this.demand;
     const { zone, free } = machine;
     if (machineRefusal(spec, machine) !== null) return;
@@ -142,13 +157,13 @@
   }
 }
 
-/** Returns an empty machine of the pool. */
+/** Returns a pending machine of the pool, without tasks. */
 export function pendingMachineOf({ type, zone, spot }: Pool): PendingMachine {
   const { id, cpus, gpus, memoryGb } = type;
   return { type: id, zone, spot, free: { cpus, gpus, memoryGb } };
 }
 
-/** Returns what to request at once for queued tasks that neither free nor pending machines will take. */
+/** Returns the machines to request for the queued tasks that do not fit on pending machines, at most `maxMachines`. */
 export function planScaleOut(
   demands: readonly CapacityDemand[],
   pending: readonly PendingMachine[],
@@ -160,13 +175,13 @@
   let allowedMachines = maxMachines;
   for (const demand of demands) {
     const packing = new BinPacking(demand);
-    for (const machine of machines) packing.fill(machine);
+    for (const machine of machines) packing.packOnto(machine);
     while (!packing.isComplete && allowedMachines > 0) {
       const pool = cheapestPool(packing.remaining, pools);
       if (!pool) break;
       const machine = pendingMachineOf(pool);
       machines.push(machine);
-      packing.fill(machine);
+      packing.packOnto(machine);
       allowedMachines--;
       const key = poolKey(machine);
       const request = requests.get(key);
--- a/src/fleet/capacity-projection.ts
+++ b/src/fleet/capacity-projection.ts
@@ -6,43 +6,45 @@
 import type { QueuedWork } from './backlog.js';
 import { allPools, cheapestPool, type Pool, seriesKey, tasksPerMachine } from './capacity-plan.js';
 
-/** The capacity that is idle now, and that is expected to be released within one slot. */
+/** The idle capacity, and the capacity that is expected to be released within one forecast slot. */
 export interface CapacityProjection {
-  /** Expected releases of work that needs on-demand machines, in machines, by series. */
+  /** The expected releases by tasks that must run on on-demand machines, in machines, by series. */
   readonly releases: ReadonlyMap<string, number>;
-  /** Idle capacity, up or pending, in machines, by series. */
+  /** The idle capacity of running and pending machines, in machines, by series. */
   readonly reserves: ReadonlyMap<string, number>;
-  /** Types of machines that hold replicas. */
+  /** The types of machines that run replicas of services. */
   readonly typesWithReplicas: ReadonlySet<MachineTypeId>;
-  /** CPUs that spot work is expected to release, wherever it runs. */
+  /** The CPUs that spot work is expected to release, on spot and on-demand machines. */
   readonly spotReleasedCpus: number;
-  /** The part of a slot's new spot work that ends within the slot itself, arriving evenly over it. */
-  readonly spotOwnReleaseShare: number;
-  /** CPUs that are idle, on any machine, less what is queued for them. */
+  /**
+   * The fraction of a slot's new spot work that ends within the same slot, if the work arrives evenly over the slot.
+   */
+  readonly spotSameSlotReleaseRatio: number;
+  /** The idle CPUs of all machines, less the CPUs of the queued tasks. */
   readonly spotIdleCpus: number;
 }
 
-/** What the projection is made from. */
-export interface Fleet {
+/** The state of the fleet and of the queue from which capacity is projected. */
+export interface FleetSnapshot {
   readonly workers: Iterable<Worker>;
   readonly pending: Iterable<{ readonly pool: Pool; readonly count: number }>;
   readonly queue: readonly QueuedWork[];
   readonly types: Iterable<MachineType>;
 }
 
-/** Adds up the projection. "Spot work" is work that may run on spot machines, wherever it runs. */
+/** Accumulates a capacity projection. "Spot work" means tasks that may run on spot machines, wherever they run now. */
 class ProjectionBuilder {
   private readonly releases = new Map<string, number>();
   private readonly reserves = new Map<string, number>();
   private readonly typesWithReplicas = new Set<MachineTypeId>();
   private spotReleasedCpus = 0;
   private spotIdleCpus = 0;
-  private spotCpus = 0;
-  private spotOwnReleasedCpus = 0;
+  private runningSpotCpus = 0;
+  private spotSameSlotReleasedCpus = 0;
 
   constructor(
     private readonly lifetimes: Lifetimes,
-    private readonly slot: Millis,
+    private readonly slotMs: Millis,
     private readonly now: MonotonicTime,
   ) {}
 
@@ -50,17 +52,18 @@
     if (!worker.presumedFacts) return;
     const { machine, type } = worker.presumedFacts;
     const series = seriesKey(machine.type, machine.spot);
-    // Spot work on an on-demand machine is preempted when the capacity is needed: the machine counts as idle.
+    // CPUs that spot work uses on an on-demand machine count as idle, because such work is preempted when other work
+    // needs the capacity.
     let idleCpus = type.cpus;
     for (const task of worker.tasks) {
       const { spec } = task.job;
-      const age = task.runningAt === null ? 0 : since(this.now, task.runningAt);
-      const endingShare = this.endingShare(spec, age, this.slot);
+      const ageMs = task.runningAt === null ? 0 : since(this.now, task.runningAt);
+      const endProbability = this.endProbability(spec, ageMs, this.slotMs);
       if (spec.allowsSpot) {
-        this.spotReleasedCpus += endingShare * spec.cpus;
-        this.spotCpus += spec.cpus;
-        this.spotOwnReleasedCpus += this.endingShare(spec, 0, this.slot / 2) * spec.cpus;
-      } else addTo(this.releases, series, endingShare / Math.max(1, tasksPerMachine(spec, type)));
+        this.spotReleasedCpus += endProbability * spec.cpus;
+        this.runningSpotCpus += spec.cpus;
+        this.spotSameSlotReleasedCpus += this.endProbability(spec, 0, this.slotMs / 2) * spec.cpus;
+      } else addTo(this.releases, series, endProbability / Math.max(1, tasksPerMachine(spec, type)));
       if (machine.spot || !spec.allowsSpot) idleCpus -= spec.cpus;
     }
     if (worker.hasReplicas) this.typesWithReplicas.add(machine.type);
@@ -74,7 +77,7 @@
     addTo(this.reserves, seriesKey(pool.type.id, pool.spot), count);
   }
 
-  /** What is queued will take its place on the machines that are pending. */
+  /** Subtracts queued tasks from the idle capacity, since they will be placed on the pending machines. */
   subtractQueued(work: QueuedWork, pools: readonly Pool[]): void {
     const { spec, tasks } = work;
     this.spotIdleCpus -= tasks * spec.cpus;
@@ -88,29 +91,30 @@
       reserves: this.reserves,
       typesWithReplicas: this.typesWithReplicas,
       spotReleasedCpus: this.spotReleasedCpus,
-      spotOwnReleaseShare: this.spotCpus > 0 ? this.spotOwnReleasedCpus / this.spotCpus : 0,
+      spotSameSlotReleaseRatio:
+        this.runningSpotCpus > 0 ? this.spotSameSlotReleasedCpus / this.runningSpotCpus : 0,
       spotIdleCpus: Math.max(0, this.spotIdleCpus),
     };
   }
 
-  /** The probability that a task that has run for `age` ends within `duration`. */
-  private endingShare(
+  /** Returns the probability that a task that has run for `ageMs` ends within the next `durationMs`. */
+  private endProbability(
     spec: { readonly jobClass: string; readonly estimatedRunS: number },
-    age: number,
-    duration: number,
+    ageMs: number,
+    durationMs: number,
   ): number {
-    return this.lifetimes.endProbability(spec.jobClass, age, duration, spec.estimatedRunS * 1000);
+    return this.lifetimes.endProbability(spec.jobClass, ageMs, durationMs, spec.estimatedRunS * 1000);
   }
 }
 
-/** Projects the expected releases within one slot, and idle capacity, over all machines that are up or pending. */
+/** Projects the idle capacity, and the expected releases within one slot, of all running and pending machines. */
 export function projectCapacity(
-  fleet: Fleet,
+  fleet: FleetSnapshot,
   lifetimes: Lifetimes,
-  slot: Millis,
+  slotMs: Millis,
   now: MonotonicTime,
 ): CapacityProjection {
-  const builder = new ProjectionBuilder(lifetimes, slot, now);
+  const builder = new ProjectionBuilder(lifetimes, slotMs, now);
   for (const worker of fleet.workers) builder.addWorker(worker);
   for (const { pool, count } of fleet.pending) builder.addPending(pool, count);
   const pools = allPools(fleet.types);
--- a/src/fleet/cloud-call-queue.ts
+++ b/src/fleet/cloud-call-queue.ts
@@ -1,21 +1,24 @@
-/** Spaces calls to the cloud so that they keep to its rate limit. */
+/** Client-side rate limiting of calls to the cloud API. */
 import { type Clock, sleep } from '../model/time.js';
 import type { TokenBucket } from '../net/token-bucket.js';
 
-/** A rate-limited queue of calls: each caller waits for its turn; none is refused. */
+/** A rate limiter for cloud calls: every caller waits until the token bucket allows its call; no caller is rejected. */
 export class CloudCallQueue {
   constructor(
     private readonly clock: Clock,
     private readonly rateLimit: TokenBucket,
   ) {}
 
-  /** Milliseconds until a call could be made at once. */
+  /** The time until a new call would be allowed without waiting, in milliseconds. */
   get waitMs(): number {
     return this.rateLimit.waitMs();
   }
 
-  /** Resolves when one call may be made. */
-  async next(): Promise<void> {
+  /**
+   * Takes one token and resolves when the caller may make its call. The token is taken before the wait, so concurrent
+   * callers are served in the order in which they called.
+   */
+  async acquire(): Promise<void> {
     const waitMs = this.rateLimit.waitMs();
     this.rateLimit.forceTake();
     if (waitMs > 0) await sleep(this.clock, waitMs);
--- a/src/fleet/demand-forecast.ts
+++ b/src/fleet/demand-forecast.ts
@@ -1,23 +1,31 @@
-/** The paper's forecast: how many machines of each series the next slot will newly need. */
+/** The paper's demand forecast: how many additional machines of each series the next slot will need. */
 import type { ControllerContext } from '../core/context.js';
-import { Arrivals } from '../forecast/arrivals.js';
+import { ArrivalDropDetector } from '../forecast/arrivals.js';
 import { Ensemble, type PredictionCost } from '../forecast/ensemble.js';
 import { autoregression, highQuantile, movingAverage } from '../forecast/predictors.js';
 import { type Millis } from '../model/time.js';
 import { NO_TASKS } from '../scheduler/placement-rule.js';
 import type { ActiveJob } from '../scheduler/active-job.js';
 import type { CapacityProjection } from './capacity-projection.js';
-import { allPools, cheapestPool, readSeriesKey, seriesKey, tasksPerMachine } from './capacity-plan.js';
-
-/** The part of a site's stock of old work that a slot's arrivals are assumed to be. */
-const FIRST_SLOT_SHARE = 0.3;
-/** No machine is requested for a need of less than this part of one. */
-export const NEGLIGIBLE_MACHINE_SHARE = 0.3;
+import { allPools, cheapestPool, parseSeriesKey, seriesKey, tasksPerMachine } from './capacity-plan.js';
+
+/**
+ * The part of the first slot's demand that counts as the arrivals of one slot; the rest is work that had accumulated
+ * at the site before.
+ */
+const FIRST_SLOT_DEMAND_RATIO = 0.3;
+/**
+ * The tolerated shortfall, as a fraction of a machine. No machine is requested for a smaller shortfall, and a surplus
+ * machine is deleted even if the deletion leaves such a shortfall.
+ */
+export const NEGLIGIBLE_MACHINE_RATIO = 0.3;
 const AUTOREGRESSION_SLOTS = 7;
-const QUANTILE_SLOTS = 8;
-const QUANTILE = 0.15;
+/** The number of latest slots that the high-quantile predictor looks at. */
+const HIGH_QUANTILE_SLOTS = 8;
+/** The fraction of past slots whose demand may exceed the high-quantile prediction. */
+const HIGH_QUANTILE_EXCEEDANCE_RATIO = 0.15;
 
-/** One series' figures of a slot that has ended, in machines, for the log. */
+/** The figures that are logged for one series when a slot ends, in machines. */
 interface SlotFigures {
   readonly need: number;
   readonly forecast: number;
@@ -25,22 +33,28 @@
   readonly reserve: number;
 }
 
-/** The demand of all series of spot work, in CPUs. */
+/** The forecast demand of all spot series together, in CPUs. */
 interface SpotDemand {
   readonly needCpus: number;
-  /** What is left of it beyond the expected releases. */
+  /** The demand less the CPUs that spot work is expected to release. */
   readonly netCpus: number;
 }
 
-const roundedToHundredths = (value: number): number => Math.round(value * 100) / 100;
+const roundToHundredths = (value: number): number => Math.round(value * 100) / 100;
 
-/** Forecasts demand by one ensemble of predictors per series, scored each slot by what its mistakes cost. */
+/**
+ * Forecasts demand with one ensemble of predictors per series. Each slot scores the predictors by the cost of their
+ * errors.
+ */
 export class DemandForecast {
   private readonly ensembles = new Map<string, Ensemble>();
-  /** New need of the running slot, in machines, by series. */
+  /** The new demand in the current slot, in machines, by series. */
   private readonly slotNeed = new Map<string, number>();
-  private readonly arrivals = { spot: new Arrivals(), onDemand: new Arrivals() };
-  /** Series whose pools were sold out in the running slot: it is not scored. */
+  private readonly arrivalDetectors = {
+    spot: new ArrivalDropDetector(),
+    onDemand: new ArrivalDropDetector(),
+  };
+  /** The series whose pools were sold out in the current slot; the slot does not score their predictors. */
   private readonly soldOutInSlot = new Set<string>();
   private isFirstSlot = true;
 
@@ -48,27 +62,30 @@
     private readonly ctx: Pick<ControllerContext, 'clock' | 'operators' | 'settings' | 'machineTypes'>,
   ) {}
 
-  /** The length of a slot. */
-  get slot(): Millis {
+  /** The length of a forecast slot. */
+  get slotMs(): Millis {
     return this.ctx.operators.forecast.slot;
   }
 
-  /** Every series that was ever needed or forecast. */
+  /** All series with a stored or current forecast, or with demand in the current slot. */
   get series(): ReadonlySet<string> {
     return new Set([...this.ensembles.keys(), ...this.slotNeed.keys()]);
   }
 
-  /** Restores a series' ensemble, as an earlier leader stored it. */
+  /** Restores the ensemble of a series from the record of an earlier leader. */
   restore(series: string, stored: unknown): void {
-    this.ensemble(series).restore(stored);
+    this.ensembleOf(series).restore(stored);
   }
 
-  /** Returns the ensembles to be stored, by series. */
+  /** Returns the records of all ensembles for storage, by series. */
   records(): Map<string, unknown> {
     return new Map([...this.ensembles].map(([series, ensemble]) => [series, ensemble.record()]));
   }
 
-  /** Records new demand: counted once for the type that would serve it best, sold out or not. */
+  /**
+   * Records the demand of a new job, once, for the cheapest suitable machine type, whether or not that type is sold
+   * out.
+   */
   recordDemand({ spec }: ActiveJob): void {
     const pool = cheapestPool(
       { spec, tasks: spec.taskCount, zones: NO_TASKS },
@@ -81,118 +98,123 @@
     const machines = Math.min(spec.taskCount, quotaTasks) / tasksPerMachine(spec, pool.type);
     const key = seriesKey(pool.type.id, pool.spot);
     this.slotNeed.set(key, (this.slotNeed.get(key) ?? 0) + machines);
-    this.arrivals[pool.spot ? 'spot' : 'onDemand'].recordArrival(this.ctx.clock.now());
+    this.arrivalDetectors[pool.spot ? 'spot' : 'onDemand'].recordArrival(this.ctx.clock.now());
   }
 
-  /** A pool of the series gave fewer machines than were requested. */
+  /** Records that a pool of the series supplied fewer machines than were requested. */
   recordSoldOut(series: string): void {
     this.soldOutInSlot.add(series);
   }
 
-  /** Ends the slot: its need is known, and the predictors are scored by it. Returns its figures by series. */
+  /** Ends the slot: scores the predictors by the slot's actual demand. Returns the slot's figures by series. */
   endSlot(projection: CapacityProjection): Record<string, SlotFigures> {
     const wasFirstSlot = this.isFirstSlot;
     this.isFirstSlot = false;
     const figures: Record<string, SlotFigures> = {};
-    for (const series of this.slotNeed.keys()) this.ensemble(series);
+    for (const series of this.slotNeed.keys()) this.ensembleOf(series);
     for (const [series, ensemble] of this.ensembles) {
-      // The first slot of a site holds a stock of old work: a slot's arrivals are a part of it.
-      const share = wasFirstSlot && ensemble.series.length === 0 ? FIRST_SLOT_SHARE : 1;
-      const need = (this.slotNeed.get(series) ?? 0) * share;
+      // The first slot of a site includes work that had accumulated before; only a part of this demand counts as the
+      // arrivals of one slot.
+      const demandRatio = wasFirstSlot && ensemble.series.length === 0 ? FIRST_SLOT_DEMAND_RATIO : 1;
+      const need = (this.slotNeed.get(series) ?? 0) * demandRatio;
       ensemble.observe(need, !this.soldOutInSlot.has(series));
       figures[series] = {
-        need: roundedToHundredths(need),
-        forecast: roundedToHundredths(ensemble.forecast()),
-        releases: roundedToHundredths(projection.releases.get(series) ?? 0),
-        reserve: roundedToHundredths(projection.reserves.get(series) ?? 0),
+        need: roundToHundredths(need),
+        forecast: roundToHundredths(ensemble.forecast()),
+        releases: roundToHundredths(projection.releases.get(series) ?? 0),
+        reserve: roundToHundredths(projection.reserves.get(series) ?? 0),
       };
     }
     return figures;
   }
 
-  /** Begins the next slot, once what the ended slot's forecast asks for was requested: need is counted from here. */
+  /**
+   * Begins the next slot by resetting the demand counts. Called after `endSlot` and after the machines that the
+   * forecast requires have been requested.
+   */
   beginSlot(): void {
     this.slotNeed.clear();
-    this.arrivals.spot.endSlot();
-    this.arrivals.onDemand.endSlot();
+    this.arrivalDetectors.spot.endSlot();
+    this.arrivalDetectors.onDemand.endSlot();
     this.soldOutInSlot.clear();
   }
 
   /**
-   * Returns the reserve wanted, in machines: new need less expected releases. What is requested now serves only after
-   * its boot: on-demand machines are wanted for a slot and a boot, since their work must not wait for either.
+   * Returns the target reserve of a series, in machines: the forecast demand less the expected releases. The reserve of
+   * on-demand machines covers a slot and a boot, since a requested machine is usable only after its boot and work on
+   * on-demand machines must wait neither for the slot's end nor for the boot.
    */
-  wantedReserve(series: string, projection: CapacityProjection): number {
-    const { type: id, spot } = readSeriesKey(series);
-    const forecast = this.forecastOf(series);
+  targetReserve(series: string, projection: CapacityProjection): number {
+    const { type: id, spot } = parseSeriesKey(series);
+    const forecast = this.forecastMachines(series);
     if (spot) {
       const { needCpus, netCpus } = this.spotDemand(projection);
       return needCpus > 0 ? (forecast * netCpus) / needCpus : 0;
     }
-    const perSlot = forecast - (projection.releases.get(series) ?? 0);
+    const netSlotNeed = forecast - (projection.releases.get(series) ?? 0);
     const type = this.ctx.machineTypes.get(id);
-    if (!type) return perSlot;
-    // One machine's replicas find capacity at once when it dies.
+    if (!type) return netSlotNeed;
+    // A spare machine takes over the replicas of a failed machine without waiting for a boot.
     const minReserve = projection.typesWithReplicas.has(type.id) ? 1 : 0;
-    return Math.max(minReserve, perSlot * (1 + type.bootTime / this.slot));
+    return Math.max(minReserve, netSlotNeed * (1 + type.bootTime / this.slotMs));
   }
 
-  /** Returns how many machines to request ahead: the reserve wanted, less the present one. */
+  /** Returns the number of machines to request ahead of demand: the target reserve less the current reserve. */
   missingMachines(series: string, projection: CapacityProjection): number {
-    const { type: id, spot } = readSeriesKey(series);
+    const { type: id, spot } = parseSeriesKey(series);
     const reserve = projection.reserves.get(series) ?? 0;
-    const count = Math.ceil(this.wantedReserve(series, projection) - reserve - NEGLIGIBLE_MACHINE_SHARE);
+    const count = Math.ceil(this.targetReserve(series, projection) - reserve - NEGLIGIBLE_MACHINE_RATIO);
     if (!spot) return count;
-    // Idle capacity on other machines serves spot work as well.
+    // Spot work also runs in the idle capacity of other series, on-demand machines included.
     const missingCpus = this.spotDemand(projection).netCpus - projection.spotIdleCpus;
     const cpusPerMachine = this.ctx.machineTypes.get(id)?.cpus ?? 1;
-    return Math.min(count, Math.ceil(missingCpus / cpusPerMachine - NEGLIGIBLE_MACHINE_SHARE));
+    return Math.min(count, Math.ceil(missingCpus / cpusPerMachine - NEGLIGIBLE_MACHINE_RATIO));
   }
 
   /**
-   * Returns the new need of all series of spot work, and what is left of it beyond what such work, its own included, is
-   * expected to release. It runs wherever there is capacity, so what one type releases serves the need of another:
-   * computed type by type, machines would be kept for demand that the others' releases have long met.
+   * Returns the forecast demand of all spot series, gross and net of the CPUs that running spot work and the new work
+   * itself are expected to release. The net demand is computed over all types together, because spot work runs wherever
+   * capacity is free: computed per type, it would keep machines for demand that releases of other types already cover.
    */
   spotDemand(projection: CapacityProjection): SpotDemand {
     let needCpus = 0;
     for (const series of this.ensembles.keys()) {
-      const { type, spot } = readSeriesKey(series);
-      if (spot) needCpus += this.forecastOf(series) * (this.ctx.machineTypes.get(type)?.cpus ?? 0);
+      const { type, spot } = parseSeriesKey(series);
+      if (spot) needCpus += this.forecastMachines(series) * (this.ctx.machineTypes.get(type)?.cpus ?? 0);
     }
-    const ownNeedCpus = needCpus * (1 - projection.spotOwnReleaseShare);
-    return { needCpus, netCpus: Math.max(0, ownNeedCpus - projection.spotReleasedCpus) };
+    const carriedOverNeedCpus = needCpus * (1 - projection.spotSameSlotReleaseRatio);
+    return { needCpus, netCpus: Math.max(0, carriedOverNeedCpus - projection.spotReleasedCpus) };
   }
 
-  /** The machines that the slot will newly need. */
-  private forecastOf(series: string): number {
-    const ensemble = this.ensemble(series);
-    // Before the first slot has ended, its stock of old work indicates what a slot may bring.
-    if (ensemble.series.length === 0) return (this.slotNeed.get(series) ?? 0) * FIRST_SLOT_SHARE;
-    const arrivals = this.arrivals[readSeriesKey(series).spot ? 'spot' : 'onDemand'];
-    return ensemble.forecast() * arrivals.confirmedShare(this.ctx.clock.now(), this.slot);
+  /** Returns the forecast demand of a series for the next slot, in machines, reduced if arrivals have dropped. */
+  private forecastMachines(series: string): number {
+    const ensemble = this.ensembleOf(series);
+    // Until the first slot has ended, the forecast is derived from the work that had accumulated at the site.
+    if (ensemble.series.length === 0) return (this.slotNeed.get(series) ?? 0) * FIRST_SLOT_DEMAND_RATIO;
+    const arrivalDetector = this.arrivalDetectors[parseSeriesKey(series).spot ? 'spot' : 'onDemand'];
+    return ensemble.forecast() * arrivalDetector.supportedForecastRatio(this.ctx.clock.now(), this.slotMs);
   }
 
-  private ensemble(series: string): Ensemble {
+  private ensembleOf(series: string): Ensemble {
     let ensemble = this.ensembles.get(series);
     if (!ensemble) {
       const predictors = [
         movingAverage(this.ctx.operators.forecast.averageSlots),
         autoregression(AUTOREGRESSION_SLOTS),
-        highQuantile(QUANTILE_SLOTS, QUANTILE),
+        highQuantile(HIGH_QUANTILE_SLOTS, HIGH_QUANTILE_EXCEEDANCE_RATIO),
       ];
-      ensemble = new Ensemble(predictors, this.costOf(series));
+      ensemble = new Ensemble(predictors, this.predictionCostOf(series));
       this.ensembles.set(series, ensemble);
     }
     return ensemble;
   }
 
-  private costOf(series: string): PredictionCost {
+  private predictionCostOf(series: string): PredictionCost {
     const { spotBeta, onDemandBeta, hitS, idleCostS, slot } = this.ctx.operators.forecast;
-    const { type: id, spot } = readSeriesKey(series);
+    const { type: id, spot } = parseSeriesKey(series);
     const type = this.ctx.machineTypes.get(id);
     return {
-      // On-demand machines are forecast for work that must not wait for a boot.
+      // On-demand machines have a beta of their own, because their work must not wait for a boot.
       beta: spot ? spotBeta : onDemandBeta,
       hitWaitS: hitS,
       missWaitS: type ? type.bootTime / 1000 : slot / 1000,
--- a/src/fleet/fleet-manager.ts
+++ b/src/fleet/fleet-manager.ts
@@ -1,4 +1,4 @@
-/** Scales the fleet out and in: by the paper's forecast, its reserves, and the queue's unmet demand. */
+/** Scales the fleet out and in, based on the paper's forecast, the reserves and the unmet demand of the queue. */
 import type { LeaderContext } from '../core/context.js';
 import type { Lifetimes } from '../forecast/lifetimes.js';
 import type { MachineId } from '../model/ids.js';
@@ -12,35 +12,37 @@
 import type { Worker } from '../workers/state/worker.js';
 import type { QueuedWork } from './backlog.js';
 import { BacklogScaler } from './backlog-scaler.js';
-import { readSeriesKey } from './capacity-plan.js';
+import { parseSeriesKey } from './capacity-plan.js';
 import { type CapacityProjection, projectCapacity } from './capacity-projection.js';
 import { CloudCallQueue } from './cloud-call-queue.js';
 import { Consolidator } from './consolidator.js';
 import { DemandForecast } from './demand-forecast.js';
 import { IdleMachineRemover } from './idle-machines.js';
-import { MachineInventory, slowestBoot } from './inventory.js';
+import { MachineInventory, slowestBootMs } from './inventory.js';
 import { ScaleIn } from './scale-in.js';
 import { ScaleOut } from './scale-out.js';
 
-/** The stored key, beside the series' keys, of the slack factors: the text stays. */
-const SLACK_FACTORS_RECORD = '~patience';
+/**
+ * The key of the stored slack factors, next to the keys of the series. Stored data uses this text: do not change it.
+ */
+const SLACK_FACTORS_KEY = '~patience';
 
-/** What the fleet decides by. */
-interface FleetParts {
+/** The estimators and targets that scaling decisions depend on. */
+interface FleetDependencies {
   readonly lifetimes: Lifetimes;
   readonly slackFactors: SlackFactors;
   readonly sloTargets: SloTargets;
 }
 
-/** Receives what becomes of machines. */
+/** Notified of changes to the fleet. */
 export interface FleetListener {
-  /** The machine and everything on it are proven gone. */
+  /** Called for each deleted machine: the cloud has confirmed that the machine and its tasks no longer run. */
   machineGone(worker: Worker): void;
-  /** The list of machines is worth writing. */
+  /** Called after machines were created or deleted: the stored list of machines is out of date. */
   fleetChanged(): void;
 }
 
-/** The fleet of one leadership term. */
+/** Manages the fleet during one leadership term. */
 export class FleetManager {
   private readonly forecast: DemandForecast;
   private readonly scaleIn: ScaleIn;
@@ -51,20 +53,20 @@
   private readonly consolidator: Consolidator;
   private slotEndsAt: MonotonicTime;
   private isDirty = false;
-  /** Computed at most once a tick. */
+  /** The capacity projection of the current tick; null until the tick needs a projection. */
   private cachedProjection: CapacityProjection | null = null;
 
   constructor(
     private readonly ctx: LeaderContext,
     cloudRateLimit: TokenBucket,
-    private readonly parts: FleetParts,
+    private readonly parts: FleetDependencies,
     listener: FleetListener,
   ) {
     const { lifetimes, sloTargets } = parts;
     const cloudCalls = new CloudCallQueue(ctx.clock, cloudRateLimit);
     this.forecast = new DemandForecast(ctx);
     this.scaleIn = new ScaleIn(ctx, cloudCalls, {
-      machineGone: (worker) => listener.machineGone(worker),
+      machineDeleted: (worker) => listener.machineGone(worker),
       machinesDeleted: () => listener.fleetChanged(),
     });
     this.inventory = new MachineInventory(ctx, cloudCalls, this.scaleIn);
@@ -80,26 +82,29 @@
     this.backlog = new BacklogScaler(ctx, { scaleOut: this.scaleOut, cloudCalls, lifetimes });
     this.idleMachines = new IdleMachineRemover(ctx, this.forecast, this.scaleIn);
     this.consolidator = new Consolidator(ctx, lifetimes, sloTargets);
-    this.slotEndsAt = plus(ctx.startedAt, this.forecast.slot);
+    this.slotEndsAt = plus(ctx.startedAt, this.forecast.slotMs);
   }
 
-  /** Restores a stored forecast, or the slack factors, as an earlier leader left them. */
+  /**
+   * Restores the forecast of one series, or the slack factors, from the record that an earlier leader stored under
+   * `key`.
+   */
   restoreForecast(key: string, stored: unknown): void {
-    if (key === SLACK_FACTORS_RECORD) this.parts.slackFactors.restore(stored);
+    if (key === SLACK_FACTORS_KEY) this.parts.slackFactors.restore(stored);
     else this.forecast.restore(key, stored);
   }
 
-  /** Returns what a successor needs of the forecasts, by stored key. */
+  /** Returns the records that a later leader restores the forecasts and slack factors from, by stored key. */
   forecastRecords(): Map<string, unknown> {
-    return this.forecast.records().set(SLACK_FACTORS_RECORD, this.parts.slackFactors.record());
+    return this.forecast.records().set(SLACK_FACTORS_KEY, this.parts.slackFactors.record());
   }
 
-  /** Records new demand: a job that may start from now on. */
+  /** Records the demand of a job that has become ready to start. */
   recordDemand(job: ActiveJob): void {
     this.forecast.recordDemand(job);
   }
 
-  /** Takes over the queue's unmet demand, as the last decision left it. */
+  /** Replaces the unmet demand with the result of the last scheduling decision. */
   setBacklog(queue: readonly QueuedWork[]): void {
     this.backlog.setQueue(queue);
   }
@@ -124,29 +129,32 @@
     return this.inventory.registerUnknown(id, rentedAt);
   }
 
-  /** Machines so far that turned out to be something else than was recorded. */
+  /** The number of machines whose confirmed type, zone or kind contradicted the stored record, in this term. */
   get contradictions(): number {
     return this.inventory.contradictions;
   }
 
-  /** Deletes the machine; `mayLackLease`: also while our lease is not valid. */
-  remove(worker: Worker, reason: string, mayLackLease = false): void {
-    this.scaleIn.remove(worker, reason, mayLackLease);
+  /** Deletes a machine. `isLeaseOptional` allows the deletion while the leader's lease is not valid. */
+  remove(worker: Worker, reason: string, isLeaseOptional = false): void {
+    this.scaleIn.deleteMachine(worker, reason, isLeaseOptional);
   }
 
-  /** Returns whether a slot has ended since the last call: weights and machines are then written. */
+  /**
+   * Reports whether a slot has ended since the last call, and resets the flag. The caller then stores the predictors'
+   * weights and the machines.
+   */
   takeDirty(): boolean {
     const wasDirty = this.isDirty;
     this.isDirty = false;
     return wasDirty;
   }
 
-  /** The longest usual boot of any type, in ms. */
+  /** Returns the longest usual boot time of all machine types, in milliseconds. */
   slowestBoot(): number {
-    return slowestBoot(this.ctx.machineTypes.values());
+    return slowestBootMs(this.ctx.machineTypes.values());
   }
 
-  /** Scales out and in, as far as it is time to. Only called while our lease is valid. */
+  /** Runs the periodic scaling steps that are due. Must only be called while the leader's lease is valid. */
   tick(): void {
     const now = this.ctx.clock.now();
     this.cachedProjection = null;
@@ -154,12 +162,12 @@
     this.backlog.requestUnmet();
     if (now >= this.slotEndsAt) this.endSlot(now);
     else this.topUpOnDemand(now);
-    this.idleMachines.removeSurplus(now, (at) => this.projection(at));
+    this.idleMachines.removeSurplus(now, (at) => this.currentProjection(at));
     this.consolidate(now);
   }
 
-  /** The expected releases and idle capacity, computed at most once a tick. */
-  private projection(now: MonotonicTime): CapacityProjection {
+  /** Returns the expected releases and the idle capacity, computed at most once per tick. */
+  private currentProjection(now: MonotonicTime): CapacityProjection {
     this.cachedProjection ??= projectCapacity(
       {
         workers: this.ctx.workers.values(),
@@ -168,34 +176,34 @@
         types: this.ctx.machineTypes.values(),
       },
       this.parts.lifetimes,
-      this.forecast.slot,
+      this.forecast.slotMs,
       now,
     );
     return this.cachedProjection;
   }
 
-  private requestMissing(series: string, projection: CapacityProjection): void {
+  private requestReserveShortfall(series: string, projection: CapacityProjection): void {
     const count = this.forecast.missingMachines(series, projection);
     if (count > 0) this.scaleOut.requestAhead(series, count);
   }
 
   /**
-   * On-demand machines are topped up within the slot too: a replica that took from the reserve must
-   * not leave the next one to wait for the slot's end and a boot.
+   * Requests missing on-demand machines during the slot as well: after a replica has used up the reserve, the next
+   * replica must not wait for the end of the slot and then for a boot.
    */
   private topUpOnDemand(now: MonotonicTime): void {
     if (this.scaleOut.pending.size > 0) return;
-    const projection = this.projection(now);
+    const projection = this.currentProjection(now);
     for (const series of this.forecast.series) {
-      if (!readSeriesKey(series).spot) this.requestMissing(series, projection);
+      if (!parseSeriesKey(series).spot) this.requestReserveShortfall(series, projection);
     }
   }
 
   private endSlot(now: MonotonicTime): void {
-    this.slotEndsAt = plus(now, this.forecast.slot);
-    const projection = this.projection(now);
+    this.slotEndsAt = plus(now, this.forecast.slotMs);
+    const projection = this.currentProjection(now);
     const series = this.forecast.endSlot(projection);
-    for (const key of this.forecast.series) this.requestMissing(key, projection);
+    for (const key of this.forecast.series) this.requestReserveShortfall(key, projection);
     const spotReleasedCpus = Math.round(projection.spotReleasedCpus);
     const spotIdleCpus = Math.round(projection.spotIdleCpus);
     this.ctx.log.info({ series, spotReleasedCpus, spotIdleCpus }, 'forecast slot ended');
@@ -203,11 +211,13 @@
     this.isDirty = true;
   }
 
-  /** While nothing waits: machines that are mostly idle are drained, if their work fits elsewhere. */
+  /**
+   * Drains underused machines whose tasks fit elsewhere. Skipped while tasks wait or scale-out requests are pending.
+   */
   private consolidate(now: MonotonicTime): void {
     const isScalingOut = this.backlog.queue.length > 0 || this.scaleOut.pending.size > 0;
     if (isScalingOut || !this.consolidator.isDue(now)) return;
-    const projection = this.projection(now);
+    const projection = this.currentProjection(now);
     this.consolidator.run(projection.spotIdleCpus - this.forecast.spotDemand(projection).netCpus, now);
   }
 }
--- a/src/fleet/inventory.ts
+++ b/src/fleet/inventory.ts
@@ -1,4 +1,4 @@
-/** Which machines exist: as created, listed by the cloud, reported, or named by a predecessor's records. */
+/** The inventory of machines, from creations, the cloud's list, heartbeats and the records of earlier leaders. */
 import type { LeaderContext } from '../core/context.js';
 import { errorMessage } from '../log/logger.js';
 import type { MachineId } from '../model/ids.js';
@@ -9,32 +9,32 @@
 import type { CloudCallQueue } from './cloud-call-queue.js';
 import type { ScaleIn } from './scale-in.js';
 
-/** The cloud's list is read again this long after the last reading. */
+/** The interval between reading the cloud's machine list and reading the list again. */
 const LIST_INTERVAL_MS = 4000;
-/** What a boot may take beyond the setting's multiple of its type's usual time. */
-const BOOT_MARGIN_MS = 10_000;
-/** The log line of a machine of which only the id is known. */
+/** Added to the boot timeout, which is the configured multiple (`boot_patience`) of the type's usual boot time. */
+const BOOT_TIMEOUT_MARGIN_MS = 10_000;
+/** The log message for a machine of which only the id is known. */
 export const KNOWN_BY_TASK_ONLY = 'machine known only from a task record';
-/** By then a new leader has heard from a machine that is up. */
-const FIRST_HEARTBEATS_MS = 15_000;
+/** The time after takeover within which a new leader expects the first heartbeat of every machine that is up. */
+const FIRST_HEARTBEAT_TIMEOUT_MS = 15_000;
 
 function withAddress(worker: Worker, address: string): Worker {
   if (worker.address === '') worker.address = address;
   return worker;
 }
 
-function machineOf({ id, type, zone, spot }: ListedMachine): Machine {
+function toMachine({ id, type, zone, spot }: ListedMachine): Machine {
   return { id, type, zone, spot };
 }
 
-/** Returns the longest usual boot of any type, in ms. */
-export function slowestBoot(types: Iterable<MachineType>): number {
+/** Returns the longest usual boot time of all machine types, in milliseconds. */
+export function slowestBootMs(types: Iterable<MachineType>): number {
   let slowest = 0;
   for (const type of types) slowest = Math.max(slowest, type.bootTime);
   return slowest;
 }
 
-/** Keeps the worker registry in step with the cloud. */
+/** Synchronizes the worker registry with the cloud. */
 export class MachineInventory {
   private isListing = false;
   private lastListAt: MonotonicTime | null = null;
@@ -46,17 +46,20 @@
     private readonly scaleIn: ScaleIn,
   ) {}
 
-  /** Reads the list when it is time to, and deletes machines whose boot has timed out. */
+  /** Reads the cloud's machine list if a reading is due, and deletes machines whose boot has timed out. */
   tick(now: MonotonicTime): void {
     if (!this.isListing && (this.lastListAt === null || since(now, this.lastListAt) > LIST_INTERVAL_MS))
       void this.readList();
     for (const worker of this.ctx.workers.values()) {
       if (!worker.isUp && !worker.isRemoving && now > this.bootDeadline(worker))
-        this.scaleIn.remove(worker, 'boot timed out');
+        this.scaleIn.deleteMachine(worker, 'boot timed out');
     }
   }
 
-  /** Takes in confirmed facts of a machine. Null: it is gone, or of a type that the cloud does not offer. */
+  /**
+   * Registers a machine whose type, zone and kind are confirmed, or confirms these facts for a registered machine.
+   * Returns null if the machine was deleted or its type is not offered by the cloud.
+   */
   registerMachine(
     machine: Machine,
     source: FactSource,
@@ -70,34 +73,39 @@
     if (!type || this.ctx.workers.isGone(machine.id)) return null;
     const learnedAt = this.ctx.clock.now();
     const facts: ConfirmedFacts = { state: 'confirmed', machine, type, source, learnedAt };
-    if (!existing) return this.add(new Worker(machine.id, facts, rentedAt), address);
-    this.logChange(existing, facts);
+    if (!existing) return this.addWorker(new Worker(machine.id, facts, rentedAt), address);
+    this.logConfirmation(existing, facts);
     existing.learn(facts);
     return withAddress(existing, address);
   }
 
-  /** Takes in a machine from a record of a version that also recorded guesses. */
+  /**
+   * Registers a machine from a stored record whose facts may be unconfirmed: earlier versions also recorded
+   * assumptions. Returns null if the machine was deleted or its type is not offered by the cloud.
+   */
   registerUnconfirmed(machine: Machine, rentedAt: MonotonicTime, address: string): Worker | null {
     const existing = this.ctx.workers.get(machine.id);
     if (existing) return existing;
     const type = this.ctx.machineTypes.get(machine.type);
     if (!type) return null;
-    return this.add(new Worker(machine.id, { state: 'unconfirmed', machine, type }, rentedAt), address);
+    return this.addWorker(new Worker(machine.id, { state: 'unconfirmed', machine, type }, rentedAt), address);
   }
 
-  /** Takes in a machine of which nothing is known but that a predecessor placed a task on it. */
+  /**
+   * Registers a machine known only by its id, from the record of a task that an earlier leader placed on the machine.
+   */
   registerUnknown(id: MachineId, rentedAt: MonotonicTime): Worker | null {
     this.ctx.log.info({ machine: id }, KNOWN_BY_TASK_ONLY);
-    return this.add(new Worker(id, UNKNOWN_FACTS, rentedAt), '');
+    return this.addWorker(new Worker(id, UNKNOWN_FACTS, rentedAt), '');
   }
 
-  private add(worker: Worker, address: string): Worker | null {
+  private addWorker(worker: Worker, address: string): Worker | null {
     if (this.ctx.workers.isGone(worker.id)) return null;
     this.ctx.workers.add(worker);
     return withAddress(worker, address);
   }
 
-  private logChange(worker: Worker, { machine, source, learnedAt }: ConfirmedFacts): void {
+  private logConfirmation(worker: Worker, { machine, source, learnedAt }: ConfirmedFacts): void {
     const { facts } = worker;
     const presumed = worker.presumedFacts?.machine;
     const fields = {
@@ -115,17 +123,20 @@
     } else if (facts.state === 'unknown') this.ctx.log.info(fields, 'machine facts confirmed');
   }
 
-  /** Machines so far that turned out to be another type, zone or kind than was recorded. */
+  /** The number of machines whose confirmed type, zone or kind contradicted the stored record, in this term. */
   get contradictions(): number {
     return this.contradictionCount;
   }
 
   private bootDeadline(worker: Worker): MonotonicTime {
-    // A new leader first gives every machine time to send a heartbeat: it does not know which ones are up.
-    const bootTime = worker.type?.bootTime ?? slowestBoot(this.ctx.machineTypes.values());
-    const bootedBy = plus(worker.rentedAt, bootTime * this.ctx.operators.fleet.bootPatience + BOOT_MARGIN_MS);
-    const heardBy = plus(this.ctx.startedAt, FIRST_HEARTBEATS_MS);
-    return bootedBy > heardBy ? bootedBy : heardBy;
+    // A new leader does not know which machines are up, so every machine gets time to send a heartbeat first.
+    const bootTimeMs = worker.type?.bootTime ?? slowestBootMs(this.ctx.machineTypes.values());
+    const bootTimeoutAt = plus(
+      worker.rentedAt,
+      bootTimeMs * this.ctx.operators.fleet.bootPatience + BOOT_TIMEOUT_MARGIN_MS,
+    );
+    const firstHeartbeatDeadline = plus(this.ctx.startedAt, FIRST_HEARTBEAT_TIMEOUT_MS);
+    return bootTimeoutAt > firstHeartbeatDeadline ? bootTimeoutAt : firstHeartbeatDeadline;
   }
 
   private async readList(): Promise<void> {
@@ -143,21 +154,21 @@
   private async readPages(): Promise<void> {
     let after = '';
     for (;;) {
-      await this.cloudCalls.next();
+      await this.cloudCalls.acquire();
       const page = await this.ctx.cloud.listMachines(after);
       const now = this.ctx.clock.now();
-      for (const machine of page.machines) this.applyListed(machine, now);
+      for (const machine of page.machines) this.applyListedMachine(machine, now);
       const last = page.machines[page.machines.length - 1];
       if (!page.more || !last) return;
       after = last.id;
     }
   }
 
-  private applyListed(machine: ListedMachine, now: MonotonicTime): void {
+  private applyListedMachine(machine: ListedMachine, now: MonotonicTime): void {
     const { id, type, status } = machine;
     const wasKnown = this.ctx.workers.has(id);
     const worker = this.registerMachine(
-      machineOf(machine),
+      toMachine(machine),
       FactSource.List,
       (now - machine.age) as MonotonicTime,
       machine.address,
@@ -165,7 +176,7 @@
     if (!worker) return;
     worker.isListedRunning = status === 'running';
     if (!wasKnown) this.ctx.log.info({ machine: id, type, status }, 'machine discovered in cloud list');
-    if (status === 'failed') this.scaleIn.remove(worker, 'listed as failed');
+    if (status === 'failed') this.scaleIn.deleteMachine(worker, 'listed as failed');
     else if (status === 'running' && !worker.hasReported) this.ctx.dispatchCommands(id);
   }
 }
--- a/src/fleet/scale-out.ts
+++ b/src/fleet/scale-out.ts
@@ -1,4 +1,7 @@
-/** Requests machines: each request by its own name, never without a valid lease, and not from pools that are sold out. */
+/**
+ * Machine requests to the cloud. Each request has a unique name, is sent only while the leader's lease is valid, and
+ * is not sent to a pool that was recently sold out.
+ */
 import { CloudRequestRefusedError, type ScaleOutResult } from '../cloud/client.js';
 import type { LeaderContext } from '../core/context.js';
 import { errorMessage } from '../log/logger.js';
@@ -14,67 +17,75 @@
   pendingMachineOf,
   type Pool,
   poolKey,
-  readSeriesKey,
+  parseSeriesKey,
   seriesKey,
 } from './capacity-plan.js';
 import type { CloudCallQueue } from './cloud-call-queue.js';
 import type { MachineInventory } from './inventory.js';
 
-/** A pool that was sold out is asked again after this. */
-const SOLD_OUT_MS = 15_000;
+/** The time after which machines are requested again from a pool that was sold out. */
+const SOLD_OUT_BACKOFF_MS = 15_000;
 const MAX_MACHINES_PER_REQUEST = 50;
 const MAX_ATTEMPTS = 4;
-/** Between two checks whether our lease is valid. */
+/** The interval at which a waiting request checks whether the leader's lease is valid again. */
 const LEASE_CHECK_INTERVAL_MS = 250;
-const REFUSED_RETRY_MS = 700;
-const UNANSWERED_RETRY_MS = 200;
-const RETRY_JITTER_MS = 300;
-/** A boot may take so many times as long as usual, and this much more, before the machine counts as failed. */
-const SLOW_BOOT_FACTOR = 1.7;
+/** The retry delay after a refused attempt, multiplied by the number of attempts so far. */
+const REFUSED_RETRY_DELAY_MS = 700;
+/** The retry delay after an attempt without a response from the cloud, multiplied by the number of attempts so far. */
+const UNANSWERED_RETRY_DELAY_MS = 200;
+const MAX_RETRY_JITTER_MS = 300;
+/** The multiple of its usual boot time after which a machine no longer counts as pending capacity. */
+const SLOW_BOOT_RATIO = 1.7;
+/** Added to the boot time after which a machine no longer counts as pending capacity. */
 const SLOW_BOOT_MARGIN_MS = 3000;
 
-/** What machines are requested for: the forecast, or work that waits. */
+/** The reason for a request: the forecast, or the queue of waiting tasks. */
 export type ScaleOutPurpose = 'forecast' | 'queue';
 
-/** Receives what becomes of requests. */
+/** Notified of the results of scale-out requests. */
 interface ScaleOutListener {
-  /** Machines were created. */
+  /** Called when a request has created at least one machine. */
   machinesCreated(): void;
-  /** A series' pool gave fewer machines than were requested. */
+  /** Called when a pool of the series supplied fewer machines than were requested. */
   soldOut(series: string): void;
-  /** One request is over, whatever came of it: more may be requested. */
+  /** Called when a request has ended, successfully or not, so that another request may be sent. */
   requestFinished(): void;
 }
 
-/** What a `ScaleOut` is made with. */
+/** The components that a `ScaleOut` uses. */
 export interface ScaleOutOptions {
   readonly cloudCalls: CloudCallQueue;
   readonly inventory: MachineInventory;
   readonly listener: ScaleOutListener;
 }
 
-/** `sold out`: found so before anything was requested; null: the leadership ended first. */
+/**
+ * The result of a request. `sold out`: the pool was known to be sold out before the request was sent; null: the term
+ * ended.
+ */
 type RequestOutcome = ScaleOutResult | 'sold out' | null;
 
-/** The requests for machines under way, and the pools that have none left. */
+/** Sends machine requests, and tracks the pending requests and the pools that are sold out. */
 export class ScaleOut {
   private readonly soldOutUntil = new Map<string, MonotonicTime>();
   private readonly inProgress = new Map<string, CapacityRequest>();
   private requestCount = 0;
-  /** Requests queue one after the other for cloud calls: a deletion never waits behind all of them. */
-  private lastTurn: Promise<void> = Promise.resolve();
+  /**
+   * Requests acquire cloud calls one at a time, so that a deletion waits behind at most one request, not behind all.
+   */
+  private lastQueuedCall: Promise<void> = Promise.resolve();
 
   constructor(
     private readonly ctx: LeaderContext,
     private readonly options: ScaleOutOptions,
   ) {}
 
-  /** The requests under way, by their names. */
+  /** The pending requests, by request name. */
   get pending(): ReadonlyMap<string, CapacityRequest> {
     return this.inProgress;
   }
 
-  /** Returns the pools that were not lately sold out. */
+  /** Returns the pools that were not sold out within the last `SOLD_OUT_BACKOFF_MS`. */
   availablePools(): Pool[] {
     const now = this.ctx.clock.now();
     return allPools(this.ctx.machineTypes.values()).filter(
@@ -82,7 +93,7 @@
     );
   }
 
-  /** Returns the machines requested and not yet up, unless they are so late that they may never come up. */
+  /** Returns the requested machines that are not up yet, except those whose boot is overdue and may have failed. */
   pendingMachines(): PendingMachine[] {
     const now = this.ctx.clock.now();
     const machines: PendingMachine[] = [];
@@ -90,7 +101,7 @@
       if (worker.isUp || worker.cordon) continue;
       if (!worker.presumedFacts) continue;
       const { machine, type } = worker.presumedFacts;
-      if (since(now, worker.rentedAt) > type.bootTime * SLOW_BOOT_FACTOR + SLOW_BOOT_MARGIN_MS) continue;
+      if (since(now, worker.rentedAt) > type.bootTime * SLOW_BOOT_RATIO + SLOW_BOOT_MARGIN_MS) continue;
       machines.push({ ...machine, free: worker.free });
     }
     for (const { pool, count } of this.inProgress.values()) {
@@ -99,32 +110,35 @@
     return machines;
   }
 
-  /** Requests these machines, in calls of the size that the cloud takes. */
+  /** Requests machines, split into calls of at most `MAX_MACHINES_PER_REQUEST` machines. */
   request({ pool, count }: CapacityRequest, purpose: ScaleOutPurpose): void {
     for (let left = count; left > 0; left -= MAX_MACHINES_PER_REQUEST) {
-      const part = Math.min(left, MAX_MACHINES_PER_REQUEST);
+      const batchCount = Math.min(left, MAX_MACHINES_PER_REQUEST);
       const name = `p${this.ctx.epoch}-${++this.requestCount}` as ScaleOutRequestId;
-      this.inProgress.set(name, { pool, count: part });
-      void this.carryOut(
-        { name, type: pool.type.id, zone: pool.zone, spot: pool.spot, count: part },
+      this.inProgress.set(name, { pool, count: batchCount });
+      void this.executeRequest(
+        { name, type: pool.type.id, zone: pool.zone, spot: pool.spot, count: batchCount },
         purpose,
       );
     }
   }
 
-  /** Requests machines of a series ahead of need; where its type is sold out in all zones, of another type. */
+  /**
+   * Requests machines of a series ahead of demand. If an on-demand type is sold out in all zones, the cheapest other
+   * type is requested instead.
+   */
   requestAhead(series: string, count: number): void {
-    const { type: id, spot } = readSeriesKey(series);
+    const { type: id, spot } = parseSeriesKey(series);
     const type = this.ctx.machineTypes.get(id);
     if (!type) return;
     const available = this.availablePools().filter((pool) => pool.spot === spot);
-    const ofType = available.filter((pool) => pool.type.id === type.id);
-    if (ofType.length > 0) {
-      const pool = ofType[Math.floor(this.ctx.random() * ofType.length)] as Pool;
+    const poolsOfType = available.filter((pool) => pool.type.id === type.id);
+    if (poolsOfType.length > 0) {
+      const pool = poolsOfType[Math.floor(this.ctx.random() * poolsOfType.length)] as Pool;
       this.request({ pool, count }, 'forecast');
       return;
     }
-    // Replicas cannot wait for the type to come back; spot work can.
+    // Replicas of services cannot wait until the type is available again; spot work can.
     if (spot || available.length === 0) return;
     const cheapest = available.reduce((best, pool) => (hourlyPrice(pool) < hourlyPrice(best) ? pool : best));
     const equivalentCount = Math.max(1, Math.round((count * type.cpus) / cheapest.type.cpus));
@@ -132,11 +146,11 @@
   }
 
   private isSoldOut(pool: { type: MachineTypeId; zone: ZoneId; spot: boolean }, now: MonotonicTime): boolean {
-    const until = this.soldOutUntil.get(poolKey(pool));
-    return until !== undefined && until > now;
+    const retryAt = this.soldOutUntil.get(poolKey(pool));
+    return retryAt !== undefined && retryAt > now;
   }
 
-  private async carryOut(request: ScaleOutRequest, purpose: ScaleOutPurpose): Promise<void> {
+  private async executeRequest(request: ScaleOutRequest, purpose: ScaleOutPurpose): Promise<void> {
     const { name } = request;
     try {
       const outcome = await this.createMachines(request);
@@ -156,31 +170,37 @@
   private applyResult(request: ScaleOutRequest, result: ScaleOutResult, purpose: ScaleOutPurpose): void {
     const { name, type, zone, spot, count } = request;
     const { inventory, listener } = this.options;
-    const created = result === 'no capacity' ? [] : result.machines;
+    const createdIds = result === 'no capacity' ? [] : result.machines;
     this.ctx.log.info(
-      { request: name, pool: poolKey(request), requested: count, created: created.length, purpose },
+      { request: name, pool: poolKey(request), requested: count, created: createdIds.length, purpose },
       'scale-out request finished',
     );
     const now = this.ctx.clock.now();
-    for (const id of created) inventory.registerMachine({ id, type, zone, spot }, FactSource.Rental, now);
-    const missing = count - created.length;
+    for (const id of createdIds) inventory.registerMachine({ id, type, zone, spot }, FactSource.Rental, now);
+    const missingCount = count - createdIds.length;
     const series = seriesKey(type, spot);
-    if (missing > 0) {
-      // A stockout is remembered: other zones and types are asked meanwhile.
-      this.soldOutUntil.set(poolKey(request), plus(now, SOLD_OUT_MS));
+    if (missingCount > 0) {
+      // While the pool is marked as sold out, machines are requested from other zones and types.
+      this.soldOutUntil.set(poolKey(request), plus(now, SOLD_OUT_BACKOFF_MS));
       listener.soldOut(series);
     }
-    if (created.length > 0) listener.machinesCreated();
-    if (purpose === 'forecast' && missing > 0) this.requestAhead(series, missing);
+    if (createdIds.length > 0) listener.machinesCreated();
+    if (purpose === 'forecast' && missingCount > 0) this.requestAhead(series, missingCount);
   }
 
-  /** The same name is tried again: a request without an answer may have been carried out. */
+  /**
+   * Sends a request, with retries under the same name: a request without a response may have been carried out, and the
+   * cloud does not create the machines of one name twice.
+   */
   private async createMachines(request: ScaleOutRequest): Promise<RequestOutcome> {
     for (let attempt = 1; ; attempt++) {
-      // Found by a request before this one: nothing has been asked under this name yet.
+      // Only the first attempt may be skipped: an earlier request found the pool sold out, and nothing has been sent
+      // under this name yet.
       const isSoldOut = (): boolean => attempt === 1 && this.isSoldOut(request, this.ctx.clock.now());
-      this.lastTurn = this.lastTurn.then(() => (isSoldOut() ? undefined : this.options.cloudCalls.next()));
-      await this.lastTurn;
+      this.lastQueuedCall = this.lastQueuedCall.then(() =>
+        isSoldOut() ? undefined : this.options.cloudCalls.acquire(),
+      );
+      await this.lastQueuedCall;
       if (this.ctx.isEnded()) return null;
       if (isSoldOut()) return 'sold out';
       if (!this.ctx.isLeaseValid()) {
@@ -191,8 +211,9 @@
         return await this.ctx.cloud.createMachines(request);
       } catch (error) {
         if (attempt >= MAX_ATTEMPTS) throw error;
-        const retryMs = error instanceof CloudRequestRefusedError ? REFUSED_RETRY_MS : UNANSWERED_RETRY_MS;
-        await sleep(this.ctx.clock, retryMs * attempt + this.ctx.random() * RETRY_JITTER_MS);
+        const retryDelayMs =
+          error instanceof CloudRequestRefusedError ? REFUSED_RETRY_DELAY_MS : UNANSWERED_RETRY_DELAY_MS;
+        await sleep(this.ctx.clock, retryDelayMs * attempt + this.ctx.random() * MAX_RETRY_JITTER_MS);
       }
     }
   }
--- a/src/forecast/arrivals.ts
+++ b/src/forecast/arrivals.ts
@@ -1,18 +1,19 @@
-/** Notices a falling rate of arrivals sooner than the predictors do. */
+/** Detection of a falling arrival rate, earlier than the predictors detect one. */
 import { type Millis, type MonotonicTime, since } from '../model/time.js';
 
-/** Past slots whose arrivals are remembered. */
-const KEPT_SLOTS = 4;
-/** With fewer arrivals in a usual slot than this, their absence says little. */
-const MIN_USUAL_ARRIVALS = 6;
-/** How many times below their usual number arrivals may fall before the forecast follows. */
-const TOLERATED_FALL = 2;
+/** The number of past slots over which the mean arrival count is computed. */
+const RETAINED_SLOT_COUNT = 4;
+/** The mean number of arrivals per slot below which a drop is not significant. */
+const MIN_MEAN_ARRIVAL_COUNT = 6;
+/** The ratio of mean to recent arrivals up to which the forecast is not reduced. */
+const TOLERATED_DROP_RATIO = 2;
 
 /**
- * How far arrivals have lately fallen below what they were. The predictors see whole slots, and need
- * several to believe that demand has ended; meanwhile machines would be kept for it.
+ * Detects how far recent arrivals have dropped below their mean. The predictors work on whole slots and need several
+ * slots until they predict that demand has ended; until then, machines would be kept for demand that no longer
+ * exists.
  */
-export class Arrivals {
+export class ArrivalDropDetector {
   private readonly pastCounts: number[] = [];
   private recentTimes: MonotonicTime[] = [];
   private currentCount = 0;
@@ -24,16 +25,19 @@
 
   endSlot(): void {
     this.pastCounts.push(this.currentCount);
-    if (this.pastCounts.length > KEPT_SLOTS) this.pastCounts.shift();
+    if (this.pastCounts.length > RETAINED_SLOT_COUNT) this.pastCounts.shift();
     this.currentCount = 0;
   }
 
-  /** The share of a forecast, up to 1, that the arrivals within the last slot's length still support. */
-  confirmedShare(now: MonotonicTime, slot: Millis): number {
-    this.recentTimes = this.recentTimes.filter((time) => since(now, time) < slot);
+  /**
+   * Returns the fraction of a forecast, at most 1, that is supported by the arrivals within the last `slotMs`
+   * milliseconds.
+   */
+  supportedForecastRatio(now: MonotonicTime, slotMs: Millis): number {
+    this.recentTimes = this.recentTimes.filter((time) => since(now, time) < slotMs);
     if (this.pastCounts.length === 0) return 1;
-    const usual = this.pastCounts.reduce((sum, count) => sum + count, 0) / this.pastCounts.length;
-    if (usual < MIN_USUAL_ARRIVALS) return 1;
-    return Math.min(1, (TOLERATED_FALL * this.recentTimes.length + 1) / usual);
+    const meanArrivalCount = this.pastCounts.reduce((sum, count) => sum + count, 0) / this.pastCounts.length;
+    if (meanArrivalCount < MIN_MEAN_ARRIVAL_COUNT) return 1;
+    return Math.min(1, (TOLERATED_DROP_RATIO * this.recentTimes.length + 1) / meanArrivalCount);
   }
 }
--- a/src/forecast/ensemble.ts
+++ b/src/forecast/ensemble.ts
@@ -1,39 +1,45 @@
-/** A forecast for one series of demand: several predictors, weighted by what their errors would have cost. */
+/** Demand forecast for one series by several predictors, weighted by the cost of their errors. */
 import type { Predictor } from './predictors.js';
 
 /** The parameters of the asymmetric Cloud Prediction Cost (the paper's equations 2 to 5). */
 export interface PredictionCost {
-  /** The weight of waits against idle machines, between 0 and 1. */
+  /** The weight of waiting relative to idle machines, between 0 and 1. */
   readonly beta: number;
-  /** Wait when a machine is there (T_avail), s. */
+  /** The wait for work if a machine is available (T_avail), in seconds. */
   readonly hitWaitS: number;
-  /** Wait when one has to be rented (T_delay), s. */
+  /** The wait for work if a machine has to be created first (T_delay), in seconds. */
   readonly missWaitS: number;
-  /** Cost of one machine that idles for a slot (R_vm), in the same seconds. */
+  /** The cost of one machine that is idle for a slot (R_vm), as an equivalent wait in seconds. */
   readonly idleCostS: number;
 }
 
-/** The paper's Cloud Prediction Cost of one slot (equations 2 to 5). */
+/** Returns the paper's Cloud Prediction Cost of one slot (equations 2 to 5). */
 export function predictionCost(cost: PredictionCost, actual: number, forecast: number): number {
   const waitS = Math.min(actual, forecast) * cost.hitWaitS + Math.max(0, actual - forecast) * cost.missWaitS;
   const idleS = Math.max(0, forecast - actual) * cost.idleCostS;
   return cost.beta * waitS + (1 - cost.beta) * idleS;
 }
 
-/** The stored state of an ensemble; the names of its fields and of the predictors never change. */
+/** The stored state of an ensemble. The names of the fields and of the predictors are part of the stored format. */
 export interface EnsembleRecord {
   readonly series: number[];
   readonly weights: Record<string, number>;
 }
 
-/** Slots kept: enough for the longest predictor, and old bursts fall out. */
-const KEPT_SLOTS = 40;
-/** How much of the old weight stays at each update: one odd slot does not turn it over. */
-const OLD_WEIGHT_SHARE = 0.5;
-/** Keeps the inverse of a cost of 0 finite. */
+/**
+ * The number of slots that a series retains: enough for the predictor with the longest window, few enough to drop old
+ * bursts.
+ */
+const RETAINED_SLOT_COUNT = 40;
+/**
+ * The fraction of the previous weight that each update retains, so that a single unusual slot does not reverse the
+ * weights.
+ */
+const PREVIOUS_WEIGHT_RATIO = 0.5;
+/** Added to each cost so that the inverse of a cost of 0 is finite. */
 const MIN_COST = 1e-3;
-/** With fewer slots than this their spread says nothing. */
-const MIN_SPREAD_SLOTS = 4;
+/** The minimum number of slots for which the spread of a series is meaningful. */
+const MIN_SPREAD_SLOT_COUNT = 4;
 
 const roundToThousandths = (value: number): number => Math.round(value * 1000) / 1000;
 
@@ -41,7 +47,7 @@
 export class Ensemble {
   readonly series: number[] = [];
   private readonly weights = new Map<string, number>();
-  /** The forecast for the current slot, once it was asked for. */
+  /** The forecast for the current slot; null until the forecast is computed. */
   private cachedForecast: number | null = null;
 
   constructor(
@@ -55,7 +61,10 @@
     return this.weights.get(name) ?? 0;
   }
 
-  /** The demand of the next slot. Read many times in a slot, and computed once: only `observe` and `restore` change it. */
+  /**
+   * Returns the forecast demand of the next slot. The forecast is read many times per slot, so the value is cached
+   * until `observe` or `restore` changes the series.
+   */
   forecast(): number {
     this.cachedForecast ??= this.predictors.reduce(
       (sum, predictor) => sum + this.weight(predictor.name) * predictor.predict(this.series),
@@ -65,34 +74,38 @@
   }
 
   /**
-   * Adds the demand of the slot that ended, scores the predictors on it and weights them by inverse cost: the printed
-   * update (equations 7 and 8) would favour the costliest. A slot that a stockout spoiled is not scored: refused
-   * rentals are not a predictor's fault.
+   * Adds the demand of the slot that ended, scores the predictors by this demand and weights the predictors by
+   * inverse cost; the update as printed in the paper (equations 7 and 8) would favour the costliest predictor. A slot
+   * affected by a stockout is added without scoring (`isScored` is false), since refused machine requests are not
+   * prediction errors.
    */
   observe(actual: number, isScored = true): void {
     this.cachedForecast = null;
     if (isScored && this.series.length > 0) this.updateWeights(actual);
     this.series.push(Math.min(actual, this.burstLimit()));
-    if (this.series.length > KEPT_SLOTS) this.series.shift();
+    if (this.series.length > RETAINED_SLOT_COUNT) this.series.shift();
   }
 
   private updateWeights(actual: number): void {
     const inverseCosts = this.predictors.map(
       (predictor) => 1 / (predictionCost(this.cost, actual, predictor.predict(this.series)) + MIN_COST),
     );
-    const total = inverseCosts.reduce((sum, inverse) => sum + inverse, 0);
+    const totalInverseCost = inverseCosts.reduce((sum, inverse) => sum + inverse, 0);
     this.predictors.forEach(({ name }, index) => {
-      const scored = (inverseCosts[index] ?? 0) / total;
-      this.weights.set(name, OLD_WEIGHT_SHARE * this.weight(name) + (1 - OLD_WEIGHT_SHARE) * scored);
+      const normalizedWeight = (inverseCosts[index] ?? 0) / totalInverseCost;
+      this.weights.set(
+        name,
+        PREVIOUS_WEIGHT_RATIO * this.weight(name) + (1 - PREVIOUS_WEIGHT_RATIO) * normalizedWeight,
+      );
     });
   }
 
   /**
-   * The value at which a slot is clipped before it enters the series: a burst of a few slots, far above the usual
-   * spread, would otherwise raise every average long after its end.
+   * Returns the limit to which a slot's demand is clipped before the demand is added to the series. Without the
+   * limit, a burst of a few slots far above the usual spread would raise every average long after the burst.
    */
   private burstLimit(): number {
-    if (this.series.length < MIN_SPREAD_SLOTS) return Infinity;
+    if (this.series.length < MIN_SPREAD_SLOT_COUNT) return Infinity;
     const sorted = [...this.series].sort((a, b) => a - b);
     const quantile = (share: number): number => sorted[Math.floor((sorted.length - 1) * share)] ?? 0;
     const spread = Math.max(quantile(0.75) - quantile(0.25), 0.25 * quantile(0.5));
@@ -103,7 +116,9 @@
     return { series: this.series.map(roundToThousandths), weights: Object.fromEntries(this.weights) };
   }
 
-  /** Restores the state from a stored record; weights only where it has those of all predictors. */
+  /**
+   * Restores the state from a stored record. Weights are restored only if the record has a weight for each predictor.
+   */
   restore(stored: unknown): void {
     this.cachedForecast = null;
     const record = stored as Partial<EnsembleRecord> | null | undefined;
--- a/src/forecast/lifetimes.ts
+++ b/src/forecast/lifetimes.ts
@@ -1,34 +1,39 @@
-/** Run times by job class: how long tasks take, and how probable it is that one ends soon. */
+/** Run-time statistics by job class: expected run times, and the probability that a task ends within a given time. */
 import type { Histogram } from 'hdr-histogram-js';
-// The package's index also loads its log writer, number formats and WebAssembly: 40 ms of each start.
+// Importing the package's index would also load its log writer, number formats and WebAssembly, which adds 40 ms to
+// each start.
 import { constructorFromBucketSize } from 'hdr-histogram-js/dist/JsHistogramFactory.js';
 import type { JobSpec } from '../model/job.js';
 
 const Int32Histogram = constructorFromBucketSize(32);
-/** The resolution of the histograms. */
-const UNIT_MS = 100;
-/** The longest run time that is distinguished from longer ones: a day. */
-const MAX_UNITS = 864_000;
+/** The unit in which run times are recorded in the histograms. */
+const HISTOGRAM_UNIT_MS = 100;
+/** The longest run time that the histograms record, in histogram units: one day. Longer run times count as one day. */
+const MAX_RUN_TIME_UNITS = 864_000;
 const SIGNIFICANT_DIGITS = 2;
-/** Growth of a class after which its cached shares are looked up anew. */
-const CACHE_GROWTH = 1.05;
-/** With fewer runs of a class than this, its owner's estimates are all that is used. */
-const MIN_RUNS = 8;
-/** How far estimates may be corrected either way. */
-const MIN_CORRECTION = 0.3;
-const MAX_CORRECTION = 3;
-/** A task that has outrun its expectation is expected to run for this part of it. */
-const MIN_REMAINING_SHARE = 0.2;
-/** Halvings of the interval in which a percentile is searched: 100% / 2^12 is 0.02%. */
+/** The growth of a class's run count after which its cached distribution is discarded. */
+const CACHE_REFRESH_GROWTH_RATIO = 1.05;
+/** The number of recorded runs of a class below which only the job owner's estimate is used. */
+const MIN_RUN_COUNT = 8;
+/** The smallest ratio by which an owner's estimate is corrected. */
+const MIN_CORRECTION_RATIO = 0.3;
+/** The largest ratio by which an owner's estimate is corrected. */
+const MAX_CORRECTION_RATIO = 3;
+/**
+ * The minimum expected remaining run time, as a fraction of the expected run time, for tasks that run longer than
+ * expected.
+ */
+const MIN_REMAINING_RATIO = 0.2;
+/** The number of bisection steps in a percentile search; 12 steps give a resolution of 100% / 2^12, which is 0.02%. */
 const PERCENTILE_SEARCH_STEPS = 12;
 
 type EstimatedJob = Pick<JobSpec, 'jobClass' | 'estimatedRunS'>;
 
-interface CachedShares {
-  /** How many runs the histogram had. */
+interface CachedDistribution {
+  /** The number of runs in the histogram when the cache was created. */
   readonly runCount: number;
-  /** By run time in whole seconds. */
-  readonly shares: Map<number, number>;
+  /** The cumulative probability by run time in whole seconds. */
+  readonly cumulativeBySecond: Map<number, number>;
 }
 
 interface EstimateTotals {
@@ -36,14 +41,20 @@
   estimatedMs: number;
 }
 
-/** Run times observed per job class: the empirical F of the paper's equation 9. */
+/** The run times observed per job class, which give the empirical distribution F of the paper's equation 9. */
 export class Lifetimes {
   private readonly histograms = new Map<string, Histogram>();
-  private readonly cachedShares = new Map<string, CachedShares>();
-  /** Actual and estimated run times by class: owners are mostly too high on some days, too low on others. */
+  private readonly cachedDistributions = new Map<string, CachedDistribution>();
+  /**
+   * The total actual and estimated run times by class. The error of estimates is systematic: on some days most
+   * estimates are too high, on others too low.
+   */
   private readonly estimateTotals = new Map<string, EstimateTotals>();
 
-  /** Records how long a task ran; without an estimate it doesn't count for the estimates' correction. */
+  /**
+   * Records the run time of a task. A run without an estimate (`estimatedMs` is 0) does not affect the correction of
+   * estimates.
+   */
   recordRun(jobClass: string, runMs: number, estimatedMs = 0): void {
     if (estimatedMs > 0) {
       const totals = this.estimateTotals.get(jobClass) ?? { runMs: 0, estimatedMs: 0 };
@@ -53,67 +64,71 @@
     }
     let histogram = this.histograms.get(jobClass);
     if (!histogram) {
-      histogram = new Int32Histogram(1, MAX_UNITS, SIGNIFICANT_DIGITS);
+      histogram = new Int32Histogram(1, MAX_RUN_TIME_UNITS, SIGNIFICANT_DIGITS);
       this.histograms.set(jobClass, histogram);
     }
-    histogram.recordValue(Math.min(MAX_UNITS, Math.max(1, Math.round(runMs / UNIT_MS))));
+    histogram.recordValue(Math.min(MAX_RUN_TIME_UNITS, Math.max(1, Math.round(runMs / HISTOGRAM_UNIT_MS))));
   }
 
-  /** The expected run time of a task, ms: its owner's estimate, corrected by how far the class's estimates were off. */
+  /**
+   * Returns the expected run time of a task in milliseconds: the owner's estimate, corrected by the class's
+   * estimation error.
+   */
   expectedRunMs({ jobClass, estimatedRunS }: EstimatedJob): number {
     const estimatedMs = estimatedRunS * 1000;
     const totals = this.estimateTotals.get(jobClass);
-    if (!totals || this.count(jobClass) < MIN_RUNS) return estimatedMs;
+    if (!totals || this.runCountOf(jobClass) < MIN_RUN_COUNT) return estimatedMs;
     const correction = totals.runMs / totals.estimatedMs;
-    return estimatedMs * Math.min(MAX_CORRECTION, Math.max(MIN_CORRECTION, correction));
+    return estimatedMs * Math.min(MAX_CORRECTION_RATIO, Math.max(MIN_CORRECTION_RATIO, correction));
   }
 
-  /** How long a task is still expected to run, ms, after it has run for `ranMs`. */
+  /** Returns the expected remaining run time, in milliseconds, of a task that has run for `ranMs`. */
   expectedRemainingMs(job: EstimatedJob, ranMs: number): number {
     const runMs = this.expectedRunMs(job);
-    return Math.max(runMs * MIN_REMAINING_SHARE, runMs - ranMs);
+    return Math.max(runMs * MIN_REMAINING_RATIO, runMs - ranMs);
   }
 
-  /** How many runs of the class were recorded. */
-  private count(jobClass: string): number {
+  /** Returns the number of recorded runs of a class. */
+  private runCountOf(jobClass: string): number {
     return this.histograms.get(jobClass)?.totalCount ?? 0;
   }
 
-  /** The share of run times up to `runMs`: F of the paper's equation 9. */
-  private shareUpTo(jobClass: string, runMs: number): number {
+  /** Returns the fraction of recorded runs that took at most `runMs`: F of the paper's equation 9. */
+  private cumulativeProbability(jobClass: string, runMs: number): number {
     const histogram = this.histograms.get(jobClass);
     if (!histogram || histogram.totalCount === 0) return 0;
-    let cached = this.cachedShares.get(jobClass);
-    if (!cached || histogram.totalCount > cached.runCount * CACHE_GROWTH) {
-      cached = { runCount: histogram.totalCount, shares: new Map() };
-      this.cachedShares.set(jobClass, cached);
+    let cached = this.cachedDistributions.get(jobClass);
+    if (!cached || histogram.totalCount > cached.runCount * CACHE_REFRESH_GROWTH_RATIO) {
+      cached = { runCount: histogram.totalCount, cumulativeBySecond: new Map() };
+      this.cachedDistributions.set(jobClass, cached);
     }
-    // Thousands of running tasks ask for the same few hundred ages.
+    // Results are cached by second, because thousands of running tasks share a few hundred distinct ages.
     const seconds = Math.round(runMs / 1000);
-    let share = cached.shares.get(seconds);
-    if (share === undefined) {
-      share = histogramShareUpTo(histogram, (seconds * 1000) / UNIT_MS);
-      cached.shares.set(seconds, share);
+    let cumulativeProbability = cached.cumulativeBySecond.get(seconds);
+    if (cumulativeProbability === undefined) {
+      cumulativeProbability = histogramCumulativeProbability(histogram, (seconds * 1000) / HISTOGRAM_UNIT_MS);
+      cached.cumulativeBySecond.set(seconds, cumulativeProbability);
     }
-    return share;
+    return cumulativeProbability;
   }
 
   /**
-   * The probability that a task of age `ageMs` ends within the next `slotMs`: (F(a+s) − F(a)) / (1 − F(a)). Until
-   * enough runs were recorded, the owner's estimate stands in for the median of an exponential distribution.
+   * Returns the probability that a task that has run for `ageMs` ends within the next `durationMs`: (F(a+s) − F(a)) /
+   * (1 − F(a)). While fewer than `MIN_RUN_COUNT` runs are recorded, run times are assumed to be exponentially
+   * distributed with the owner's estimate as the median.
    */
-  endProbability(jobClass: string, ageMs: number, slotMs: number, estimatedMs: number): number {
-    if (this.count(jobClass) < MIN_RUNS) {
-      return estimatedMs > 0 ? 1 - Math.exp((-Math.LN2 * slotMs) / estimatedMs) : 0;
+  endProbability(jobClass: string, ageMs: number, durationMs: number, estimatedMs: number): number {
+    if (this.runCountOf(jobClass) < MIN_RUN_COUNT) {
+      return estimatedMs > 0 ? 1 - Math.exp((-Math.LN2 * durationMs) / estimatedMs) : 0;
     }
-    const endedBefore = this.shareUpTo(jobClass, ageMs);
-    if (endedBefore >= 1) return 1;
-    return (this.shareUpTo(jobClass, ageMs + slotMs) - endedBefore) / (1 - endedBefore);
+    const endedByAge = this.cumulativeProbability(jobClass, ageMs);
+    if (endedByAge >= 1) return 1;
+    return (this.cumulativeProbability(jobClass, ageMs + durationMs) - endedByAge) / (1 - endedByAge);
   }
 }
 
-/** The share of a histogram's values up to this one, by binary search over its percentiles. */
-function histogramShareUpTo(histogram: Histogram, value: number): number {
+/** Returns the fraction of a histogram's values that are at most `value`, by bisection over the percentiles. */
+function histogramCumulativeProbability(histogram: Histogram, value: number): number {
   if (value >= histogram.maxValue) return 1;
   if (value < histogram.minNonZeroValue) return 0;
   let low = 0;
--- a/src/forecast/predictors.ts
+++ b/src/forecast/predictors.ts
@@ -1,15 +1,15 @@
-/** Predictors of the next value of a series. */
+/** Time series predictors for demand: moving average, autoregression and high quantile. */
 
-/** Predicts the next value of a series, whose oldest value comes first. Pure. */
+/** Predicts the next value of a series that is ordered from oldest to newest. Predictors have no state. */
 export interface Predictor {
-  /** Stored with its weight: it never changes. */
+  /** The key under which the predictor's weight is stored; part of the stored format. */
   readonly name: string;
   predict(series: readonly number[]): number;
 }
 
 const sumOf = (values: readonly number[]): number => values.reduce((sum, value) => sum + value, 0);
 
-/** The mean of the last `window` slots. */
+/** Returns a predictor of the mean of the last `window` slots. */
 export function movingAverage(window: number): Predictor {
   return {
     name: `average-${window}`,
@@ -20,19 +20,19 @@
   };
 }
 
-/** A smaller pivot counts as zero. */
+/** The smallest absolute value of a pivot; a smaller pivot counts as zero, and the system as singular. */
 const MIN_PIVOT = 1e-12;
-/** The part of the series' mean power that the fit is damped by. */
-const RIDGE_SHARE = 0.1;
-/** Keeps a fit on a constant series solvable. */
+/** The ridge parameter of the fit, relative to the mean sum of squares of the lagged values. */
+const RIDGE_RATIO = 0.1;
+/** Added to the ridge parameter so that the equations of a constant series have a solution. */
 const MIN_RIDGE = 1e-9;
-/** How many times the greatest value of the series a forecast may be. */
-const MAX_GROWTH = 2;
+/** The maximum ratio of a forecast to the largest value of the series. */
+const MAX_GROWTH_RATIO = 2;
 
 const at = (values: readonly number[] | undefined, index: number): number => values?.[index] ?? 0;
 
-/** The row with the greatest value in the column, from this row on. */
-function pivotRow(rows: readonly number[][], column: number): number {
+/** Returns the index of the row, from row `column` on, with the largest absolute value in this column. */
+function findPivotRow(rows: readonly number[][], column: number): number {
   let pivot = column;
   for (let row = column + 1; row < rows.length; row++) {
     if (Math.abs(at(rows[row], column)) > Math.abs(at(rows[pivot], column))) pivot = row;
@@ -40,7 +40,7 @@
   return pivot;
 }
 
-/** Takes the pivot row out of another one, so that the column is zero there. */
+/** Subtracts a multiple of the pivot row from `row`, so that the value of `row` in this column becomes zero. */
 function eliminate(row: number[], pivot: readonly number[], column: number): void {
   const factor = at(row, column) / at(pivot, column);
   for (let index = column; index < row.length; index++) {
@@ -54,11 +54,11 @@
   readonly constants: number[];
 }
 
-/** Solves a system of linear equations by Gaussian elimination; null where it is singular. */
-function solve({ matrix, constants }: LinearSystem): number[] | null {
+/** Solves a system of linear equations by Gaussian elimination. Returns null if the system is singular. */
+function solveLinearSystem({ matrix, constants }: LinearSystem): number[] | null {
   const rows = matrix.map((row, index) => [...row, at(constants, index)]);
   for (let column = 0; column < constants.length; column++) {
-    const pivotIndex = pivotRow(rows, column);
+    const pivotIndex = findPivotRow(rows, column);
     const pivot = rows[pivotIndex];
     if (!pivot || Math.abs(at(pivot, column)) < MIN_PIVOT) return null;
     rows[pivotIndex] = rows[column] as number[];
@@ -68,22 +68,22 @@
   return rows.map((row, index) => at(row, constants.length) / (row[index] ?? 1));
 }
 
-/** The normal equations of a ridge regression of each value on the `order` values before it. */
+/** Returns the normal equations of a ridge regression of each value on the `order` preceding values. */
 function normalEquations(series: readonly number[], order: number): LinearSystem {
   const matrix = Array.from({ length: order }, () => new Array<number>(order).fill(0));
   const constants = new Array<number>(order).fill(0);
-  let power = 0;
+  let sumOfSquares = 0;
   for (let time = order; time < series.length; time++) {
     matrix.forEach((row, lag) => {
       const earlier = at(series, time - 1 - lag);
-      power += earlier * earlier;
+      sumOfSquares += earlier * earlier;
       constants[lag] = at(constants, lag) + earlier * at(series, time);
       for (let otherLag = 0; otherLag < order; otherLag++) {
         row[otherLag] = at(row, otherLag) + earlier * at(series, time - 1 - otherLag);
       }
     });
   }
-  const ridge = (RIDGE_SHARE * power) / order + MIN_RIDGE;
+  const ridge = (RIDGE_RATIO * sumOfSquares) / order + MIN_RIDGE;
   matrix.forEach((row, lag) => {
     row[lag] = at(row, lag) + ridge;
   });
@@ -91,8 +91,8 @@
 }
 
 /**
- * Autoregression over the last `order` slots, fitted by ridge-damped least squares around the mean.
- * While the series is short the order is cut to what it can support, down to the mean itself.
+ * Returns a predictor by autoregression over the last `order` slots, fitted by ridge regression around the mean. The
+ * order is reduced for a short series to fewer than half of its values; a predictor of order 0 returns the mean.
  */
 export function autoregression(order: number): Predictor {
   return {
@@ -103,27 +103,28 @@
       const usableOrder = Math.min(order, Math.floor((series.length - 1) / 2));
       if (usableOrder === 0) return mean;
       const centred = series.map((value) => value - mean);
-      const weights = solve(normalEquations(centred, usableOrder));
+      const weights = solveLinearSystem(normalEquations(centred, usableOrder));
       if (!weights) return mean;
       const newest = centred.length - 1;
       const next = weights.reduce((sum, weight, lag) => sum + weight * at(centred, newest - lag), mean);
-      // Demand cannot be negative, and a fit on few slots must not run away.
-      return Math.min(Math.max(0, next), MAX_GROWTH * Math.max(...series));
+      // Demand cannot be negative, and a fit on few slots may diverge.
+      return Math.min(Math.max(0, next), MAX_GROWTH_RATIO * Math.max(...series));
     },
   };
 }
 
 /**
- * The value that only the given share of the last slots exceeded. Few arrivals a slot are not
- * predicted by any mean; what their delay costs decides, through the weights, how much this counts.
+ * Returns a predictor of the value that only the fraction `exceedanceRatio` of the last `window` slots exceeded. A
+ * mean does not predict demand with few arrivals per slot. The influence of this predictor depends on the cost of
+ * delayed work, through the weights of the ensemble.
  */
-export function highQuantile(window: number, share: number): Predictor {
+export function highQuantile(window: number, exceedanceRatio: number): Predictor {
   return {
     name: `high-${window}`,
     predict(series) {
       const last = series.slice(-window).sort((a, b) => a - b);
       if (last.length === 0) return 0;
-      return last[Math.min(last.length - 1, Math.floor(last.length * (1 - share)))] ?? 0;
+      return last[Math.min(last.length - 1, Math.floor(last.length * (1 - exceedanceRatio)))] ?? 0;
     },
   };
 }
