--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -1,4 +1,4 @@
-/** The key-value store as the controllers use it, and its HTTP client. */
+/** Interface of the key-value store that the controllers share, and its HTTP client. */
 import { errorMessage } from '../log/logger.js';
 import type { LeaseId, Revision } from '../model/ids.js';
 import type { HttpCaller, HttpReply } from '../net/http-client.js';
@@ -9,7 +9,7 @@
   type Compare,
   type KeyValuePage,
   readWatchEvents,
-  readFailed,
+  readFailedKeys,
   readLease,
   readRevision,
   readPage,
@@ -19,58 +19,61 @@
 } from '../wire/key-value-store.js';
 import { StoreOutcomeUnknownError, StoreRefusedError, StoreRequestTooLargeError } from './errors.js';
 
-/** The outcome of a transaction: committed, or the keys whose comparisons failed. */
+/** Outcome of a transaction: the revision of the commit, or the keys whose revisions differed from the compared ones. */
 export type TxnResult =
   { readonly ok: true; readonly revision: Revision } | { readonly ok: false; readonly failed: string[] };
 
 /**
- * The changes under a prefix up to a revision. Null: the store has compacted the revision that the watch should
- * start from, so the keys have to be read again.
+ * Changes under a prefix, up to and including `revision`. Null if the store has compacted the revision from which the
+ * watch was to start: the caller has to read the keys again.
  */
 export type WatchResult = { readonly revision: Revision; readonly changes: WatchEvent[] } | null;
 
-/** The operations of the key-value store. Every one of them rejects with a `KeyValueStoreError`. */
+/** Operations of the key-value store. A failed operation rejects with a `KeyValueStoreError`. */
 export interface KeyValueStore {
-  /** Reads one key; null: it does not exist. */
+  /** Reads one key. Returns null if the key does not exist. */
   get(key: string): Promise<KeyValue | null>;
-  /** Reads one page of the keys under a prefix, in their order, from the first one behind `after`. */
+  /** Reads one page of the keys under a prefix, in key order, from the first key after `after`. */
   range(prefix: string, after?: string): Promise<KeyValuePage>;
-  /** Writes all or nothing; without writes it only compares. */
+  /** Applies all writes atomically if every condition holds. A transaction without writes only compares. */
   txn(conditions: readonly Compare[], writes: readonly WriteOperation[]): Promise<TxnResult>;
   grantLease(ttlMs: number): Promise<LeaseId>;
-  /** Renews a lease; false: it has expired. */
+  /** Renews a lease. Returns false if the lease has expired. */
   keepLeaseAlive(lease: LeaseId): Promise<boolean>;
   revokeLease(lease: LeaseId): Promise<void>;
-  /** Waits up to `waitMs` for changes after a revision; without any the result is empty. */
+  /** Waits up to `waitMs` for changes after a revision. `changes` is empty if none occurred within that time. */
   watch(prefix: string, after: Revision, waitMs: number): Promise<WatchResult>;
 }
 
-/** The collaborators and limits of a `KeyValueStoreClient`. */
+/** Dependencies and timeouts of a `KeyValueStoreClient`. */
 export interface KeyValueStoreClientOptions {
   readonly http: HttpCaller;
-  /** Watches have connections of their own: they are kept waiting for seconds. */
+  /** Separate connections for watches: a watch is a long poll that occupies its connection for seconds. */
   readonly watchHttp: HttpCaller;
-  /** How long any call but a watch may take, ms. */
+  /** Timeout of every call except watches, in milliseconds. */
   readonly timeoutMs: number;
-  /** Called after each call but a watch: false if the store did not answer, or with 503. */
+  /** Called after every call except watches; `isAnswered` is false if the store did not answer or answered 503. */
   readonly onCall?: (isAnswered: boolean) => void;
 }
 
-/** Keys that one page of a range may hold. */
-const PAGE_SIZE = 500;
-/** How much longer than the wait that it asks for a watch may take. */
-const WATCH_GRACE_MS = 3000;
+/** Maximum number of keys in one page of a range. */
+const MAX_KEYS_PER_PAGE = 500;
+/** Time that a watch may take beyond the wait that the request asks the store for. */
+const WATCH_TIMEOUT_MARGIN_MS = 3000;
 
-/** Decodes a reply's body; what cannot be decoded leaves the outcome of the request unknown. */
+/** Decodes the body of a reply. A body that cannot be decoded leaves the outcome of the request unknown. */
 function decodeReply<T>(reply: HttpReply, decode: (body: unknown) => T): T {
   try {
     return decode(reply.body);
   } catch (error) {
-    throw new StoreOutcomeUnknownError(`state: unexpected answer ${reply.status}`, { cause: error });
+    throw new StoreOutcomeUnknownError(
+      `key-value store: cannot decode the body of the answer with status ${reply.status}`,
+      { cause: error },
+    );
   }
 }
 
-/** The key-value store's HTTP interface, with a deadline on every call. */
+/** Client of the key-value store's HTTP interface. Every call has a timeout. */
 export class KeyValueStoreClient implements KeyValueStore {
   constructor(private readonly options: KeyValueStoreClientOptions) {}
 
@@ -80,7 +83,7 @@
       const reply = await http.call(method, path, body, timeoutMs);
       onCall?.(reply.status !== 503);
       if (reply.status === 503 || reply.status === 429) {
-        throw new StoreRefusedError(`state answered ${reply.status}`, {
+        throw new StoreRefusedError(`key-value store answered ${reply.status}`, {
           isRateLimited: reply.status === 429,
         });
       }
@@ -88,7 +91,7 @@
     } catch (error) {
       if (!(error instanceof NoAnswerError)) throw error;
       onCall?.(false);
-      throw new StoreOutcomeUnknownError(`state: ${error.message}`, { cause: error });
+      throw new StoreOutcomeUnknownError(`key-value store: ${error.message}`, { cause: error });
     }
   }
 
@@ -99,18 +102,23 @@
   }
 
   async range(prefix: string, after?: string): Promise<KeyValuePage> {
-    const from = after === undefined ? '' : `&after=${after}`;
-    return decodeReply(await this.call('GET', `/keys?under=${prefix}${from}&most=${PAGE_SIZE}`), readPage);
+    const afterQuery = after === undefined ? '' : `&after=${after}`;
+    return decodeReply(
+      await this.call('GET', `/keys?under=${prefix}${afterQuery}&most=${MAX_KEYS_PER_PAGE}`),
+      readPage,
+    );
   }
 
   async txn(conditions: readonly Compare[], writes: readonly WriteOperation[]): Promise<TxnResult> {
     const reply = await this.call('POST', '/commit', encodeTxn(conditions, writes));
     if (reply.status === 200) return { ok: true, revision: decodeReply(reply, readRevision) };
-    if (reply.status === 409) return { ok: false, failed: decodeReply(reply, readFailed) };
+    if (reply.status === 409) return { ok: false, failed: decodeReply(reply, readFailedKeys) };
     if (reply.status === 400) {
-      throw new StoreRequestTooLargeError(`state: commit refused ${JSON.stringify(reply.body)}`);
+      throw new StoreRequestTooLargeError(
+        `key-value store refused the transaction with 400: ${JSON.stringify(reply.body)}`,
+      );
     }
-    throw new StoreOutcomeUnknownError(`state: commit answered ${reply.status}`);
+    throw new StoreOutcomeUnknownError(`key-value store answered ${reply.status} to a transaction`);
   }
 
   async grantLease(ttlMs: number): Promise<LeaseId> {
@@ -120,7 +128,8 @@
   async keepLeaseAlive(lease: LeaseId): Promise<boolean> {
     const reply = await this.call('POST', `/grants/${lease}/touch`);
     if (reply.status === 404) return false;
-    if (reply.status !== 200) throw new StoreOutcomeUnknownError(`state: touch answered ${reply.status}`);
+    if (reply.status !== 200)
+      throw new StoreOutcomeUnknownError(`key-value store answered ${reply.status} to a lease renewal`);
     return true;
   }
 
@@ -132,12 +141,15 @@
     const path = `/changes?under=${prefix}&after=${after}&waitMs=${waitMs}`;
     let reply: HttpReply;
     try {
-      reply = await this.options.watchHttp.call('GET', path, undefined, waitMs + WATCH_GRACE_MS);
+      reply = await this.options.watchHttp.call('GET', path, undefined, waitMs + WATCH_TIMEOUT_MARGIN_MS);
     } catch (error) {
-      throw new StoreOutcomeUnknownError(`state: ${errorMessage(error)}`, { cause: error });
+      throw new StoreOutcomeUnknownError(`key-value store: watch failed: ${errorMessage(error)}`, {
+        cause: error,
+      });
     }
     if (reply.status === 410) return null;
-    if (reply.status !== 200) throw new StoreRefusedError(`state: watch answered ${reply.status}`);
+    if (reply.status !== 200)
+      throw new StoreRefusedError(`key-value store answered ${reply.status} to a watch`);
     return decodeReply(reply, readWatchEvents);
   }
 }
--- a/src/store/errors.ts
+++ b/src/store/errors.ts
@@ -1,18 +1,18 @@
-/** The errors of calls to the key-value store, by what became of the request. */
+/** Errors of calls to the key-value store, classified by whether the request was carried out. */
 
-/** Which kind of failure a `KeyValueStoreError` is. */
+/** Error code of a `KeyValueStoreError`. */
 export type KeyValueStoreErrorCode =
   'STORE_UNAVAILABLE' | 'STORE_RATE_LIMITED' | 'STORE_REQUEST_TOO_LARGE' | 'STORE_OUTCOME_UNKNOWN';
 
-/** A call to the key-value store that failed. */
+/** Base class of the errors with which a call to the key-value store fails. */
 export abstract class KeyValueStoreError extends Error {
   abstract readonly code: KeyValueStoreErrorCode;
 }
 
-/** The store surely did not carry the request out: it is unavailable (503) or limits our rate (429). */
+/** The store did not carry out the request: it is unavailable (503) or rate limits this client (429). */
 export class StoreRefusedError extends KeyValueStoreError {
   override readonly name: string = 'StoreRefusedError';
-  /** Refused for too many requests: worth repeating shortly. */
+  /** Whether the request was rate limited and may succeed if the caller repeats it after a short delay. */
   readonly isRateLimited: boolean;
 
   constructor(message: string, options: ErrorOptions & { readonly isRateLimited?: boolean } = {}) {
@@ -25,12 +25,12 @@
   }
 }
 
-/** Whether a request was refused for too many requests alone. */
+/** Reports whether a request failed only because of the store's rate limit. */
 export function isRateLimitedError(error: unknown): boolean {
   return error instanceof StoreRefusedError && error.isRateLimited;
 }
 
-/** The request exceeds the store's limits on sizes as they are now (400). It was not carried out. */
+/** The request exceeds the size limits that the store currently enforces (400) and was not carried out. */
 export class StoreRequestTooLargeError extends StoreRefusedError {
   override readonly name = 'StoreRequestTooLargeError';
 
@@ -39,13 +39,13 @@
   }
 }
 
-/** There was no answer, or an unreadable one: the request may have been carried out, or may still be. */
+/** The store sent no answer or an unreadable one: it may have carried out the request, or may still do so. */
 export class StoreOutcomeUnknownError extends KeyValueStoreError {
   override readonly name = 'StoreOutcomeUnknownError';
   override readonly code = 'STORE_OUTCOME_UNKNOWN';
 }
 
-/** A record that no version writes. The message says what is wrong with it. */
+/** A stored record has a form that no version of the program writes. The message names the fault. */
 export class InvalidRecordError extends Error {
   override readonly name = 'InvalidRecordError';
   readonly code = 'STORE_INVALID_RECORD';
--- a/src/store/job-changes.ts
+++ b/src/store/job-changes.ts
@@ -1,4 +1,4 @@
-/** Reads what a watch of the jobs' records has brought. */
+/** Decodes the watch events of job records. */
 import type { JobId, Revision } from '../model/ids.js';
 import type { JobRecord } from '../model/job.js';
 import type { WatchEvent } from '../wire/key-value-store.js';
@@ -6,14 +6,17 @@
 import { decodeJob } from './job-record.js';
 import { keys } from './keys.js';
 
-/** A job's record as it is now. */
+/** A job record that was created or updated, as of `revision`. */
 export interface JobChange {
   readonly id: JobId;
   readonly record: JobRecord;
   readonly revision: Revision;
 }
 
-/** Returns the changed records; one that cannot be read is reported and left out: those of other jobs count all the same. */
+/**
+ * Decodes the job records that were created or updated; deletions are ignored. A record that cannot be decoded is
+ * passed to `onUnreadable` and skipped, so that the changes of other jobs still take effect.
+ */
 export function decodeJobChanges(
   events: readonly WatchEvent[],
   onUnreadable: (key: string, error: InvalidRecordError) => void,
--- a/src/store/job-record.ts
+++ b/src/store/job-record.ts
@@ -1,8 +1,9 @@
 /**
- * Codec of a job's record. Its description is a tuple by position, because every version reads it so: positions are
- * only ever added at its end, and an earlier version reads no further than the positions that it knows.
+ * Codec of a job's record. The record holds the job's description as a tuple of fields by position. The format is
+ * shared with earlier versions: new fields are only appended, and an earlier version ignores positions that it does
+ * not know.
  *
- * What does not fit a record goes into overflow records of its job, which are written before it.
+ * Parts of a job that exceed the store's value size go into overflow records, which are written before the job record.
  */
 import type { ImageId, JobId, TeamId, MachineTypeId, ZoneId } from '../model/ids.js';
 import type { JobKind, JobRecord, JobSpec, JobState } from '../model/job.js';
@@ -11,7 +12,7 @@
 import { InvalidRecordError } from './errors.js';
 import { keys } from './keys.js';
 
-/** A job's description by position (docs/state.md). */
+/** A job's description as stored, with fields by position (docs/state.md). */
 type SpecTuple = [
   jobClass: string,
   team: string,
@@ -25,30 +26,30 @@
   imageGb: number,
   allowedTypes: string[] | null,
   zone: string | null,
-  /** Bits `ZONE_AFFINITY_FLAG` and `ZONE_ANTI_AFFINITY_FLAG`. */
+  /** Bit set of `ZONE_AFFINITY_FLAG` and `ZONE_ANTI_AFFINITY_FLAG`. */
   zoneFlags: number,
   allowsSpot: boolean,
   estimatedRunS: number,
   checkpointIntervalS: number,
   checkpointWriteS: number,
   deadlineS: number | null,
-  /** The job's dependencies, or how many overflow records hold them. */
+  /** The job's dependencies, or the number of overflow records that hold the dependencies. */
   dependencies?: string[] | number,
-  /** How many overflow records hold the names; they are empty here then. */
+  /** Number of overflow records that hold the names; above 0, the names in this tuple are empty or null. */
   descriptionRecordCount?: number,
 ];
 
-/** The value under `job/<id>` and `open/<id>`. */
+/** The stored value under `job/<id>` and `open/<id>`. */
 export interface StoredJob {
   /** State: accepted, done or cancelled. */
   s: 'a' | 'd' | 'c';
-  /** When the job was accepted, in milliseconds since 1970. */
+  /** Time at which the job was accepted, in milliseconds since 1970. */
   at: number;
-  /** The description. */
+  /** The job's description. */
   j: SpecTuple;
 }
 
-/** The names of a description, that is everything whose length the user decides, as overflow records hold them. */
+/** The names in a description, that is all fields whose length the user chooses, as stored in overflow records. */
 type NameTuple = [
   jobClass: string,
   team: string,
@@ -57,17 +58,18 @@
   zone: string | null,
 ];
 
-const STATE_LETTERS = { accepted: 'a', done: 'd', cancelled: 'c' } as const;
-const STATES: Record<string, JobState> = { a: 'accepted', d: 'done', c: 'cancelled' };
+const STATE_CODES = { accepted: 'a', done: 'd', cancelled: 'c' } as const;
+const STATES_BY_CODE: Record<string, JobState> = { a: 'accepted', d: 'done', c: 'cancelled' };
 
 const ZONE_AFFINITY_FLAG = 1;
 const ZONE_ANTI_AFFINITY_FLAG = 2;
-/** What a list takes besides its entries, and an entry besides its text. */
-const LIST_OVERHEAD_BYTES = 16;
+/** Upper bound on the encoded size of a value in an overflow record besides its content (brackets or quotes). */
+const RECORD_OVERHEAD_BYTES = 16;
+/** Encoded size of a list entry besides its text: two quotes and a comma. */
 const ENTRY_OVERHEAD_BYTES = 3;
 
-/** The length of a value in the store, in bytes. */
-export function encodedLength(value: unknown): number {
+/** Returns the length in bytes of a value as the store holds it: JSON in UTF-8. */
+export function encodedLengthBytes(value: unknown): number {
   return Buffer.byteLength(JSON.stringify(value));
 }
 
@@ -114,28 +116,40 @@
   return tuple;
 }
 
-/** Encodes a job's record, without the names where overflow records hold them. */
+/** Encodes a job's record. The names are left out if overflow records hold them. */
 export function encodeJob({ spec, state, acceptedAt }: JobRecord): StoredJob {
   const storedSpec = spec.descriptionRecordCount > 0 ? withoutNames(spec) : spec;
-  return { s: STATE_LETTERS[state], at: acceptedAt, j: encodeSpec(storedSpec) };
+  return { s: STATE_CODES[state], at: acceptedAt, j: encodeSpec(storedSpec) };
 }
 
 /**
- * Encodes the record of a job that is over. Nobody asks any more what it was called, so the names are left out where
- * its description is too long for the store as it is now: the end has to be written in any case.
+ * Encodes the record of a done or cancelled job. The names are left out if the record would exceed `valueBytes`:
+ * nothing reads the names of such a job, and the write of its final state must not fail for its size.
  */
 export function encodeEndedJob(record: JobRecord, valueBytes: number): StoredJob {
   const spec: JobSpec = { ...record.spec, dependencies: [], dependencyRecordCount: 0 };
   const stored = encodeJob({ ...record, spec });
-  if (encodedLength(stored) <= valueBytes) return stored;
+  if (encodedLengthBytes(stored) <= valueBytes) return stored;
   return encodeJob({ ...record, spec: withoutNames({ ...spec, descriptionRecordCount: 0 }) });
 }
 
 function decodeSpec(id: JobId, tuple: SpecTuple): JobSpec {
-  const [jobClass, team, kind, priority, taskCount, cpus, gpus, memoryGb, image, imageGb, ...rest] = tuple;
-  const [allowedTypes, zone, zoneFlags, allowsSpot, ...times] = rest;
-  const [estimatedRunS, checkpointIntervalS, checkpointWriteS, deadlineS, ...optional] = times;
-  const [dependencies, descriptionRecordCount] = optional;
+  const [
+    jobClass,
+    team,
+    kind,
+    priority,
+    taskCount,
+    cpus,
+    gpus,
+    memoryGb,
+    image,
+    imageGb,
+    ...constraintFields
+  ] = tuple;
+  const [allowedTypes, zone, zoneFlags, allowsSpot, ...timeFields] = constraintFields;
+  const [estimatedRunS, checkpointIntervalS, checkpointWriteS, deadlineS, ...optionalFields] = timeFields;
+  const [dependencies, descriptionRecordCount] = optionalFields;
   return {
     id,
     jobClass,
@@ -163,7 +177,7 @@
   };
 }
 
-const SPEC_TYPES = {
+const FIELD_TYPE_CHECKS = {
   text: (value: unknown): boolean => typeof value === 'string',
   number: (value: unknown): boolean => typeof value === 'number',
   flag: (value: unknown): boolean => typeof value === 'boolean',
@@ -174,41 +188,47 @@
   optionalNumber: (value: unknown): boolean => value === null || typeof value === 'number',
 };
 
-/** What stands at each of the places that every version writes. */
-const SPEC_PLACES: readonly (keyof typeof SPEC_TYPES)[] = [
+/** Types of the fields that every version writes, by position. */
+const SPEC_FIELD_TYPES: readonly (keyof typeof FIELD_TYPE_CHECKS)[] = [
   ...(['text', 'text', 'kind', 'number', 'number', 'number', 'number', 'number', 'text', 'number'] as const),
   ...(['texts', 'optionalText', 'number', 'flag', 'number', 'number', 'number', 'optionalNumber'] as const),
 ];
 
 function isSpecTuple(value: unknown): value is SpecTuple {
-  return Array.isArray(value) && SPEC_PLACES.every((type, place) => SPEC_TYPES[type](value[place]));
+  return (
+    Array.isArray(value) &&
+    SPEC_FIELD_TYPES.every((type, position) => FIELD_TYPE_CHECKS[type](value[position]))
+  );
 }
 
 /**
- * Decodes a job's record. With a `descriptionRecordCount` above 0 its names are still to be read (`withDescription`).
+ * Decodes a job's record. If its `descriptionRecordCount` is above 0, the names are still missing: the caller reads
+ * them from the overflow records and adds them with `withDescription`.
  *
- * @throws {InvalidRecordError} On a value that no version writes.
+ * @throws {InvalidRecordError} If no version writes such a value.
  */
 export function decodeJob(id: JobId, value: unknown): JobRecord {
   const stored = value as Partial<StoredJob> | null | undefined;
-  const state = STATES[stored?.s ?? ''];
+  const state = STATES_BY_CODE[stored?.s ?? ''];
   if (!state || typeof stored?.at !== 'number' || !isSpecTuple(stored.j))
-    throw new InvalidRecordError(`job record ${id} cannot be read`);
+    throw new InvalidRecordError(
+      `record of job ${id} has an invalid state, time of acceptance or description`,
+    );
   return { spec: decodeSpec(id, stored.j), state, acceptedAt: stored.at as WallTime };
 }
 
-/** A job as it is stored: its description as its record holds it, and its overflow records. */
+/** A job split for storage: the description for the job record, and the writes of the overflow records. */
 export interface SplitJob {
   readonly spec: JobSpec;
-  /** To be written before the job's own record. */
+  /** Writes of the overflow records, which have to be committed before the job record. */
   readonly records: readonly SetOperation[];
 }
 
 /**
- * Keeps every value of an accepted job to the given size. The content of the overflow records follows from the
- * submission alone: two nodes that accept the same submission at once write the same ones.
+ * Splits an accepted job so that no stored value exceeds `valueBytes`. The content of the overflow records depends on
+ * the submission alone, so that two controllers that accept the same submission concurrently write the same records.
  *
- * @param submittedDependencies All jobs that the submission names, those that are done by now included.
+ * @param submittedDependencies All dependencies in the submission, including jobs that are already done.
  */
 export function splitJob(
   spec: JobSpec,
@@ -217,7 +237,7 @@
   valueBytes: number,
 ): SplitJob {
   const fits = (candidate: JobSpec): boolean =>
-    encodedLength(encodeJob({ spec: candidate, state: 'accepted', acceptedAt })) <= valueBytes;
+    encodedLengthBytes(encodeJob({ spec: candidate, state: 'accepted', acceptedAt })) <= valueBytes;
   if (fits(spec)) return { spec, records: [] };
   const dependencyRecords =
     spec.dependencies.length > 0 ? encodeDependencies(spec.id, submittedDependencies, valueBytes) : [];
@@ -235,20 +255,20 @@
 
 function encodeDependencies(id: JobId, dependencies: readonly JobId[], valueBytes: number): SetOperation[] {
   const records: SetOperation[] = [];
-  let part: JobId[] = [];
-  let partBytes = LIST_OVERHEAD_BYTES;
-  const flushPart = (): void => {
-    if (part.length > 0) records.push({ set: keys.dependencies(id, records.length), value: part });
-    part = [];
-    partBytes = LIST_OVERHEAD_BYTES;
+  let batch: JobId[] = [];
+  let batchBytes = RECORD_OVERHEAD_BYTES;
+  const flushBatch = (): void => {
+    if (batch.length > 0) records.push({ set: keys.dependencies(id, records.length), value: batch });
+    batch = [];
+    batchBytes = RECORD_OVERHEAD_BYTES;
   };
   for (const dependency of dependencies) {
     const entryBytes = dependency.length + ENTRY_OVERHEAD_BYTES;
-    if (partBytes + entryBytes > valueBytes) flushPart();
-    part.push(dependency);
-    partBytes += entryBytes;
+    if (batchBytes + entryBytes > valueBytes) flushBatch();
+    batch.push(dependency);
+    batchBytes += entryBytes;
   }
-  flushPart();
+  flushBatch();
   return records;
 }
 
@@ -260,12 +280,12 @@
     spec.allowedTypes as string[] | null,
     spec.zone,
   ];
-  // Base64 takes one byte a letter and needs no escapes, so that it can be cut anywhere.
+  // Base64 text has one byte per character and needs no JSON escapes, so it can be split at any position.
   const text = Buffer.from(JSON.stringify(names)).toString('base64');
-  const partLength = valueBytes - LIST_OVERHEAD_BYTES;
+  const segmentLength = valueBytes - RECORD_OVERHEAD_BYTES;
   const records: SetOperation[] = [];
-  for (let start = 0; start < text.length; start += partLength) {
-    const value = text.slice(start, start + partLength);
+  for (let start = 0; start < text.length; start += segmentLength) {
+    const value = text.slice(start, start + segmentLength);
     records.push({ set: keys.description(spec.id, records.length), value });
   }
   return records;
@@ -274,27 +294,33 @@
 function isNameTuple(value: unknown): value is NameTuple {
   if (!Array.isArray(value)) return false;
   const [jobClass, team, image, allowedTypes, zone] = value as unknown[];
-  const { text, texts, optionalText } = SPEC_TYPES;
+  const { text, texts, optionalText } = FIELD_TYPE_CHECKS;
   return text(jobClass) && text(team) && text(image) && texts(allowedTypes) && optionalText(zone);
 }
 
-function decodeNames(parts: readonly string[]): NameTuple {
+function decodeNames(segments: readonly string[]): NameTuple {
   try {
-    const names: unknown = JSON.parse(Buffer.from(parts.join(''), 'base64').toString('utf8'));
+    const names: unknown = JSON.parse(Buffer.from(segments.join(''), 'base64').toString('utf8'));
     if (isNameTuple(names)) return names;
   } catch (error) {
-    throw new InvalidRecordError('a description whose parts make no text', { cause: error });
+    throw new InvalidRecordError(
+      'overflow records of a job description: the joined text is not base64-encoded JSON',
+      { cause: error },
+    );
   }
-  throw new InvalidRecordError('a description without its names');
+  throw new InvalidRecordError(
+    'overflow records of a job description: the decoded value does not hold the five names',
+  );
 }
 
 /**
- * Completes a decoded record with the names that its overflow records hold, given in their order.
+ * Returns a decoded job record with the names from its overflow records.
  *
- * @throws {InvalidRecordError} If the parts don't fit together.
+ * @param segments The values of the overflow records, in the order of their keys.
+ * @throws {InvalidRecordError} If the joined segments are not the encoded names.
  */
-export function withDescription(record: JobRecord, parts: readonly string[]): JobRecord {
-  const [jobClass, team, image, allowedTypes, zone] = decodeNames(parts);
+export function withDescription(record: JobRecord, segments: readonly string[]): JobRecord {
+  const [jobClass, team, image, allowedTypes, zone] = decodeNames(segments);
   return {
     ...record,
     spec: {
@@ -308,11 +334,15 @@
   };
 }
 
-/** The keys of all overflow records of a job. */
+/** Returns the keys of all overflow records of a job. */
 export function overflowKeys(spec: JobSpec): string[] {
   const { id, dependencyRecordCount, descriptionRecordCount } = spec;
   return [
-    ...Array.from({ length: dependencyRecordCount }, (_, number) => keys.dependencies(id, number)),
-    ...Array.from({ length: descriptionRecordCount }, (_, number) => keys.description(id, number)),
+    ...Array.from({ length: dependencyRecordCount }, (_, recordNumber) =>
+      keys.dependencies(id, recordNumber),
+    ),
+    ...Array.from({ length: descriptionRecordCount }, (_, recordNumber) =>
+      keys.description(id, recordNumber),
+    ),
   ];
 }
--- a/src/store/keys.ts
+++ b/src/store/keys.ts
@@ -1,60 +1,65 @@
-/** The keys under which the controllers keep their records in the key-value store (docs/state.md). */
+/** Keys of the controllers' records in the key-value store (docs/state.md). */
 import type { JobId } from '../model/ids.js';
 
-/** Tasks of one job whose progress shares one record, as every version reads it: under 16 KiB. */
+/**
+ * Default number of a job's tasks whose progress shares one record. Every version reads chunks of this size; the
+ * record stays under 16 KiB.
+ */
 export const DEFAULT_CHUNK_SIZE = 300;
 
-const NUMBER_DIGITS = 4;
-const padNumber = (number: number): string => String(number).padStart(NUMBER_DIGITS, '0');
+const RECORD_NUMBER_DIGITS = 4;
+const formatRecordNumber = (number: number): string => String(number).padStart(RECORD_NUMBER_DIGITS, '0');
 
-/** Every key, and the prefixes under which keys are listed and watched. */
+/** Keys, and the prefixes under which keys are listed and watched. */
 export const keys = {
-  /** The epoch last taken. */
+  /** The record of the latest epoch in which a controller became leader. */
   epoch: 'epoch',
-  /** The current leader, bound to its lease. */
+  /** The record of the current leader, bound to the leader's lease. */
   leader: 'leader',
-  /** Prefix of all jobs, finished ones included. */
+  /** Prefix of the records of all jobs, including finished jobs. */
   jobs: 'job/',
   job: (id: JobId): string => `job/${id}`,
-  /** Prefix of the unfinished jobs and their progress. */
+  /** Prefix of the records of unfinished jobs and of their progress. */
   open: 'open/',
-  /** An unfinished job. */
+  /** Head record of an unfinished job, listed before the chunks of the job's progress. */
   openHead: (id: JobId): string => `open/${id}`,
   /**
-   * One chunk of an unfinished job's progress. Chunks of another size than the default have it in their key:
-   * versions that don't know them leave them unread.
+   * One chunk of an unfinished job's progress. The key of a chunk with a size other than the default includes the
+   * size: a version that supports only the default size ignores such a key.
    */
   openChunk: (id: JobId, chunk: number, size: number): string =>
-    size === DEFAULT_CHUNK_SIZE ? `open/${id}/${padNumber(chunk)}` : `open/${id}/${size}-${padNumber(chunk)}`,
-  /** An overflow record with dependencies that don't fit their job's record. */
-  dependencies: (id: JobId, number: number): string => `deps/${id}/${padNumber(number)}`,
-  /** An overflow record with a part of a description that doesn't fit its job's record. */
-  description: (id: JobId, number: number): string => `desc/${id}/${padNumber(number)}`,
-  /** The machine types as last read from the cloud. */
+    size === DEFAULT_CHUNK_SIZE
+      ? `open/${id}/${formatRecordNumber(chunk)}`
+      : `open/${id}/${size}-${formatRecordNumber(chunk)}`,
+  /** Overflow record with dependencies that exceed the size of the job's record. */
+  dependencies: (id: JobId, number: number): string => `deps/${id}/${formatRecordNumber(number)}`,
+  /** Overflow record with a segment of the names that exceed the size of the job's record. */
+  description: (id: JobId, number: number): string => `desc/${id}/${formatRecordNumber(number)}`,
+  /** The machine types as most recently read from the cloud. */
   machineTypes: 'cloud/types',
-  /** Prefix of the rented machines. */
+  /** Prefix of the records of rented machines. */
   fleet: 'fleet/',
-  fleetChunk: (number: number): string => `fleet/${padNumber(number)}`,
-  /** Prefix of the forecast's state. */
+  fleetChunk: (number: number): string => `fleet/${formatRecordNumber(number)}`,
+  /** Prefix of the records of the forecast's state, one per time series. */
   forecast: 'forecast/',
   forecastOf: (series: string): string => `forecast/${series}`,
-  /** Never written, only compared, to find out how much a transaction may hold (`limitProbe`). */
+  /** A key that is never written, only compared, to probe the size limit of a transaction (`limitProbe`). */
   probe: (number: number): string => `unused/${number}`,
 };
 
-/** A parsed key under `open/`: a job's head (`chunk` is null) or one chunk of its progress. */
+/** A parsed key under `open/`: a job's head record (`chunk` is null) or one chunk of the job's progress. */
 export interface OpenKey {
   readonly job: JobId;
   readonly chunk: number | null;
-  /** Tasks that share one record. */
+  /** Number of tasks whose progress shares one record. */
   readonly size: number;
 }
 
-/** Parses a key under `open/`; null: no version writes such a key. */
+/** Parses a key under `open/`. Returns null if no version writes such a key. */
 export function parseOpenKey(key: string): OpenKey | null {
-  const parts = /^open\/(j-\d+)(?:\/(?:(\d+)-)?(\d+))?$/.exec(key);
-  if (!parts) return null;
-  const [, id, sizeText, chunkText] = parts;
+  const match = /^open\/(j-\d+)(?:\/(?:(\d+)-)?(\d+))?$/.exec(key);
+  if (!match) return null;
+  const [, id, sizeText, chunkText] = match;
   const job = id as JobId;
   if (chunkText === undefined) return { job, chunk: null, size: DEFAULT_CHUNK_SIZE };
   const chunk = Number(chunkText);
@@ -63,7 +68,10 @@
   return isCanonical ? { job, chunk, size } : null;
 }
 
-/** The job that a key under `open/` of an unknown form seems to belong to; null: none. */
+/**
+ * Returns the job named in a key under `open/` that `parseOpenKey` rejects, or null if the key names no job. The job's
+ * progress is then partly unreadable.
+ */
 export function jobOfUnknownOpenKey(key: string): JobId | null {
   return (/^open\/(j-\d+)\//.exec(key)?.[1] ?? null) as JobId | null;
 }
--- a/src/store/leader-record.ts
+++ b/src/store/leader-record.ts
@@ -1,14 +1,14 @@
-/** Codecs of the records `leader` and `epoch`: who leads, and in which epoch. */
+/** Codecs of the records `leader` (the current leader) and `epoch` (the latest leadership epoch). */
 import type { Epoch, MemberId } from '../model/ids.js';
 import { UNVERSIONED } from '../model/protocol.js';
 
-/** The leader's record, bound to its lease. */
+/** Record of the current leader. The store removes it when the leader's lease expires. */
 export interface LeaderRecord {
   readonly member: MemberId;
   readonly epoch: Epoch;
-  /** The protocol version of the leader's program. */
+  /** Protocol version of the leader's program. */
   readonly version: number;
-  /** The incarnation of the leader's process in the failure detector; absent: the leader runs none. */
+  /** Incarnation of the leader's process in the failure detector; absent if the leader runs no failure detector. */
   readonly process?: string;
 }
 
@@ -23,18 +23,19 @@
 /**
  * Encodes the value under `leader`.
  *
- * @param livenessCount Counts the signs of life that the leader has written, so that each is another value.
+ * @param refreshCount Number of times that the leader has refreshed its record as a heartbeat in the store. The count
+ * makes the value of each refresh differ from the previous value.
  */
 export function encodeLeader(
   { member, epoch, version, process }: LeaderRecord,
-  livenessCount = 0,
+  refreshCount = 0,
 ): StoredLeader {
   const stored = { member, epoch, speaks: version };
   if (process === undefined) return stored;
-  return livenessCount === 0 ? { ...stored, process } : { ...stored, process, signs: livenessCount };
+  return refreshCount === 0 ? { ...stored, process } : { ...stored, process, signs: refreshCount };
 }
 
-/** Decodes the value under `leader`; null: it is no record of a leader. */
+/** Decodes the value under `leader`. Returns null if the value is not a leader record. */
 export function decodeLeader(value: unknown): LeaderRecord | null {
   const stored = value as Partial<StoredLeader> | null | undefined;
   if (!stored || typeof stored.member !== 'string' || typeof stored.epoch !== 'number') return null;
@@ -43,13 +44,13 @@
   return typeof stored.process === 'string' ? { ...record, process: stored.process } : record;
 }
 
-/** The record `epoch`. */
+/** The record under `epoch`. */
 interface EpochRecord {
-  /** The epoch last taken; 0: none yet. */
+  /** Latest epoch in which a controller became leader; 0 if there has been no leader. */
   readonly epoch: Epoch;
   /**
-   * Leaders have been replaced here before their leases expired, so one may believe in its lease for up to the
-   * lease's whole duration after a successor's failover.
+   * Whether a leader may have been replaced before its lease expired. Such a leader may consider its lease valid for
+   * up to the full lease duration after its successor's failover.
    */
   readonly early: boolean;
 }
@@ -64,7 +65,7 @@
   return early ? { n: epoch, early } : { n: epoch };
 }
 
-/** Decodes the value under `epoch`; absent: no epoch was taken yet. */
+/** Decodes the value under `epoch`. An absent value decodes to epoch 0: there has been no leader. */
 export function decodeEpoch(value: unknown): EpochRecord {
   const stored = value as Partial<StoredEpoch> | null | undefined;
   const epoch = typeof stored?.n === 'number' ? stored.n : 0;
--- a/src/store/limit-probe.ts
+++ b/src/store/limit-probe.ts
@@ -1,4 +1,4 @@
-/** Probes whether the announced limits of the key-value store are in force by now. */
+/** Probes whether the key-value store already enforces the announced limits. */
 import { NO_REVISION } from '../model/ids.js';
 import type { Settings } from '../wire/settings.js';
 import type { KeyValueStore } from './client.js';
@@ -6,22 +6,23 @@
 import { keys } from './keys.js';
 import type { LimitProbe } from './store-limits.js';
 
-/** A transaction may compare so many times the keys that it may write (PROTOCOL). */
-const COMPARES_PER_WRITE = 4;
+/** Maximum number of compares in a transaction, as a multiple of the maximum number of writes (PROTOCOL). */
+const MAX_COMPARES_PER_WRITE = 4;
 
 /**
- * Makes a probe out of a transaction without writes that compares one key more than the announced limit allows, and
- * no more than the current one does: it changes nothing, and is refused as malformed once the announced limit is in
- * force. Null: both limits allow the same, so no such transaction exists.
+ * Creates a probe that sends a transaction without writes. The transaction compares one key more than the announced
+ * limit allows, but no more than the current limit allows: it changes nothing, and the store refuses it as malformed
+ * once the announced limit is in force. Returns null if the announced limit is not below the current limit, since no
+ * transaction can distinguish the two limits then.
  */
 export function limitProbe(
   store: KeyValueStore,
   { storeLimits, announcedStoreLimits }: Pick<Settings, 'storeLimits' | 'announcedStoreLimits'>,
 ): LimitProbe | null {
   if (announcedStoreLimits.txnOps >= storeLimits.txnOps) return null;
-  const compareCount = announcedStoreLimits.txnOps * COMPARES_PER_WRITE + 1;
-  const compares = Array.from({ length: compareCount }, (_, number) => ({
-    key: keys.probe(number),
+  const compareCount = announcedStoreLimits.txnOps * MAX_COMPARES_PER_WRITE + 1;
+  const compares = Array.from({ length: compareCount }, (_, index) => ({
+    key: keys.probe(index),
     revision: NO_REVISION,
   }));
   return async () => {
--- a/src/store/machine-record.ts
+++ b/src/store/machine-record.ts
@@ -1,11 +1,11 @@
-/** The records of the fleet (`fleet/<n>`), each with some of the machines, as every version reads and writes them. */
+/** Codec of the fleet records (`fleet/<n>`), each of which holds several machines. All versions share the format. */
 import type { MachineId, MachineTypeId, ZoneId } from '../model/ids.js';
 import type { Machine } from '../model/machine.js';
 import { InvalidRecordError } from './errors.js';
 
 /**
- * One machine in a record, by position; positions never change. `confirmed` was added with issue 30: earlier versions
- * also recorded what they had guessed, and leave the field out.
+ * One machine in a fleet record, with fields by position; positions never change. `confirmed` was added with issue 30:
+ * earlier versions also recorded guessed facts and leave the field out.
  */
 export type StoredMachine = [
   id: string,
@@ -18,25 +18,25 @@
   confirmed?: 1,
 ];
 
-/** What a leader records of a machine for its successors. */
+/** Facts about a machine that a leader records for its successors. */
 export interface MachineRecord {
   readonly machine: Machine;
-  /** Where the worker listens; empty: not known yet. */
+  /** Address on which the machine's worker listens; empty if not yet known. */
   readonly address: string;
-  /** By the time of day, in milliseconds since 1970. */
+  /** Wall-clock time at which the machine was rented, in milliseconds since 1970. */
   readonly rentedAt: number;
   /** Whether the machine was up when the record was written. */
   readonly isUp: boolean;
-  /** Whether its facts are confirmed. Not so in records of versions that recorded guesses as well. */
+  /** Whether the machine's facts are confirmed. False in records of versions that also recorded guessed facts. */
   readonly isConfirmed: boolean;
 }
 
-/** The value of one record. */
+/** The stored value of one fleet record. */
 interface StoredFleetChunk {
   readonly m: readonly StoredMachine[];
 }
 
-/** Encodes one machine. */
+/** Encodes one machine for a fleet record. */
 export function encodeMachine({
   machine,
   address,
@@ -50,31 +50,33 @@
   return stored;
 }
 
-/** Builds the value of one record from encoded machines. */
+/** Builds the value of one fleet record from encoded machines. */
 export function encodeFleetChunk(machines: readonly StoredMachine[]): StoredFleetChunk {
   return { m: machines };
 }
 
-const isText = (value: unknown): boolean => typeof value === 'string';
-const isFlag = (value: unknown): boolean => value === 0 || value === 1;
+const isString = (value: unknown): boolean => typeof value === 'string';
+const isBit = (value: unknown): boolean => value === 0 || value === 1;
 
 function isStoredMachine(value: unknown): value is StoredMachine {
   if (!Array.isArray(value)) return false;
   const [id, type, zone, spot, address, rentedAt, up] = value as unknown[];
-  const hasNames = [id, type, zone, address].every(isText);
-  return hasNames && isFlag(spot) && isFlag(up) && typeof rentedAt === 'number';
+  const hasNames = [id, type, zone, address].every(isString);
+  return hasNames && isBit(spot) && isBit(up) && typeof rentedAt === 'number';
 }
 
 /**
- * Decodes the machines of one record.
+ * Decodes the machines of one fleet record.
  *
- * @throws {InvalidRecordError} On a value that no version writes.
+ * @throws {InvalidRecordError} If no version writes such a value.
  */
 export function decodeFleetChunk(value: unknown): MachineRecord[] {
   const machines = (value as Partial<StoredFleetChunk> | null | undefined)?.m;
-  if (!Array.isArray(machines)) throw new InvalidRecordError('no list of machines');
+  if (!Array.isArray(machines))
+    throw new InvalidRecordError('fleet record: field m is not a list of machines');
   return machines.map((machine: unknown) => {
-    if (!isStoredMachine(machine)) throw new InvalidRecordError('a machine without its places');
+    if (!isStoredMachine(machine))
+      throw new InvalidRecordError('fleet record: a machine entry has missing or invalid fields');
     return decodeMachine(machine);
   });
 }
--- a/src/store/machine-type-record.ts
+++ b/src/store/machine-type-record.ts
@@ -1,9 +1,9 @@
-/** The record of the machine types (`cloud/types`), as every version reads and writes it. */
+/** Codec of the machine type record (`cloud/types`). All versions share the format. */
 import type { MachineTypeId, ZoneId } from '../model/ids.js';
 import type { MachineType } from '../model/machine.js';
 import type { Millis } from '../model/time.js';
 
-/** One machine type in the record; the names of its fields never change. */
+/** One machine type as stored; the names of the fields never change. */
 interface StoredMachineType {
   readonly id: string;
   readonly cpus: number;
@@ -13,7 +13,7 @@
   readonly fetchGbPerS: number;
   readonly price: number;
   readonly spotPrice: number;
-  /** Milliseconds. */
+  /** Usual boot time in milliseconds. */
   readonly boot: number;
   readonly zones: readonly string[];
 }
--- a/src/store/progress-record.ts
+++ b/src/store/progress-record.ts
@@ -1,56 +1,61 @@
-/** Codec of a job's progress: which tasks of one chunk are done, and which may be on which machine. */
+/**
+ * Codec of a job's progress records. Each record covers one chunk of the job's tasks and lists the done tasks and the
+ * tasks placed on machines.
+ */
 import type { MachineId, TaskIndex, AttemptNumber } from '../model/ids.js';
 import { InvalidRecordError } from './errors.js';
 import { DEFAULT_CHUNK_SIZE } from './keys.js';
 
-/** What one task takes in a record, with usual names, and what the record takes besides. */
-const TASK_BYTES = 32;
+/** Estimated size of one task in a progress record, for machine ids of usual length. */
+const BYTES_PER_TASK = 32;
+/** Estimated size of a progress record besides its tasks. */
 const CHUNK_OVERHEAD_BYTES = 128;
 
-/** How many tasks' progress fits a value of so many bytes: at least one, at most the default size of a chunk. */
+/** Returns the number of tasks whose progress fits a value of `valueBytes`, from 1 to the default chunk size. */
 export function maxTasksPerChunk(valueBytes: number): number {
-  const fitting = Math.floor((valueBytes - CHUNK_OVERHEAD_BYTES) / TASK_BYTES);
-  return Math.max(1, Math.min(DEFAULT_CHUNK_SIZE, fitting));
+  const maxTasks = Math.floor((valueBytes - CHUNK_OVERHEAD_BYTES) / BYTES_PER_TASK);
+  return Math.max(1, Math.min(DEFAULT_CHUNK_SIZE, maxTasks));
 }
 
-/** Tasks from `first` up to, and without, `end`. */
+/** Range of task indexes from `first` to `end`, without `end`. */
 export interface TaskRange {
   readonly first: number;
   readonly end: number;
 }
 
-/** The most tasks that a job may have (PROTOCOL). */
-const ANY_TASK: TaskRange = { first: 0, end: 100_000 };
+/** All task indexes that a job may have (PROTOCOL). */
+const MAX_TASK_RANGE: TaskRange = { first: 0, end: 100_000 };
 
-/** Where a task may be: its current attempt and the machine. */
+/** Placement of a task: the number of its current attempt, and the machine on which the attempt may exist. */
 export interface TaskPlacement {
   readonly attemptNumber: AttemptNumber;
   readonly machine: MachineId;
 }
 
-/** Progress of one chunk; tasks that were never begun do not appear. */
+/** Progress of one chunk of a job's tasks. Tasks that were never placed do not appear. */
 export interface ChunkProgress {
   readonly done: ReadonlySet<TaskIndex>;
   readonly placed: ReadonlyMap<TaskIndex, TaskPlacement>;
-  /** The last attempt of tasks that are neither done nor placed: its number is not used again. */
+  /** Number of the latest attempt of each task that is neither done nor placed; the number is not used again. */
   readonly usedAttempts: ReadonlyMap<TaskIndex, AttemptNumber>;
 }
 
+/** Stored range of task indexes, including `last`. */
 type StoredRange = [first: number, last: number];
 type StoredPlacement = [task: number, attemptNumber: number, machine: string];
 type StoredAttempt = [task: number, attemptNumber: number];
 
-/** The value under `open/<job>/<chunk>`. */
+/** The stored value under `open/<job>/<chunk>`. */
 interface StoredChunk {
   /** Done tasks. */
   d?: StoredRange[];
   /** Placed tasks. */
   p?: StoredPlacement[];
-  /** Used attempts. */
+  /** Latest attempts of tasks that are neither done nor placed. */
   u?: StoredAttempt[];
 }
 
-/** Merges ascending numbers into ranges without gaps. */
+/** Merges ascending task indexes into ranges without gaps. */
 function toRanges(ascending: readonly number[]): StoredRange[] {
   const ranges: StoredRange[] = [];
   for (const index of ascending) {
@@ -61,7 +66,7 @@
   return ranges;
 }
 
-/** Encodes a chunk's progress; parts without a task are left out. */
+/** Encodes a chunk's progress. Fields without a task are left out. */
 export function encodeChunk({ done, placed, usedAttempts }: ChunkProgress): StoredChunk {
   const stored: StoredChunk = {};
   if (done.size) stored.d = toRanges([...done].sort((a, b) => a - b));
@@ -72,19 +77,19 @@
   return stored;
 }
 
-function listOf(value: unknown): readonly unknown[] {
+function requireList(value: unknown): readonly unknown[] {
   if (value === undefined || value === null) return [];
   if (Array.isArray(value)) return value;
-  throw new InvalidRecordError('a field that is no list');
+  throw new InvalidRecordError('progress record: a field is not a list');
 }
 
-/** Places behind those that are known are left unread: a later version may add some. */
-function entryOf(value: unknown, places: number): readonly unknown[] {
-  if (Array.isArray(value) && value.length >= places) return value;
-  throw new InvalidRecordError(`an entry without its ${places} places`);
+/** Returns a stored tuple of at least `minLength` fields. Further fields are ignored: a later version may append some. */
+function requireTuple(value: unknown, minLength: number): readonly unknown[] {
+  if (Array.isArray(value) && value.length >= minLength) return value;
+  throw new InvalidRecordError(`progress record: an entry is not a list of at least ${minLength} fields`);
 }
 
-/** Decodes one record; a task may be listed once. */
+/** Decodes the entries of one progress record, and rejects a record that lists a task twice. */
 class ChunkDecoder implements ChunkProgress {
   readonly done = new Set<TaskIndex>();
   readonly placed = new Map<TaskIndex, TaskPlacement>();
@@ -92,60 +97,63 @@
 
   constructor(private readonly range: TaskRange) {}
 
-  private task(value: unknown): TaskIndex {
+  private requireTaskInRange(value: unknown): TaskIndex {
     const { first, end } = this.range;
     if (!Number.isInteger(value) || (value as number) < first || (value as number) >= end)
-      throw new InvalidRecordError(`task ${String(value)} is not from ${first} to ${end - 1}`);
+      throw new InvalidRecordError(
+        `progress record: task ${String(value)} is not an integer from ${first} to ${end - 1}`,
+      );
     return value as TaskIndex;
   }
 
-  /** The number of a task that the record has not listed so far. */
-  private newTask(value: unknown): TaskIndex {
-    const index = this.task(value);
+  /** Returns the index of a task that the record has not listed before. */
+  private requireUnlistedTask(value: unknown): TaskIndex {
+    const index = this.requireTaskInRange(value);
     if (this.done.has(index) || this.placed.has(index) || this.usedAttempts.has(index))
-      throw new InvalidRecordError(`task ${index} is listed twice`);
+      throw new InvalidRecordError(`progress record: task ${index} is listed twice`);
     return index;
   }
 
   addDone(entry: unknown): void {
-    const [first, last] = entryOf(entry, 2);
-    const end = this.task(last);
-    for (let index = this.task(first); index <= end; index++) this.done.add(this.newTask(index));
+    const [first, last] = requireTuple(entry, 2);
+    const end = this.requireTaskInRange(last);
+    for (let index = this.requireTaskInRange(first); index <= end; index++)
+      this.done.add(this.requireUnlistedTask(index));
   }
 
   addPlaced(entry: unknown): void {
-    const [index, attemptNumber, machine] = entryOf(entry, 3);
+    const [index, attemptNumber, machine] = requireTuple(entry, 3);
     if (typeof machine !== 'string' || machine === '')
-      throw new InvalidRecordError('a machine without a name');
-    this.placed.set(this.newTask(index), {
-      attemptNumber: attemptNumberOf(attemptNumber),
+      throw new InvalidRecordError('progress record: the machine id of a placed task is missing or empty');
+    this.placed.set(this.requireUnlistedTask(index), {
+      attemptNumber: requireAttemptNumber(attemptNumber),
       machine: machine as MachineId,
     });
   }
 
   addUsedAttempt(entry: unknown): void {
-    const [index, attemptNumber] = entryOf(entry, 2);
-    this.usedAttempts.set(this.newTask(index), attemptNumberOf(attemptNumber));
+    const [index, attemptNumber] = requireTuple(entry, 2);
+    this.usedAttempts.set(this.requireUnlistedTask(index), requireAttemptNumber(attemptNumber));
   }
 }
 
-function attemptNumberOf(value: unknown): AttemptNumber {
+function requireAttemptNumber(value: unknown): AttemptNumber {
   if (Number.isSafeInteger(value) && (value as number) > 0) return value as AttemptNumber;
-  throw new InvalidRecordError(`attempt number ${String(value)}`);
+  throw new InvalidRecordError(`progress record: attempt number ${String(value)} is not a positive integer`);
 }
 
 /**
- * Decodes the progress of the tasks in a chunk. Unknown fields are left unread.
+ * Decodes the progress of the tasks in a chunk. Unknown fields are ignored.
  *
- * @throws {InvalidRecordError} On a value that no version writes.
+ * @throws {InvalidRecordError} If no version writes such a value.
  */
-export function decodeChunk(value: unknown, range = ANY_TASK): ChunkProgress {
+export function decodeChunk(value: unknown, range = MAX_TASK_RANGE): ChunkProgress {
   if (typeof value !== 'object' || value === null || Array.isArray(value))
-    throw new InvalidRecordError('no object');
+    throw new InvalidRecordError('progress record is not an object');
   const stored = value as Record<keyof StoredChunk, unknown>;
   const decoder = new ChunkDecoder(range);
-  for (const entry of listOf(stored.d)) decoder.addDone(entry);
-  for (const entry of listOf(stored.p)) decoder.addPlaced(entry);
-  for (const entry of listOf(stored.u)) decoder.addUsedAttempt(entry);
+  for (const entry of requireList(stored.d)) decoder.addDone(entry);
+  for (const entry of requireList(stored.p)) decoder.addPlaced(entry);
+  for (const entry of requireList(stored.u)) decoder.addUsedAttempt(entry);
   return { done: decoder.done, placed: decoder.placed, usedAttempts: decoder.usedAttempts };
 }
--- a/src/store/records.ts
+++ b/src/store/records.ts
@@ -1,17 +1,17 @@
-/** Reads whole prefixes of the key-value store page by page, and repeats requests that were rate limited. */
+/** Reads all records under a prefix of the key-value store page by page, and retries rate-limited requests. */
 import type { Revision } from '../model/ids.js';
 import { type Clock, sleep } from '../model/time.js';
 import type { KeyValue } from '../wire/key-value-store.js';
 import type { KeyValueStore } from './client.js';
 import { isRateLimitedError } from './errors.js';
 
-/** All rows under a prefix as of one revision or later: changes after it may or may not be in them. */
+/** All rows under a prefix, read at `revision` or later: changes after `revision` may or may not be included. */
 export interface RecordSet {
   readonly rows: KeyValue[];
   readonly revision: Revision;
 }
 
-/** When a rate-limited request is repeated, and whether its answer is still wanted. */
+/** Delay between retries of a rate-limited request, and the condition under which the caller still needs the answer. */
 export interface RetryPolicy {
   readonly clock: Clock;
   readonly retryDelayMs: () => number;
@@ -19,8 +19,8 @@
 }
 
 /**
- * Repeats a request for as long as it is rate limited and its answer is still wanted. Any other error is thrown,
- * and so is the last one once the answer is not wanted any more.
+ * Retries a request while the store rate limits it and `isStillWanted` returns true. Throws any other error at once,
+ * and the latest rate-limit error when `isStillWanted` returns false.
  */
 export async function retryWhileRateLimited<T>(
   { clock, retryDelayMs, isStillWanted }: RetryPolicy,
@@ -36,7 +36,7 @@
   }
 }
 
-/** Reads all pages under a prefix; `requestPage` makes the request for each of them. */
+/** Reads all pages of the rows under a prefix. `requestPage` runs the request for each page, with any retries. */
 export async function readRecords(
   store: KeyValueStore,
   prefix: string,
@@ -47,7 +47,7 @@
   let after: string | undefined;
   for (;;) {
     const page = await requestPage(() => store.range(prefix, after));
-    // Changes between two pages are seen again by a watch from the first page's revision.
+    // A watch from the first page's revision also reports the changes that were made between two pages.
     revision ??= page.revision;
     rows.push(...page.rows);
     const last = page.rows[page.rows.length - 1];
--- a/src/store/store-limits.ts
+++ b/src/store/store-limits.ts
@@ -1,4 +1,4 @@
-/** The limits of the key-value store: the current ones, and those that the settings announce. */
+/** Limits of the key-value store: the current limits, and the future limits that the settings announce. */
 import type { Cancel, Clock } from '../model/time.js';
 import type { Settings, StoreLimitSettings } from '../wire/settings.js';
 import { isRateLimitedError, StoreRequestTooLargeError } from './errors.js';
@@ -6,55 +6,59 @@
 import { maxTasksPerChunk } from './progress-record.js';
 
 /**
- * Where the store cannot be probed, the announced rates are kept to for so long after the first rate-limited
- * request, and twice as long after each further one.
+ * Time for which the announced rates are assumed to be in force after the first rate-limited request, if the store
+ * cannot be probed. The time doubles with each further assumption.
  */
-const FIRST_HOLD_MS = 20_000;
-/** For so long after a probe found the current limits in force, rate-limited requests are no sign of a change. */
-const PROBE_VALID_MS = 2000;
-/** A probe that brought no answer is repeated after this. */
-const PROBE_RETRY_MS = 1000;
-/** What one machine takes in its record, with the longest names seen and room for longer ones. */
-const MACHINE_BYTES = 100;
-
-/** Asks the store whether the announced limits are in force; null: it gave no answer. Never rejects. */
+const INITIAL_ASSUMPTION_MS = 20_000;
+/**
+ * Time after a probe found the current limits in force during which rate-limited requests are not taken as a sign
+ * that the limits have changed.
+ */
+const PROBE_RESULT_VALIDITY_MS = 2000;
+/** Delay before a probe without an answer is repeated. */
+const PROBE_RETRY_DELAY_MS = 1000;
+/** Estimated size of one machine in a fleet record, with a margin above the longest names seen. */
+const BYTES_PER_MACHINE = 100;
+
+/** Asks the store whether the announced limits are in force. Resolves to null without an answer, and never rejects. */
 export type LimitProbe = () => Promise<boolean | null>;
 
 /**
- * Which rate limits are kept to, and why:
- * - `current`: today's.
- * - `current-verified`: today's, as a probe has just confirmed.
- * - `announced-assumed`: the announced ones, because a request was rate limited.
- * - `announced-confirmed`: the announced ones for good, because the store was seen to enforce them.
+ * Which rate limits this controller applies, and why:
+ * - `current`: the current limits.
+ * - `current-verified`: the current limits, which a probe has just found in force.
+ * - `announced-assumed`: the announced limits, because a request was rate limited.
+ * - `announced-confirmed`: the announced limits permanently, because the store was found to enforce them.
  */
 type RateState = 'current' | 'current-verified' | 'announced-assumed' | 'announced-confirmed';
 
-function areAnnounced(state: RateState): boolean {
+function usesAnnouncedRates(state: RateState): boolean {
   return state === 'announced-assumed' || state === 'announced-confirmed';
 }
 
 /**
- * The store's limits as far as this controller knows them. They may fall without notice to those that the
- * settings announce. Sizes keep to the smaller of both from the first write on. Rates follow the first rate-limited
- * request at once; since a crowd of submissions is rate limited long before the limits fall, the store is then probed.
+ * Tracks the key-value store's limits that this controller applies. The store may lower its limits without notice to
+ * those that the settings announce. Size limits are the smaller of the current and the announced limits from the first
+ * write on. Rate limits switch to the announced limits at the first rate-limited request. Since a burst of submissions
+ * can be rate limited long before the store lowers its limits, a probe then checks which limits are in force.
  */
 export class StoreLimits {
-  /** The longest value, in bytes. */
+  /** Maximum length of a value in bytes. */
   readonly valueBytes: number;
-  /** The most writes in one transaction. */
+  /** Maximum number of writes in one transaction. */
   readonly txnOps: number;
   private rateState: RateState = 'current';
-  private holdMs = FIRST_HOLD_MS;
-  /** Whether chunks of progress may be smaller than the default. */
+  private assumptionMs = INITIAL_ASSUMPTION_MS;
+  /** Whether chunks of a job's progress may be smaller than the default size. */
   private mayUseSmallChunks = false;
-  /** Entries take so many times the bytes that they are estimated with. */
+  /** Ratio of the actual to the estimated size of a record's entries; doubles when a record is too large. */
   private entrySizeFactor = 1;
   private readonly rateListeners = new Set<() => void>();
 
   constructor(
     private readonly settings: Pick<Settings, 'storeLimits' | 'announcedStoreLimits'>,
     private readonly clock: Clock,
-    /** Null: the announced limits can't be distinguished from the current ones by a probe. */
+    /** Null if a probe cannot distinguish the announced limits from the current limits. */
     private readonly probe: LimitProbe | null = null,
   ) {
     const { storeLimits, announcedStoreLimits } = settings;
@@ -64,35 +68,36 @@
 
   private get rateLimits(): StoreLimitSettings {
     const { storeLimits, announcedStoreLimits } = this.settings;
-    return areAnnounced(this.rateState) ? announcedStoreLimits : storeLimits;
+    return usesAnnouncedRates(this.rateState) ? announcedStoreLimits : storeLimits;
   }
 
-  /** Requests per second. */
+  /** Maximum number of requests per second. */
   get rps(): number {
     return this.rateLimits.rps;
   }
 
-  /** Writes per second. */
+  /** Maximum number of writes per second. */
   get writeRps(): number {
     return this.rateLimits.writeRps;
   }
 
-  /** Calls the listener at once, and whenever a rate has changed until it is cancelled. */
+  /** Calls the listener immediately and after each change of the rates, until the returned function is called. */
   onRateChange(listener: () => void): Cancel {
     this.rateListeners.add(listener);
     listener();
     return () => this.rateListeners.delete(listener);
   }
 
-  /** Learns from a failed call: one that was rate limited or too large says something of the limits in force. */
+  /** Updates the limits after a failed call that was rate limited or too large; ignores any other error. */
   recordFailure(error: unknown): void {
     if (error instanceof StoreRequestTooLargeError) this.confirmAnnouncedLimits();
     else if (isRateLimitedError(error)) this.handleRateLimited();
   }
 
   /**
-   * The same for a write of records whose entries' lengths are only estimated. Where they keep to the announced
-   * limits already and are too large, entries are longer than estimated: fewer of them share a record then.
+   * Updates the limits after a failed write of records whose size was only estimated. If the records already keep to
+   * the announced limits and are still too large, their entries are larger than estimated, so that fewer entries share
+   * a record from then on.
    */
   recordWriteFailure(error: unknown): void {
     if (error instanceof StoreRequestTooLargeError && this.mayUseSmallChunks) this.entrySizeFactor *= 2;
@@ -111,24 +116,24 @@
       void this.verifyAssumption(this.probe);
       return;
     }
-    this.clock.after(this.holdMs, () => this.endAssumption('current'));
-    this.holdMs *= 2;
+    this.clock.after(this.assumptionMs, () => this.endAssumption('current'));
+    this.assumptionMs *= 2;
   }
 
-  /** Probes until there is an answer. */
+  /** Probes the store until an answer shows which limits are in force. */
   private async verifyAssumption(probe: LimitProbe): Promise<void> {
-    const areInForce = await probe();
+    const areAnnouncedInForce = await probe();
     if (this.rateState === 'announced-confirmed') return;
-    if (areInForce === null) {
-      this.clock.after(PROBE_RETRY_MS, () => void this.verifyAssumption(probe));
+    if (areAnnouncedInForce === null) {
+      this.clock.after(PROBE_RETRY_DELAY_MS, () => void this.verifyAssumption(probe));
       return;
     }
-    if (areInForce) {
+    if (areAnnouncedInForce) {
       this.setRateState('announced-confirmed');
       return;
     }
     this.endAssumption('current-verified');
-    this.clock.after(PROBE_VALID_MS, () => {
+    this.clock.after(PROBE_RESULT_VALIDITY_MS, () => {
       if (this.rateState === 'current-verified') this.setRateState('current');
     });
   }
@@ -138,7 +143,7 @@
   }
 
   private setRateState(next: RateState): void {
-    const hasChangedRates = areAnnounced(next) !== areAnnounced(this.rateState);
+    const hasChangedRates = usesAnnouncedRates(next) !== usesAnnouncedRates(this.rateState);
     this.rateState = next;
     if (!hasChangedRates) return;
     for (const listener of this.rateListeners) listener();
@@ -150,24 +155,24 @@
   }
 
   /**
-   * Allows chunks of a job's progress that are smaller than the default, so that they keep to the smaller limit.
-   * Called once no controller is left that cannot read them, since that one could take over.
+   * Allows chunks of a job's progress below the default size, so that their records keep to the smaller size limit.
+   * The caller first makes sure that every controller can read such chunks, since any controller could become leader.
    */
   allowSmallChunks(): void {
     this.mayUseSmallChunks = true;
   }
 
-  /** How many tasks share one record of progress, in a job of so many. */
+  /** Returns the number of tasks whose progress shares one record, in a job of `taskCount` tasks. */
   chunkSize(taskCount: number): number {
-    const maximum = this.mayUseSmallChunks
+    const maxTasks = this.mayUseSmallChunks
       ? maxTasksPerChunk(this.valueBytes / this.entrySizeFactor)
       : DEFAULT_CHUNK_SIZE;
-    return taskCount <= maximum ? DEFAULT_CHUNK_SIZE : maximum;
+    return taskCount <= maxTasks ? DEFAULT_CHUNK_SIZE : maxTasks;
   }
 
-  /** How many machines share one record, up to a maximum. */
+  /** Returns the number of machines that share one fleet record, from 1 to `maximum`. */
   machinesPerRecord(maximum: number): number {
-    const fitting = Math.floor(this.valueBytes / (MACHINE_BYTES * this.entrySizeFactor));
-    return Math.max(1, Math.min(maximum, fitting));
+    const maxMachines = Math.floor(this.valueBytes / (BYTES_PER_MACHINE * this.entrySizeFactor));
+    return Math.max(1, Math.min(maximum, maxMachines));
   }
 }
--- a/test/unit/job-record.test.ts
+++ b/test/unit/job-record.test.ts
@@ -7,7 +7,7 @@
   encodeEndedJob,
   encodeJob,
   splitJob,
-  encodedLength,
+  encodedLengthBytes,
   withDescription,
 } from '../../src/store/job-record.js';
 import type { WriteOperation } from '../../src/wire/key-value-store.js';
@@ -15,20 +15,25 @@
 
 const ID = 'j-000001' as JobId;
 const ACCEPTED_AT = 1_790_000_000_000 as WallTime;
-/** Two bytes a letter: what counts is bytes, not letters. */
-const LONG = 'é'.repeat(200);
-const LONG_NAMES = { jobclass: LONG, bundle: LONG, hall: LONG, flavours: ['small', LONG, LONG] };
+/** A name of 200 characters and 400 bytes: the limits of the store count bytes, not characters. */
+const LONG_NAME = 'é'.repeat(200);
+const LONG_NAMES = {
+  jobclass: LONG_NAME,
+  bundle: LONG_NAME,
+  hall: LONG_NAME,
+  flavours: ['small', LONG_NAME, LONG_NAME],
+};
 const jobIds = (count: number): JobId[] =>
   Array.from({ length: count }, (_, number) => `j-${String(number).padStart(20, '0')}` as JobId);
 
 const recordOf = (spec: JobSpec): JobRecord => ({ spec, state: 'accepted', acceptedAt: ACCEPTED_AT });
-const longestValue = (records: readonly WriteOperation[]): number =>
-  Math.max(0, ...records.map((write) => ('set' in write ? encodedLength(write.value) : 0)));
+const longestValueBytes = (records: readonly WriteOperation[]): number =>
+  Math.max(0, ...records.map((write) => ('set' in write ? encodedLengthBytes(write.value) : 0)));
 const valuesUnder = <T>(records: readonly WriteOperation[], prefix: string): T[] =>
   records.flatMap((write) => ('set' in write && write.set.startsWith(prefix) ? [write.value as T] : []));
 
 describe('encodeJob', () => {
-  it('keeps the dependencies behind what earlier versions read', () => {
+  it('stores the dependencies after the positions that earlier versions read', () => {
     const record = {
       spec: submission({ awaits: ['j-000007', 'j-000008', 'j-000007'] }),
       state: 'accepted' as const,
@@ -43,57 +48,58 @@
 });
 
 describe('splitJob', () => {
-  it('leaves a record whole that just fits, and splits it one byte above', () => {
+  it('does not split a record that exactly fits, and splits it if it is one byte too long', () => {
     const spec = submission({ awaits: jobIds(3) });
-    const bytes = encodedLength(encodeJob(recordOf(spec)));
+    const bytes = encodedLengthBytes(encodeJob(recordOf(spec)));
     expect(splitJob(spec, spec.dependencies, ACCEPTED_AT, bytes)).toEqual({ spec, records: [] });
     const split = splitJob(spec, spec.dependencies, ACCEPTED_AT, bytes - 1);
     expect(split.spec.dependencyRecordCount).toBe(1);
     expect(valuesUnder(split.records, 'deps/').flat()).toEqual(jobIds(3));
   });
 
-  it('keeps thousands of dependencies, and names of two bytes a letter, to the size of a value', () => {
+  it('splits 2000 dependencies, and names with two bytes per character, into values of at most 1024 bytes', () => {
     const spec = submission({ ...LONG_NAMES, awaits: jobIds(2000) });
     const split = splitJob(spec, spec.dependencies, ACCEPTED_AT, 1024);
-    expect(encodedLength(encodeJob(recordOf(split.spec)))).toBeLessThanOrEqual(1024);
-    expect(longestValue(split.records)).toBeLessThanOrEqual(1024);
+    expect(encodedLengthBytes(encodeJob(recordOf(split.spec)))).toBeLessThanOrEqual(1024);
+    expect(longestValueBytes(split.records)).toBeLessThanOrEqual(1024);
     expect(valuesUnder(split.records, 'deps/').flat()).toEqual(jobIds(2000));
     const stored: unknown = JSON.parse(JSON.stringify(encodeJob(recordOf(split.spec))));
     const restored = withDescription(decodeJob(ID, stored), valuesUnder<string>(split.records, 'desc/'));
     expect(restored.spec).toEqual(split.spec);
     expect(restored.spec).toMatchObject({
-      jobClass: LONG,
-      image: LONG,
-      zone: LONG,
-      allowedTypes: ['small', LONG, LONG],
+      jobClass: LONG_NAME,
+      image: LONG_NAME,
+      zone: LONG_NAME,
+      allowedTypes: ['small', LONG_NAME, LONG_NAME],
     });
   });
 
-  it('gives the same records to two controllers of which one has seen a dependency end', () => {
+  it('creates the same overflow records on two controllers if only one of them knows that a dependency is done', () => {
     const spec = submission({ awaits: jobIds(200) });
     const specWithoutEnded = { ...spec, dependencies: spec.dependencies.slice(1) };
-    const one = splitJob(spec, spec.dependencies, ACCEPTED_AT, 1024);
-    const other = splitJob(specWithoutEnded, spec.dependencies, ACCEPTED_AT, 1024);
-    // Mixed, they would otherwise leave gaps: a dependency in neither list would not be waited for.
-    expect(other).toEqual(one);
+    const complete = splitJob(spec, spec.dependencies, ACCEPTED_AT, 1024);
+    const withoutEnded = splitJob(specWithoutEnded, spec.dependencies, ACCEPTED_AT, 1024);
+    // The store may end up with overflow records of both controllers. If their contents differed, a dependency could be
+    // missing from all stored records, and the job would start without waiting for that dependency.
+    expect(withoutEnded).toEqual(complete);
   });
 });
 
 describe('encodeEndedJob', () => {
-  it('fits a record of any size: names and dependencies are left out where they are too long', () => {
+  it('leaves out names and dependencies if the record would exceed the value size', () => {
     const record: JobRecord = {
       ...recordOf(submission({ ...LONG_NAMES, awaits: jobIds(60) })),
       state: 'done',
     };
     const stored = encodeEndedJob(record, 1024);
-    expect(encodedLength(stored)).toBeLessThanOrEqual(1024);
+    expect(encodedLengthBytes(stored)).toBeLessThanOrEqual(1024);
     expect(decodeJob(ID, stored)).toMatchObject({ state: 'done', spec: { taskCount: 200, kind: 'array' } });
     // Earlier versions read the first 18 positions only.
     expect(stored.j).toHaveLength(18);
-    expect(decodeJob(ID, encodeEndedJob(record, 16_384)).spec.jobClass).toBe(LONG);
+    expect(decodeJob(ID, encodeEndedJob(record, 16_384)).spec.jobClass).toBe(LONG_NAME);
   });
 
-  it('refers to no overflow records of dependencies: they are removed with the job', () => {
+  it('does not refer to dependency overflow records, which are deleted when the job ends', () => {
     const spec: JobSpec = { ...submission({}), dependencyRecordCount: 2 };
     expect(encodeEndedJob({ ...recordOf(spec), state: 'done' }, 16_384).j).toHaveLength(18);
   });
--- a/test/unit/leader-record.test.ts
+++ b/test/unit/leader-record.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest';
 import { encodeEpoch, encodeLeader, decodeEpoch, decodeLeader } from '../../src/store/leader-record.js';
 
-describe('the records of leadership', () => {
-  it('are read by and from versions without failure detection', () => {
+describe('leader and epoch records', () => {
+  it('are compatible with versions without failure detection', () => {
     const leader = { member: 'a' as never, epoch: 4 as never, version: 3 };
     expect(decodeLeader(encodeLeader(leader))).toEqual(leader);
     expect(decodeLeader(encodeLeader({ ...leader, process: 'p' }, 7))).toEqual({ ...leader, process: 'p' });
--- a/test/unit/machine-record.test.ts
+++ b/test/unit/machine-record.test.ts
@@ -21,15 +21,15 @@
 };
 const unconfirmed: MachineRecord = { ...confirmed, isUp: true, isConfirmed: false };
 
-describe('the record of machines', () => {
-  it('stores a machine by position, and the confirmation only where there is one', () => {
+describe('fleet record', () => {
+  it('stores machine fields by position, and the confirmed flag only for confirmed machines', () => {
     expect(JSON.stringify(encodeFleetChunk([encodeMachine(confirmed), encodeMachine(unconfirmed)]))).toBe(
       '{"m":[["host-1","small","north",1,"10.1.0.1:9000",1700000000000,0,1],' +
         '["host-1","small","north",1,"10.1.0.1:9000",1700000000000,1]]}',
     );
   });
 
-  it('decodes what it has encoded', () => {
+  it('decodes encoded machines to the same values', () => {
     const stored: unknown = JSON.parse(
       JSON.stringify(encodeFleetChunk([confirmed, unconfirmed].map(encodeMachine))),
     );
--- a/test/unit/machine-type-record.test.ts
+++ b/test/unit/machine-type-record.test.ts
@@ -2,7 +2,7 @@
 import { decodeMachineTypes, encodeMachineTypes } from '../../src/store/machine-type-record.js';
 import { MACHINE_TYPES } from '../simulation/site-setup.js';
 
-/** The value under `cloud/types` as every landed version writes it. */
+/** The value under `cloud/types` as every released version writes it. */
 const STORED = [
   {
     id: 'small',
@@ -18,12 +18,12 @@
   },
 ];
 
-describe('the record of the machine types', () => {
-  it('is written as by earlier versions, to the byte', () => {
+describe('machine type record', () => {
+  it('is encoded byte for byte as by earlier versions', () => {
     expect(JSON.stringify(encodeMachineTypes(MACHINE_TYPES))).toBe(JSON.stringify(STORED));
   });
 
-  it('is read as earlier versions wrote it', () => {
+  it('decodes the record that earlier versions wrote', () => {
     expect(decodeMachineTypes(STORED)).toEqual(MACHINE_TYPES);
   });
 });
