--- a/src/model/confirmed-cancellation.ts
+++ b/src/model/confirmed-cancellation.ts
@@ -1,9 +1,9 @@
 import type { JobId } from './ids.js';
 import type { Millis } from './time.js';
 
-/** A cancellation that was confirmed to a user. */
+/** A job cancellation that a controller has confirmed to a user. */
 export interface ConfirmedCancellation {
   readonly id: JobId;
-  /** How long ago the controller that reports it learned of it. */
+  /** Time since the reporting controller learned of the cancellation. */
   readonly age: Millis;
 }
--- a/src/model/heartbeat.ts
+++ b/src/model/heartbeat.ts
@@ -1,4 +1,4 @@
-/** What workers (the agents on the machines) say in their heartbeats, and what they are told to do. */
+/** Heartbeats of workers (the agents on the machines), and the commands that a leader sends to workers. */
 import type {
   AgentIncarnation,
   AttemptNumber,
@@ -11,52 +11,56 @@
 } from './ids.js';
 import type { Millis } from './time.js';
 
-/** The state of an attempt on its machine; `saving`: it writes a checkpoint before it exits. */
+/** State of an attempt on its machine. In state `saving`, the attempt writes a checkpoint before it exits. */
 export type AttemptState = 'fetching' | 'running' | 'saving' | 'exited';
 
-/** An attempt at a task, as its worker shows it. */
+/** An attempt at a task, as reported by its worker. */
 export interface Attempt {
   readonly task: TaskId;
   readonly attemptNumber: AttemptNumber;
   readonly state: AttemptState;
-  /** Why it exited: `done`, `stopped`, `error`, `no_room`, `busy`, `no_such`, or one that this version does not know. */
+  /**
+   * Reason for the attempt's exit: `done`, `stopped`, `error`, `no_room`, `busy`, `no_such`, or a reason that this
+   * version does not know.
+   */
   readonly cause: string | null;
 }
 
-/** A worker's heartbeat, with its status and all attempts that it holds. */
+/** A worker's heartbeat, with the worker's status and all attempts on its machine. */
 export interface Heartbeat {
   readonly machine: MachineId;
-  /** Where the worker takes direct commands. */
+  /** Address on which the worker accepts direct commands. */
   readonly address: string;
   readonly type: MachineTypeId;
   readonly zone: ZoneId;
   readonly spot: boolean;
   readonly incarnation: AgentIncarnation;
   readonly sequence: HeartbeatSequence;
-  /** The highest fencing token that the worker has seen. */
+  /** Highest fencing token that the worker has seen. */
   readonly token: FencingToken;
-  /** Time until the cloud reclaims the spot machine; null: no interruption notice. */
+  /** Time until the cloud reclaims the spot machine; null without an interruption notice. */
   readonly interruptionNotice: Millis | null;
   readonly attempts: readonly Attempt[];
 }
 
+/** The attempt to which a command applies. */
 interface CommandTarget {
   readonly task: TaskId;
   readonly attemptNumber: AttemptNumber;
 }
 
-/** Start the attempt. A worker that has held the attempt before does nothing. */
+/** Command to start an attempt. A worker that has already had the attempt ignores the command. */
 interface StartCommand extends CommandTarget {
   readonly kind: 'start';
 }
 
-/** Stop the attempt; it gets `graceS` seconds to write a checkpoint. */
+/** Command to stop an attempt, with `graceS` seconds to write a checkpoint. */
 interface StopCommand extends CommandTarget {
   readonly kind: 'stop';
   readonly graceS: number;
 }
 
-/** Forget an attempt that has ended, whose outcome is durable. */
+/** Command to forget an exited attempt, whose outcome is durably stored. */
 interface ForgetCommand extends CommandTarget {
   readonly kind: 'forget';
 }
--- a/src/model/ids.ts
+++ b/src/model/ids.ts
@@ -1,55 +1,55 @@
-/** Branded types for names and numbers, so that one kind is never passed for another. */
+/** Branded types for identifiers and numbers, so that the compiler rejects an identifier of the wrong kind. */
 
 declare const brand: unique symbol;
-/** A value of type `T` that cannot be passed for another brand of `T`. */
+/** A value of type `T` that is not assignable to another brand of `T`. */
 export type Branded<T, Name extends string> = T & { readonly [brand]: Name };
 
-/** A controller: one process of this program. */
+/** Name of a controller, that is one process of this program. */
 export type MemberId = Branded<string, 'MemberId'>;
-/** An availability zone. */
+/** Name of an availability zone. */
 export type ZoneId = Branded<string, 'ZoneId'>;
-/** A team, to which quotas apply. */
+/** Name of a team, to which quotas apply. */
 export type TeamId = Branded<string, 'TeamId'>;
-/** A job: `j-000412`. */
+/** Id of a job: `j-000412`. */
 export type JobId = Branded<string, 'JobId'>;
-/** A machine that the cloud rents out, and the worker (the agent) on it. */
+/** Id of a machine rented from the cloud, and of the worker (the agent) on the machine. */
 export type MachineId = Branded<string, 'MachineId'>;
-/** A machine type of the cloud. */
+/** Name of a machine type of the cloud. */
 export type MachineTypeId = Branded<string, 'MachineTypeId'>;
-/** An image that tasks need. */
+/** Name of an image that tasks run. */
 export type ImageId = Branded<string, 'ImageId'>;
-/** Idempotency key of a request for machines; never used for another request. */
+/** Idempotency key of a request to create machines; never reused for another request. */
 export type ScaleOutRequestId = Branded<string, 'ScaleOutRequestId'>;
-/** Revision of a key in the key-value store; 0: the key does not exist. */
+/** Revision of a key in the key-value store; 0 if the key does not exist. */
 export type Revision = Branded<number, 'Revision'>;
-/** A lease of the key-value store: keys bound to it are removed when it expires. */
+/** Id of a lease in the key-value store. The store removes the keys bound to a lease when the lease expires. */
 export type LeaseId = Branded<number, 'LeaseId'>;
-/** A leadership term. Raised by every takeover, never reused. */
+/** Number of a leadership term. Each takeover increments the epoch; an epoch is never reused. */
 export type Epoch = Branded<number, 'Epoch'>;
-/** The fencing token that a worker compares: the epoch, and within it a generation per machine. */
+/** Fencing token that a worker compares: the epoch, combined with the machine's generation within the epoch. */
 export type FencingToken = Branded<number, 'FencingToken'>;
-/** A machine's own part of its fencing token within one epoch. */
+/** Generation of one machine within one epoch: the low-order part of the machine's fencing token. */
 export type FenceGeneration = Branded<number, 'FenceGeneration'>;
-/** Incarnation of a worker: it begins another one whenever its lease expires. */
+/** Incarnation of a worker. A worker begins a new incarnation whenever its lease expires. */
 export type AgentIncarnation = Branded<number, 'AgentIncarnation'>;
 /** Sequence number of a worker's message within its incarnation. */
 export type HeartbeatSequence = Branded<number, 'HeartbeatSequence'>;
-/** Number of an attempt at a task. Never used twice. */
+/** Number of an attempt at a task. A task never uses the same number twice. */
 export type AttemptNumber = Branded<number, 'AttemptNumber'>;
 /** Index of a task within its job array, from 0. */
 export type TaskIndex = Branded<number, 'TaskIndex'>;
-/** A task: `j-000412/3`. */
+/** Id of a task: `j-000412/3`. */
 export type TaskId = Branded<string, 'TaskId'>;
 
 /** The revision of a key that does not exist. */
 export const NO_REVISION = 0 as Revision;
 
-/** Generations of one machine in one epoch: at two a second more than three months of one term. */
+/** Number of generations of one machine in one epoch: enough for over three months at two generations per second. */
 const FENCE_GENERATIONS_PER_EPOCH = 2 ** 24;
-/** The last generation that an epoch has room for. */
+/** Highest generation of a machine within one epoch. */
 export const MAX_FENCE_GENERATION = (FENCE_GENERATIONS_PER_EPOCH - 1) as FenceGeneration;
 
-/** Combines an epoch and a machine's generation; tokens of a later epoch are always greater. */
+/** Combines an epoch and a machine's generation into a token. A later epoch's token is always greater. */
 export const fencingTokenOf = (epoch: Epoch, generation: FenceGeneration): FencingToken =>
   (epoch * FENCE_GENERATIONS_PER_EPOCH + generation) as FencingToken;
 
@@ -70,9 +70,9 @@
   return `${job}/${index}` as TaskId;
 }
 
-/** Parses the id of a task into its job and index; null: it has another form. */
+/** Parses the id of a task into the job id and the task index. Returns null if the id is malformed. */
 export function parseTaskId(id: string): { job: JobId; index: TaskIndex } | null {
-  const parts = TASK_ID.exec(id);
-  if (!parts) return null;
-  return { job: parts[1] as JobId, index: Number(parts[2]) as TaskIndex };
+  const match = TASK_ID.exec(id);
+  if (!match) return null;
+  return { job: match[1] as JobId, index: Number(match[2]) as TaskIndex };
 }
--- a/src/model/job-task-counts.ts
+++ b/src/model/job-task-counts.ts
@@ -1,7 +1,7 @@
-/** The task counts of a job, as the leader sends them to the other controllers. */
+/** Task counts of jobs, which the leader sends to the other controllers. */
 import type { JobId } from './ids.js';
 
-/** How many tasks of one job are done and running, for display to users. */
+/** Number of done and of running tasks of one job, for display to users. */
 export interface JobTaskCounts {
   readonly id: JobId;
   readonly done: number;
--- a/src/model/job.ts
+++ b/src/model/job.ts
@@ -1,11 +1,11 @@
-/** Jobs as users describe them, and the resources that their tasks take. */
+/** Jobs as submitted by users, and arithmetic on the resources that their tasks request. */
 import type { ImageId, JobId, MachineTypeId, TeamId, ZoneId } from './ids.js';
 import type { WallTime } from './time.js';
 
-/** `array`: a job array, each task of which runs to its end. `service`: replicas that run until the job is cancelled. */
+/** Kind of a job. `array`: tasks that run to completion. `service`: replicas that run until the job is cancelled. */
 export type JobKind = 'array' | 'service';
 
-/** A job's priority: higher goes first and may preempt lower. */
+/** A job's priority. Jobs of higher priority are placed first and may preempt jobs of lower priority. */
 export enum Priority {
   Low = 0,
   Normal = 1,
@@ -13,17 +13,17 @@
   Production = 3,
 }
 
-/** What a task requests, or a machine has. */
+/** Resources that a task requests or a machine provides. */
 export interface Resources {
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
 }
 
-/** A job as its user submitted it. */
+/** Description of a job, as submitted by a user. */
 export interface JobSpec extends Resources {
   readonly id: JobId;
-  /** The class that service-level objectives refer to. */
+  /** Job class, to which service-level objectives refer. */
   readonly jobClass: string;
   readonly team: TeamId;
   readonly kind: JobKind;
@@ -31,71 +31,71 @@
   readonly taskCount: number;
   readonly image: ImageId;
   readonly imageGb: number;
-  /** Machine types that the job may use; null: any. */
+  /** Machine types on which the job may run; null for any type. */
   readonly allowedTypes: readonly MachineTypeId[] | null;
-  /** The zone that the job has to run in; null: any. */
+  /** Zone in which the job has to run; null for any zone. */
   readonly zone: ZoneId | null;
-  /** All tasks have to run in one zone. */
+  /** Whether all tasks have to run in one zone. */
   readonly zoneAffinity: boolean;
-  /** At most half of the tasks may run in one zone. */
+  /** Whether at most half of the tasks may run in one zone. */
   readonly zoneAntiAffinity: boolean;
   /** Whether the tasks may run on spot machines. */
   readonly allowsSpot: boolean;
-  /** The owner's estimate of a task's run time; 0 for services. */
+  /** The user's estimate of a task's run time; 0 for services. */
   readonly estimatedRunS: number;
-  /** A task writes a checkpoint this often; 0: never. */
+  /** Interval at which a task writes checkpoints; 0 if the task writes none. */
   readonly checkpointIntervalS: number;
-  /** What writing a checkpoint takes when the task is stopped. */
+  /** Time that a task needs to write a checkpoint when the task is stopped. */
   readonly checkpointWriteS: number;
-  /** By when the job should have ended, counted from its submission; null: no deadline. */
+  /** Time from submission by which the job should be done; null without a deadline. */
   readonly deadlineS: number | null;
-  /** DAG dependencies: jobs that have to be done before any task starts, less those done when the job was accepted. */
+  /** DAG dependencies: jobs to be done before any task starts, without jobs already done when this job was accepted. */
   readonly dependencies: readonly JobId[];
-  /** Number of further records that hold the dependencies, where they are too many for the job's record; else 0. */
+  /** Number of overflow records that hold the dependencies; 0 if the dependencies fit the job's record. */
   readonly dependencyRecordCount: number;
-  /** Number of further records that hold the names, where they are too long for the job's record; else 0. */
+  /** Number of overflow records that hold the description's names; 0 if the names fit the job's record. */
   readonly descriptionRecordCount: number;
 }
 
-/** States that never change. */
+/** Terminal states of a job. */
 export type FinalState = 'done' | 'cancelled';
-/** A job's durable state. */
+/** State of a job as stored in the job's record. */
 export type JobState = 'accepted' | FinalState;
 
-/** A job as its record in the store describes it. */
+/** Decoded content of a job's record in the key-value store. */
 export interface JobRecord {
   readonly spec: JobSpec;
   readonly state: JobState;
   readonly acceptedAt: WallTime;
 }
 
-/** Absorbs rounding errors in sums of fractions of a CPU. */
-const EPSILON = 1e-9;
+/** Tolerance for rounding errors in sums of fractional CPUs. */
+const RESOURCE_EPSILON = 1e-9;
 
-/** Reports whether the request fits into what is free. */
+/** Reports whether the free resources cover the request. */
 export function fits(request: Resources, free: Resources): boolean {
   return (
-    request.cpus <= free.cpus + EPSILON &&
-    request.gpus <= free.gpus + EPSILON &&
-    request.memoryGb <= free.memoryGb + EPSILON
+    request.cpus <= free.cpus + RESOURCE_EPSILON &&
+    request.gpus <= free.gpus + RESOURCE_EPSILON &&
+    request.memoryGb <= free.memoryGb + RESOURCE_EPSILON
   );
 }
 
-/** Free capacity that is being allocated. */
+/** Free resources, which `allocate` and `release` update in place. */
 export interface FreeCapacity {
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
-/** Takes the requested resources out of the free capacity. */
+/** Subtracts the requested resources from the free capacity. */
 export function allocate(free: FreeCapacity, request: Resources): void {
   free.cpus -= request.cpus;
   free.gpus -= request.gpus;
   free.memoryGb -= request.memoryGb;
 }
 
-/** Gives resources back to the free capacity. */
+/** Adds the returned resources to the free capacity. */
 export function release(free: FreeCapacity, returned: Resources): void {
   free.cpus += returned.cpus;
   free.gpus += returned.gpus;
--- a/src/model/load.ts
+++ b/src/model/load.ts
@@ -1,9 +1,10 @@
-/** Processor loads, between 0 and 1, at which controllers begin to delegate work, and to take none. */
+/** Processor loads, from 0 to 1, at which a leader starts to delegate work and a controller stops receiving work. */
 
 /**
- * From this load on a leader delegates its workers and its calls to them to other controllers: a frame costs less than
- * a heartbeat or a call does, and a leader on a tenth of a core has its time used up while the others idle.
+ * Minimum load at which a leader delegates its workers' heartbeats and its calls to workers to other controllers. A
+ * frame from another controller costs the leader less than a heartbeat or a call, and a leader with a tenth of a core
+ * would use up its processor time while the other controllers are idle.
  */
 export const DELEGATION_LOAD = 0.6;
-/** From this load on no work is delegated to a controller. */
+/** Load at and above which a controller receives no delegated work. */
 export const MAX_LOAD_FOR_DELEGATED_WORK = 0.7;
--- a/src/model/machine-facts.ts
+++ b/src/model/machine-facts.ts
@@ -1,11 +1,12 @@
 /**
- * What a leader knows of a machine's type, zone and kind. Placement reads confirmed facts only; unconfirmed ones have
- * another type, so that they cannot be passed for confirmed.
+ * Facts that a leader has about a machine: its type, its zone, and whether it is a spot machine. Placement reads
+ * confirmed facts only. Unconfirmed facts have a separate type, so that the compiler rejects them in place of confirmed
+ * facts.
  */
 import type { Machine, MachineType } from './machine.js';
 import type { MonotonicTime } from './time.js';
 
-/** Who confirmed what a machine is. */
+/** Source that confirmed the facts of a machine. */
 export enum FactSource {
   /** The cloud's answer to the request that created it. */
   Rental = 'rental',
@@ -13,11 +14,11 @@
   List = 'list',
   /** The machine's own heartbeat. */
   Heartbeat = 'heartbeat',
-  /** A leader's record of what one of these had confirmed. */
+  /** An earlier leader's record of facts that another source had confirmed. */
   Record = 'record',
 }
 
-/** Confirmed by the cloud or by the machine, to this leader or to an earlier one. */
+/** Facts that the cloud or the machine has confirmed, to this leader or to an earlier leader. */
 export interface ConfirmedFacts {
   readonly state: 'confirmed';
   readonly machine: Machine;
@@ -26,25 +27,25 @@
   readonly learnedAt: MonotonicTime;
 }
 
-/** Read from a record of a version that recorded guesses as well: good enough for capacity planning only. */
+/** Facts from a record of a version that also recorded guesses. Only capacity planning may use unconfirmed facts. */
 export interface UnconfirmedFacts {
   readonly state: 'unconfirmed';
   readonly machine: Machine;
   readonly type: MachineType;
 }
 
-/** Nothing but the machine's id, from the record of a task on it. */
+/** Facts of a machine of which only the id is known, from the record of a task on the machine. */
 export interface UnknownFacts {
   readonly state: 'unknown';
 }
 
-/** All that is known of one machine. */
+/** Facts of one machine, by state of confirmation. */
 export type MachineFacts = ConfirmedFacts | UnconfirmedFacts | UnknownFacts;
 
 /** The facts of a machine of which only the id is known. */
 export const UNKNOWN_FACTS: UnknownFacts = { state: 'unknown' };
 
 /** Reports whether two descriptions of one machine agree. */
-export function sameMachine(one: Machine, other: Machine): boolean {
-  return one.type === other.type && one.zone === other.zone && one.spot === other.spot;
+export function sameMachine(first: Machine, second: Machine): boolean {
+  return first.type === second.type && first.zone === second.zone && first.spot === second.spot;
 }
--- a/src/model/machine.ts
+++ b/src/model/machine.ts
@@ -1,22 +1,22 @@
-/** Machines and machine types, as the cloud describes them. */
+/** Machines and machine types of the cloud. */
 import type { MachineId, MachineTypeId, ZoneId } from './ids.js';
 import type { Resources } from './job.js';
 import type { Millis } from './time.js';
 
-/** A machine type; prices are per hour. */
+/** A machine type of the cloud. Prices are per hour. */
 export interface MachineType extends Resources {
   readonly id: MachineTypeId;
-  /** The size of the image cache. */
+  /** Size of the machine's image cache. */
   readonly cacheGb: number;
   readonly fetchGbPerS: number;
   readonly price: number;
   readonly spotPrice: number;
-  /** The usual time from the request to the first heartbeat. */
+  /** Usual time from the request for a machine to the machine's first heartbeat. */
   readonly bootTime: Millis;
   readonly zones: readonly ZoneId[];
 }
 
-/** One rented machine. */
+/** A machine rented from the cloud. */
 export interface Machine {
   readonly id: MachineId;
   readonly type: MachineTypeId;
@@ -24,10 +24,10 @@
   readonly spot: boolean;
 }
 
-/** A machine in the cloud's list. */
+/** A machine in the cloud's list of machines. */
 export interface ListedMachine extends Machine {
   readonly address: string;
   readonly status: 'starting' | 'running' | 'failed';
-  /** Time since it was rented. */
+  /** Time since the machine was rented. */
   readonly age: Millis;
 }
--- a/src/model/protocol.ts
+++ b/src/model/protocol.ts
@@ -1,15 +1,19 @@
 /**
- * Protocol versions between controllers. A controller shows its version in its pings and in the leader's record; a
- * capability is only used where every controller has at least the version that brought it (docs/upgrade.md).
+ * Protocol versions between controllers. A controller announces its version in its pings and, as leader, in the leader
+ * record. A capability is only used once every controller has at least the version that introduced the capability
+ * (docs/upgrade.md).
  */
 
-/** The version of a controller that shows none: it is from before versions were exchanged. */
+/** Version of a controller that announces no version: its program predates the exchange of versions. */
 export const UNVERSIONED = 0;
-/** Dependencies between jobs, smaller progress records, confirmed cancellations sent between controllers. */
+/**
+ * Version that introduced dependencies between jobs, progress records below the default chunk size, and confirmed
+ * cancellations sent between controllers.
+ */
 export const DEPENDENCIES_VERSION = 1;
-/** Job descriptions whose names are in further records. */
+/** Version that introduced job descriptions whose names are in overflow records. */
 export const SPLIT_DESCRIPTIONS_VERSION = 2;
-/** Messages of the failure detector, and requests for the list of controllers. */
+/** Version that introduced failure detector messages and requests for the list of controllers. */
 export const MEMBERSHIP_VERSION = 3;
-/** The version of this program. */
+/** Protocol version of this program. */
 export const PROTOCOL_VERSION = 3;
--- a/src/model/team.ts
+++ b/src/model/team.ts
@@ -1,7 +1,7 @@
 /** Teams and their quotas. */
 import type { TeamId } from './ids.js';
 
-/** A team's guaranteed quota (`cpus`, `gpus`) and quota limit (`cpusMax`, `gpusMax`; null: no limit). */
+/** A team's guaranteed quota (`cpus`, `gpus`) and quota limit (`cpusMax`, `gpusMax`; null if unlimited). */
 export interface Team {
   readonly id: TeamId;
   readonly cpus: number;
--- a/src/model/time.ts
+++ b/src/model/time.ts
@@ -1,51 +1,54 @@
-/** Times, durations and the clock that everything is handed that reads time or waits. */
+/** Times, durations, and the clock interface through which all components read time and set timers. */
 import type { Branded } from './ids.js';
 
-/** Milliseconds on this process's monotonic clock. Never compared with another process's. */
+/** Milliseconds on this process's monotonic clock. Not comparable with the monotonic time of another process. */
 export type MonotonicTime = Branded<number, 'MonotonicTime'>;
-/** Milliseconds since 1970 by the time of day; exact within the settings' `clock_error_ms`. */
+/** Wall-clock time in milliseconds since 1970, accurate to within the setting `clock_error_ms`. */
 export type WallTime = Branded<number, 'WallTime'>;
 /** A duration in milliseconds. */
 export type Millis = Branded<number, 'Millis'>;
 
-/** The largest relative drift between two monotonic clocks (PROTOCOL). */
-const MAX_CLOCK_DRIFT = 0.0005;
+/** Maximum relative drift between two monotonic clocks (PROTOCOL). */
+const MAX_CLOCK_DRIFT_RATIO = 0.0005;
 
-/** A duration of so many milliseconds. */
+/** Converts a number of milliseconds to a duration. */
 export const ms = (count: number): Millis => count as Millis;
-/** A duration of so many seconds. */
+/** Converts a number of seconds to a duration. */
 export const seconds = (count: number): Millis => (count * 1000) as Millis;
-/** The time that is `durationMs` after `time`. */
+/** Returns the time `durationMs` after `time`. */
 export const plus = (time: MonotonicTime, durationMs: number): MonotonicTime =>
   (time + durationMs) as MonotonicTime;
-/** The duration from `then` to `now`. */
+/** Returns the duration from `then` to `now`. */
 export const since = (now: MonotonicTime, then: MonotonicTime): Millis => (now - then) as Millis;
-/** The longest that a duration on another process's clock can last on ours. */
+/** Returns the maximum duration on this process's clock of a duration measured by another process's clock. */
 export const maxLocalDuration = (remoteMs: number): Millis =>
-  (remoteMs * (1 + 2 * MAX_CLOCK_DRIFT)) as Millis;
-/** The shortest that a duration on another process's clock can last on ours. */
+  (remoteMs * (1 + 2 * MAX_CLOCK_DRIFT_RATIO)) as Millis;
+/** Returns the minimum duration on this process's clock of a duration measured by another process's clock. */
 export const minLocalDuration = (remoteMs: number): Millis =>
-  (remoteMs * (1 - 2 * MAX_CLOCK_DRIFT)) as Millis;
+  (remoteMs * (1 - 2 * MAX_CLOCK_DRIFT_RATIO)) as Millis;
 
 /** Cancels a timer or a subscription. */
 export type Cancel = () => void;
 
-/** A source of time and timers; tests use a virtual one. */
+/** Source of time and timers. Tests use a virtual clock. */
 export interface Clock {
   now(): MonotonicTime;
   wall(): WallTime;
-  /** Calls `run` once after `delayMs`. */
+  /** Calls `run` once after `delayMs`, unless the returned function is called before. */
   after(delayMs: number, run: () => void): Cancel;
 }
 
-/** Resolves after `delayMs` on this clock. */
+/** Returns a promise that resolves after `delayMs` on the given clock. */
 export function sleep(clock: Clock, delayMs: number): Promise<void> {
   return new Promise((resolve) => {
     clock.after(delayMs, resolve);
   });
 }
 
-/** Calls `run` with a fixed delay between the end of one run and the start of the next, until it is cancelled. */
+/**
+ * Calls `run` repeatedly, with a fixed delay between the end of one run and the start of the next. Returns a function
+ * that stops the calls.
+ */
 export function runPeriodically(clock: Clock, delayMs: number, run: () => void): Cancel {
   let isStopped = false;
   let cancelTimer: Cancel = () => {};
@@ -62,7 +65,7 @@
   };
 }
 
-/** The clock of the operating system. */
+/** Clock of the operating system. */
 export const systemClock: Clock = {
   now: () => performance.now() as MonotonicTime,
   wall: () => Date.now() as WallTime,
