--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,4 +1,4 @@
-/** The cloud's HTTP bodies. On the wire a machine type is a `flavour` and a zone a `hall`. */
+/** Codecs of the cloud's HTTP bodies. On the wire, a machine type is a `flavour` and a zone is a `hall`. */
 import * as z from 'zod/mini';
 import type { MachineId, ScaleOutRequestId, MachineTypeId, ZoneId } from '../model/ids.js';
 import type { ListedMachine, MachineType } from '../model/machine.js';
@@ -22,7 +22,7 @@
   ),
 });
 
-/** Reads the list of machine types. Throws on anything else. */
+/** Decodes the list of machine types. Throws if the body has another form. */
 export function readMachineTypes(body: unknown): MachineType[] {
   return machineTypesSchema.parse(body).flavours.map((flavour) => ({
     id: flavour.name as MachineTypeId,
@@ -38,14 +38,14 @@
   }));
 }
 
-const createdSchema = z.object({ hosts: z.array(shortName) });
+const createdMachinesSchema = z.object({ hosts: z.array(shortName) });
 
-/** Reads the machines that a request created. Throws on anything else. */
+/** Decodes the ids of the machines that a request created. Throws if the body has another form. */
 export function readCreatedMachines(body: unknown): MachineId[] {
-  return createdSchema.parse(body).hosts as MachineId[];
+  return createdMachinesSchema.parse(body).hosts as MachineId[];
 }
 
-const listSchema = z.object({
+const machineListSchema = z.object({
   hosts: z.array(
     z.object({
       ref: shortName,
@@ -60,12 +60,12 @@
   more: z.nullish(z.boolean()),
 });
 
-/** The states of listed machines; any other counts as starting. */
-const LISTED_STATES: Record<string, ListedMachine['status']> = { failed: 'failed', running: 'running' };
+/** Statuses of listed machines by wire name. A machine with any other status is treated as `starting`. */
+const LISTED_STATUSES: Record<string, ListedMachine['status']> = { failed: 'failed', running: 'running' };
 
-/** Reads one page of the machine list. Throws on anything else. */
+/** Decodes one page of the machine list. Throws if the body has another form. */
 export function readMachineList(body: unknown): { machines: ListedMachine[]; more: boolean } {
-  const page = listSchema.parse(body);
+  const page = machineListSchema.parse(body);
   return {
     more: page.more ?? false,
     machines: page.hosts.map((host) => ({
@@ -74,13 +74,13 @@
       type: host.flavour as MachineTypeId,
       zone: host.hall as ZoneId,
       spot: host.reclaimable,
-      status: LISTED_STATES[host.status] ?? 'starting',
+      status: LISTED_STATUSES[host.status] ?? 'starting',
       age: seconds(host.heldS),
     })),
   };
 }
 
-/** A request for machines; repeating it under the same name creates no further ones. */
+/** A request to create machines. The name is an idempotency key: a repeated request creates no further machines. */
 export interface ScaleOutRequest {
   readonly name: ScaleOutRequestId;
   readonly type: MachineTypeId;
@@ -89,12 +89,12 @@
   readonly count: number;
 }
 
-/** The body of a request that deletes machines. */
+/** Encodes the body of a request to delete machines. */
 export function deleteMachinesBody(machines: readonly MachineId[]): object {
   return { hosts: machines };
 }
 
-/** The body of a request for machines. */
+/** Encodes the body of a request to create machines. */
 export function scaleOutBody({ name, type, zone, spot, count }: ScaleOutRequest): object {
   return { hire: name, flavour: type, hall: zone, reclaimable: spot, howMany: count };
 }
--- a/src/wire/common.ts
+++ b/src/wire/common.ts
@@ -1,15 +1,18 @@
-/** Pieces of schemas, and the one line that names what is wrong with a message. */
+/** Schemas shared by the codecs of this folder, and the formatting of validation errors. */
 import * as z from 'zod/mini';
 
+/** A non-negative safe integer. */
 export const nonNegativeInteger = z.int().check(z.nonnegative());
 export const nonNegativeNumber = z.number().check(z.nonnegative());
-/** A non-empty name of bounded length. */
+/** A name of 1 to 200 characters. */
 export const shortName = z.string().check(z.minLength(1), z.maxLength(200));
 
 function describeIssue(issue: z.core.$ZodIssue): string {
   switch (issue.code) {
     case 'invalid_type':
-      return issue.input === undefined ? `missing, or no ${issue.expected}` : `no ${issue.expected}`;
+      return issue.input === undefined
+        ? `missing or not of type ${issue.expected}`
+        : `not of type ${issue.expected}`;
     case 'unrecognized_keys':
       return `unknown field ${issue.keys.join(', ')}`;
     case 'too_small':
@@ -17,16 +20,16 @@
     case 'too_big':
       return `above ${issue.maximum}`;
     case 'invalid_value':
-      return `none of ${issue.values.join(', ')}`;
+      return `not one of ${issue.values.join(', ')}`;
     default:
       return issue.message;
   }
 }
 
-/** Formats the first issue as one line that names its field. */
+/** Formats the first issue of a validation error as one line that names the field. */
 export function firstIssue(error: z.core.$ZodError): string {
   const issue = error.issues[0];
-  if (!issue) return 'invalid';
-  const where = issue.path.map(String).join('.');
-  return where ? `${where}: ${describeIssue(issue)}` : describeIssue(issue);
+  if (!issue) return 'invalid value';
+  const path = issue.path.map(String).join('.');
+  return path ? `${path}: ${describeIssue(issue)}` : describeIssue(issue);
 }
--- a/src/wire/key-value-store.ts
+++ b/src/wire/key-value-store.ts
@@ -1,26 +1,26 @@
 /**
- * The key-value store's HTTP bodies. On the wire a lease is a `tether`, a key's revision its `stamp`, and the store's
- * revision the `ledger`.
+ * Codecs of the key-value store's HTTP bodies. On the wire, a lease is a `tether`, the revision of a key is its
+ * `stamp`, and the revision of the store is the `ledger`.
  */
 import * as z from 'zod/mini';
 import type { LeaseId, Revision } from '../model/ids.js';
 import { nonNegativeInteger } from './common.js';
 
-const keyValueSchema = z.object({
+const wireKeyValueSchema = z.object({
   key: z.string(),
   data: z.unknown(),
   stamp: nonNegativeInteger,
   tether: z.nullish(nonNegativeInteger),
 });
 const pageSchema = z.object({
-  rows: z.array(keyValueSchema),
+  rows: z.array(wireKeyValueSchema),
   more: z.nullish(z.boolean()),
   ledger: nonNegativeInteger,
 });
 const committedSchema = z.object({ ledger: nonNegativeInteger });
 const conflictSchema = z.object({ failed: z.array(z.string()), ledger: z.nullish(nonNegativeInteger) });
 const leaseSchema = z.object({ tether: nonNegativeInteger });
-const watchSchema = z.object({
+const watchReplySchema = z.object({
   ledger: nonNegativeInteger,
   news: z.nullish(
     z.array(
@@ -34,69 +34,69 @@
   ),
 });
 
-/** A key with its value and the revision of its last change. */
+/** A key with its value and the revision of its latest change. */
 export interface KeyValue {
   readonly key: string;
   readonly value: unknown;
   readonly revision: Revision;
-  /** The lease that the key is bound to. Present where a single key is read, not in lists. */
+  /** Lease to which the key is bound. Present if a single key was read, absent in pages of a range. */
   readonly lease?: LeaseId;
 }
 
-/** Keys in order, as of one revision of the store. */
+/** One page of a range: keys in order, as of one revision of the store. */
 export interface KeyValuePage {
   readonly rows: KeyValue[];
   readonly more: boolean;
   readonly revision: Revision;
 }
 
-/** A key that was set, or deleted where `value` is undefined. */
+/** A change to a key. `value` is undefined if the key was deleted. */
 export interface WatchEvent {
   readonly key: string;
   readonly value: unknown;
   readonly revision: Revision;
 }
 
-/** A condition of a transaction: the key must have this revision. */
+/** Condition of a transaction: the key must have the given revision. */
 export interface Compare {
   readonly key: string;
   readonly revision: Revision;
 }
 
-/** A write of a transaction: a key is set, and bound to a lease where one is given, or dropped. */
+/** Write in a transaction: sets a key or deletes the key `drop`. */
 export type WriteOperation = SetOperation | { readonly drop: string };
 
-/** A write of a transaction that sets a key. */
+/** Write in a transaction that sets a key, and binds the key to the lease `grant` if given. */
 export interface SetOperation {
   readonly set: string;
   readonly value: unknown;
   readonly grant?: LeaseId;
 }
 
-function toKeyValue({ key, data, stamp, tether }: z.infer<typeof keyValueSchema>): KeyValue {
+function toKeyValue({ key, data, stamp, tether }: z.infer<typeof wireKeyValueSchema>): KeyValue {
   const keyValue = { key, value: data, revision: stamp as Revision };
   return tether == null ? keyValue : { ...keyValue, lease: tether as LeaseId };
 }
 
-/** Reads the answer to a request for one key. Throws on anything else. */
-export const readRow = (body: unknown): KeyValue => toKeyValue(keyValueSchema.parse(body));
+/** Decodes the answer to a request for one key. Throws if the body has another form. */
+export const readRow = (body: unknown): KeyValue => toKeyValue(wireKeyValueSchema.parse(body));
 
-/** Reads one page of a range. Throws on anything else. */
+/** Decodes one page of a range. Throws if the body has another form. */
 export function readPage(body: unknown): KeyValuePage {
   const page = pageSchema.parse(body);
   return { rows: page.rows.map(toKeyValue), more: page.more ?? false, revision: page.ledger as Revision };
 }
 
-/** Reads the revision of a transaction that was carried out. Throws on anything else. */
+/** Decodes the revision of a committed transaction. Throws if the body has another form. */
 export const readRevision = (body: unknown): Revision => committedSchema.parse(body).ledger as Revision;
-/** Reads the keys whose conditions failed. Throws on anything else. */
-export const readFailed = (body: unknown): string[] => conflictSchema.parse(body).failed;
-/** Reads a lease that was granted. Throws on anything else. */
+/** Decodes the keys whose conditions failed in a transaction. Throws if the body has another form. */
+export const readFailedKeys = (body: unknown): string[] => conflictSchema.parse(body).failed;
+/** Decodes the id of a granted lease. Throws if the body has another form. */
 export const readLease = (body: unknown): LeaseId => leaseSchema.parse(body).tether as LeaseId;
 
-/** Reads the answer to a watch. Throws on anything else. */
+/** Decodes the answer to a watch. Throws if the body has another form. */
 export function readWatchEvents(body: unknown): { revision: Revision; changes: WatchEvent[] } {
-  const { news, ledger } = watchSchema.parse(body);
+  const { news, ledger } = watchReplySchema.parse(body);
   const changes: WatchEvent[] = [];
   for (const { set, drop, data, stamp } of news ?? []) {
     const key = set ?? drop;
@@ -106,7 +106,7 @@
   return { revision: ledger as Revision, changes };
 }
 
-/** Encodes a transaction: compare-and-swap of all conditions and writes at once. */
+/** Encodes a transaction: the store applies all writes atomically if all conditions hold. */
 export function encodeTxn(compares: readonly Compare[], writes: readonly WriteOperation[]): object {
   return {
     if: compares.map(({ key, revision }) => ({ key, stamp: revision })),
--- a/src/wire/members.ts
+++ b/src/wire/members.ts
@@ -1,4 +1,4 @@
-/** The list of controllers as one of them sees it: the body that `plumyoke members` reads. */
+/** Codec of the list of controllers as one controller sees it. The command `plumyoke members` reads this body. */
 import * as z from 'zod/mini';
 import { nonNegativeNumber, nonNegativeInteger, shortName } from './common.js';
 
@@ -10,30 +10,30 @@
   load: z.nullable(nonNegativeNumber),
   ready: z.boolean(),
   evidence: z.array(z.string()),
-  /** What the member owns, as far as the observer knows: `cluster (epoch 7)`. */
+  /** Resources that the member owns, as far as the observer knows: `cluster (epoch 7)`. */
   owns: z.array(z.string()),
 });
 const reportSchema = z.object({
-  /** The controller that was asked. */
+  /** The controller that answers the request. */
   observer: shortName,
   version: nonNegativeInteger,
   failureDetection: z.boolean(),
   members: z.array(memberSchema),
-  /** Messages that were dropped, by reason. */
+  /** Number of dropped failure detector messages, by reason. */
   dropped: z.record(z.string(), nonNegativeInteger),
 });
 
-/** One controller in the list. */
+/** Entry of one controller in the list of controllers. */
 export type MemberLine = z.infer<typeof memberSchema>;
-/** The list of controllers. */
+/** The list of controllers as the observer sees it. */
 export type MembersReport = z.infer<typeof reportSchema>;
 
-/** Encodes the report. */
+/** Encodes the list of controllers as a response body. */
 export function encodeMembersReport(report: MembersReport): Buffer {
   return Buffer.from(JSON.stringify(report));
 }
 
-/** Reads such a report. Throws on anything else. */
+/** Decodes the list of controllers. Throws if the body has another form. */
 export function readMembersReport(body: unknown): MembersReport {
   return reportSchema.parse(body);
 }
--- a/src/wire/settings.ts
+++ b/src/wire/settings.ts
@@ -1,4 +1,4 @@
-/** The platform's settings: the form of their file, and the same in the program's terms. */
+/** The platform's settings: the schema of the settings file, and its conversion to the program's terms. */
 import * as z from 'zod/mini';
 import type { MemberId, TeamId, ZoneId } from '../model/ids.js';
 import type { Team } from '../model/team.js';
@@ -7,14 +7,19 @@
 
 const addressSchema = z
   .string()
-  .check(z.regex(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/, 'not an address like 10.0.0.1:8080'));
-/** Closing a job writes its final state and drops its head and a progress record; a takeover writes two keys. */
+  .check(
+    z.regex(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/, 'not an IPv4 address with a port, such as 10.0.0.1:8080'),
+  );
+/**
+ * Minimum number of writes that a transaction must be able to hold. Closing a job writes its final state and deletes
+ * its head record and a progress record; a takeover writes two keys.
+ */
 const MIN_TXN_OPS = 4;
-/** A job description with names of usual length. */
+/** Minimum length of a value that the store must accept: enough for a job description with names of usual length. */
 const MIN_VALUE_BYTES = 1024;
-const positive = z.number().check(z.positive());
+const positiveNumber = z.number().check(z.positive());
 
-const settingsFile = z.object({
+const settingsFileSchema = z.object({
   member: shortName,
   site: shortName,
   front: addressSchema,
@@ -45,22 +50,22 @@
         }),
       ),
     ),
-    workers: z.object({ report_s: positive, lease_s: positive, cancel_s: positive }),
+    workers: z.object({ report_s: positiveNumber, lease_s: positiveNumber, cancel_s: positiveNumber }),
     state: z.object({
-      rps: positive,
-      write_rps: positive,
-      value_kb: positive,
+      rps: positiveNumber,
+      write_rps: positiveNumber,
+      value_kb: positiveNumber,
       txn_ops: nonNegativeInteger,
       next: z.nullish(
         z.object({
-          rps: z.nullish(positive),
-          write_rps: z.nullish(positive),
-          value_kb: z.nullish(positive),
+          rps: z.nullish(positiveNumber),
+          write_rps: z.nullish(positiveNumber),
+          value_kb: z.nullish(positiveNumber),
           txn_ops: z.nullish(nonNegativeInteger),
         }),
       ),
     }),
-    cloud: z.object({ rps: positive, list_lag_s: nonNegativeNumber }),
+    cloud: z.object({ rps: positiveNumber, list_lag_s: nonNegativeNumber }),
     resources: z.nullish(
       z.object({
         cpu: z.nullish(z.number()),
@@ -71,20 +76,20 @@
   }),
 });
 
-/** Another controller. */
+/** Name and address of another controller. */
 export interface PeerAddress {
   readonly member: MemberId;
   readonly address: string;
 }
 
-/** A service-level objective that the users state for a class, or for all work. */
+/** A service-level objective for the jobs of one class, or for all jobs. */
 export interface Objective {
   readonly kind: string;
-  /** Null: all work. */
+  /** Job class to which the objective applies; null for all jobs. */
   readonly jobClass: string | null;
-  /** Within which time; null: the objective has none. */
+  /** Time within which a job should meet the objective; null if the objective has no time. */
   readonly target: Millis | null;
-  /** The share of jobs that should keep to the target. */
+  /** Share of the jobs that should meet the target; null if the objective has no share. */
   readonly share: number | null;
 }
 
@@ -93,77 +98,81 @@
   readonly rps: number;
   readonly writeRps: number;
   readonly valueBytes: number;
-  /** Writes that one transaction may hold. */
+  /** Maximum number of writes in one transaction. */
   readonly txnOps: number;
 }
 
-/** The platform's settings in the program's terms. */
+/** The platform's settings, converted to the program's terms. */
 export interface Settings {
   readonly member: MemberId;
   readonly zone: ZoneId;
-  /** Where users and workers are served. */
+  /** Listen address for users and workers. */
   readonly frontAddress: string;
-  /** Where the other controllers are served. */
+  /** Listen address for the other controllers. */
   readonly peerAddress: string;
   readonly peers: readonly PeerAddress[];
   readonly cloudAddress: string;
   readonly storeAddress: string;
   readonly teams: readonly Team[];
   readonly objectives: readonly Objective[];
-  /** How far the wall clock may be off. */
+  /** Maximum error of the wall clock. */
   readonly clockError: Millis;
   readonly heartbeatInterval: Millis;
   readonly workerLeaseDuration: Millis;
-  /** By when the tasks of a cancelled job must have stopped. */
+  /** Time after a cancellation by which the job's tasks must have stopped. */
   readonly cancellationLimit: Millis;
   readonly storeLimits: StoreLimitSettings;
-  /** The limits that will hold from some moment on, without notice; the same where no change is announced. */
+  /** Future limits, which the store may enforce at any time without notice; the current limits if none are announced. */
   readonly announcedStoreLimits: StoreLimitSettings;
   readonly cloudRequestsPerSecond: number;
-  /** How far the cloud's list of machines may lag. */
+  /** Maximum lag of the cloud's list of machines. */
   readonly listLag: Millis;
-  /** The share of a core that this process gets; null: the platform does not say. */
+  /** Share of a processor core that this process gets; null if the platform does not specify a share. */
   readonly cpuShare: number | null;
   readonly maxSockets: number;
   readonly memoryMb: number | null;
 }
 
-const NO_LIMITS: StoreLimitSettings = { rps: 0, writeRps: 0, valueBytes: 0, txnOps: 0 };
+const UNSET_STORE_LIMITS: StoreLimitSettings = { rps: 0, writeRps: 0, valueBytes: 0, txnOps: 0 };
 
-interface LimitsInFile {
+interface StoreLimitsInFile {
   readonly rps?: number | null | undefined;
   readonly write_rps?: number | null | undefined;
   readonly value_kb?: number | null | undefined;
   readonly txn_ops?: number | null | undefined;
 }
 
-/** Reads limits; a field that is left out keeps its value of `before`. */
-function readLimits(field: string, file: LimitsInFile, before: StoreLimitSettings): StoreLimitSettings {
-  const txnOps = file.txn_ops ?? before.txnOps;
-  const valueBytes = file.value_kb == null ? before.valueBytes : file.value_kb * 1024;
-  if (txnOps < MIN_TXN_OPS) throw new Error(`${field}.txn_ops: at least ${MIN_TXN_OPS} is needed`);
+/** Reads store limits. A missing field takes its value from `defaults`. */
+function readStoreLimits(
+  field: string,
+  file: StoreLimitsInFile,
+  defaults: StoreLimitSettings,
+): StoreLimitSettings {
+  const txnOps = file.txn_ops ?? defaults.txnOps;
+  const valueBytes = file.value_kb == null ? defaults.valueBytes : file.value_kb * 1024;
+  if (txnOps < MIN_TXN_OPS) throw new Error(`${field}.txn_ops: must be at least ${MIN_TXN_OPS}`);
   if (valueBytes < MIN_VALUE_BYTES) {
-    throw new Error(`${field}.value_kb: at least ${MIN_VALUE_BYTES / 1024} is needed`);
+    throw new Error(`${field}.value_kb: must be at least ${MIN_VALUE_BYTES / 1024}`);
   }
-  return { rps: file.rps ?? before.rps, writeRps: file.write_rps ?? before.writeRps, valueBytes, txnOps };
+  return { rps: file.rps ?? defaults.rps, writeRps: file.write_rps ?? defaults.writeRps, valueBytes, txnOps };
 }
 
-/** Returns the share of a core to plan with; a whole core where the settings name no usable share. */
+/** Returns the share of a processor core to plan with. Without a valid share in the settings, this is a whole core. */
 export function usableShare({ cpuShare }: Pick<Settings, 'cpuShare'>): number {
   return cpuShare !== null && cpuShare > 0 && cpuShare <= 1 ? cpuShare : 1;
 }
 
-/** 0 means none (DEPLOY): no guarantee, or no limit. */
-const limitOrNull = (value: number | null | undefined): number | null => (value ? value : null);
+/** Converts a quota of 0 or a missing quota to null. 0 means none (DEPLOY): no guarantee, or no limit. */
+const zeroToNull = (value: number | null | undefined): number | null => (value ? value : null);
 
-/** Reads the platform's settings. Throws an error whose message is one line naming the field. */
+/** Reads the platform's settings. Throws an error with a one-line message that names the invalid field. */
 export function readSettings(raw: unknown): Settings {
-  const read = settingsFile.safeParse(raw);
-  if (!read.success) throw new Error(firstIssue(read.error));
-  const file = read.data;
+  const parsed = settingsFileSchema.safeParse(raw);
+  if (!parsed.success) throw new Error(firstIssue(parsed.error));
+  const file = parsed.data;
   const { facts } = file;
-  const storeLimits = readLimits('facts.state', facts.state, NO_LIMITS);
-  const announcedStoreLimits = readLimits('facts.state.next', facts.state.next ?? {}, storeLimits);
+  const storeLimits = readStoreLimits('facts.state', facts.state, UNSET_STORE_LIMITS);
+  const announcedStoreLimits = readStoreLimits('facts.state.next', facts.state.next ?? {}, storeLimits);
   return {
     member: file.member as MemberId,
     zone: file.site as ZoneId,
@@ -176,8 +185,8 @@
       id: team.name as TeamId,
       cpus: team.cpus ?? 0,
       gpus: team.gpus ?? 0,
-      cpusMax: limitOrNull(team.cpus_max),
-      gpusMax: limitOrNull(team.gpus_max),
+      cpusMax: zeroToNull(team.cpus_max),
+      gpusMax: zeroToNull(team.gpus_max),
     })),
     objectives: (facts.objectives ?? []).map((objective) => ({
       kind: objective.kind,
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -1,11 +1,11 @@
-/** Submissions of users, and the answers to them, in the protocol's form. */
+/** Codecs of users' submissions and of the answers to users. */
 import * as z from 'zod/mini';
 import type { ImageId, JobId, TeamId, MachineTypeId, ZoneId } from '../model/ids.js';
 import { type JobSpec, type JobState, Priority } from '../model/job.js';
 import { nonNegativeNumber, firstIssue, shortName } from './common.js';
 
-/** The wire's `rank`. */
-const PRIORITIES = {
+/** Priorities by their names in the wire field `rank`. */
+const PRIORITIES_BY_RANK = {
   production: Priority.Production,
   urgent: Priority.High,
   standard: Priority.Normal,
@@ -38,14 +38,14 @@
   awaits: z.nullish(z.array(jobIdSchema)),
 });
 
-/** A parsed message, or why it could not be parsed: one line naming the field. */
-export type Parsed<T> = { ok: true; value: T } | { ok: false; error: string };
+/** A parsed message, or a one-line error that names the invalid field. */
+export type ParseResult<T> = { ok: true; value: T } | { ok: false; error: string };
 
-/** Checks every field of a submission. */
-export function parseSubmission(body: unknown): Parsed<JobSpec> {
-  const read = submissionSchema.safeParse(body);
-  if (!read.success) return { ok: false, error: firstIssue(read.error) };
-  const wire = read.data;
+/** Decodes a submission and validates all its fields. */
+export function parseSubmission(body: unknown): ParseResult<JobSpec> {
+  const parsed = submissionSchema.safeParse(body);
+  if (!parsed.success) return { ok: false, error: firstIssue(parsed.error) };
+  const wire = parsed.data;
   return {
     ok: true,
     value: {
@@ -53,7 +53,7 @@
       jobClass: wire.jobclass,
       team: wire.owner as TeamId,
       kind: wire.shape,
-      priority: PRIORITIES[wire.rank],
+      priority: PRIORITIES_BY_RANK[wire.rank],
       taskCount: wire.shards,
       cpus: wire.cpus,
       gpus: wire.gpus,
@@ -76,18 +76,18 @@
   };
 }
 
-/** Task counts of a job, for display. */
+/** Task counts of a job, for display to users. */
 export interface Progress {
   readonly done: number;
   readonly running: number;
 }
 
-/** The answer to a submission that was accepted. */
+/** Encodes the answer to an accepted submission. */
 export function accepted(id: JobId): object {
   return { ref: id, status: 'pending' };
 }
 
-/** The answer to a user's question for a job; `taskCount` is shown as done once the job is. */
+/** Encodes the answer to a user's query for a job. For a done job, the number of done tasks is `taskCount`. */
 export function jobStatus(id: JobId, state: JobState, taskCount: number, progress: Progress): object {
   switch (state) {
     case 'done':
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,4 +1,4 @@
-/** Heartbeats of workers, and the commands to them, in the protocol's form. */
+/** Codecs of workers' heartbeats and of commands to workers. */
 import * as z from 'zod/mini';
 import type {
   HeartbeatSequence,
@@ -14,17 +14,17 @@
 import type { Attempt, AttemptState, WorkerCommand, Heartbeat } from '../model/heartbeat.js';
 import { seconds } from '../model/time.js';
 import { nonNegativeNumber, nonNegativeInteger, firstIssue, shortName } from './common.js';
-import type { Parsed } from './users.js';
+import type { ParseResult } from './users.js';
 
-/** The wire's words for the states of an attempt. */
-const ATTEMPT_STATES: Record<string, AttemptState> = {
+/** Attempt states by their names on the wire. */
+const ATTEMPT_STATES_BY_STATUS: Record<string, AttemptState> = {
   pulling: 'fetching',
   running: 'running',
   flushing: 'saving',
   ended: 'exited',
 };
 
-/** The form of a heartbeat on the wire. */
+/** Schema of a heartbeat on the wire. */
 export const heartbeatSchema = z.object({
   host: shortName,
   address: shortName,
@@ -49,50 +49,62 @@
 
 type WireHeartbeat = z.infer<typeof heartbeatSchema>;
 type WireAttempt = NonNullable<WireHeartbeat['shards']>[number];
-/** A field whose type is still to be checked. */
+/** The fields of `T` before validation, each of unknown type and possibly missing. */
 type Unchecked<T> = { readonly [Field in keyof T]?: unknown };
 
-const MAX_NAME_LENGTH = 200;
-const isName = (value: unknown): boolean =>
-  typeof value === 'string' && value.length > 0 && value.length <= MAX_NAME_LENGTH;
-const isCount = (value: unknown): boolean => Number.isSafeInteger(value) && (value as number) >= 0;
+const MAX_NAME_LENGTH_CHARS = 200;
+const isShortName = (value: unknown): boolean =>
+  typeof value === 'string' && value.length > 0 && value.length <= MAX_NAME_LENGTH_CHARS;
+const isNonNegativeInteger = (value: unknown): boolean =>
+  Number.isSafeInteger(value) && (value as number) >= 0;
 const isObject = (value: unknown): value is object => typeof value === 'object' && value !== null;
 
-function isAttempt(value: unknown): value is WireAttempt {
+function isWireAttempt(value: unknown): value is WireAttempt {
   if (!isObject(value)) return false;
   const { shard, try: attemptNumber, status, cause } = value as Unchecked<WireAttempt>;
   return (
-    isName(shard) && isCount(attemptNumber) && isName(status) && (cause == null || typeof cause === 'string')
+    isShortName(shard) &&
+    isNonNegativeInteger(attemptNumber) &&
+    isShortName(status) &&
+    (cause == null || typeof cause === 'string')
   );
 }
 
 /**
- * Checks the same as `heartbeatSchema`, in less time: heartbeats come by the hundred a second, and next to all of them
- * are well-formed (measured, docs/results.md). The schema names the fault of the others; a test compares the two.
+ * Accepts the same values as `heartbeatSchema`, in less time: controllers receive hundreds of heartbeats per second,
+ * and nearly all are well-formed (docs/results.md). For a malformed heartbeat, the schema then finds the invalid field.
+ * A unit test compares the two checks.
  */
-function isHeartbeat(body: unknown): body is WireHeartbeat {
+function isWireHeartbeat(body: unknown): body is WireHeartbeat {
   if (!isObject(body)) return false;
   const wire = body as Unchecked<WireHeartbeat>;
-  const hasNames = isName(wire.host) && isName(wire.address) && isName(wire.flavour) && isName(wire.hall);
-  const hasCounts = isCount(wire.tenure) && isCount(wire.counter) && isCount(wire.epoch);
+  const hasNames =
+    isShortName(wire.host) &&
+    isShortName(wire.address) &&
+    isShortName(wire.flavour) &&
+    isShortName(wire.hall);
+  const hasCounts =
+    isNonNegativeInteger(wire.tenure) &&
+    isNonNegativeInteger(wire.counter) &&
+    isNonNegativeInteger(wire.epoch);
   const hasNotice = wire.warningS == null || (typeof wire.warningS === 'number' && wire.warningS >= 0);
   if (!hasNames || !hasCounts || !hasNotice || typeof wire.reclaimable !== 'boolean') return false;
-  return wire.shards == null || (Array.isArray(wire.shards) && wire.shards.every(isAttempt));
+  return wire.shards == null || (Array.isArray(wire.shards) && wire.shards.every(isWireAttempt));
 }
 
-/** Checks every field of a heartbeat. */
-export function parseHeartbeat(body: unknown): Parsed<Heartbeat> {
-  if (!isHeartbeat(body)) {
+/** Decodes a heartbeat and validates all its fields. */
+export function parseHeartbeat(body: unknown): ParseResult<Heartbeat> {
+  if (!isWireHeartbeat(body)) {
     const { error } = heartbeatSchema.safeParse(body);
-    return { ok: false, error: error ? firstIssue(error) : 'not a report' };
+    return { ok: false, error: error ? firstIssue(error) : 'heartbeat is malformed' };
   }
   const attempts: Attempt[] = [];
   for (const shard of body.shards ?? []) {
     attempts.push({
       task: shard.shard as TaskId,
       attemptNumber: shard.try as AttemptNumber,
-      // A state that this version does not know still holds the machine: the task counts as being there.
-      state: ATTEMPT_STATES[shard.status] ?? 'running',
+      // An attempt in a state that this version does not know still occupies the machine, so it counts as running.
+      state: ATTEMPT_STATES_BY_STATUS[shard.status] ?? 'running',
       cause: shard.cause ?? null,
     });
   }
@@ -113,28 +125,28 @@
   };
 }
 
-/** The wire's words for the kinds of commands. */
-const VERBS = { start: 'run', stop: 'kill', forget: 'clear' } as const satisfies Record<
+/** Names of the command kinds on the wire. */
+const VERBS_BY_COMMAND = { start: 'run', stop: 'kill', forget: 'clear' } as const satisfies Record<
   WorkerCommand['kind'],
   string
 >;
 
 function encodeCommand(command: WorkerCommand): object {
-  const encoded = { verb: VERBS[command.kind], shard: command.task, try: command.attemptNumber };
+  const encoded = { verb: VERBS_BY_COMMAND[command.kind], shard: command.task, try: command.attemptNumber };
   return command.kind === 'stop' ? { ...encoded, drainS: command.graceS } : encoded;
 }
 
-/** The body of an answer that sends a worker to another controller. */
+/** Encodes the body of an answer that redirects a worker to another controller. */
 export function encodeRedirect(member: MemberId): Buffer {
   return Buffer.from(JSON.stringify({ foreman: member }));
 }
 
-/** The body of an answer to a heartbeat. */
+/** Encodes the body of an answer to a heartbeat. */
 export function encodeCommands(token: FencingToken, commands: readonly WorkerCommand[]): Buffer {
   return Buffer.from(JSON.stringify({ epoch: token, orders: commands.map(encodeCommand) }));
 }
 
-/** The body of a direct call that brings commands to a worker. */
+/** Encodes the body of a direct call with commands to a worker. */
 export function directCommandBody(
   token: FencingToken,
   incarnation: AgentIncarnation,
@@ -143,14 +155,14 @@
   return { epoch: token, tenure: incarnation, orders: commands.map(encodeCommand) };
 }
 
-/** A worker's answer to a direct call. */
+/** A worker's answer to a direct call with commands. */
 export interface CommandReply {
-  /** False: the worker refused, because of the fencing token or the incarnation. */
+  /** False if the worker refused the commands because of the fencing token or the incarnation. */
   readonly executed: boolean;
   readonly heartbeat: Heartbeat | null;
 }
 
-/** Reads a worker's answer to a direct call; a body that is no heartbeat gives none. */
+/** Decodes a worker's answer to a direct call. `heartbeat` is null if the body is not a valid heartbeat. */
 export function readCommandReply(status: number, body: unknown): CommandReply {
   const parsed = parseHeartbeat(body);
   return { executed: status === 200, heartbeat: parsed.ok ? parsed.value : null };
--- a/test/unit/cloud-wire.test.ts
+++ b/test/unit/cloud-wire.test.ts
@@ -9,7 +9,7 @@
   readonly body: unknown;
 }
 
-/** A client of a cloud that answers everything alike, and what it sent. */
+/** Creates a client of a cloud that gives the same answer to every request, and collects the requests sent. */
 function cloudClient(answer: unknown, status = 200): { client: CloudClient; sent: SentRequest[] } {
   const sent: SentRequest[] = [];
   const http: HttpCaller = {
@@ -21,8 +21,8 @@
   return { client: new CloudClient(http, 1000), sent };
 }
 
-describe('requests to the cloud', () => {
-  it('ask for machines in the protocol’s words', async () => {
+describe('cloud requests', () => {
+  it('encode a request to create machines with the field names of the protocol', async () => {
     const { client, sent } = cloudClient({ hosts: ['host-000001'] });
     await client.createMachines({
       name: 'p5-1' as ScaleOutRequestId,
@@ -35,13 +35,13 @@
     expect(sent).toEqual([{ method: 'POST', path: '/machines', body }]);
   });
 
-  it('delete machines in the protocol’s words', async () => {
+  it('encode a request to delete machines with the field names of the protocol', async () => {
     const { client, sent } = cloudClient({});
     await client.deleteMachines(['host-000001' as MachineId]);
     expect(sent).toEqual([{ method: 'POST', path: '/machines/delete', body: { hosts: ['host-000001'] } }]);
   });
 
-  it('list machines page by page', async () => {
+  it('request one page of the machine list after a given machine', async () => {
     const { client, sent } = cloudClient({ hosts: [], more: false });
     await client.listMachines('');
     await client.listMachines('host-000001');
@@ -55,14 +55,14 @@
     [429, 'CLOUD_RATE_LIMITED'],
     [503, 'CLOUD_REQUEST_REFUSED'],
     [500, 'CLOUD_REQUEST_REFUSED'],
-  ])('reject with the reason where the cloud refuses (%i)', async (status, code) => {
+  ])('reject with the error code for the status of a refusal (%i)', async (status, code) => {
     const { client } = cloudClient({ error: 'trouble' }, status);
     const error: unknown = await client.deleteMachines([]).catch((reason: unknown) => reason);
     expect(error).toBeInstanceOf(CloudRequestRefusedError);
     expect(error).toMatchObject({ code, status, message: `cloud answered ${status}` });
   });
 
-  it('tell a pool without capacity from a refusal', async () => {
+  it('distinguish a pool without capacity from a refused request', async () => {
     const request = {
       name: 'p5-1' as ScaleOutRequestId,
       type: 'small' as MachineTypeId,
--- a/test/unit/failover-settings.test.ts
+++ b/test/unit/failover-settings.test.ts
@@ -28,8 +28,8 @@
   });
 
   it.each([
-    ['enabled: missing, or no boolean', ''],
-    ['enabled: missing, or no boolean', 'enabled = 1'],
+    ['enabled: missing or not of type boolean', ''],
+    ['enabled: missing or not of type boolean', 'enabled = 1'],
     ['suspicion_s: below 0', 'enabled = true\nsuspicion_s = -1'],
     ['unknown field suspicion', 'enabled = true\nsuspicion = 2'],
     ['probe_timeout_s: above probe_interval_s', 'enabled = true\nprobe_timeout_s = 2'],
--- a/test/unit/wire.test.ts
+++ b/test/unit/wire.test.ts
@@ -32,7 +32,7 @@
 };
 
 describe('submissions', () => {
-  it('may omit what may be null, and may hold unknown fields', () => {
+  it('may omit nullable fields and contain unknown fields', () => {
     const parsed = parseSubmission({ ...submission, later: 1, dueS: null });
     expect(parsed).toMatchObject({ ok: true, value: { allowedTypes: null, zone: null, deadlineS: null } });
   });
@@ -45,17 +45,17 @@
     ['cpus', -1],
     ['samePlace', 'yes'],
     ['bundle', undefined],
-  ])('are malformed with %s = %s', (field, value) => {
+  ])('are rejected with %s = %s', (field, value) => {
     expect(parseSubmission({ ...submission, [field]: value }).ok).toBe(false);
   });
 
-  it('are malformed when they are no object', () => {
+  it('are rejected if the body is not an object', () => {
     for (const body of [null, undefined, 3, 'x', []]) expect(parseSubmission(body).ok).toBe(false);
   });
 });
 
-describe('reports', () => {
-  const whole = {
+describe('heartbeats', () => {
+  const validHeartbeat = {
     host: 'host-000001',
     address: '10.1.0.1:9000',
     flavour: 'g8',
@@ -68,24 +68,39 @@
     shards: [{ shard: 'j-000001/0', try: 1, status: 'running', cause: 'done' }],
   };
 
-  it('count a task in a state that we do not know as being on the machine', () => {
-    const shards = [{ ...whole.shards[0], status: 'dreaming' }];
-    const parsed = parseHeartbeat({ ...whole, warningS: undefined, shards });
+  it('count an attempt in an unknown state as running on the machine', () => {
+    const shards = [{ ...validHeartbeat.shards[0], status: 'dreaming' }];
+    const parsed = parseHeartbeat({ ...validHeartbeat, warningS: undefined, shards });
     expect(parsed).toMatchObject({
       ok: true,
       value: { attempts: [{ state: 'running' }], interruptionNotice: null },
     });
   });
 
-  // Reports are checked by hand first and by the schema only where that fails: neither may take what the other refuses.
-  const attempt = whole.shards[0];
-  const values = [undefined, null, true, -1, 0, 1.5, 2 ** 60, '', 'x', 'x'.repeat(201), {}, [], [null]];
-
-  it.each(Object.keys(whole))(
-    'with any value for %s are taken or refused by one rule, with a reason',
+  // A hand-written check validates heartbeats first, and the schema only validates those that fail the check. Both have
+  // to accept and refuse the same values.
+  const attempt = validHeartbeat.shards[0];
+  const candidateValues = [
+    undefined,
+    null,
+    true,
+    -1,
+    0,
+    1.5,
+    2 ** 60,
+    '',
+    'x',
+    'x'.repeat(201),
+    {},
+    [],
+    [null],
+  ];
+
+  it.each(Object.keys(validHeartbeat))(
+    'with any value for %s are accepted by the check if and only if the schema accepts them, with an error otherwise',
     (field) => {
-      for (const value of values) {
-        const body = { ...whole, [field]: value };
+      for (const value of candidateValues) {
+        const body = { ...validHeartbeat, [field]: value };
         const parsed = parseHeartbeat(body);
         expect(parsed.ok, JSON.stringify(value)).toBe(heartbeatSchema.safeParse(body).success);
         if (!parsed.ok) expect(parsed.error).toContain(field);
@@ -94,22 +109,22 @@
   );
 
   it.each(Object.keys(attempt ?? {}))(
-    'with any value for an attempt’s %s are taken or refused by one rule',
+    'with any value for an attempt’s %s are accepted by the check if and only if the schema accepts them',
     (field) => {
-      for (const value of values) {
-        const body = { ...whole, shards: [attempt, { ...attempt, [field]: value }] };
+      for (const value of candidateValues) {
+        const body = { ...validHeartbeat, shards: [attempt, { ...attempt, [field]: value }] };
         expect(parseHeartbeat(body).ok, JSON.stringify(value)).toBe(heartbeatSchema.safeParse(body).success);
       }
     },
   );
 
-  it('are refused when they are no object', () => {
+  it('are rejected if the body is not an object', () => {
     for (const body of [null, undefined, 3, 'x', []]) expect(parseHeartbeat(body).ok).toBe(false);
   });
 });
 
 describe('frames', () => {
-  it('come out whole from any cuts of the stream', () => {
+  it('are reassembled from a stream that arrives byte by byte', () => {
     const bytes = Buffer.concat([
       encodeFrame(FrameKind.Heartbeat, 7, Buffer.from('{"a":1}')),
       encodeFrame(FrameKind.Ping, 0, Buffer.alloc(3)),
@@ -122,30 +137,30 @@
     ]);
   });
 
-  it('are refused when they cannot be ours', () => {
+  it('are rejected if they are malformed', () => {
     expect(() => new FrameReader().push(Buffer.from('GET / HTTP/1.1\r\n'))).toThrow(MalformedFrameError);
     expect(() => decodeProgress(Buffer.from([200, 1, 2]))).toThrow(MalformedFrameError);
   });
 
-  it('carry the progress of jobs', () => {
+  it('carry the task counts of jobs', () => {
     const jobs = [{ id: 'j-000412' as JobId, done: 3, running: 13 }];
     expect(encodeProgress(jobs).map(decodeProgress)).toEqual([jobs]);
     expect(encodeProgress([]).map(decodeProgress)).toEqual([[]]);
   });
 
-  it('carry a list that is too long for one in several, and lose nothing', () => {
+  it('carry a list of task counts that exceeds the payload limit in several frames, without loss', () => {
     const jobs = Array.from({ length: 9000 }, (_, n) => ({ id: `j-${n}` as JobId, done: n, running: n % 7 }));
     const payloads = encodeProgress(jobs, 4096);
     expect(payloads.every((payload) => payload.length <= 4096)).toBe(true);
     expect(payloads.flatMap(decodeProgress)).toEqual(jobs);
-    const board = new ProgressCache(new VirtualClock());
-    for (const payload of payloads) board.update(payload);
-    expect([board.get('j-0' as JobId)?.done, board.get('j-8999' as JobId)?.done]).toEqual([0, 8999]);
+    const cache = new ProgressCache(new VirtualClock());
+    for (const payload of payloads) cache.update(payload);
+    expect([cache.get('j-0' as JobId)?.done, cache.get('j-8999' as JobId)?.done]).toEqual([0, 8999]);
   });
 });
 
-describe('records', () => {
-  it('keep a chunk’s progress, in ranges', () => {
+describe('progress records', () => {
+  it('store the done tasks of a chunk as ranges', () => {
     const progress = {
       done: new Set([0, 1, 2, 5] as TaskIndex[]),
       placed: new Map([
@@ -167,14 +182,14 @@
 });
 
 describe('settings', () => {
-  it('name the field at fault', () => {
+  it('are rejected with an error that names the invalid field', () => {
     expect(() => readSettings({ member: 'a' })).toThrow(/^site: /);
     expect(() => readOperators({ forecast: { slot_s: -1 } })).toThrow(/^forecast\.slot_s: /);
     expect(() => readOperators({ fleet: { give_back: 1 } })).toThrow(/give_back/);
   });
 
-  it('with which no service can be held are told of, field by field', () => {
-    const sized = (resources: object, workers: object): string[] =>
+  it('that are too small to run the service are listed by field', () => {
+    const findTooSmall = (resources: object, workers: object): string[] =>
       findTooSmallSettings(
         readSettings({
           member: 'a',
@@ -191,10 +206,10 @@
           },
         }),
       );
-    expect(sized({ sockets: 1200, memory_mb: 64, cpu: 0.05 }, {})).toEqual([]);
+    expect(findTooSmall({ sockets: 1200, memory_mb: 64, cpu: 0.05 }, {})).toEqual([]);
     for (const cpu of [0, -0.1, 1.5])
-      expect(sized({ sockets: 1200, cpu }, {})[0]).toMatch(/^facts.resources.cpu:/);
-    const lines = sized({ sockets: 80, memory_mb: 63 }, { lease_s: 12, cancel_s: 10 });
+      expect(findTooSmall({ sockets: 1200, cpu }, {})[0]).toMatch(/^facts.resources.cpu:/);
+    const lines = findTooSmall({ sockets: 80, memory_mb: 63 }, { lease_s: 12, cancel_s: 10 });
     expect(lines.map((line) => line.split(':')[0])).toEqual([
       'facts.resources.sockets',
       'facts.resources.memory_mb',
