--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -19,7 +19,7 @@
 } from '../wire/key-value-store.js';
 import { StoreOutcomeUnknownError, StoreRefusedError, StoreRequestTooLargeError } from './errors.js';
 
-/** Outcome of a transaction: the revision of the commit, or the keys whose revisions differed from the compared ones. */
+/** Outcome of a transaction: the revision of the commit, or the keys whose conditions failed. */
 export type TxnResult =
   { readonly ok: true; readonly revision: Revision } | { readonly ok: false; readonly failed: string[] };
 
--- a/src/store/keys.ts
+++ b/src/store/keys.ts
@@ -31,9 +31,9 @@
     size === DEFAULT_CHUNK_SIZE
       ? `open/${id}/${formatRecordNumber(chunk)}`
       : `open/${id}/${size}-${formatRecordNumber(chunk)}`,
-  /** Overflow record with dependencies that exceed the size of the job's record. */
+  /** Overflow record with dependencies that do not fit in the job's record. */
   dependencies: (id: JobId, number: number): string => `deps/${id}/${formatRecordNumber(number)}`,
-  /** Overflow record with a segment of the names that exceed the size of the job's record. */
+  /** Overflow record with a segment of the description's names that do not fit in the job's record. */
   description: (id: JobId, number: number): string => `desc/${id}/${formatRecordNumber(number)}`,
   /** The machine types as most recently read from the cloud. */
   machineTypes: 'cloud/types',
@@ -43,7 +43,7 @@
   /** Prefix of the records of the forecast's state, one per time series. */
   forecast: 'forecast/',
   forecastOf: (series: string): string => `forecast/${series}`,
-  /** A key that is never written, only compared, to probe the size limit of a transaction (`limitProbe`). */
+  /** A key that is never written, only compared, to probe the maximum number of operations in a transaction. */
   probe: (number: number): string => `unused/${number}`,
 };
 
--- a/src/store/progress-record.ts
+++ b/src/store/progress-record.ts
@@ -1,6 +1,6 @@
 /**
  * Codec of a job's progress records. Each record covers one chunk of the job's tasks and lists the done tasks and the
- * tasks placed on machines.
+ * tasks that may be on a machine.
  */
 import type { MachineId, TaskIndex, AttemptNumber } from '../model/ids.js';
 import { InvalidRecordError } from './errors.js';
@@ -83,7 +83,7 @@
   throw new InvalidRecordError('progress record: a field is not a list');
 }
 
-/** Returns a stored tuple of at least `minLength` fields. Further fields are ignored: a later version may append some. */
+/** Returns a stored tuple of at least `minLength` fields. Fields that a later version appended are ignored. */
 function requireTuple(value: unknown, minLength: number): readonly unknown[] {
   if (Array.isArray(value) && value.length >= minLength) return value;
   throw new InvalidRecordError(`progress record: an entry is not a list of at least ${minLength} fields`);
--- a/src/wire/settings.ts
+++ b/src/wire/settings.ts
@@ -122,7 +122,7 @@
   /** Time after a cancellation by which the job's tasks must have stopped. */
   readonly cancellationLimit: Millis;
   readonly storeLimits: StoreLimitSettings;
-  /** Future limits, which the store may enforce at any time without notice; the current limits if none are announced. */
+  /** Future limits, which the store may enforce at any time without notice; equal to the current limits by default. */
   readonly announcedStoreLimits: StoreLimitSettings;
   readonly cloudRequestsPerSecond: number;
   /** Maximum lag of the cloud's list of machines. */
