--- a/src/api/admission.ts
+++ b/src/api/admission.ts
@@ -1,16 +1,19 @@
-/** Load shedding: bounds the users' requests that are worked on at once. */
+/** Load shedding for user requests: limits how many are processed concurrently. */
 import { type Clock, type MonotonicTime, since } from '../model/time.js';
 
 const SAMPLE_INTERVAL_MS = 100;
-/** The share of the last lateness that stays at each sample. */
-const LATENESS_DECAY = 0.8;
-/** An event loop that runs this late is overloaded: heartbeats and decisions go before submissions. */
-const MAX_LATENESS_MS = 1500;
+/** The factor by which the recorded event-loop lateness decays at each sample. */
+const LATENESS_DECAY_RATIO = 0.8;
+/**
+ * Event-loop lateness above which submissions are refused: the process is overloaded, and heartbeats and scheduling
+ * decisions have priority over new jobs.
+ */
+const MAX_EVENT_LOOP_LATENESS_MS = 1500;
 
-/** The class of a request: submissions give way to queries when the controller is busy. */
+/** The class of a user request. An overloaded controller refuses submissions while it still answers queries. */
 export type RequestClass = 'submission' | 'query';
 
-/** Admits requests up to a number per class. What exceeds it is answered at once, never queued. */
+/** Limits the concurrent requests of each class. A request above the limit is refused immediately instead of queued. */
 export class Admission {
   private readonly active: Record<RequestClass, number> = { submission: 0, query: 0 };
   private latenessMs = 0;
@@ -19,7 +22,7 @@
   constructor(
     private readonly clock: Clock,
     private readonly maxActive: Readonly<Record<RequestClass, number>>,
-    /** Whether the process has no memory left for new work. */
+    /** Whether the process is too short of memory to accept new jobs. */
     private readonly isMemoryScarce: () => boolean = () => false,
   ) {
     this.expectedAt = clock.now();
@@ -30,26 +33,32 @@
     this.expectedAt = (this.clock.now() + SAMPLE_INTERVAL_MS) as MonotonicTime;
     this.clock.after(SAMPLE_INTERVAL_MS, () => {
       const latenessMs = Math.max(0, since(this.clock.now(), this.expectedAt));
-      this.latenessMs = Math.max(latenessMs, this.latenessMs * LATENESS_DECAY);
+      this.latenessMs = Math.max(latenessMs, this.latenessMs * LATENESS_DECAY_RATIO);
       this.sampleLateness();
     });
   }
 
-  /** Admits a request; false: it is to be refused. An admitted one ends with `leave`. */
+  /**
+   * Tries to admit a request; false: the caller must refuse the request. Each admitted request must be released once it
+   * has been answered.
+   */
   enter(requestClass: RequestClass): boolean {
     if (this.active[requestClass] >= this.maxActive[requestClass]) return false;
-    if (requestClass === 'submission' && (this.latenessMs > MAX_LATENESS_MS || this.isMemoryScarce()))
+    if (
+      requestClass === 'submission' &&
+      (this.latenessMs > MAX_EVENT_LOOP_LATENESS_MS || this.isMemoryScarce())
+    )
       return false;
     this.active[requestClass]++;
     return true;
   }
 
-  /** Ends an admitted request. */
+  /** Releases the place of an admitted request once the request has been answered. */
   leave(requestClass: RequestClass): void {
     this.active[requestClass]--;
   }
 
-  /** How late the event loop has lately run. */
+  /** The recent lateness of the event loop's timers in milliseconds: a decaying maximum, rounded. */
   get lateMs(): number {
     return Math.round(this.latenessMs);
   }
--- a/src/api/dependencies.ts
+++ b/src/api/dependency-checker.ts
@@ -1,4 +1,4 @@
-/** Checks the DAG dependencies of jobs for users' requests. */
+/** Validates the dependencies between jobs (a DAG) for user requests. */
 import type { ControllerContext } from '../core/context.js';
 import type { JobId } from '../model/ids.js';
 import type { JobRecord, JobSpec } from '../model/job.js';
@@ -7,17 +7,20 @@
 import type { JobReader } from './job-reader.js';
 import type { RevisionConfirmations } from './revision-confirmations.js';
 
-/** A job in the form in which it is accepted: with the dependencies that remain. */
+/** A job as it is stored on acceptance: its dependencies without those that are already done. */
 export interface AcceptableJob {
   readonly spec: JobSpec;
   readonly state: 'accepted' | 'cancelled';
 }
 
-/** Records of unknown jobs that are read at a time. */
-const MAX_CONCURRENT_READS = 8;
+/** The maximum number of job records that one dependency check reads from the store concurrently. */
+const MAX_CONCURRENT_READ_COUNT = 8;
 
-/** What is known of the jobs that a job depends on. Done and cancelled are final: once seen they are not read again. */
-export class Dependencies {
+/**
+ * Checks the states of the jobs that a job depends on. `done` and `cancelled` are final states: they are taken from the
+ * cache and not read again.
+ */
+export class DependencyChecker {
   constructor(
     private readonly ctx: ControllerContext,
     private readonly cache: JobCache,
@@ -25,28 +28,36 @@
     private readonly reader: JobReader,
   ) {}
 
-  /** Returns why the job can never run; null: each of its dependencies was accepted and can be done. */
-  async findFault(spec: JobSpec): Promise<string | null> {
-    if (spec.dependencies.includes(spec.id)) return 'awaits names the job itself';
-    const unknown: JobId[] = [];
+  /**
+   * Returns why the job's dependencies make the job impossible to run; null: every dependency is an accepted job that
+   * can reach `done`.
+   */
+  async findInvalidDependency(spec: JobSpec): Promise<string | null> {
+    if (spec.dependencies.includes(spec.id)) return 'awaits must not name the job itself';
+    const unknownIds: JobId[] = [];
     for (const id of spec.dependencies) {
       const observed = this.cache.observed(id);
-      if (observed?.kind === 'service') return `awaits names the service ${id}`;
-      if (!observed && this.cache.finalState(id) !== 'done') unknown.push(id);
+      if (observed?.kind === 'service')
+        return `awaits names ${id}, which is a service and never becomes done`;
+      if (!observed && this.cache.finalState(id) !== 'done') unknownIds.push(id);
     }
-    for (let start = 0; start < unknown.length; start += MAX_CONCURRENT_READS) {
-      const ids = unknown.slice(start, start + MAX_CONCURRENT_READS);
-      const records = await Promise.all(ids.map((id) => this.reader.readAndRemember(id)));
+    for (let start = 0; start < unknownIds.length; start += MAX_CONCURRENT_READ_COUNT) {
+      const ids = unknownIds.slice(start, start + MAX_CONCURRENT_READ_COUNT);
+      const records = await Promise.all(ids.map((id) => this.reader.readAndCache(id)));
       for (const [index, record] of records.entries()) {
-        if (!record) return `awaits names ${ids[index]}, which was never accepted`;
-        if (record.spec.kind === 'service') return `awaits names the service ${ids[index]}`;
+        if (!record) return `awaits names ${ids[index]}, which is not an accepted job`;
+        if (record.spec.kind === 'service')
+          return `awaits names ${ids[index]}, which is a service and never becomes done`;
       }
     }
     return null;
   }
 
-  /** Drops the dependencies that are done; the job is cancelled if one of them is. To be called after `findFault`. */
-  remaining(spec: JobSpec): AcceptableJob {
+  /**
+   * Returns the job without its done dependencies; the job is cancelled if one of its dependencies is cancelled.
+   * Call `findInvalidDependency` first, which loads the states of the dependencies into the cache.
+   */
+  withoutDoneDependencies(spec: JobSpec): AcceptableJob {
     const dependencies = spec.dependencies.filter((id) => this.cache.finalState(id) !== 'done');
     const isCancelled = dependencies.some((id) => this.cache.finalState(id) === 'cancelled');
     if (isCancelled) return { spec: { ...spec, dependencies: [] }, state: 'cancelled' };
@@ -54,13 +65,13 @@
   }
 
   /**
-   * Reports whether a job that this one depends on, directly or through others, is cancelled. Checked for every answer
-   * that calls a waiting job pending: it must not be called so long after one before it was cancelled, even when no
-   * leader could write that yet.
+   * Reports whether any direct or transitive dependency of the job is cancelled. Every answer that reports a waiting
+   * job as pending needs this check: a job must not be reported as pending after one of its dependencies was cancelled,
+   * even if no leader has yet written the resulting cancellation to the job's own record.
    */
-  async isAnyCancelled(id: JobId): Promise<boolean> {
+  async hasCancelledDependency(id: JobId): Promise<boolean> {
     const visited = new Set<JobId>([id]);
-    let level = await this.directDependencies(id);
+    let level = await this.unfinishedDependencies(id);
     while (level.length > 0) {
       const nextLevel: JobId[] = [];
       const ids = level.filter((dependency) => !visited.has(dependency));
@@ -68,7 +79,7 @@
       const states = await Promise.all(ids.map((dependency) => this.stateOf(dependency)));
       if (states.includes('cancelled')) return true;
       for (const [index, dependency] of ids.entries())
-        if (states[index] === 'accepted') nextLevel.push(...(await this.directDependencies(dependency)));
+        if (states[index] === 'accepted') nextLevel.push(...(await this.unfinishedDependencies(dependency)));
       level = nextLevel;
     }
     return false;
@@ -80,11 +91,11 @@
     const observed = this.cache.observed(id);
     if (observed && (await this.confirmations.hasRevision(keys.job(id), observed.revision)))
       return 'accepted';
-    return (await this.reader.readAndRemember(id))?.state ?? 'accepted';
+    return (await this.reader.readAndCache(id))?.state ?? 'accepted';
   }
 
-  /** The job's own dependencies that are not known to be done. */
-  private async directDependencies(id: JobId): Promise<JobId[]> {
+  /** Returns the job's direct dependencies that are not known to be done. */
+  private async unfinishedDependencies(id: JobId): Promise<JobId[]> {
     const observed = this.cache.observed(id);
     if (!observed) return [];
     const ids = [...observed.dependencies];
--- a/src/api/http-router.ts
+++ b/src/api/http-router.ts
@@ -1,46 +1,46 @@
-/** Routes of the front address: users' requests, workers' heartbeats and health checks. */
+/** HTTP routes of the front address: user requests, worker heartbeats and health checks. */
 import type { IncomingMessage, RequestListener, ServerResponse } from 'node:http';
 import { LinearRouter } from 'hono/router/linear-router';
 import type { UserVerb } from '../peer/user-request.js';
 import type { UserAnswer } from './user-answer.js';
 
-/** Largest request body (PROTOCOL). */
+/** The maximum size of a request body (PROTOCOL). */
 export const MAX_BODY_BYTES = 64 * 1024;
 
-/** A request body over `MAX_BODY_BYTES`. */
+/** Thrown for a request body larger than `MAX_BODY_BYTES`. */
 class BodyTooLargeError extends Error {
   override readonly name = 'BodyTooLargeError';
   readonly code = 'BODY_TOO_LARGE';
 }
 
-/** The client went away before its request was complete. */
+/** Thrown when the client closes the connection before its request is complete. */
 class RequestAbortedError extends Error {
   override readonly name = 'RequestAbortedError';
   readonly code = 'REQUEST_ABORTED';
 }
 
-/** Handles the requests that the router has recognized. */
+/** Handles the requests that match a route. */
 export interface RequestHandler {
   up(): boolean;
   heartbeat(body: Buffer): Promise<{ status: number; body: Buffer | null }>;
   user(verb: UserVerb, body: Buffer): Promise<UserAnswer>;
 }
 
-/** An answer that is ready to be written. */
+/** An HTTP response before encoding. */
 interface HttpAnswer {
   readonly status: number;
   readonly body: Buffer | string | null;
   readonly retryAfter?: number;
-  /** The connection ends with this answer: the rest of the request has not been read. */
+  /** Whether the connection closes after this response, because the rest of the request has not been read. */
   readonly close?: boolean;
 }
 
-/** Answers one request; `id` is the path's parameter, where the route has one. */
+/** Handles one request; `id` is the path parameter, or empty if the route has none. */
 type Route = (request: IncomingMessage, id: string) => HttpAnswer | Promise<HttpAnswer>;
 
 const NO_SUCH_PATH: HttpAnswer = { status: 404, body: '{"error":"no such path"}' };
-const BODY_TOO_LONG: HttpAnswer = { status: 413, body: '{"error":"body over 64 KiB"}', close: true };
-const INTERNAL: HttpAnswer = { status: 500, body: '{"error":"internal"}' };
+const BODY_TOO_LARGE: HttpAnswer = { status: 413, body: '{"error":"body over 64 KiB"}', close: true };
+const INTERNAL_ERROR: HttpAnswer = { status: 500, body: '{"error":"internal"}' };
 
 function readBody(request: IncomingMessage): Promise<Buffer> {
   return new Promise((resolve, reject) => {
@@ -48,14 +48,14 @@
       reject(new BodyTooLargeError());
       return;
     }
-    const parts: Buffer[] = [];
+    const chunks: Buffer[] = [];
     let size = 0;
-    request.on('data', (part: Buffer) => {
-      size += part.length;
+    request.on('data', (chunk: Buffer) => {
+      size += chunk.length;
       if (size > MAX_BODY_BYTES) reject(new BodyTooLargeError());
-      else parts.push(part);
+      else chunks.push(chunk);
     });
-    request.on('end', () => resolve(parts.length === 1 ? (parts[0] as Buffer) : Buffer.concat(parts)));
+    request.on('end', () => resolve(chunks.length === 1 ? (chunks[0] as Buffer) : Buffer.concat(chunks)));
     request.on('error', reject);
     request.on('close', () => {
       if (!request.complete) reject(new RequestAbortedError());
@@ -68,7 +68,7 @@
   return retryAfter === undefined ? { status, body: text } : { status, body: text, retryAfter };
 }
 
-function routes(handler: RequestHandler): LinearRouter<Route> {
+function createRouter(handler: RequestHandler): LinearRouter<Route> {
   const router = new LinearRouter<Route>();
   router.add('GET', '/up', () => ({ status: handler.up() ? 200 : 503, body: null }));
   router.add('POST', '/agent/beat', async (request) => handler.heartbeat(await readBody(request)));
@@ -85,10 +85,10 @@
   return router;
 }
 
-/** Returns the path of a URL without its query. */
+/** Returns a URL without its query string. */
 function withoutQuery(url: string): string {
-  const query = url.indexOf('?');
-  return query < 0 ? url : url.slice(0, query);
+  const queryStart = url.indexOf('?');
+  return queryStart < 0 ? url : url.slice(0, queryStart);
 }
 
 function decodeParameter(parameter: string): string {
@@ -101,17 +101,17 @@
 
 async function dispatch(router: LinearRouter<Route>, request: IncomingMessage): Promise<HttpAnswer> {
   const method = request.method === 'HEAD' ? 'GET' : (request.method ?? '');
-  const [found] = router.match(method, withoutQuery(request.url ?? ''))[0];
-  if (!found) return NO_SUCH_PATH;
-  const [route, parameters] = found as [Route, Record<string, string>];
+  const [matched] = router.match(method, withoutQuery(request.url ?? ''))[0];
+  if (!matched) return NO_SUCH_PATH;
+  const [route, parameters] = matched as [Route, Record<string, string>];
   try {
     return await route(request, decodeParameter(parameters['id'] ?? ''));
   } catch (error) {
-    return error instanceof BodyTooLargeError ? BODY_TOO_LONG : INTERNAL;
+    return error instanceof BodyTooLargeError ? BODY_TOO_LARGE : INTERNAL_ERROR;
   }
 }
 
-function write(response: ServerResponse, { status, body, retryAfter, close }: HttpAnswer): void {
+function writeAnswer(response: ServerResponse, { status, body, retryAfter, close }: HttpAnswer): void {
   if (response.destroyed) return;
   const headers: Record<string, string | number> = {
     'content-length': body === null ? 0 : Buffer.byteLength(body),
@@ -124,10 +124,12 @@
 }
 
 /**
- * Creates the front address's listener, on Hono's router. Hono's application and its adapter are left out: they answer
- * with the runtime's fetch objects, and only loading these took as long as starting all the rest of the program.
+ * Creates the request listener of the front address on top of Hono's router. Hono's application class and Node.js
+ * adapter are not used: they are built on the runtime's fetch objects, and loading these takes as long as starting the
+ * rest of the program.
  */
 export function requestListener(handler: RequestHandler): RequestListener {
-  const router = routes(handler);
-  return (request, response) => void dispatch(router, request).then((answer) => write(response, answer));
+  const router = createRouter(handler);
+  return (request, response) =>
+    void dispatch(router, request).then((answer) => writeAnswer(response, answer));
 }
--- a/src/api/job-cache.ts
+++ b/src/api/job-cache.ts
@@ -1,14 +1,14 @@
-/** What this controller has seen of jobs. */
+/** An in-memory cache of the job records that this controller has read. */
 import type { JobId, Revision } from '../model/ids.js';
 import type { FinalState, JobKind, JobRecord } from '../model/job.js';
 
-/** What was last seen of an accepted job. */
+/** The cached fields of an accepted job, from the newest record that this controller has read. */
 export interface ObservedJob {
   readonly revision: Revision;
   readonly tasks: number;
   readonly kind: JobKind;
   readonly dependencies: readonly JobId[];
-  /** Number of further records that hold its dependencies. */
+  /** The number of separate records that hold dependencies of the job, besides `dependencies`. */
   readonly dependencyRecordCount: number;
 }
 
@@ -17,10 +17,10 @@
   readonly body: object;
 }
 
-const MAX_OPEN_JOBS = 20_000;
-const MAX_FINAL_JOBS = 4000;
+const MAX_OPEN_JOB_COUNT = 20_000;
+const MAX_FINAL_JOB_COUNT = 4000;
 
-/** A map of bounded size: the entry that was inserted first goes first. */
+/** A map of bounded size that evicts the entry inserted first (FIFO). */
 class BoundedMap<K, V> extends Map<K, V> {
   constructor(private readonly maxSize: number) {
     super();
@@ -34,25 +34,26 @@
 }
 
 /**
- * Final states never change and may be answered from here. Of an accepted job only the revision is known that its
- * record had: whether it still has it, the store must confirm for every answer (`RevisionConfirmations`).
+ * Caches what user requests need of job records. Final states never change, so requests for them are answered from the
+ * cache alone. For an accepted job the cache holds the record's last known revision: before every answer the store must
+ * confirm that the record still has this revision (`RevisionConfirmations`).
  */
 export class JobCache {
-  private readonly openJobs = new BoundedMap<JobId, ObservedJob>(MAX_OPEN_JOBS);
-  private readonly finalJobs = new BoundedMap<JobId, FinalAnswer>(MAX_FINAL_JOBS);
+  private readonly openJobs = new BoundedMap<JobId, ObservedJob>(MAX_OPEN_JOB_COUNT);
+  private readonly finalJobs = new BoundedMap<JobId, FinalAnswer>(MAX_FINAL_JOB_COUNT);
 
-  /** Drops everything: it can be read again. */
+  /** Removes all entries, to free memory; later requests read the records from the store again. */
   clear(): void {
     this.openJobs.clear();
     this.finalJobs.clear();
   }
 
-  /** What was last seen of a job that is not known to have ended. */
+  /** Returns the cached fields of an accepted job; undefined if the job is not cached or has ended. */
   observed(id: JobId): ObservedJob | undefined {
     return this.openJobs.get(id);
   }
 
-  /** The answer for a job that has ended. */
+  /** Returns the response body for a job that has ended; undefined if no final state of the job is cached. */
   finalBody(id: JobId): object | undefined {
     return this.finalJobs.get(id)?.body;
   }
@@ -61,11 +62,14 @@
     return this.finalJobs.get(id)?.state;
   }
 
-  /** Remembers a record, unless a newer one was seen; `body` is what a user is answered with once the job has ended. */
-  learn(id: JobId, record: JobRecord, revision: Revision, body: object): void {
+  /**
+   * Caches a job record, unless a newer revision is cached; `body` is the response body that user requests get once the
+   * job has ended.
+   */
+  update(id: JobId, record: JobRecord, revision: Revision, body: object): void {
     if (record.state === 'accepted') {
-      const before = this.openJobs.get(id);
-      if (!this.finalJobs.has(id) && (!before || before.revision < revision)) {
+      const cached = this.openJobs.get(id);
+      if (!this.finalJobs.has(id) && (!cached || cached.revision < revision)) {
         const { taskCount, kind, dependencies, dependencyRecordCount } = record.spec;
         this.openJobs.set(id, { revision, tasks: taskCount, kind, dependencies, dependencyRecordCount });
       }
--- a/src/api/job-reader.ts
+++ b/src/api/job-reader.ts
@@ -1,4 +1,4 @@
-/** Reads jobs' records for users, and follows their changes. */
+/** Reads job records for user requests, and watches the records for changes. */
 import type { ConfirmedCancellation } from '../model/confirmed-cancellation.js';
 import type { ControllerContext } from '../core/context.js';
 import { errorMessage } from '../log/logger.js';
@@ -20,13 +20,13 @@
 
 const NO_PROGRESS: Progress = { done: 0, running: 0 };
 
-/** A job's record, and the revision at which it was read. */
+/** A job record and the revision at which the record was read. */
 export interface ReadJob {
   readonly record: JobRecord;
   readonly revision: Revision;
 }
 
-/** Reads records straight from the store; what it has seen goes into the cache. */
+/** Reads job records directly from the store and adds them to the cache. */
 export class JobReader {
   constructor(
     private readonly ctx: ControllerContext,
@@ -34,15 +34,18 @@
     private readonly progressOf: (id: JobId) => Progress | null,
   ) {}
 
-  /** Follows every change of a job's record, so that most questions need only a confirmation. Runs as long as the process. */
+  /**
+   * Watches all job records and caches every change, so that most queries need only a confirmation of the cached
+   * revision. Runs until the process exits.
+   */
   async watch(): Promise<void> {
     let after: Revision | null = null;
     for (;;) {
       try {
         after ??= (await this.ctx.store.range(keys.epoch)).revision;
-        const read = await this.ctx.store.watch(keys.jobs, after, WATCH_TIMEOUT_MS);
-        after = read?.revision ?? null;
-        if (read) this.observe(read.changes);
+        const watched = await this.ctx.store.watch(keys.jobs, after, WATCH_TIMEOUT_MS);
+        after = watched?.revision ?? null;
+        if (watched) this.observe(watched.changes);
       } catch (error) {
         this.ctx.log.debug({ error: errorMessage(error) }, 'job cache watch interrupted');
         await sleep(this.ctx.clock, WATCH_RETRY_MS + this.ctx.random() * WATCH_RETRY_MS);
@@ -52,16 +55,16 @@
 
   private observe(events: readonly WatchEvent[]): void {
     const cancelled: ConfirmedCancellation[] = [];
-    // The leader's watch logs the same record as an error.
+    // Debug level: the leader's watch logs the same unreadable record as an error.
     const onUnreadable = (key: string): void => this.ctx.log.debug({ key }, 'job record unreadable');
     for (const { id, record, revision } of decodeJobChanges(events, onUnreadable)) {
       if (record.state === 'cancelled') cancelled.push({ id, age: ms(0) });
-      this.cache.learn(id, record, revision, this.statusBody(id, record));
+      this.cache.update(id, record, revision, this.statusBody(id, record));
     }
     this.ctx.cancellations.learn(cancelled);
   }
 
-  /** Reads a job's record; null: it was never accepted. */
+  /** Reads a job's record from the store; null: the job was never accepted. */
   async read(id: JobId): Promise<ReadJob | null> {
     for (let attempts = 1; ; attempts++) {
       try {
@@ -74,22 +77,22 @@
     }
   }
 
-  /** Reads a job's record and remembers it; null: it was never accepted. */
-  async readAndRemember(id: JobId): Promise<JobRecord | null> {
+  /** Reads a job's record from the store and caches the record; null: the job was never accepted. */
+  async readAndCache(id: JobId): Promise<JobRecord | null> {
     const job = await this.read(id);
-    if (job) this.remember(id, job);
+    if (job) this.cacheAndAnswer(id, job);
     return job?.record ?? null;
   }
 
-  /** Remembers what was read of a job, and answers with it. */
-  remember(id: JobId, { record, revision }: ReadJob): UserAnswer {
+  /** Caches a job record that was read from the store, and returns the answer with the job's state. */
+  cacheAndAnswer(id: JobId, { record, revision }: ReadJob): UserAnswer {
     const body = this.statusBody(id, record);
-    this.cache.learn(id, record, revision, body);
+    this.cache.update(id, record, revision, body);
     if (record.state === 'cancelled') this.ctx.cancellations.learn([{ id, age: ms(0) }]);
     return { status: 200, body };
   }
 
-  /** The task counts that the leader last published; zero where none are new enough. */
+  /** Returns the job's task counts as last published by the leader; zeros if no recent counts exist. */
   progress(id: JobId): Progress {
     return this.progressOf(id) ?? NO_PROGRESS;
   }
--- a/src/api/overflow-records.ts
+++ b/src/api/overflow-records.ts
@@ -1,78 +1,81 @@
-/** Writes what of a submission has no room in its job's record, before the job is accepted. */
+/** Writes the parts of a submission that don't fit into the job's own record, before the job is accepted. */
 import { isDeepStrictEqual } from 'node:util';
 import type { ControllerContext } from '../core/context.js';
 import { NO_REVISION, type Revision } from '../model/ids.js';
 import type { Compare, SetOperation } from '../wire/key-value-store.js';
 
-/** The key without the number of the record at its end. */
+/** Returns the key without the record number at its end. */
 function prefixOf(key: string): string {
   return key.slice(0, key.lastIndexOf('/') + 1);
 }
 
 /**
- * The overflow records of one acceptance. Another controller may take in the same submission at the same time; with other
- * limits it cuts the same text at other places. So the first record under each prefix is a fence: whoever writes
- * further records, or accepts the job, compares with the revision at which it has written the first. Another controller
- * that begins writes the first one anew, and whatever the former one still sends fails, however late it arrives.
+ * The overflow records of one job acceptance. Another controller may process the same submission concurrently; with
+ * other store limits it splits the same text at other places. The first record under each key prefix therefore serves
+ * as a fence: every write of a further record, and the acceptance itself, compares the revision at which this
+ * controller wrote the first record. A second controller that starts rewrites the first record, so that all later
+ * writes of the first controller fail their comparison, however late they reach the store.
  */
 export class OverflowRecords {
   private readonly fences = new Map<string, Compare>();
-  private written = 0;
+  private writtenCount = 0;
 
   constructor(
     private readonly ctx: ControllerContext,
     private readonly records: readonly SetOperation[],
-    /** Holds as long as the job is not accepted. */
-    private readonly isUnknown: Compare,
+    /** A comparison that succeeds as long as the job has not been accepted. */
+    private readonly jobIsAbsent: Compare,
   ) {}
 
-  /** How many are still to be written. */
-  get missing(): number {
-    return this.records.length - this.written;
+  /** The number of records that are still to be written. */
+  get unwrittenCount(): number {
+    return this.records.length - this.writtenCount;
   }
 
-  /** What the acceptance compares with, once all are written. */
+  /** The comparisons that the acceptance transaction must include once all records are written. */
   get compares(): Compare[] {
     return [...this.fences.values()];
   }
 
   /**
-   * Writes what is missing. Returns false if the job has been accepted or another controller writes the records:
-   * the next call begins anew. May throw as the store's client does: the next call goes on.
+   * Writes the records that are still missing. Returns false if the job has been accepted or another controller is
+   * writing the records; the next call then starts over. Throws the errors of the store client; the next call then
+   * continues after the last record that was written.
    */
   async write(): Promise<boolean> {
-    for (const record of this.records.slice(this.written)) {
-      if (!(await this.writeOne(record))) {
-        this.begin();
+    for (const record of this.records.slice(this.writtenCount)) {
+      if (!(await this.writeRecord(record))) {
+        this.restart();
         return false;
       }
-      this.written++;
+      this.writtenCount++;
     }
     return true;
   }
 
-  /** Begins anew: another controller may have written records of the same names. */
-  begin(): void {
+  /** Resets the progress, so that all records are written again: another controller may have overwritten them. */
+  restart(): void {
     this.fences.clear();
-    this.written = 0;
+    this.writtenCount = 0;
   }
 
-  private async writeOne(record: SetOperation): Promise<boolean> {
+  private async writeRecord(record: SetOperation): Promise<boolean> {
     const fence = this.fences.get(prefixOf(record.set));
-    if (!fence) return this.writeFirst(record);
-    return (await this.ctx.store.txn([this.isUnknown, fence], [record])).ok;
+    if (!fence) return this.writeFenceRecord(record);
+    return (await this.ctx.store.txn([this.jobIsAbsent, fence], [record])).ok;
   }
 
-  private async writeFirst(record: SetOperation): Promise<boolean> {
+  private async writeFenceRecord(record: SetOperation): Promise<boolean> {
     const { store } = this.ctx;
     const key = record.set;
-    const created = await store.txn([this.isUnknown, { key, revision: NO_REVISION }], [record]);
+    const created = await store.txn([this.jobIsAbsent, { key, revision: NO_REVISION }], [record]);
     if (created.ok) return this.setFence(key, created.revision);
     const existing = await store.get(key);
     if (!existing) return false;
-    // Cut in the same way: the same records, whoever writes them.
+    // An equal first record was split under the same limits: both controllers write identical records and share the
+    // fence.
     if (isDeepStrictEqual(existing.value, record.value)) return this.setFence(key, existing.revision);
-    const replaced = await store.txn([this.isUnknown, { key, revision: existing.revision }], [record]);
+    const replaced = await store.txn([this.jobIsAbsent, { key, revision: existing.revision }], [record]);
     return replaced.ok && this.setFence(key, replaced.revision);
   }
 
--- a/src/api/revision-confirmations.ts
+++ b/src/api/revision-confirmations.ts
@@ -1,4 +1,4 @@
-/** Request coalescing: many questions whether a record is unchanged, in one request to the store. */
+/** Request coalescing: checks whether many records are unchanged with one request to the key-value store. */
 import type { Revision } from '../model/ids.js';
 import { type Clock, sleep } from '../model/time.js';
 import type { KeyValueStore, TxnResult } from '../store/client.js';
@@ -15,9 +15,9 @@
 }
 
 /**
- * A transaction without writes compares the revisions of many records, at one moment after all of them were asked
- * for. Hundreds of users who each ask every few seconds would otherwise use up the requests that the store allows,
- * and with them the leader's.
+ * Batches revision checks into transactions without writes, each of which compares the revisions of many records at one
+ * point in time after all checks of the batch were requested. Without batching, hundreds of users who each query every
+ * few seconds would exhaust the store's request limit, including the leader's share.
  */
 export class RevisionConfirmations {
   private pending: PendingComparison[] = [];
@@ -26,12 +26,12 @@
   constructor(
     private readonly clock: Clock,
     private readonly store: KeyValueStore,
-    /** A batch that has reached this size leaves at once. */
+    /** The number of pending checks at which a batch is sent without waiting for the end of the batch window. */
     private readonly maxBatchSize: number,
     private readonly batchWindowMs: number,
   ) {}
 
-  /** Reports whether the key still has this revision. */
+  /** Reports whether the key's record still has this revision. */
   hasRevision(key: string, revision: Revision): Promise<boolean> {
     return new Promise((resolve, reject) => {
       this.pending.push({ key, revision, resolve, reject });
@@ -47,7 +47,10 @@
     await this.sendBatch();
   }
 
-  /** A moment's overload of the store is not worth that many users' asking again: it is tried once more. */
+  /**
+   * Sends the comparisons, and retries them once if the store refuses them by its rate limit: a failed batch would make
+   * many users repeat their queries.
+   */
   private async compare(compares: readonly Compare[]): Promise<TxnResult> {
     try {
       return await this.store.txn(compares, []);
@@ -58,19 +61,19 @@
     }
   }
 
-  /** Never rejects: what goes wrong is passed to those who asked. */
+  /** Sends all pending checks as one batch. Never rejects: an error is passed to the callers of `hasRevision`. */
   private async sendBatch(): Promise<void> {
     const batch = this.pending;
     this.pending = [];
     if (batch.length === 0) return;
-    // Two users may know one job by two revisions; a key is compared once in a request.
+    // A transaction compares each key once, while two callers may ask about different revisions of the same key.
     const byKey = new Map<string, PendingComparison>();
-    for (const question of batch) if (!byKey.has(question.key)) byKey.set(question.key, question);
+    for (const comparison of batch) if (!byKey.has(comparison.key)) byKey.set(comparison.key, comparison);
     try {
       const result = await this.compare([...byKey.values()].map(({ key, revision }) => ({ key, revision })));
-      const failed = new Set(result.ok ? [] : result.failed);
+      const failedKeys = new Set(result.ok ? [] : result.failed);
       for (const { key, revision, resolve } of batch) {
-        resolve(!failed.has(key) && byKey.get(key)?.revision === revision);
+        resolve(!failedKeys.has(key) && byKey.get(key)?.revision === revision);
       }
     } catch (error) {
       for (const { reject } of batch) reject(error);
--- a/src/api/store-retry.ts
+++ b/src/api/store-retry.ts
@@ -1,20 +1,20 @@
-/** When a request to the key-value store, made for a user, is tried again. */
+/** The retry policy for requests to the key-value store on behalf of users. */
 import type { ControllerContext } from '../core/context.js';
 import { sleep } from '../model/time.js';
 import { isRateLimitedError, StoreOutcomeUnknownError } from '../store/errors.js';
 
-/** How often a request is tried in all. */
+/** The maximum number of attempts of a store request, the first one included. */
 export const MAX_ATTEMPTS = 3;
 
 /**
- * Reports whether a failed request should be tried again. A 503 is an outage, or meant for this controller alone:
- * asking again at once does not help.
+ * Reports whether a failed store request should be retried. A 503 response means an outage of the store, or that the
+ * store refuses this controller alone: an immediate retry does not help, so a 503 is not retryable.
  */
 export function isRetryable(error: unknown): boolean {
   return error instanceof StoreOutcomeUnknownError || isRateLimitedError(error);
 }
 
-/** Waits before the next attempt: the delay grows with the attempts made, and has as much jitter as the first one. */
+/** Waits before the next attempt: `baseMs` for each attempt made so far, plus a random jitter of up to `baseMs`. */
 export function backOff(
   { clock, random }: Pick<ControllerContext, 'clock' | 'random'>,
   attempts: number,
--- a/src/api/submissions.ts
+++ b/src/api/submissions.ts
@@ -1,4 +1,4 @@
-/** Accepts jobs: checks a submission, and creates the job's records in one compare-and-swap. */
+/** Accepts jobs: validates a submission, and creates the job's records in one compare-and-swap transaction. */
 import type { ControllerContext } from '../core/context.js';
 import { isJobId, type JobId, NO_REVISION } from '../model/ids.js';
 import { fits, type JobSpec } from '../model/job.js';
@@ -9,7 +9,7 @@
 import { keys } from '../store/keys.js';
 import type { Compare, SetOperation, WriteOperation } from '../wire/key-value-store.js';
 import { accepted, parseSubmission } from '../wire/users.js';
-import type { AcceptableJob, Dependencies } from './dependencies.js';
+import type { AcceptableJob, DependencyChecker } from './dependency-checker.js';
 import type { JobCache } from './job-cache.js';
 import type { JobReader } from './job-reader.js';
 import { OverflowRecords } from './overflow-records.js';
@@ -18,34 +18,39 @@
 import type { UserBudgets } from './user-budgets.js';
 
 const WRITE_RETRY_MS = 60;
-/** Seconds after which it is worth asking again for what a controller of an earlier version does not support. */
+/** The `retry-after` of a request that waits until controllers of an earlier version have been upgraded. */
 const UPGRADE_RETRY_S = 5;
 
-/** One error for all: it is thrown hundreds of times a second under load, and nobody reads its stack. */
-const BUSY = new BusyError('asked too often');
+/**
+ * A shared error instance: under load the error is thrown hundreds of times a second, and its stack trace is unused.
+ */
+const BUSY_ERROR = new BusyError('too many requests; retry later');
 
-/** The writes of an acceptance, and the further records that have to be there before it. */
+/** The writes of a job acceptance, and the overflow records that must be written before them. */
 interface Acceptance {
   readonly records: readonly SetOperation[];
   readonly writes: readonly WriteOperation[];
 }
 
-/** The parts that submissions are handled with. */
-interface SubmissionParts {
+/** The collaborators of `Submissions`. */
+interface SubmissionServices {
   readonly cache: JobCache;
   readonly reader: JobReader;
-  readonly dependencies: Dependencies;
+  readonly dependencies: DependencyChecker;
   readonly budgets: UserBudgets;
 }
 
-/** Handles submissions; a repeated one is answered from the job's record (idempotent request). */
+/** Handles job submissions. Submissions are idempotent: a repeated one is answered from the job's record. */
 export class Submissions {
   constructor(
     private readonly ctx: ControllerContext,
-    private readonly parts: SubmissionParts,
+    private readonly services: SubmissionServices,
   ) {}
 
-  /** May throw StoreRefusedError, StoreOutcomeUnknownError or BusyError: the caller asks another controller or answers 503. */
+  /**
+   * Handles a submission. Throws StoreRefusedError, StoreOutcomeUnknownError or BusyError; the caller then forwards the
+   * request to another controller or answers 503.
+   */
   async submit(body: unknown): Promise<UserAnswer> {
     const ref = (body as { ref?: unknown } | null | undefined)?.ref;
     const parsed = parseSubmission(body);
@@ -53,23 +58,26 @@
       ? (this.checkResources(parsed.value) ?? (await this.checkDependencies(parsed.value)))
       : { status: 400, body: { error: parsed.error } };
     if (refusal) {
-      // A job that is known is answered from its record, whatever the repeated submission says.
+      // A job that was accepted before is answered from its record, even if the repeated submission is invalid.
       if (refusal.status !== 503 && typeof ref === 'string' && isJobId(ref)) {
-        const job = await this.parts.reader.read(ref);
-        if (job) return this.parts.reader.remember(ref, job);
+        const job = await this.services.reader.read(ref);
+        if (job) return this.services.reader.cacheAndAnswer(ref, job);
       }
       return refusal;
     }
-    if (!parsed.ok) return unavailable('not decided');
-    return this.accept(this.parts.dependencies.remaining(parsed.value), parsed.value.dependencies);
+    if (!parsed.ok) return unavailable('submission not processed; retry later');
+    return this.accept(
+      this.services.dependencies.withoutDoneDependencies(parsed.value),
+      parsed.value.dependencies,
+    );
   }
 
-  /** Why the job can never run; null: it can. */
+  /** Returns the refusal of a job that can never run with the team's quota and machine types; null: the job can run. */
   private checkResources(spec: JobSpec): UserAnswer | null {
     const team = this.ctx.settings.teams.find(({ id }) => id === spec.team);
-    if (!team) return unprocessable('unknown team');
+    if (!team) return unprocessable("the submission's team is not configured");
     const machineTypes = [...this.ctx.machineTypes.values()];
-    if (machineTypes.length === 0) return unavailable('machine types not known yet');
+    if (machineTypes.length === 0) return unavailable('machine types not loaded yet; retry later');
     const { allowedTypes, zone } = spec;
     const fitsSomeType = machineTypes.some(
       (type) =>
@@ -77,54 +85,62 @@
         (zone === null || type.zones.includes(zone)) &&
         fits(spec, type),
     );
-    if (!fitsSomeType) return unprocessable('a task fits no allowed machine type');
+    if (!fitsSomeType) return unprocessable('a task fits on none of the machine types that the job allows');
     const maxTasks = remainingQuota(team, { cpus: 0, gpus: 0 }, spec);
     const minTasks = spec.kind === 'array' ? 1 : spec.taskCount;
-    return maxTasks < minTasks ? unprocessable("more than the team's limit") : null;
+    return maxTasks < minTasks ? unprocessable("the job needs more resources than the team's limit") : null;
   }
 
-  /** Why a job with dependencies cannot be accepted; null: it can, or has none. */
+  /** Returns the refusal of a job because of its dependencies; null: the job has none, or all of them are valid. */
   private async checkDependencies(spec: JobSpec): Promise<UserAnswer | null> {
     if (spec.dependencies.length === 0) return null;
-    // A leader of an earlier version would ignore the dependencies.
+    // A leader of an earlier version would ignore the job's dependencies and start the job too early.
     if (!this.ctx.allPeersSupport(DEPENDENCIES_VERSION))
-      return unavailable('awaits is not served yet', UPGRADE_RETRY_S);
-    const fault = await this.parts.dependencies.findFault(spec);
-    return fault === null ? null : unprocessable(fault);
+      return unavailable(
+        'awaits is not supported until all controllers are upgraded; retry later',
+        UPGRADE_RETRY_S,
+      );
+    const invalidity = await this.services.dependencies.findInvalidDependency(spec);
+    return invalidity === null ? null : unprocessable(invalidity);
   }
 
   private async accept(job: AcceptableJob, namedJobs: readonly JobId[]): Promise<UserAnswer> {
-    const { cache, reader } = this.parts;
+    const { cache, reader } = this.services;
     const { id } = job.spec;
     const finalBody = cache.finalBody(id);
     if (finalBody) return { status: 200, body: finalBody };
-    // A repeated submission: a read spares the writes that a failing acceptance would cost.
-    const repeated = cache.observed(id) ? await reader.read(id) : null;
-    if (repeated) return reader.remember(id, repeated);
+    // For a repeated submission, one read saves the writes of an acceptance that would fail.
+    const existing = cache.observed(id) ? await reader.read(id) : null;
+    if (existing) return reader.cacheAndAnswer(id, existing);
     const acceptance = this.acceptanceOf(job, namedJobs);
-    if (!acceptance) return unavailable('a submission of this length is not served yet', UPGRADE_RETRY_S);
+    if (!acceptance)
+      return unavailable(
+        'a submission of this length is not supported until all controllers are upgraded; retry later',
+        UPGRADE_RETRY_S,
+      );
     return this.write(id, acceptance);
   }
 
   private async write(id: JobId, { records, writes }: Acceptance): Promise<UserAnswer> {
-    const { reader, budgets } = this.parts;
-    const isUnknown: Compare = { key: keys.job(id), revision: NO_REVISION };
-    const overflow = new OverflowRecords(this.ctx, records, isUnknown);
+    const { reader, budgets } = this.services;
+    const jobIsAbsent: Compare = { key: keys.job(id), revision: NO_REVISION };
+    const overflow = new OverflowRecords(this.ctx, records, jobIsAbsent);
     for (let attempts = 1; ; attempts++) {
-      if (!budgets.tryTakeWrites(writes.length + overflow.missing)) throw BUSY;
+      if (!budgets.tryTakeWrites(writes.length + overflow.unwrittenCount)) throw BUSY_ERROR;
       try {
-        if ((await overflow.write()) && (await this.tryAccept([isUnknown, ...overflow.compares], writes)))
+        if ((await overflow.write()) && (await this.tryAccept([jobIsAbsent, ...overflow.compares], writes)))
           return { status: 201, body: accepted(id) };
         const existing = await reader.read(id);
-        if (existing) return reader.remember(id, existing);
-        // Another controller takes the same submission in: it may be done with it by the next attempt.
-        overflow.begin();
+        if (existing) return reader.cacheAndAnswer(id, existing);
+        // Another controller is processing the same submission, and may have accepted the job by the next attempt.
+        overflow.restart();
       } catch (error) {
         this.ctx.storeLimits.recordFailure(error);
-        // The same transaction is tried again: at most one of the two is carried out.
+        // A retry is safe: both attempts compare the absence of the job's record, so at most one of them is committed.
         if (!isRetryable(error) || attempts >= MAX_ATTEMPTS) throw error;
       }
-      if (attempts >= MAX_ATTEMPTS) return unavailable('not decided');
+      if (attempts >= MAX_ATTEMPTS)
+        return unavailable('submission not confirmed by the key-value store; retry later');
       await backOff(this.ctx, attempts, WRITE_RETRY_MS);
     }
   }
@@ -133,13 +149,16 @@
     return (await this.ctx.store.txn(compares, writes)).ok;
   }
 
-  /** Null: the job has no stored form that both the store takes and every controller reads. */
+  /**
+   * Returns the writes that accept the job; null: no stored form of the job both fits the store's limits and is
+   * readable by every controller.
+   */
   private acceptanceOf({ spec, state }: AcceptableJob, namedJobs: readonly JobId[]): Acceptance | null {
     const { storeLimits, clock } = this.ctx;
     const acceptedAt = clock.wall();
     const key = keys.job(spec.id);
     if (state === 'cancelled') {
-      // A job that is cancelled with one of its dependencies never gets a head: no leader reads it.
+      // A job that is cancelled together with a dependency gets no open-job record, since no leader has to run it.
       const value = encodeEndedJob({ spec, state, acceptedAt }, storeLimits.valueBytes);
       return { records: [], writes: [{ set: key, value }] };
     }
@@ -157,12 +176,14 @@
 
   private storedForm(spec: JobSpec, namedJobs: readonly JobId[], acceptedAt: WallTime): SplitJob | null {
     const { storeLimits, settings } = this.ctx;
-    const small = splitJob(spec, namedJobs, acceptedAt, storeLimits.valueBytes);
-    const isReadByAll =
-      small.spec.descriptionRecordCount === 0 || this.ctx.allPeersSupport(SPLIT_DESCRIPTIONS_VERSION);
-    if (isReadByAll) return small;
-    // While a controller of an earlier version is running, the announced limits don't hold yet.
-    const whole = splitJob(spec, namedJobs, acceptedAt, settings.storeLimits.valueBytes);
-    return whole.spec.descriptionRecordCount === 0 ? whole : null;
+    const splitByCurrentLimits = splitJob(spec, namedJobs, acceptedAt, storeLimits.valueBytes);
+    const isReadableByAll =
+      splitByCurrentLimits.spec.descriptionRecordCount === 0 ||
+      this.ctx.allPeersSupport(SPLIT_DESCRIPTIONS_VERSION);
+    if (isReadableByAll) return splitByCurrentLimits;
+    // Announced store limits are not in effect while a controller of an earlier version runs: the settings' limits
+    // apply.
+    const splitBySettingsLimits = splitJob(spec, namedJobs, acceptedAt, settings.storeLimits.valueBytes);
+    return splitBySettingsLimits.spec.descriptionRecordCount === 0 ? splitBySettingsLimits : null;
   }
 }
--- a/src/api/user-budgets.ts
+++ b/src/api/user-budgets.ts
@@ -1,45 +1,52 @@
-/** The shares of the store's limits that users' requests may use. */
+/** The shares of the key-value store's rate limits that user requests may use. */
 import type { ControllerContext } from '../core/context.js';
 import { TokenBucket } from '../net/token-bucket.js';
 
-/** The share of the store's requests that first questions about jobs may use, by all controllers. */
-const FIRST_READS_SHARE = 0.25;
 /**
- * The share of the store's writes that users may use, by all controllers. When hundreds of jobs came at once, all
- * the writes and, with the retries, all the requests went to them: a leader's renewals were refused until its lease
- * expired, and nobody could take over for seconds.
+ * The fraction of the store's request limit that all controllers together may use to read jobs they have not cached.
+ */
+const FIRST_READ_RATIO = 0.25;
+/**
+ * The fraction of the store's write limit that all controllers together may use for user requests. Without this bound,
+ * hundreds of jobs submitted at once use up all writes and, with their retries, all requests: the store refuses the
+ * leader's lease renewals until the lease expires, and no controller can take over for seconds.
+ */
+const USER_WRITE_RATIO = 0.65;
+/**
+ * The burst of user writes, in seconds of the write rate: jobs submitted at once are accepted at once up to this bound.
  */
-const USER_WRITES_SHARE = 0.65;
-/** Jobs that come together are accepted together, up to the writes of so many seconds. */
 const WRITE_BURST_S = 4;
 
-/** Token buckets that follow the store's limits. */
+/** Token buckets for user requests, whose rates follow the store's limits. */
 export class UserBudgets {
-  /** Reads of jobs that this controller has not seen before. */
+  /** Limits the reads of jobs that this controller has not cached. */
   readonly firstReads: TokenBucket;
   private readonly writes: TokenBucket;
 
   constructor(
     { clock, settings, storeLimits }: ControllerContext,
-    /** Controllers that draw on the store's limits, this one included. */
+    /** Returns the number of controllers that share the store's limits, this controller included. */
     private readonly controllerCount: () => number,
   ) {
     this.firstReads = new TokenBucket(clock, 1, 1);
     this.writes = new TokenBucket(clock, 1, 1);
     storeLimits.onRateChange(() => {
-      const readRate = (storeLimits.rps * FIRST_READS_SHARE) / (settings.peers.length + 1);
+      const readRate = (storeLimits.rps * FIRST_READ_RATIO) / (settings.peers.length + 1);
       this.firstReads.setRate(readRate, readRate);
-      const writeRate = storeLimits.writeRps * USER_WRITES_SHARE;
+      const writeRate = storeLimits.writeRps * USER_WRITE_RATIO;
       this.writes.setRate(writeRate, writeRate * WRITE_BURST_S);
     });
   }
 
-  /** Every controller has its share of what all may write: a write here costs as many times more. */
+  /**
+   * Takes the tokens of `count` writes; false: too few are left. The bucket holds the rate of all controllers, so each
+   * write takes one token for each controller.
+   */
   tryTakeWrites(count: number): boolean {
     return this.writes.tryTake(count * this.controllerCount());
   }
 
-  /** Takes writes that must not wait, into debt if need be. */
+  /** Takes the tokens of `count` writes that must not be delayed; the number of tokens may become negative. */
   forceTakeWrites(count: number): void {
     this.writes.forceTake(count * this.controllerCount());
   }
--- a/src/api/user-service.ts
+++ b/src/api/user-service.ts
@@ -1,6 +1,7 @@
 /**
- * Answers users' submissions, questions and cancellations straight from the key-value store, so that no controller
- * ever gives an older answer than another one gave. Only final states are answered from memory: they do not change.
+ * Answers users' submissions, queries and cancellations directly from the key-value store, so that no controller ever
+ * returns an older state than another controller has returned. Only final states are answered from memory, since final
+ * states do not change.
  */
 import type { ControllerContext } from '../core/context.js';
 import { isJobId, type JobId } from '../model/ids.js';
@@ -8,7 +9,7 @@
 import { encodeEndedJob } from '../store/job-record.js';
 import { keys } from '../store/keys.js';
 import { jobStatus, type Progress } from '../wire/users.js';
-import { Dependencies } from './dependencies.js';
+import { DependencyChecker } from './dependency-checker.js';
 import { JobCache } from './job-cache.js';
 import { JobReader, type ReadJob } from './job-reader.js';
 import { RevisionConfirmations } from './revision-confirmations.js';
@@ -17,34 +18,37 @@
 import { NO_SUCH_JOB, stateAnswer, unavailable, type UserAnswer } from './user-answer.js';
 import { UserBudgets } from './user-budgets.js';
 
-/** Questions that come within this share one request. */
+/** The period over which queries are collected into one request to the store. */
 const BATCH_WINDOW_MS = 100;
-/** Comparisons that a transaction may hold per write that it may hold (PROTOCOL). */
+/** The comparisons that a transaction may contain for each write that it may contain (PROTOCOL). */
 const COMPARES_PER_WRITE = 4;
 const CANCEL_WRITES = 1;
 const CANCEL_RETRY_MS = 60;
-/** A cancellation reads the record again so much more often than a failed request is tried: it may lose races. */
+/**
+ * The attempts of a cancellation: two more than for a store request, since concurrent writes may invalidate the read.
+ */
 const MAX_CANCEL_ATTEMPTS = MAX_ATTEMPTS + 2;
 const BUSY_RETRY_S = 2;
 /**
- * An answer that was read longer ago is not given: the process may have been paused since, and the user may have
- * heard something newer from another controller. A user waits 2 s for it anyway (PROTOCOL).
+ * The maximum time from the arrival of a query to its answer. An older answer is replaced by a 503: the process may
+ * have been paused meanwhile, and the user may have received a newer state from another controller. A user waits no
+ * longer than 2 s for an answer (PROTOCOL).
  */
 const MAX_ANSWER_AGE_MS = 1500;
 
-/** Handles the requests of users. */
+/** Handles user requests: submissions, queries and cancellations. */
 export class UserService {
   private readonly cache = new JobCache();
   private readonly confirmations: RevisionConfirmations;
   private readonly reader: JobReader;
   private readonly budgets: UserBudgets;
-  private readonly dependencies: Dependencies;
+  private readonly dependencies: DependencyChecker;
   private readonly submissions: Submissions;
 
   constructor(
     private readonly ctx: ControllerContext,
     progressOf: (id: JobId) => Progress | null,
-    /** Controllers that draw on the store's limits, this one included. */
+    /** Returns the number of controllers that share the store's limits, this controller included. */
     controllerCount: () => number = () => 1,
   ) {
     const { clock, store, storeLimits } = ctx;
@@ -53,32 +57,37 @@
     this.confirmations = new RevisionConfirmations(clock, store, maxCompares, BATCH_WINDOW_MS);
     this.reader = new JobReader(ctx, cache, progressOf);
     this.budgets = new UserBudgets(ctx, controllerCount);
-    this.dependencies = new Dependencies(ctx, cache, this.confirmations, this.reader);
+    this.dependencies = new DependencyChecker(ctx, cache, this.confirmations, this.reader);
     const { reader, dependencies, budgets } = this;
     this.submissions = new Submissions(ctx, { cache, reader, dependencies, budgets });
   }
 
-  /** Drops what can be read again. */
+  /** Clears the job cache to free memory; later requests read the records from the store again. */
   dropCaches(): void {
     this.cache.clear();
   }
 
-  /** Follows the jobs' records as long as the process runs. */
+  /** Watches the job records and updates the cache, until the process exits. */
   watch(): Promise<void> {
     return this.reader.watch();
   }
 
-  /** May throw StoreRefusedError, StoreOutcomeUnknownError or BusyError: the caller asks another controller or answers 503. */
+  /**
+   * Handles a submission. Throws StoreRefusedError, StoreOutcomeUnknownError or BusyError; the caller then forwards the
+   * request to another controller or answers 503.
+   */
   submit(body: unknown): Promise<UserAnswer> {
     return this.submissions.submit(body);
   }
 
-  /** Answers a question for a job's state. Throws as `submit` does. */
+  /** Answers a query for a job's state. Throws the same errors as `submit`. */
   async query(id: string): Promise<UserAnswer> {
     const requestedAt = this.ctx.clock.now();
     const answer = await this.lookUp(id);
     const isTooOld = since(this.ctx.clock.now(), requestedAt) > MAX_ANSWER_AGE_MS;
-    return isTooOld && answer.status === 200 ? unavailable('answered too late') : answer;
+    return isTooOld && answer.status === 200
+      ? unavailable('the answer took too long and may be outdated; retry later')
+      : answer;
   }
 
   private async lookUp(id: string): Promise<UserAnswer> {
@@ -87,37 +96,39 @@
     if (finalBody) return { status: 200, body: finalBody };
     let observed = this.cache.observed(id);
     if (!observed) {
-      if (!this.budgets.firstReads.tryTake()) return unavailable('asked too often', BUSY_RETRY_S);
+      if (!this.budgets.firstReads.tryTake())
+        return unavailable('too many requests; retry later', BUSY_RETRY_S);
       const job = await this.reader.read(id);
       if (!job) return NO_SUCH_JOB;
-      const answer = this.reader.remember(id, job);
+      const answer = this.reader.cacheAndAnswer(id, job);
       observed = this.cache.observed(id);
       if (!observed || (observed.dependencies.length === 0 && observed.dependencyRecordCount === 0))
         return answer;
     }
-    if (await this.dependencies.isAnyCancelled(id)) return this.cancelWithDependency(id);
-    // The job's own record last: while the others were checked, it may have been cancelled with one of them.
+    if (await this.dependencies.hasCancelledDependency(id)) return this.cancelWithDependency(id);
+    // The job's own record is checked last: the job may have been cancelled while its dependencies were checked.
     if (await this.confirmations.hasRevision(keys.job(id), observed.revision)) {
       return { status: 200, body: jobStatus(id, 'accepted', observed.tasks, this.reader.progress(id)) };
     }
     const job = await this.reader.read(id);
-    return job ? this.reader.remember(id, job) : NO_SUCH_JOB;
+    return job ? this.reader.cacheAndAnswer(id, job) : NO_SUCH_JOB;
   }
 
   /**
-   * A dependency was cancelled, and so is this job. Its own record says so before the user is told: mostly the leader
-   * has written it, but a leader may be away for longer than a cancellation may take.
+   * Cancels a job of which a dependency is cancelled. The cancellation is written to the job's own record before the
+   * user is answered. Usually the leader has already written it, but there may be no leader for longer than a
+   * cancellation may take.
    */
   private async cancelWithDependency(id: JobId): Promise<UserAnswer> {
     const { status, body } = await this.cancel(id);
-    if (status !== 200) return unavailable('being cancelled');
+    if (status !== 200) return unavailable('the job is being cancelled; retry later');
     const state = (body as { status: string }).status;
     return { status, body: { ref: id, status: state, done: 0, running: 0 } };
   }
 
   /**
-   * Cancels a job. The cancellation is durable on the job's record before it is confirmed; the record's revision
-   * decides against `done`. Throws as `submit` does.
+   * Cancels a job. The cancellation is durable in the job's record before it is confirmed to the user; the comparison
+   * of the record's revision decides the race against a concurrent `done`. Throws the same errors as `submit`.
    */
   async cancel(id: string): Promise<UserAnswer> {
     if (!isJobId(id)) return NO_SUCH_JOB;
@@ -127,7 +138,7 @@
       const { state } = job.record;
       if (state === 'cancelled') return this.confirmCancelled(id);
       if (state !== 'accepted') return stateAnswer(id, state);
-      // Cancellations go before submissions.
+      // Cancellations have priority over submissions, so they may exceed the write budget.
       this.budgets.forceTakeWrites(CANCEL_WRITES);
       try {
         if (await this.writeCancelled(id, job)) return this.confirmCancelled(id);
@@ -136,10 +147,10 @@
         await backOff(this.ctx, attempts, CANCEL_RETRY_MS);
       }
     }
-    return unavailable('not decided');
+    return unavailable('cancellation not confirmed by the key-value store; retry later');
   }
 
-  /** False: the record has changed since it was read. */
+  /** Writes the cancelled state to the job's record; false: the record has changed since the read. */
   private async writeCancelled(id: JobId, { record, revision }: ReadJob): Promise<boolean> {
     const { store, storeLimits } = this.ctx;
     const key = keys.job(id);
@@ -148,7 +159,7 @@
     return result.ok;
   }
 
-  /** Every other controller, the leader among them, is told before the user is. */
+  /** Announces the cancellation to all other controllers, the leader included, before the user gets the answer. */
   private confirmCancelled(id: JobId): UserAnswer {
     this.ctx.cancellations.learn([{ id, age: ms(0) }]);
     return stateAnswer(id, 'cancelled');
