--- a/src/net/address.ts
+++ b/src/net/address.ts
@@ -1,11 +1,11 @@
-/** A network address at which something listens. */
+/** The host and port of a listening socket. */
 export interface Address {
   readonly host: string;
   readonly port: number;
 }
 
-/** Splits an address such as `10.0.0.1:8080`. */
+/** Splits an address such as `10.0.0.1:8080` into host and port. */
 export function splitAddress(address: string): Address {
-  const colon = address.lastIndexOf(':');
-  return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
+  const colonIndex = address.lastIndexOf(':');
+  return { host: address.slice(0, colonIndex), port: Number(address.slice(colonIndex + 1)) };
 }
--- a/src/net/front-server.ts
+++ b/src/net/front-server.ts
@@ -1,12 +1,12 @@
-/** The HTTP server for users, workers and health checks. */
+/** The HTTP server for user requests, worker heartbeats and health checks. */
 import { createServer as createHttpServer, type RequestListener, type Server as HttpServer } from 'node:http';
 import { createServer as createSocketServer, type Server as SocketServer, type Socket } from 'node:net';
 import type { Logger } from '../log/logger.js';
 import { splitAddress } from './address.js';
 
-/** Limits of one listening address. */
+/** The connection limits of one listening address. */
 export interface ServerLimits {
-  /** Sockets open at the same time; one more is closed at once. */
+  /** The maximum number of open sockets; a connection above this limit is closed immediately. */
   readonly maxSockets: number;
   readonly headersTimeoutMs: number;
   readonly requestTimeoutMs: number;
@@ -14,48 +14,51 @@
 }
 
 /**
- * From this part of the sockets on, connections end with their responses: more workers than there are
- * sockets then take turns, where kept connections would shut some of them out until their leases expire.
+ * The ratio of used sockets above which a connection closes after its response. Where there are more workers than
+ * sockets, workers then share the sockets; kept-alive connections would exclude some workers until their leases expire.
  */
-const KEEP_ALIVE_FRACTION = 0.75;
+const KEEP_ALIVE_SOCKET_RATIO = 0.75;
 const CONNECTION_CHECK_INTERVAL_MS = 5000;
 const MAX_HEADER_BYTES = 16 * 1024;
-const BACKLOG = 511;
-const BAD_REQUEST = 'HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n';
+const LISTEN_BACKLOG_COUNT = 511;
+const BAD_REQUEST_RESPONSE = 'HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n';
 
-/** One listening address: `node:net` accepts and limits, `node:http` parses, the listener responds. */
+/**
+ * The server of one listening address: `node:net` accepts and limits the connections, `node:http` parses the requests,
+ * and the request listener responds.
+ */
 export class FrontServer {
-  private readonly sockets: SocketServer;
-  private readonly http: HttpServer;
-  private openSockets = 0;
+  private readonly socketServer: SocketServer;
+  private readonly httpServer: HttpServer;
+  private openSocketCount = 0;
 
   constructor(
     private readonly listener: RequestListener,
     private readonly limits: ServerLimits,
     log: Logger,
   ) {
-    this.http = this.createHttp();
-    this.sockets = createSocketServer({ noDelay: true }, (socket) => this.accept(socket));
-    this.sockets.maxConnections = limits.maxSockets;
-    this.sockets.on('error', (error) => log.error({ error: error.message }, 'front server failed'));
+    this.httpServer = this.createHttp();
+    this.socketServer = createSocketServer({ noDelay: true }, (socket) => this.accept(socket));
+    this.socketServer.maxConnections = limits.maxSockets;
+    this.socketServer.on('error', (error) => log.error({ error: error.message }, 'front server failed'));
   }
 
-  /** Resolves once the server listens; rejects if it cannot. */
+  /** Starts listening on the address; rejects if the address cannot be bound. */
   listen(address: string): Promise<void> {
     const { host, port } = splitAddress(address);
     return new Promise((resolve, reject) => {
-      this.sockets.once('error', reject);
-      this.sockets.listen({ host, port, backlog: BACKLOG }, () => {
-        this.sockets.removeListener('error', reject);
+      this.socketServer.once('error', reject);
+      this.socketServer.listen({ host, port, backlog: LISTEN_BACKLOG_COUNT }, () => {
+        this.socketServer.removeListener('error', reject);
         resolve();
       });
     });
   }
 
-  /** Stops listening, and closes all connections. */
+  /** Stops listening and closes all connections. */
   close(): void {
-    this.sockets.close();
-    this.http.closeAllConnections();
+    this.socketServer.close();
+    this.httpServer.closeAllConnections();
   }
 
   private createHttp(): HttpServer {
@@ -68,20 +71,20 @@
       maxHeaderSize: MAX_HEADER_BYTES,
     };
     const http = createHttpServer(options, (request, response) => {
-      if (this.openSockets > maxSockets * KEEP_ALIVE_FRACTION) response.shouldKeepAlive = false;
+      if (this.openSocketCount > maxSockets * KEEP_ALIVE_SOCKET_RATIO) response.shouldKeepAlive = false;
       this.listener(request, response);
     });
     http.on('clientError', (_error, socket) => {
-      if (socket.writable) socket.end(BAD_REQUEST);
+      if (socket.writable) socket.end(BAD_REQUEST_RESPONSE);
       else socket.destroy();
     });
     return http;
   }
 
   private accept(socket: Socket): void {
-    this.openSockets++;
+    this.openSocketCount++;
     socket.on('error', () => socket.destroy());
-    socket.on('close', () => this.openSockets--);
-    this.http.emit('connection', socket);
+    socket.on('close', () => this.openSocketCount--);
+    this.httpServer.emit('connection', socket);
   }
 }
--- a/src/net/http-client.ts
+++ b/src/net/http-client.ts
@@ -1,37 +1,37 @@
-/** An HTTP/1.1 client: calls over kept connections, each with a deadline. */
+/** An HTTP/1.1 client with persistent connections and a deadline for each call. */
 import { connect, type Socket } from 'node:net';
 import { errorMessage } from '../log/logger.js';
 import { splitAddress } from './address.js';
 import { type HttpResponse, ResponseReader } from './http-response.js';
 
-/** A response, its JSON body parsed; undefined: there is none, or it is no JSON. */
+/** A response with its parsed JSON body; `body` is undefined if the body is empty or not valid JSON. */
 export interface HttpReply {
   readonly status: number;
   readonly body: unknown;
 }
 
-/** What is known of a call that failed: whether it may have been carried out. */
+/** The kind of a failed call: `no-answer` if the server may have executed the call, `no-socket` if nothing was sent. */
 export type HttpCallErrorCode = 'no-answer' | 'no-socket';
 
-/** A call that brought no response. The other side may have carried it out, or may do so later. */
+/** Thrown when a call gets no response. The server may have executed the call, or may still execute it. */
 export class NoAnswerError extends Error {
   override readonly name: string = 'NoAnswerError';
   readonly code: HttpCallErrorCode = 'no-answer';
 }
 
-/** Nothing was sent: all sockets for such calls are in use. */
+/** Thrown when a call was not sent, because all sockets for calls of its kind are in use. */
 export class NoSocketError extends NoAnswerError {
   override readonly name = 'NoSocketError';
   override readonly code = 'no-socket';
 }
 
-/** Makes calls with a deadline to one address. */
+/** Makes HTTP calls with a deadline to one address. */
 export interface HttpCaller {
-  /** Rejects with `NoAnswerError`. */
+  /** Sends a request and resolves with its response. Rejects with `NoAnswerError` if no response arrives in time. */
   call(method: string, path: string, body: unknown, deadlineMs: number): Promise<HttpReply>;
 }
 
-/** Parses JSON; undefined for nothing, and for what is no JSON. */
+/** Parses bytes as JSON; returns undefined for empty or invalid JSON. */
 export function parseJson(bytes: Buffer): unknown {
   if (bytes.length === 0) return undefined;
   try {
@@ -41,7 +41,7 @@
   }
 }
 
-/** The headers that describe the body, the empty line, and the body. */
+/** Encodes the body's headers, the empty line that ends the headers, and the body. */
 function encodeBody(method: string, body: unknown): string {
   if (body === undefined) return method === 'POST' ? 'Content-Length: 0\r\n\r\n' : '\r\n';
   const payload = JSON.stringify(body);
@@ -49,12 +49,12 @@
   return `Content-Type: application/json\r\nContent-Length: ${length}\r\n\r\n${payload}`;
 }
 
-/** Counts the open connections of all addresses that share it. */
+/** A counter of open connections that the connection pools of several addresses share. */
 export class SocketCount {
   open = 0;
 }
 
-/** A request that was sent or waits for a connection. */
+/** A request and its pending response; the request is either sent or queued for a connection. */
 class Exchange {
   private readonly timer: NodeJS.Timeout;
   private connection: Connection | null = null;
@@ -69,12 +69,12 @@
     this.timer = setTimeout(() => this.expire(), deadlineMs);
   }
 
-  /** Whether it was answered, failed or timed out. */
+  /** Whether the exchange is complete: the request was answered, failed or timed out. */
   get isSettled(): boolean {
     return this.settled;
   }
 
-  sentOn(connection: Connection): void {
+  attachConnection(connection: Connection): void {
     this.connection = connection;
   }
 
@@ -86,11 +86,14 @@
     if (this.settle()) this.reject(new NoAnswerError(reason, options));
   }
 
-  /** A process that is behind runs its timers first: a response that lies unread in the socket still counts. */
+  /**
+   * Fails the exchange after its deadline, but only after pending socket reads: an overloaded event loop runs expired
+   * timers first, while the response may already be in the socket's receive buffer.
+   */
   private expire(): void {
     setImmediate(() => {
       if (this.settled) return;
-      this.fail('deadline passed');
+      this.fail('no response before the deadline of the call');
       this.connection?.destroy();
     });
   }
@@ -103,7 +106,7 @@
   }
 }
 
-/** One connection, which carries one exchange at a time. */
+/** A connection that carries one exchange at a time. */
 class Connection {
   private readonly socket: Socket;
   private readonly reader = new ResponseReader();
@@ -116,7 +119,7 @@
     private readonly onClosed: (connection: Connection) => void,
   ) {
     this.socket = connect({ host, port, noDelay: true });
-    let closeReason = 'connection lost';
+    let closeReason = 'connection closed before a complete response';
     this.socket.on('data', (bytes: Buffer) => this.receive(bytes));
     this.socket.on('error', (error) => (closeReason = error.message));
     this.socket.on('close', () => this.handleClose(closeReason));
@@ -124,7 +127,7 @@
 
   send(exchange: Exchange): void {
     this.exchange = exchange;
-    exchange.sentOn(this);
+    exchange.attachConnection(this);
     this.socket.write(exchange.request);
   }
 
@@ -135,7 +138,7 @@
   private receive(bytes: Buffer): void {
     const { exchange } = this;
     if (!exchange) {
-      // A response to no request.
+      // Bytes arrived without a pending request.
       this.destroy();
       return;
     }
@@ -165,15 +168,18 @@
 }
 
 /**
- * The connections to one address. A call that finds none idle waits for one, within its deadline.
- * With the runtime's own client all calls of a leader took twice the time in a profile, most of them to workers.
+ * A pool of connections to one address. A call is queued while no connection is idle and the maximum number is open; its
+ * deadline includes the time in the queue. The pool replaces the runtime's own HTTP client, with which the calls of a leader, most of them to workers, took
+ * twice the time.
  */
 export class HttpTarget implements HttpCaller {
   private readonly host: string;
   private readonly port: number;
   private readonly hostHeader: string;
   private readonly connections = new Set<Connection>();
-  /** The last one used is used first: the others may then be closed as idle. */
+  /**
+   * Idle connections, reused last in first out, so that the server may close the unused ones after their idle timeout.
+   */
   private readonly idle: Connection[] = [];
   private readonly queue: Exchange[] = [];
 
@@ -195,7 +201,7 @@
     });
   }
 
-  /** Whether a call would find an idle connection. */
+  /** Whether the pool has an idle connection. */
   get hasIdleConnection(): boolean {
     return this.idle.length > 0;
   }
@@ -220,12 +226,12 @@
   }
 
   private reuse(connection: Connection): void {
-    const next = this.nextQueued();
-    if (next) connection.send(next);
+    const queuedExchange = this.nextQueued();
+    if (queuedExchange) connection.send(queuedExchange);
     else this.idle.push(connection);
   }
 
-  /** From now on the connection's socket does not count any more. */
+  /** Removes the connection from the pool and from the count of open sockets. */
   private release(connection: Connection): void {
     if (this.connections.delete(connection)) this.socketCount.open--;
   }
@@ -234,18 +240,18 @@
     this.release(connection);
     const index = this.idle.indexOf(connection);
     if (index >= 0) this.idle.splice(index, 1);
-    const next = this.nextQueued();
-    if (next) this.send(next);
+    const queuedExchange = this.nextQueued();
+    if (queuedExchange) this.send(queuedExchange);
   }
 
-  /** The next exchange to be sent: one whose deadline passed while it was queued is not. */
+  /** Removes and returns the next queued exchange, skipping exchanges whose deadline passed in the queue. */
   private nextQueued(): Exchange | undefined {
     let next = this.queue.shift();
     while (next?.isSettled) next = this.queue.shift();
     return next;
   }
 
-  /** Closes all connections; calls under way fail. */
+  /** Closes all connections; calls in progress fail with `NoAnswerError`. */
   close(): void {
     for (const connection of this.connections) {
       this.release(connection);
--- a/src/net/http-response.ts
+++ b/src/net/http-response.ts
@@ -1,9 +1,9 @@
-/** Reads HTTP/1.1 responses from a stream of bytes. */
+/** Parses HTTP/1.1 responses from a byte stream. */
 
-/** Why bytes cannot be a response that is accepted. */
+/** The reason why a response is rejected. */
 export type MalformedResponseCode = 'not-http' | 'head-too-large' | 'body-too-large' | 'invalid-chunk';
 
-/** Bytes that are no HTTP response, or one that is too large. */
+/** Thrown for bytes that are not an HTTP response, or for a response above the size limits. */
 export class MalformedResponseError extends Error {
   override readonly name = 'MalformedResponseError';
 
@@ -15,11 +15,11 @@
   }
 }
 
-/** A complete response. */
+/** A complete HTTP response. */
 export interface HttpResponse {
   readonly status: number;
   readonly body: Buffer;
-  /** Whether another request may follow on the same connection. */
+  /** Whether the connection can be reused for another request. */
   readonly keepAlive: boolean;
 }
 
@@ -33,11 +33,11 @@
 /** Status codes of responses that have no body, whatever their headers say. */
 const BODILESS_STATUSES = new Set([204, 304]);
 
-/** What marks the end of a body. */
+/** How the end of a response body is determined. */
 type Framing =
   | { readonly kind: 'length'; readonly length: number }
   | { readonly kind: 'chunked' }
-  /** It ends with the connection. */
+  /** The body ends when the server closes the connection. */
   | { readonly kind: 'close' };
 
 interface Head {
@@ -49,7 +49,8 @@
 function parseHead(text: string): Head {
   const [statusLine = '', ...lines] = text.split(LINE_END);
   const match = STATUS_LINE.exec(statusLine);
-  if (!match) throw new MalformedResponseError('not-http', 'not an HTTP response');
+  if (!match)
+    throw new MalformedResponseError('not-http', 'response does not start with an HTTP/1.x status line');
   const status = Number(match[2]);
   let keepAlive = match[1] === '1';
   let framing: Framing = { kind: 'close' };
@@ -75,20 +76,20 @@
 function parseLength(value: string): number {
   const length = Number(value);
   if (!Number.isSafeInteger(length) || length < 0 || length > MAX_BODY_BYTES)
-    throw new MalformedResponseError('body-too-large', 'response too large');
+    throw new MalformedResponseError('body-too-large', 'response body length is invalid or exceeds 64 MiB');
   return length;
 }
 
-/** Reads the responses of one connection, one after the other. */
+/** Parses the consecutive responses of one connection. */
 export class ResponseReader {
   private unread: Buffer = Buffer.alloc(0);
   private head: Head | null = null;
-  private bodyParts: Buffer[] = [];
+  private bodyChunks: Buffer[] = [];
   private bodySize = 0;
 
   /**
-   * The response, once these bytes complete it; null: it is incomplete. Throws `MalformedResponseError`; the connection
-   * is then of no further use.
+   * Adds received bytes and returns the response if the bytes complete a response; null: the response is incomplete.
+   * Throws `MalformedResponseError`; the caller must then close the connection.
    */
   push(bytes: Buffer): HttpResponse | null {
     this.unread = this.unread.length === 0 ? bytes : Buffer.concat([this.unread, bytes]);
@@ -98,27 +99,29 @@
     return this.readBody(this.head) ? this.finish(this.head) : null;
   }
 
-  /** The connection has ended: the response that this completes; null: it is incomplete. */
+  /**
+   * Handles the end of the connection: returns the response that ends with the connection; null: none, or incomplete.
+   */
   end(): HttpResponse | null {
     return this.head?.framing.kind === 'close' ? this.finish(this.head) : null;
   }
 
-  /** Whether the head is complete. */
+  /** Parses the response head; false: the head is incomplete. */
   private readHead(): boolean {
     const end = this.unread.indexOf(HEAD_END);
     if (end < 0) {
       if (this.unread.length > MAX_HEAD_BYTES)
-        throw new MalformedResponseError('head-too-large', 'response head too large');
+        throw new MalformedResponseError('head-too-large', 'response head exceeds 64 KiB');
       return false;
     }
     const head = parseHead(this.unread.toString('latin1', 0, end));
     this.unread = this.unread.subarray(end + HEAD_END.length);
-    // Informational responses (1xx) come before the final one, and are skipped.
+    // Informational responses (1xx) precede the final response and are skipped.
     if (head.status >= FIRST_FINAL_STATUS) this.head = head;
     return true;
   }
 
-  /** Whether the body is complete. */
+  /** Reads the available part of the body; false: the body is incomplete. */
   private readBody({ framing }: Head): boolean {
     switch (framing.kind) {
       case 'length':
@@ -136,10 +139,11 @@
     for (;;) {
       const lineEnd = this.unread.indexOf(LINE_END);
       if (lineEnd < 0) return false;
-      const size = CHUNK_SIZE.exec(this.unread.toString('latin1', 0, lineEnd));
-      if (!size) throw new MalformedResponseError('invalid-chunk', 'a chunk without a size');
+      const sizeMatch = CHUNK_SIZE.exec(this.unread.toString('latin1', 0, lineEnd));
+      if (!sizeMatch)
+        throw new MalformedResponseError('invalid-chunk', 'chunk header has no hexadecimal chunk size');
       const start = lineEnd + LINE_END.length;
-      const length = parseLength(`0x${size[0]}`);
+      const length = parseLength(`0x${sizeMatch[0]}`);
       if (length === 0) return this.readTrailer(lineEnd);
       if (this.unread.length < start + length + LINE_END.length) return false;
       this.unread = this.unread.subarray(start);
@@ -148,7 +152,10 @@
     }
   }
 
-  /** Whether the trailer is complete: after the last chunk come further headers, mostly none, and an empty line. */
+  /**
+   * Skips the trailer after the last chunk (optional header fields and an empty line); false: the trailer is
+   * incomplete.
+   */
   private readTrailer(lineEnd: number): boolean {
     const end = this.unread.indexOf(HEAD_END, lineEnd);
     if (end < 0) return false;
@@ -158,20 +165,21 @@
 
   private appendToBody(length: number): void {
     if (length === 0) return;
-    this.bodyParts.push(this.unread.subarray(0, length));
+    this.bodyChunks.push(this.unread.subarray(0, length));
     this.unread = this.unread.subarray(length);
     this.bodySize += length;
     if (this.bodySize > MAX_BODY_BYTES)
-      throw new MalformedResponseError('body-too-large', 'response too large');
+      throw new MalformedResponseError('body-too-large', 'response body exceeds 64 MiB');
   }
 
   private finish({ status, keepAlive }: Head): HttpResponse {
-    const body = this.bodyParts.length === 1 ? (this.bodyParts[0] as Buffer) : Buffer.concat(this.bodyParts);
-    // Bytes beyond the response answer no request: the connection cannot be trusted further.
+    const body =
+      this.bodyChunks.length === 1 ? (this.bodyChunks[0] as Buffer) : Buffer.concat(this.bodyChunks);
+    // Bytes after the response belong to no request, so the connection is not reused.
     const isClean = this.unread.length === 0;
     this.unread = Buffer.alloc(0);
     this.head = null;
-    this.bodyParts = [];
+    this.bodyChunks = [];
     this.bodySize = 0;
     return { status, body, keepAlive: keepAlive && isClean };
   }
--- a/src/net/socket-shares.ts
+++ b/src/net/socket-shares.ts
@@ -1,44 +1,48 @@
-/** Divides a controller's sockets among their uses. */
+/** Divides a controller's socket limit among the uses of sockets. */
 
-/** How many sockets each use may hold; together they never exceed what the platform allows. */
+/**
+ * The maximum number of sockets for each use. The sum stays within the platform's limit, unless the limit is below the
+ * sum of the minimums.
+ */
 export interface SocketShares {
-  /** Users, workers' heartbeats and health checks. */
+  /** Connections of users, worker heartbeats and health checks. */
   readonly front: number;
-  /** Other controllers, each way. */
+  /** Connections accepted from other controllers; the outgoing links to peers are counted separately. */
   readonly peers: number;
-  /** Requests to the key-value store. */
+  /** Connections for requests to the key-value store. */
   readonly store: number;
-  /** Watches of the key-value store. */
+  /** Connections for watches of the key-value store. */
   readonly storeWatches: number;
   readonly cloud: number;
-  /** Direct calls to workers. */
+  /** Connections for direct calls to workers. */
   readonly workers: number;
 }
 
-const STORE_SOCKETS = 24;
-const STORE_WATCH_SOCKETS = 4;
-const CLOUD_SOCKETS = 4;
-/** Connections of a peer that has come back may overlap with its old ones. */
-const SOCKETS_PER_PEER = 4;
-/** Listening sockets and what the runtime itself holds open. */
-const RESERVED_SOCKETS = 8;
-const WORKER_SHARE = 0.25;
-const MIN_FRONT_SOCKETS = 16;
-const MIN_PEER_SOCKETS = 8;
-const MIN_WORKER_SOCKETS = 8;
+const STORE_SOCKET_COUNT = 24;
+const STORE_WATCH_SOCKET_COUNT = 4;
+const CLOUD_SOCKET_COUNT = 4;
+/** The sockets reserved for each peer: the connections of a restarted peer may overlap with its previous ones. */
+const SOCKET_COUNT_PER_PEER = 4;
+/** Sockets reserved for listening and for the runtime's own use. */
+const RESERVED_SOCKET_COUNT = 8;
+const WORKER_SOCKET_RATIO = 0.25;
+const MIN_FRONT_SOCKET_COUNT = 16;
+const MIN_PEER_SOCKET_COUNT = 8;
+const MIN_WORKER_SOCKET_COUNT = 8;
 
-/** Divides the platform's sockets among what needs them. */
+/** Divides the platform's socket limit among the uses of sockets. */
 export function shareSockets(maxSockets: number, peerCount: number): SocketShares {
-  const peers = Math.max(MIN_PEER_SOCKETS, peerCount * SOCKETS_PER_PEER);
-  const workers = Math.max(MIN_WORKER_SOCKETS, Math.floor(maxSockets * WORKER_SHARE));
-  // Our own links to the peers count besides those that they open to us.
-  const others = peers + peerCount + workers + STORE_SOCKETS + STORE_WATCH_SOCKETS + CLOUD_SOCKETS;
+  const peers = Math.max(MIN_PEER_SOCKET_COUNT, peerCount * SOCKET_COUNT_PER_PEER);
+  const workers = Math.max(MIN_WORKER_SOCKET_COUNT, Math.floor(maxSockets * WORKER_SOCKET_RATIO));
+  // Adds this controller's outgoing links, one for each peer, to the sockets for incoming peer connections.
+  const nonFrontSockets =
+    peers + peerCount + workers + STORE_SOCKET_COUNT + STORE_WATCH_SOCKET_COUNT + CLOUD_SOCKET_COUNT;
   return {
-    front: Math.max(MIN_FRONT_SOCKETS, maxSockets - others - RESERVED_SOCKETS),
+    front: Math.max(MIN_FRONT_SOCKET_COUNT, maxSockets - nonFrontSockets - RESERVED_SOCKET_COUNT),
     peers,
-    store: STORE_SOCKETS,
-    storeWatches: STORE_WATCH_SOCKETS,
-    cloud: CLOUD_SOCKETS,
+    store: STORE_SOCKET_COUNT,
+    storeWatches: STORE_WATCH_SOCKET_COUNT,
+    cloud: CLOUD_SOCKET_COUNT,
     workers,
   };
 }
--- a/src/net/token-bucket.ts
+++ b/src/net/token-bucket.ts
@@ -1,9 +1,9 @@
-/** A token bucket for rate limits. */
+/** Rate limiting with token buckets. */
 import { type Clock, type MonotonicTime, since } from '../model/time.js';
 
 /**
- * A token bucket, filled at a steady rate up to its capacity. The caller chooses which share of a published limit the
- * rate is: other controllers draw on the same limit.
+ * A token bucket that refills at a constant rate up to its capacity. The caller chooses the rate as a share of a
+ * published limit, since other controllers use the same limit.
  */
 export class TokenBucket {
   private tokens: number;
@@ -11,27 +11,27 @@
 
   constructor(
     private readonly clock: Clock,
-    private perSecond: number,
+    private ratePerS: number,
     private capacity: number,
   ) {
     this.tokens = capacity;
     this.refilledAt = clock.now();
   }
 
-  /** The most tokens that the bucket holds. */
+  /** The bucket's capacity: the maximum number of tokens. */
   get burst(): number {
     return this.capacity;
   }
 
-  /** Fills at this rate from now on; tokens above the new capacity are dropped. */
+  /** Sets the refill rate in tokens per second and the capacity; tokens above the new capacity are dropped. */
   setRate(perSecond: number, burst: number): void {
     this.refill();
-    this.perSecond = perSecond;
+    this.ratePerS = perSecond;
     this.capacity = burst;
     this.tokens = Math.min(this.tokens, burst);
   }
 
-  /** Takes tokens if there are enough; false: none were taken. */
+  /** Takes `count` tokens if the bucket holds enough; false: no token was taken. */
   tryTake(count = 1): boolean {
     this.refill();
     if (this.tokens < count) return false;
@@ -39,30 +39,27 @@
     return true;
   }
 
-  /** The tokens that are there now; below 0 after `forceTake`. */
+  /** Returns the current number of tokens, which may be below 0 after `forceTake`. */
   available(): number {
     this.refill();
     return this.tokens;
   }
 
-  /** Takes tokens even into debt, for what must not wait. */
+  /** Takes `count` tokens for work that must not be delayed; the number of tokens may become negative. */
   forceTake(count = 1): void {
     this.refill();
     this.tokens -= count;
   }
 
-  /** Milliseconds until there are so many tokens. */
+  /** Returns the milliseconds until the bucket holds `count` tokens. */
   waitMs(count = 1): number {
     this.refill();
-    return Math.max(0, ((count - this.tokens) / this.perSecond) * 1000);
+    return Math.max(0, ((count - this.tokens) / this.ratePerS) * 1000);
   }
 
   private refill(): void {
     const now = this.clock.now();
-    this.tokens = Math.min(
-      this.capacity,
-      this.tokens + (since(now, this.refilledAt) * this.perSecond) / 1000,
-    );
+    this.tokens = Math.min(this.capacity, this.tokens + (since(now, this.refilledAt) * this.ratePerS) / 1000);
     this.refilledAt = now;
   }
 }
--- a/src/net/work-queue.ts
+++ b/src/net/work-queue.ts
@@ -1,24 +1,24 @@
-/** Spreads work that arrives in bursts over turns of the event loop. */
+/** Spreads bursts of work over several iterations of the event loop. */
 
-/** How many callers one turn of the event loop admits. */
-const ADMITTED_PER_TURN = 8;
+/** The maximum number of callers that are admitted in one iteration of the event loop. */
+const MAX_ADMITTED_PER_TURN = 8;
 
 /**
- * Admits callers in the order of their arrival, a few in each turn of the event loop. Between two turns timers and
- * responses are handled: with hundreds of heartbeats read at once from one socket, a leader on a tenth of a core
- * noticed the response to its lease renewal a second late, and lost the lease.
+ * A FIFO queue that admits a few callers in each iteration of the event loop, so that timers and responses are handled
+ * between them. Without the queue, a leader on a tenth of a core that read hundreds of heartbeats at once from one
+ * socket processed the response to its lease renewal a second late, and lost the lease.
  */
 export class YieldingWorkQueue {
   private readonly waiters: (() => void)[] = [];
-  private nextWaiter = 0;
+  private nextWaiterIndex = 0;
   private isScheduled = false;
 
   constructor(
     private readonly defer: (run: () => void) => void = (run) => void setImmediate(run),
-    private readonly admittedPerTurn = ADMITTED_PER_TURN,
+    private readonly maxAdmittedPerTurn = MAX_ADMITTED_PER_TURN,
   ) {}
 
-  /** Resolves when it is the caller's turn. */
+  /** Resolves when the queue admits the caller. */
   turn(): Promise<void> {
     return new Promise((resolve) => {
       this.waiters.push(resolve);
@@ -34,13 +34,13 @@
 
   private admit(): void {
     this.isScheduled = false;
-    const end = Math.min(this.waiters.length, this.nextWaiter + this.admittedPerTurn);
-    for (; this.nextWaiter < end; this.nextWaiter++) this.waiters[this.nextWaiter]?.();
-    if (this.nextWaiter < this.waiters.length) {
+    const end = Math.min(this.waiters.length, this.nextWaiterIndex + this.maxAdmittedPerTurn);
+    for (; this.nextWaiterIndex < end; this.nextWaiterIndex++) this.waiters[this.nextWaiterIndex]?.();
+    if (this.nextWaiterIndex < this.waiters.length) {
       this.schedule();
       return;
     }
     this.waiters.length = 0;
-    this.nextWaiter = 0;
+    this.nextWaiterIndex = 0;
   }
 }
