--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -1,4 +1,4 @@
-/** The command line: `serve`, `check-config` and `members`. */
+/** The command-line interface: the commands `serve`, `check-config` and `members`. */
 import { parseArgs } from 'node:util';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
@@ -10,23 +10,23 @@
 import { openLogger, errorMessage } from '../log/logger.js';
 import type { Settings } from '../wire/settings.js';
 
-/** The options of all commands. */
+/** The command-line options of all commands. */
 interface Options {
   readonly config: string | undefined;
   readonly operators: string | undefined;
-  /** The folder of feature files. */
+  /** The folder that contains the feature files. */
   readonly features: string | undefined;
-  /** Where a running controller serves its peers. */
+  /** The address at which a running controller serves its peers. */
   readonly address: string | undefined;
 }
 
-/** A command with its line in the help. */
+/** A command and its description in the help text. */
 interface Command {
   readonly description: string;
   readonly run: (options: Options) => void | Promise<void>;
 }
 
-/** Arguments that name no command or miss an option; the message is one line. */
+/** Thrown for arguments that name no command or lack a required option; the message is one line. */
 class UsageError extends Error {
   override readonly name = 'UsageError';
   readonly code = 'USAGE';
@@ -35,11 +35,11 @@
 const COMMANDS: Readonly<Record<string, Command>> = {
   serve: { description: 'run one controller until it is killed', run: serve },
   'check-config': {
-    description: 'check the settings files and say what is wrong with them',
+    description: 'check the settings files and report problems',
     run: checkConfig,
   },
   members: {
-    description: 'ask a running controller how all controllers are',
+    description: 'show the state of all controllers as a running controller sees them',
     run: ({ config, address }) => {
       if (address === undefined) requireConfig(config);
       return printMembers(config, address);
@@ -54,7 +54,7 @@
 
 const HELP = `Usage: plumyoke <command> --config <path> [options]
 
-Schedules jobs on rented machines, through any failure.
+Schedules jobs on rented machines, and tolerates failures of controllers, machines and services.
 
 Commands:
 ${Object.entries(COMMANDS)
@@ -64,15 +64,15 @@
 Options:
   -c, --config <path>     the platform's settings file (TOML)
   -o, --operators <path>  the operators' own settings (TOML; or PLUMYOKE_OPERATORS)
-  -f, --features <folder> the folder of feature files, each of which turns one on
-  -a, --address <ip:port> members: the controller to ask, by its cluster_listen; default: that of --config
+  -f, --features <folder> the folder of feature files, each of which turns a feature on
+  -a, --address <ip:port> members: the controller to query, by its cluster_listen; default: the controller of --config
   -h, --help              show this text
 `;
 
-/** The exit code for settings or arguments that cannot be used. */
-const EXIT_USAGE = 2;
-/** The exit code for everything else that ends a command. */
-const EXIT_FAILURE = 1;
+/** The exit code for invalid settings or arguments. */
+const EXIT_CODE_USAGE = 2;
+/** The exit code for all errors other than invalid settings or arguments. */
+const EXIT_CODE_FAILURE = 1;
 
 async function serve(options: Options): Promise<void> {
   const settings = loadSettings(requireConfig(options.config));
@@ -82,7 +82,7 @@
   for (const line of findTooSmallSettings(settings)) log.error({ field: line }, 'setting too small');
   const generator = xoroshiro128plus(Date.now() ^ (process.pid << 12));
   const random = (): number => uniformFloat64(generator);
-  // One unexpected answer from outside must never end the process.
+  // Unexpected errors are logged only: an unexpected answer of another service must never end the process.
   process.on('unhandledRejection', (error) =>
     log.error({ error: errorMessage(error) }, 'unhandled rejection'),
   );
@@ -94,7 +94,10 @@
   await controller.run();
 }
 
-/** Loads the features that are on and checks them against the platform's settings. Their code is only loaded where one is on. */
+/**
+ * Loads the feature files and checks the enabled features against the platform's settings. The code of a feature is
+ * only imported if the feature is enabled.
+ */
 async function loadCheckedFeatures({ features: folder }: Options, settings: Settings): Promise<Features> {
   const features = loadFeatures(folder);
   if (features.failover) {
@@ -136,9 +139,9 @@
     process.stdout.write(HELP);
     return;
   }
-  const [name = '', ...rest] = positionals;
+  const [name = '', ...extraArguments] = positionals;
   const command = COMMANDS[name];
-  if (!command || rest.length > 0) {
+  if (!command || extraArguments.length > 0) {
     throw new UsageError(`expected one of the commands ${Object.keys(COMMANDS).join(', ')}`);
   }
   const { config, features, address } = values;
@@ -154,8 +157,8 @@
     process.stderr.write(`plumyoke: ${errorMessage(error)}\n`);
     if (error instanceof UsageError) process.stderr.write(`\n${HELP}`);
     const isUsageError = error instanceof InvalidSettingsError || error instanceof UsageError;
-    process.exitCode = isUsageError ? EXIT_USAGE : EXIT_FAILURE;
-    // A command that failed may have left sockets or timers behind.
-    if (!isUsageError) process.exit(EXIT_FAILURE);
+    process.exitCode = isUsageError ? EXIT_CODE_USAGE : EXIT_CODE_FAILURE;
+    // Exits explicitly, since sockets or timers of the failed command may keep the event loop running.
+    if (!isUsageError) process.exit(EXIT_CODE_FAILURE);
   }
 }
--- a/test/unit/members.test.ts
+++ b/test/unit/members.test.ts
@@ -41,32 +41,34 @@
         '',
         'CONTROLLER  STATE   SINCE  LOAD  OWNS               WHAT TO DO',
         'a           alive   0 s    10%   -                  nothing',
-        'b           failed  3 min  -     cluster (epoch 7)  its work is with another controller; see whether its process runs, and start it',
+        'b           failed  3 min  -     cluster (epoch 7)  another controller has taken over its work; check whether its process runs, and start it',
         '',
         'Evidence:',
         '  a has neither heard b nor had an answer for 203.1 s (seen 0.0 s ago)',
         '',
-        'Messages dropped since its start:',
+        'Messages dropped since the start of this controller:',
         '  3 malformed',
         '',
       ].join('\n'),
     );
   });
 
-  it('says so where failure detection is off', () => {
+  it('states that failure detection is off where it is', () => {
     const off = { ...report, failureDetection: false };
     expect(renderMembers(off)).toContain(
       'Failure detection is off on this controller (deploy/membership.toml)',
     );
   });
 
-  it('tells a partly cut member and a deaf one what to do', () => {
+  it('advises on a partly cut member and on a deaf member', () => {
     const [line] = report.members as [MembersReport['members'][number]];
-    expect(adviceFor({ ...line, connection: 'partly-cut' })).toContain('look at the network');
-    expect(adviceFor({ ...line, state: 'suspect', connection: 'deaf' })).toContain('hears nobody');
+    expect(adviceFor({ ...line, connection: 'partly-cut' })).toContain(
+      'check the network between the controllers',
+    );
+    expect(adviceFor({ ...line, state: 'suspect', connection: 'deaf' })).toContain('it receives none');
   });
 
-  it('tells of an unreachable controller in one line, with a non-zero exit code', async () => {
+  it('reports an unreachable controller in one line, with a non-zero exit code', async () => {
     const lines: string[] = [];
     const write = process.stderr.write.bind(process.stderr);
     const exit = process.exit.bind(process);
