--- a/src/config/features.ts
+++ b/src/config/features.ts
@@ -1,4 +1,6 @@
-/** Features that a file of their own under `deploy/` turns on; a missing file means off. */
+/**
+ * Optional features, each of which its own settings file under `deploy/` turns on; a missing file turns a feature off.
+ */
 import { existsSync } from 'node:fs';
 import { join } from 'node:path';
 import * as z from 'zod/mini';
@@ -8,7 +10,7 @@
 
 const positive = z.number().check(z.positive());
 
-/** The file of failure detection. Names and defaults are part of its form. */
+/** The schema of the failure detection file. Field names and defaults are part of the file format. */
 const failoverFile = z.strictObject({
   enabled: z.boolean(),
   early_takeover: z._default(z.boolean(), false),
@@ -23,45 +25,46 @@
 
 /** Failure detection between controllers (docs/operations/membership.md). */
 export interface FailoverFeature {
-  /** Whether a leader that a majority has found failed is replaced before its lease expires. */
+  /** Whether a leader that a majority of controllers considers failed is replaced before its lease expires. */
   readonly earlyTakeover: boolean;
   readonly probeInterval: Millis;
   readonly probeTimeout: Millis;
   readonly suspicionTimeout: Millis;
-  /** A process that did not run for this long counts as paused. */
+  /** The time without execution after which a process counts as paused. */
   readonly pauseThreshold: Millis;
   readonly maxMessagesPerSecond: number;
 }
 
-/** The features that are on; null: off. */
+/** The settings of each feature; null: the feature is off. */
 export interface Features {
   readonly failover: FailoverFeature | null;
 }
 
 const NO_FEATURES: Features = { failover: null };
 
-/** Longer periods would notice nothing in time to be of use. */
+/** The upper bounds of the periods: longer periods would detect a failure too late to be of use. */
 const MAX_PERIODS_S = { probe_interval_s: 60, suspicion_s: 600, pause_s: 60 } as const;
 const MIN_MESSAGES_PER_SECOND = 2;
-/** The name of the file of failure detection. */
+/** The file name of the failure detection settings. */
 export const FAILOVER_FILE = 'membership.toml';
 
-/** Throws an error whose message is one line naming the field. */
+/** Checks the bounds of the fields. Throws an error with a one-line message that names the field. */
 function checkFailoverFile(file: FailoverFile): void {
   if (file.probe_timeout_s > file.probe_interval_s)
-    throw new Error('probe_timeout_s: above probe_interval_s');
+    throw new Error('probe_timeout_s: above probe_interval_s, its maximum');
   for (const [field, max] of Object.entries(MAX_PERIODS_S)) {
-    if (file[field as keyof typeof MAX_PERIODS_S] > max) throw new Error(`${field}: above ${max}`);
+    if (file[field as keyof typeof MAX_PERIODS_S] > max)
+      throw new Error(`${field}: above ${max}, the maximum`);
   }
   if (file.max_messages_per_s < MIN_MESSAGES_PER_SECOND) {
-    throw new Error(`max_messages_per_s: below ${MIN_MESSAGES_PER_SECOND}`);
+    throw new Error(`max_messages_per_s: below ${MIN_MESSAGES_PER_SECOND}, the minimum`);
   }
 }
 
 function readFailover(raw: unknown): FailoverFeature | null {
-  const read = failoverFile.safeParse(raw);
-  if (!read.success) throw new Error(firstIssue(read.error));
-  const file = read.data;
+  const parsed = failoverFile.safeParse(raw);
+  if (!parsed.success) throw new Error(firstIssue(parsed.error));
+  const file = parsed.data;
   checkFailoverFile(file);
   if (!file.enabled) return null;
   return {
@@ -74,7 +77,10 @@
   };
 }
 
-/** Reads the feature files of a folder; without a folder, none is on. Throws `InvalidSettingsError` naming file and field. */
+/**
+ * Reads the feature files of a folder; without a folder, all features are off. Throws `InvalidSettingsError`, which
+ * names the file and the field.
+ */
 export function loadFeatures(folder: string | undefined): Features {
   if (folder === undefined) return NO_FEATURES;
   const path = join(folder, FAILOVER_FILE);
--- a/src/config/limits.ts
+++ b/src/config/limits.ts
@@ -1,46 +1,61 @@
-/** Warns of platform settings that are too small for any service. */
+/** Finds platform settings that are too small for reliable operation. */
 import { shareSockets } from '../net/socket-shares.js';
 import type { Settings } from '../wire/settings.js';
 
-/** Measured: at their peak, a follower held 30 to 40 MB, a leader of 450 machines 50 MB (docs/settings.md). */
+/**
+ * The minimum memory of a controller: a follower uses 30 to 40 MB at its peak, a leader of 450 machines 50 MB
+ * (docs/settings.md).
+ */
 const MIN_MEMORY_MB = 64;
-/** Users, health checks and a few workers at once. */
-const MIN_FRONT_SOCKETS = 64;
-/** Lease renewals, watches and one decision a second. */
+/** The minimum number of front sockets: enough for users, health checks and a few workers at once. */
+const MIN_FRONT_SOCKET_COUNT = 64;
+/** The minimum store requests per second: enough for lease renewals, watches and one scheduling decision per second. */
 const MIN_STORE_RPS = 10;
-/** A start and an acceptance a second. */
+/** The minimum store writes per second: enough for one task start and one job acceptance per second. */
 const MIN_STORE_WRITE_RPS = 4;
-/** A worker that gets no answer tries the next controller 5 s later (PROTOCOL). */
-const NEXT_CONTROLLER_S = 5;
+/** The delay after which a worker that gets no answer tries the next controller: 5 s (PROTOCOL). */
+const WORKER_RETRY_DELAY_S = 5;
 
 /**
- * Returns one line for each setting with which no service can be held, naming the field. They are warnings: a
- * controller that refused to start would help nobody.
+ * Returns a one-line warning, which names the field, for each setting that is too small for reliable operation. The
+ * findings are not errors, since a controller that refuses to start would be of no use.
  */
 export function findTooSmallSettings(settings: Settings): string[] {
   const warnings: string[] = [];
   const requireMin = (field: string, value: number, min: number, purpose: string): void => {
-    if (value < min) warnings.push(`${field}: ${value} is little, ${min} is the least ${purpose}`);
+    if (value < min) warnings.push(`${field}: ${value} is below ${min}, the minimum ${purpose}`);
   };
   const { cpuShare, maxSockets, memoryMb, storeLimits, announcedStoreLimits } = settings;
   if (cpuShare !== null && !(cpuShare > 0 && cpuShare <= 1))
-    warnings.push(`facts.resources.cpu: ${cpuShare} is no share of a core, it is taken for a whole one`);
+    warnings.push(
+      `facts.resources.cpu: ${cpuShare} is not a share of a core (above 0, at most 1); a whole core is assumed`,
+    );
   const otherSockets = Math.ceil(maxSockets - shareSockets(maxSockets, settings.peers.length).front);
-  const minSockets = otherSockets + MIN_FRONT_SOCKETS;
-  requireMin('facts.resources.sockets', maxSockets, minSockets, 'that leaves workers and users room');
+  const minSockets = otherSockets + MIN_FRONT_SOCKET_COUNT;
+  requireMin('facts.resources.sockets', maxSockets, minSockets, 'that leaves sockets for workers and users');
   if (memoryMb !== null)
-    requireMin('facts.resources.memory_mb', memoryMb, MIN_MEMORY_MB, 'that the program fits');
+    requireMin('facts.resources.memory_mb', memoryMb, MIN_MEMORY_MB, 'that the process needs');
   for (const [field, limits] of [
     ['facts.state', storeLimits],
     ['facts.state.next', announcedStoreLimits],
   ] as const) {
-    requireMin(`${field}.rps`, limits.rps, MIN_STORE_RPS, 'that leadership and decisions need');
-    requireMin(`${field}.write_rps`, limits.writeRps, MIN_STORE_WRITE_RPS, 'that starts need');
+    requireMin(`${field}.rps`, limits.rps, MIN_STORE_RPS, 'that leadership and scheduling decisions need');
+    requireMin(`${field}.write_rps`, limits.writeRps, MIN_STORE_WRITE_RPS, 'that task starts need');
   }
   const { heartbeatInterval, workerLeaseDuration, cancellationLimit } = settings;
   const leaseS = workerLeaseDuration / 1000;
-  const twoHeartbeatsS = (2 * heartbeatInterval) / 1000 + NEXT_CONTROLLER_S;
-  requireMin('facts.workers.lease_s', leaseS, twoHeartbeatsS, 'that survives one lost controller');
-  requireMin('facts.workers.cancel_s', cancellationLimit / 1000, leaseS + 1, 'that a lease can end within');
+  const minLeaseS = (2 * heartbeatInterval) / 1000 + WORKER_RETRY_DELAY_S;
+  requireMin(
+    'facts.workers.lease_s',
+    leaseS,
+    minLeaseS,
+    'with which a worker lease survives the failure of one controller',
+  );
+  requireMin(
+    'facts.workers.cancel_s',
+    cancellationLimit / 1000,
+    leaseS + 1,
+    'within which a worker lease can expire',
+  );
   return warnings;
 }
--- a/src/config/operators.ts
+++ b/src/config/operators.ts
@@ -1,4 +1,4 @@
-/** The operators' own settings: their TOML file's form, and the same in the program's terms. */
+/** The operators' settings: the schema of their TOML file, and the internal representation. */
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import * as z from 'zod/mini';
@@ -11,10 +11,10 @@
 const nonNegative = z.number().check(z.nonnegative());
 const share = z.number().check(z.gte(0), z.lte(1));
 
-/** A section whose fields all have defaults, so that it may be left out. */
+/** Returns the schema of a section whose fields are all optional, so that the whole section may be omitted. */
 const section = <T extends z.core.$ZodLooseShape>(shape: T) => z._default(z.strictObject(shape), {} as never);
 
-/** The operators' file. Names and defaults are part of its form (docs/settings.md). */
+/** The schema of the operators' file. Field names and defaults are part of the file format (docs/settings.md). */
 const operatorsFile = z.strictObject({
   cluster: section({
     grant_s: z._default(positive, 2.5),
@@ -42,43 +42,48 @@
   log: section({ summary_s: z._default(positive, 10) }),
 });
 
-/** The operators' settings in the program's terms, defaults filled in. */
+/** The operators' settings with all defaults applied. Each comment names the field of the file in parentheses. */
 export interface OperatorSettings {
   readonly leadership: {
     /** The time to live of the leader's lease (`cluster.grant_s`). */
     readonly leaseTtl: Millis;
-    /** How long a leader whose lease may have expired goes on renewing workers' leases (`cluster.answer_alone_s`). */
+    /**
+     * The time for which a leader whose lease may have expired keeps renewing worker leases (`cluster.answer_alone_s`).
+     */
     readonly maxRenewalWithoutQuorum: Millis;
   };
   readonly forecast: {
     /** The length of a forecast slot (`slot_s`). */
     readonly slot: Millis;
-    /** The paper's beta, the weight of waiting against waste, for spot machines (`beta`). */
+    /** The paper's beta, which weighs waiting time against idle machines, for spot machines (`beta`). */
     readonly spotBeta: number;
-    /** The same for on-demand machines (`firm_beta`). */
+    /** The paper's beta, which weighs waiting time against idle machines, for on-demand machines (`firm_beta`). */
     readonly onDemandBeta: number;
-    /** The wait when a machine is there, in seconds (`hit_s`). */
+    /** The waiting time of a task for which a machine is available, in seconds (`hit_s`). */
     readonly hitS: number;
-    /** What a machine that idles for a slot costs, in seconds of waiting (`idle_cost`). */
+    /** The cost of a machine that is idle for one slot, in seconds of waiting time (`idle_cost`). */
     readonly idleCostS: number;
-    /** Slots that the moving average takes (`average_slots`). */
+    /** The number of slots in the window of the moving average (`average_slots`). */
     readonly averageSlots: number;
   };
   readonly fleet: {
-    /** How long an on-demand machine idles before it is deleted (`give_back_s`). */
+    /** The idle time after which an on-demand machine is deleted (`give_back_s`). */
     readonly idleTimeout: Millis;
-    /** The same for a spot machine (`spot_give_back_s`). */
+    /** The idle time after which a spot machine is deleted (`spot_give_back_s`). */
     readonly spotIdleTimeout: Millis;
-    /** A boot may take so many times the usual time of its type (`boot_patience`). */
+    /** The maximum boot time of a machine, as a multiple of the usual boot time of its type (`boot_patience`). */
     readonly bootPatience: number;
     readonly maxMachines: number;
   };
   readonly workers: {
-    /** A worker is suspected after this long without a heartbeat; null: by the heartbeat interval (`silent_s`). */
+    /**
+     * The time without a heartbeat after which a worker is suspected; null: derived from the heartbeat interval
+     * (`silent_s`).
+     */
     readonly silenceTimeout: Millis | null;
-    /** The deadline of a probe (`probe_s`). */
+    /** The timeout of a worker probe (`probe_s`). */
     readonly probeTimeout: Millis;
-    /** Failed tasks in a row after which a machine is cordoned (`sick_errors`). */
+    /** The number of consecutive failed tasks after which a machine is cordoned (`sick_errors`). */
     readonly maxTaskFailures: number;
   };
   readonly log: {
@@ -87,21 +92,25 @@
   };
 }
 
-/** Settings or feature files that cannot be used; the message is one line naming the field. */
+/**
+ * Thrown for settings or feature files that are unreadable or invalid; the message is one line that names the field.
+ */
 export class InvalidSettingsError extends Error {
   override readonly name = 'InvalidSettingsError';
   readonly code = 'INVALID_SETTINGS';
 }
 
-/** The settings of operators who have none of their own. */
+/** Returns the settings that apply without an operators' file. */
 export const defaultOperators = (): OperatorSettings => readOperators({});
 
-/** Checks the operators' file and fills in defaults. Throws an error whose message is one line naming the field. */
+/**
+ * Validates the operators' file and applies the defaults. Throws an error with a one-line message that names the field.
+ */
 export function readOperators(raw: unknown): OperatorSettings {
   const withSections = { cluster: {}, forecast: {}, fleet: {}, workers: {}, log: {}, ...(raw as object) };
-  const read = operatorsFile.safeParse(withSections);
-  if (!read.success) throw new Error(firstIssue(read.error));
-  return toSettings(read.data);
+  const parsed = operatorsFile.safeParse(withSections);
+  if (!parsed.success) throw new Error(firstIssue(parsed.error));
+  return toSettings(parsed.data);
 }
 
 function toSettings(file: z.infer<typeof operatorsFile>): OperatorSettings {
@@ -134,8 +143,8 @@
   };
 }
 
-/** Reads a TOML file. Throws `InvalidSettingsError` naming the path and what is wrong. */
-export function readToml<T>(path: string, read: (raw: unknown) => T): T {
+/** Reads and decodes a TOML file. Throws `InvalidSettingsError`, which names the path and the problem. */
+export function readToml<T>(path: string, decode: (raw: unknown) => T): T {
   let text: string;
   try {
     text = readFileSync(path, 'utf8');
@@ -144,16 +153,19 @@
     throw new InvalidSettingsError(`${path}: cannot be read (${code})`, { cause: error });
   }
   try {
-    return read(parse(text));
+    return decode(parse(text));
   } catch (error) {
-    const [firstLine = 'invalid'] = errorMessage(error).split('\n');
+    const [firstLine = 'not valid TOML'] = errorMessage(error).split('\n');
     throw new InvalidSettingsError(`${path}: ${firstLine}`, { cause: error });
   }
 }
 
-/** Reads the platform's settings file. Throws `InvalidSettingsError`. */
+/** Reads the platform's settings file. Throws `InvalidSettingsError` if the file is unreadable or invalid. */
 export const loadSettings = (path: string): Settings => readToml(path, readSettings);
 
-/** Reads the operators' file; without a path, the defaults. Throws `InvalidSettingsError`. */
+/**
+ * Reads the operators' file; returns the defaults without a path. Throws `InvalidSettingsError` if the file is
+ * unreadable or invalid.
+ */
 export const loadOperators = (path: string | undefined): OperatorSettings =>
   path === undefined ? defaultOperators() : readToml(path, readOperators);
--- a/src/log/logger.ts
+++ b/src/log/logger.ts
@@ -1,8 +1,8 @@
-/** Structured log lines: JSON objects on standard error. */
+/** Structured logging: each log line is a JSON object on standard error. */
 
-/** Writes log lines; fields first, then the event. */
+/** Writes log lines; the arguments are the fields of the line and its message. */
 export interface Logger {
-  /** Whether lines of level `info` are written at all. */
+  /** Whether lines of level `info` are written. */
   readonly isInfoEnabled: boolean;
   debug(fields: object, message: string): void;
   info(fields: object, message: string): void;
@@ -10,12 +10,12 @@
   error(fields: object, message: string): void;
 }
 
-/** The levels by number, as most tools for JSON lines know them (pino, bunyan). */
+/** The log levels and their numbers, which are those of pino and bunyan, so that tools for JSON log lines know them. */
 const LEVELS = { debug: 20, info: 30, warn: 40, error: 50 } as const;
 
 type Level = keyof typeof LEVELS;
 
-/** The levels that `LOG_LEVEL` may name. */
+/** The levels that the environment variable `LOG_LEVEL` may name. */
 const CONFIGURABLE_LEVELS = new Set<string>(['error', 'info', 'debug']);
 
 function isConfigurable(level: string): level is Level {
@@ -23,8 +23,9 @@
 }
 
 /**
- * Opens a logger that writes each line at once: a process may be killed without a signal. A logging library took
- * 30 of the program's 120 ms of start, and production logs next to nothing.
+ * Creates a logger that writes each line immediately, without a buffer: the process may be killed without notice. No
+ * logging library is used, since loading one takes 30 of the program's 120 ms of startup time, while production systems
+ * log almost nothing.
  */
 export function openLogger(
   member: string,
@@ -32,7 +33,7 @@
   write: (line: string) => void = (line) => process.stderr.write(line),
 ): Logger {
   const minLevel = LEVELS[isConfigurable(level) ? level : 'error'];
-  const writerOf = (name: Level): Logger['info'] => {
+  const createWriter = (name: Level): Logger['info'] => {
     const levelNumber = LEVELS[name];
     if (levelNumber < minLevel) return () => {};
     return (fields, message) =>
@@ -40,14 +41,14 @@
   };
   return {
     isInfoEnabled: LEVELS.info >= minLevel,
-    debug: writerOf('debug'),
-    info: writerOf('info'),
-    warn: writerOf('warn'),
-    error: writerOf('error'),
+    debug: createWriter('debug'),
+    info: createWriter('info'),
+    warn: createWriter('warn'),
+    error: createWriter('error'),
   };
 }
 
-/** A logger that writes nothing. */
+/** A logger that discards all lines. */
 export const silentLogger: Logger = {
   isInfoEnabled: false,
   debug() {},
@@ -56,7 +57,7 @@
   error() {},
 };
 
-/** Formats an error for a log line. */
+/** Returns the message of an error, or the string form of any other thrown value. */
 export function errorMessage(error: unknown): string {
   return error instanceof Error ? error.message : String(error);
 }
