--- a/test/unit/free-address.ts
+++ b/test/unit/free-address.ts
@@ -1,6 +1,6 @@
 import { type AddressInfo, createServer } from 'node:net';
 
-/** A loopback address at which nothing listens. */
+/** Returns a loopback address whose port is free: the port is chosen by the system and released again. */
 export function freeAddress(): Promise<string> {
   return new Promise((resolve) => {
     const probe = createServer().listen(0, '127.0.0.1', () => {
--- a/test/unit/front-server.test.ts
+++ b/test/unit/front-server.test.ts
@@ -6,7 +6,7 @@
 import { FrontServer } from '../../src/net/front-server.js';
 import { freeAddress } from './free-address.js';
 
-/** Real sockets on loopback; every wait is for an event. */
+/** Cleanup functions of each test. The tests use real loopback sockets, and wait for events rather than for times. */
 const closing: (() => void)[] = [];
 afterEach(() => closing.splice(0).forEach((close) => close()));
 
@@ -43,7 +43,7 @@
     expect((await http.call('GET', '/elsewhere', undefined, 5000)).status).toBe(404);
   });
 
-  it('tells a user when to come back, and answers 500 for what it could not do', async () => {
+  it('sends the retry-after header, and answers 500 if the handler fails', async () => {
     const address = await front({
       user: (verb) =>
         verb === 'query'
@@ -58,14 +58,14 @@
     expect((await fetch(`http://${address}/up`, { method: 'HEAD' })).status).toBe(200);
   });
 
-  it('refuses a body over the limit and goes on', async () => {
+  it('answers 413 to a body over the limit, and serves the next request', async () => {
     const address = await front({});
-    const long = await target(address).call('POST', '/v2/runs', 'x'.repeat(MAX_BODY_BYTES), 5000);
-    expect(long.status).toBe(413);
+    const tooLarge = await target(address).call('POST', '/v2/runs', 'x'.repeat(MAX_BODY_BYTES), 5000);
+    expect(tooLarge.status).toBe(413);
     expect((await target(address).call('GET', '/up', undefined, 5000)).status).toBe(200);
   });
 
-  it('answers more workers than it has sockets for, in turns', async () => {
+  it('serves more workers than it has sockets, by closing connections after responses', async () => {
     let concurrent = 0;
     let maxConcurrent = 0;
     const heartbeat = async (): Promise<{ status: number; body: null }> => {
@@ -75,35 +75,35 @@
       return { status: 200, body: null };
     };
     const address = await front({ heartbeat }, 60_000);
-    // Ten sockets, 40 workers that keep their connections and come at the same moment, three times each.
+    // 10 sockets, and 40 workers with keep-alive connections that start concurrently and send three heartbeats each.
     const sendHeartbeat = async (worker: HttpTarget): Promise<number> => {
-      for (let tries = 0; tries < 500; tries++) {
+      for (let attempts = 0; attempts < 500; attempts++) {
         const reply = await worker.call('POST', '/agent/beat', {}, 5000).catch(() => null);
         if (reply) return reply.status;
       }
       return 0;
     };
     const workers = Array.from({ length: 40 }, () => target(address));
-    const answers = await Promise.all(
+    const statuses = await Promise.all(
       workers.map(async (worker) => [
         await sendHeartbeat(worker),
         await sendHeartbeat(worker),
         await sendHeartbeat(worker),
       ]),
     );
-    expect(answers.flat().every((status) => status === 200)).toBe(true);
+    expect(statuses.flat().every((status) => status === 200)).toBe(true);
     expect(maxConcurrent).toBeLessThanOrEqual(10);
   });
 
-  it('answers what is no HTTP with 400', async () => {
+  it('answers 400 to bytes that are not HTTP', async () => {
     const address = await front({});
     const text = await new Promise<string>((resolve) => {
       const socket = connect(Number(address.split(':')[1]), '127.0.0.1', () =>
         socket.write('nonsense\r\n\r\n'),
       );
-      let read = '';
-      socket.on('data', (bytes) => (read += bytes.toString()));
-      socket.on('close', () => resolve(read));
+      let received = '';
+      socket.on('data', (bytes) => (received += bytes.toString()));
+      socket.on('close', () => resolve(received));
     });
     expect(text).toContain('400 Bad Request');
   });
--- a/test/unit/http-client.test.ts
+++ b/test/unit/http-client.test.ts
@@ -11,7 +11,7 @@
   }
 });
 
-/** Starts a server that hands each request's text to `respond`, with its index. */
+/** Starts a server that passes the text, the socket and the index of each request to `respond`. */
 async function startServer(
   respond: (request: string, socket: Socket, index: number) => void,
 ): Promise<string> {
@@ -34,8 +34,8 @@
 
 const OK = 'HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n{"a":1}';
 
-describe('HttpTarget', () => {
-  it('shares connections among calls, and sends none on one that waits for a response', async () => {
+describe('an HTTP connection pool', () => {
+  it('shares connections among calls, and sends no call on a connection with a pending response', async () => {
     const connections = new Set<Socket>();
     const address = await startServer((request, socket) => {
       expect(request.match(/HTTP\/1\.1/g)).toHaveLength(1);
@@ -50,8 +50,8 @@
     expect(connections.size).toBe(2);
   });
 
-  // A late response to one call must never be taken for the next one's.
-  it('closes the connection of a call that had no response in time', async () => {
+  // A late response to a call must not be taken for the response to the next call on the same connection.
+  it('closes the connection of a call whose deadline passed', async () => {
     const sockets: Socket[] = [];
     const address = await startServer((_request, socket, index) => {
       sockets.push(socket);
@@ -65,7 +65,7 @@
     expect(sockets[0]).not.toBe(sockets[1]);
   });
 
-  it('fails calls when the connection is lost or cannot be opened, and goes on afterwards', async () => {
+  it('fails calls when the connection is lost or refused, and reconnects for the next call', async () => {
     const address = await startServer((_request, socket, index) => {
       if (index === 0) socket.destroy();
       else socket.write(OK);
@@ -80,7 +80,7 @@
 });
 
 describe('WorkerConnections', () => {
-  it('never holds more sockets than it may, and keeps those of the workers called last', async () => {
+  it('never opens more sockets than its limit, and keeps the connections of the workers called last', async () => {
     let connected = 0;
     const addresses = await Promise.all(
       [0, 1, 2].map(async () => {
@@ -100,7 +100,7 @@
     const workers = new WorkerConnections(2);
     for (const address of [a, b, a, c, a, b, c]) {
       expect((await workers.call('show', address, undefined, 5000)).status).toBe(200);
-      // The other side sees a connection end some moments after we have given it up.
+      // The server sees the close of a connection some time after the client has closed the connection.
       await vi.waitFor(() => expect(connected).toBeLessThanOrEqual(2), { timeout: 10_000 });
     }
     expect(connected).toBe(2);
@@ -111,16 +111,17 @@
   });
 });
 
-describe('HttpTarget in a process that is behind', () => {
-  // Its timers come first: the response lay in the socket all the while, and the call had been carried out.
-  it('still takes a response that came in time', async () => {
+describe('an HTTP connection pool in a process with an overloaded event loop', () => {
+  // The event loop runs expired timers before socket reads. If the expired deadline alone decided, a call would fail
+  // although the server had executed the call and its response was already in the socket's receive buffer.
+  it('accepts a response that arrived before the deadline', async () => {
     const address = await startServer((_request, socket) => {
       socket.write(OK);
-      // The response has left; now nothing else runs until the deadline has passed.
+      // Blocks the event loop after the response was sent, until the call's deadline has passed.
       const until = performance.now() + 150;
       while (performance.now() < until);
     });
-    const answered = targetAt(address, 1).call('GET', '/x', undefined, 60);
-    expect((await answered).status).toBe(200);
+    const reply = targetAt(address, 1).call('GET', '/x', undefined, 60);
+    expect((await reply).status).toBe(200);
   });
 });
--- a/test/unit/logger.test.ts
+++ b/test/unit/logger.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest';
 import { openLogger } from '../../src/log/logger.js';
 
-describe('the log', () => {
-  it('writes one JSON object a line, at or above its level', () => {
+describe('openLogger', () => {
+  it('writes one JSON object per line, for lines at or above its level', () => {
     const lines: string[] = [];
     const log = openLogger('node-0', 'info', (line) => lines.push(line));
     log.debug({}, 'not written');
--- a/test/unit/operators.test.ts
+++ b/test/unit/operators.test.ts
@@ -12,7 +12,7 @@
     });
   });
 
-  it('keeps the names of its fields', () => {
+  it('reads every field under its documented name', () => {
     const settings = readOperators({
       cluster: { grant_s: 3, answer_alone_s: 12 },
       forecast: { slot_s: 20, beta: 0.4, firm_beta: 0.9, hit_s: 2, idle_cost: 40, average_slots: 5 },
--- a/test/unit/socket-shares.test.ts
+++ b/test/unit/socket-shares.test.ts
@@ -1,17 +1,17 @@
 import { describe, expect, it } from 'vitest';
 import { shareSockets } from '../../src/net/socket-shares.js';
 
-describe('shareSockets', () => {
+describe('the allocation of sockets', () => {
   it.each([
     [2500, 2],
     [1200, 4],
     [300, 2],
-  ])('never shares a socket out twice (%i, %i peers)', (sockets, peers) => {
-    const shares = shareSockets(sockets, peers);
+  ])('allocates no more than %i sockets with %i peers', (maxSockets, peerCount) => {
+    const shares = shareSockets(maxSockets, peerCount);
     const { front, store, storeWatches, cloud, workers } = shares;
-    expect(front + shares.peers + peers + store + storeWatches + cloud + workers).toBeLessThanOrEqual(
-      sockets,
+    expect(front + shares.peers + peerCount + store + storeWatches + cloud + workers).toBeLessThanOrEqual(
+      maxSockets,
     );
-    expect(front).toBeGreaterThan(sockets * 0.4);
+    expect(front).toBeGreaterThan(maxSockets * 0.4);
   });
 });
