--- a/src/peer/frame-socket.ts
+++ b/src/peer/frame-socket.ts
@@ -3,7 +3,10 @@
 import { errorMessage, type Logger } from '../log/logger.js';
 import { type Frame, FrameReader } from './frames.js';
 
-/** Writes a frame. Frames of one turn of the event loop leave in one write: each write costs a system call. */
+/**
+ * Writes a frame to a socket. Frames that are written in the same turn of the event loop are combined into one system
+ * call by corking the socket.
+ */
 export function writeFrame(socket: Socket, frame: Buffer): void {
   if (socket.writableCorked === 0) {
     socket.cork();
@@ -12,7 +15,7 @@
   socket.write(frame);
 }
 
-/** Hands over each frame that arrives. The socket is closed where one cannot be read or handled. */
+/** Passes each frame received on a socket to `handle`. Destroys the socket if a frame cannot be decoded or handled. */
 export function readFrames(socket: Socket, log: Logger, handle: (frame: Frame) => void): void {
   const reader = new FrameReader();
   socket.on('data', (bytes) => {
--- a/src/peer/link.ts
+++ b/src/peer/link.ts
@@ -1,4 +1,4 @@
-/** The link to one other controller: connects, keeps the connection alive and sends requests over it. */
+/** The link to another controller: connects, sends keepalive pings, reconnects, and sends requests. */
 import { connect, type Socket } from 'node:net';
 import type { Logger } from '../log/logger.js';
 import type { MemberId } from '../model/ids.js';
@@ -12,29 +12,29 @@
 import { decodePing, encodePing, type Ping } from './ping.js';
 
 const PING_INTERVAL_MS = 500;
-/** A connection on which nothing arrives for this long is closed. */
-const SILENCE_TIMEOUT_MS = 2500;
+/** A connection on which no frame is received for this time is closed. */
+const IDLE_TIMEOUT_MS = 2500;
 const RECONNECT_DELAY_MS = 400;
 const CONNECT_TIMEOUT_MS = 1500;
-/** With more than this waiting to be written nothing further is sent. */
+/** Frames are not sent while the socket buffers more unsent bytes than this. */
 const MAX_UNSENT_BYTES = 4 << 20;
-/** Request ids start again at 1 after this; 0 means that no response is expected. */
+/** The highest request id; the next id is 1, as id 0 means that no response is expected. */
 const MAX_REQUEST_ID = 0xffff_fffe;
 
-/** What a link to another controller is made of. */
+/** Options of a `PeerLink`. */
 export interface PeerLinkOptions {
   readonly member: MemberId;
   readonly address: string;
   readonly clock: Clock;
   readonly log: Logger;
-  /** What this controller says of itself. */
+  /** Returns the ping that describes this controller. */
   readonly localPing: () => Ping;
   readonly onPing: (ping: Ping) => void;
-  /** The other side has shown its version, on this connection for the first time. */
+  /** Called for the first ping on each connection, which announces the peer's protocol version. */
   readonly onVersion?: (link: PeerLink) => void;
 }
 
-/** This controller's side of the connection to one other: this one sends requests, the other responds. */
+/** The client side of the connection to another controller: this controller sends requests, the peer responds. */
 export class PeerLink implements Peer {
   readonly member: MemberId;
   private readonly clock: Clock;
@@ -42,7 +42,7 @@
   private socket: Socket | null = null;
   private isSocketOpen = false;
   private nextRequestId = 1;
-  private lastHeardAt: MonotonicTime | null = null;
+  private lastReceivedAt: MonotonicTime | null = null;
   private latestPing: Ping | null = null;
 
   constructor(private readonly options: PeerLinkOptions) {
@@ -50,7 +50,7 @@
     this.clock = options.clock;
   }
 
-  /** Connects, and connects anew whenever the connection is lost, until the process ends. */
+  /** Connects to the peer, and reconnects whenever the connection is lost, until the process exits. */
   start(): void {
     this.connect();
     runPeriodically(this.clock, PING_INTERVAL_MS, () => this.keepAlive());
@@ -68,7 +68,7 @@
     return this.isConnected && (this.latestPing?.load ?? 0) < MAX_LOAD_FOR_DELEGATED_WORK;
   }
 
-  /** Whether it accepts confirmed cancellations. */
+  /** Whether the peer is connected and supports `FrameKind.ConfirmedCancellations`. */
   get supportsCancellations(): boolean {
     return this.supports(DEPENDENCIES_VERSION);
   }
@@ -77,7 +77,7 @@
     return this.isConnected && (this.latestPing?.version ?? UNVERSIONED) >= version;
   }
 
-  /** Sends a frame; false: it was not sent. */
+  /** Sends a frame. Returns false if the frame was not sent: there is no connection, or too much unsent data. */
   send(kind: FrameKind, requestId: number, payload: Buffer): boolean {
     if (!this.isSocketOpen || !this.socket || this.socket.writableLength > MAX_UNSENT_BYTES) return false;
     writeFrame(this.socket, encodeFrame(kind, requestId, payload));
@@ -92,11 +92,12 @@
         resolve(null);
         return;
       }
-      const giveUp = (): void => {
+      const expireRequest = (): void => {
         if (this.pendingRequests.delete(requestId)) resolve(null);
       };
-      // A process that is behind runs its timers first: a response that lies unread in the socket still counts.
-      const cancelDeadline = this.clock.after(deadlineMs, () => setImmediate(giveUp));
+      // After a delay of this process, the event loop runs timers before it reads sockets. `setImmediate` postpones the
+      // expiry until a response that is already in the socket buffer has been read.
+      const cancelDeadline = this.clock.after(deadlineMs, () => setImmediate(expireRequest));
       this.pendingRequests.set(requestId, (response) => {
         cancelDeadline();
         resolve(response);
@@ -115,7 +116,7 @@
     socket.on('connect', () => {
       cancelTimeout();
       this.isSocketOpen = true;
-      this.lastHeardAt = this.clock.now();
+      this.lastReceivedAt = this.clock.now();
       this.sendPing();
     });
     readFrames(socket, log, (frame) => this.receive(frame));
@@ -135,9 +136,9 @@
 
   private keepAlive(): void {
     if (!this.isSocketOpen) return;
-    const isSilent =
-      this.lastHeardAt !== null && since(this.clock.now(), this.lastHeardAt) > SILENCE_TIMEOUT_MS;
-    if (isSilent) this.socket?.destroy();
+    const isIdle =
+      this.lastReceivedAt !== null && since(this.clock.now(), this.lastReceivedAt) > IDLE_TIMEOUT_MS;
+    if (isIdle) this.socket?.destroy();
     else this.sendPing();
   }
 
@@ -146,7 +147,7 @@
   }
 
   private receive(frame: Frame): void {
-    this.lastHeardAt = this.clock.now();
+    this.lastReceivedAt = this.clock.now();
     if (frame.kind === FrameKind.Ping) {
       this.receivePing(decodePing(frame.payload));
     } else if (frame.kind === FrameKind.Response) {
--- a/src/peer/peer-status.ts
+++ b/src/peer/peer-status.ts
@@ -1,48 +1,48 @@
-/** The payload of `FrameKind.ConfirmedCancellations`, as a request, a response and a notification. */
+/** Encodes and decodes the payload of `FrameKind.ConfirmedCancellations` requests, responses and notifications. */
 import type { ConfirmedCancellation } from '../model/confirmed-cancellation.js';
 import { type Epoch, isJobId } from '../model/ids.js';
 import { type Millis, ms } from '../model/time.js';
 import { MalformedFrameError, MAX_PAYLOAD_BYTES } from './frames.js';
 
-/** Which cancellations a controller knows to be confirmed, and what it is as it says so. */
+/** The confirmed cancellations that a controller knows, with its uptime and leadership at the time of sending. */
 export interface PeerStatus {
-  /** How long its process has been up: what was confirmed before that, it may not know. */
+  /** How long the sender's process has run; the sender may not know cancellations confirmed before its start. */
   readonly uptime: Millis;
-  /** The epoch that it leads; null: it does not lead. */
+  /** The epoch that the sender leads; null: the sender is not the leader. */
   readonly leadingEpoch: Epoch | null;
   readonly cancellations: readonly ConfirmedCancellation[];
 }
 
-const HEAD_BYTES = 12;
-/** Bytes per cancellation beside the job's name. */
-const FIXED_BYTES = 5;
+const HEADER_BYTES = 12;
+/** Encoded size of a cancellation without the job name. */
+const FIXED_BYTES_PER_CANCELLATION = 5;
 const MAX_U32 = 0xffff_ffff;
 
 /**
- * Encodes: u32 uptime in ms, u64 epoch led (0: none); per job: u8 name length, name, u32 age in ms. Cancellations
- * that do not fit into one frame are left out.
+ * Encodes a status: u32 uptime in ms, u64 leading epoch (0: not the leader); per job: u8 name length, name, u32 age in
+ * ms. Cancellations that do not fit into one frame are omitted.
  */
 export function encodePeerStatus(status: PeerStatus): Buffer {
-  const head = Buffer.allocUnsafe(HEAD_BYTES);
-  head.writeUInt32BE(Math.min(MAX_U32, Math.floor(status.uptime)), 0);
-  head.writeBigUInt64BE(BigInt(status.leadingEpoch ?? 0), 4);
-  const parts: Buffer[] = [head];
-  let size = head.length;
+  const header = Buffer.allocUnsafe(HEADER_BYTES);
+  header.writeUInt32BE(Math.min(MAX_U32, Math.floor(status.uptime)), 0);
+  header.writeBigUInt64BE(BigInt(status.leadingEpoch ?? 0), 4);
+  const chunks: Buffer[] = [header];
+  let size = header.length;
   for (const { id, age } of status.cancellations) {
-    const part = Buffer.allocUnsafe(FIXED_BYTES + id.length);
-    part.writeUInt8(id.length, 0);
-    part.write(id, 1, 'ascii');
-    part.writeUInt32BE(Math.min(MAX_U32, Math.max(0, Math.floor(age))), 1 + id.length);
-    size += part.length;
+    const entry = Buffer.allocUnsafe(FIXED_BYTES_PER_CANCELLATION + id.length);
+    entry.writeUInt8(id.length, 0);
+    entry.write(id, 1, 'ascii');
+    entry.writeUInt32BE(Math.min(MAX_U32, Math.max(0, Math.floor(age))), 1 + id.length);
+    size += entry.length;
     if (size > MAX_PAYLOAD_BYTES) break;
-    parts.push(part);
+    chunks.push(entry);
   }
-  return Buffer.concat(parts);
+  return Buffer.concat(chunks);
 }
 
 /** Decodes a status. Throws `MalformedFrameError`. */
 export function decodePeerStatus(payload: Buffer): PeerStatus {
-  if (payload.length < HEAD_BYTES) throw truncated();
+  if (payload.length < HEADER_BYTES) throw truncatedPayloadError();
   const epoch = Number(payload.readBigUInt64BE(4));
   return {
     uptime: ms(payload.readUInt32BE(0)),
@@ -53,19 +53,19 @@
 
 function decodeCancellations(payload: Buffer): ConfirmedCancellation[] {
   const cancellations: ConfirmedCancellation[] = [];
-  for (let offset = HEAD_BYTES; offset < payload.length;) {
+  for (let offset = HEADER_BYTES; offset < payload.length;) {
     const length = payload.readUInt8(offset);
-    if (offset + FIXED_BYTES + length > payload.length) throw truncated();
+    if (offset + FIXED_BYTES_PER_CANCELLATION + length > payload.length) throw truncatedPayloadError();
     const id = payload.toString('ascii', offset + 1, offset + 1 + length);
     if (!isJobId(id)) {
-      throw new MalformedFrameError('invalid-payload', 'a list of cancellations with an invalid job name');
+      throw new MalformedFrameError('invalid-payload', 'cancellations payload contains an invalid job name');
     }
     cancellations.push({ id, age: ms(payload.readUInt32BE(offset + 1 + length)) });
-    offset += FIXED_BYTES + length;
+    offset += FIXED_BYTES_PER_CANCELLATION + length;
   }
   return cancellations;
 }
 
-function truncated(): MalformedFrameError {
-  return new MalformedFrameError('truncated-payload', 'a truncated list of cancellations');
+function truncatedPayloadError(): MalformedFrameError {
+  return new MalformedFrameError('truncated-payload', 'cancellations payload is truncated');
 }
--- a/src/peer/peer.ts
+++ b/src/peer/peer.ts
@@ -1,19 +1,19 @@
-/** What callers see of another controller; `PeerLink` is the connection to one. */
+/** The interface to another controller; `PeerLink` implements it. */
 import type { MemberId } from '../model/ids.js';
 import type { FrameKind, PeerResponse } from './frames.js';
 import type { Ping } from './ping.js';
 
-/** Another controller, as this one sees it and sends requests to it. */
+/** Another controller: its last reported status, and requests to it. */
 export interface Peer {
   readonly member: MemberId;
-  /** What it last said of itself; null: nothing on this connection. */
+  /** The peer's last ping on the current connection; null: none was received. */
   readonly lastPing: Ping | null;
-  /** Whether it was heard within the last moments. */
+  /** Whether the connection is open and a ping was received on it. */
   readonly isConnected: boolean;
-  /** Whether it is heard, and has time to spare for work that is handed to it. */
+  /** Whether the peer is connected and its load is low enough for delegated work. */
   readonly hasSpareCapacity: boolean;
-  /** Whether it is heard, and has at least this protocol version. */
+  /** Whether the peer is connected and has at least this protocol version. */
   supports(version: number): boolean;
-  /** Resolves with null if it cannot be reached or does not respond in time. */
+  /** Sends a request. Resolves with null if the peer cannot be reached or does not respond within the deadline. */
   request(kind: FrameKind, payload: Buffer, deadlineMs: number): Promise<PeerResponse | null>;
 }
--- a/src/peer/routed-caller.ts
+++ b/src/peer/routed-caller.ts
@@ -1,4 +1,7 @@
-/** Calls to workers: directly, through another controller across a partition, or through one with less load. */
+/**
+ * Routes calls to workers: directly, through another controller across a network partition, or through a controller
+ * with less load.
+ */
 import type { Heartbeat, WorkerCommand } from '../model/heartbeat.js';
 import type { AgentIncarnation, FencingToken } from '../model/ids.js';
 import { DELEGATION_LOAD } from '../model/load.js';
@@ -10,21 +13,21 @@
 import { type CallVerb, encodeWorkerCall } from './worker-call.js';
 import type { WorkerClient } from './worker-client.js';
 
-/** After a call failed on one route, that route is avoided for this long. */
+/** How long a route to a worker is avoided after a call on that route failed. */
 const ROUTE_AVOIDANCE_MS = 8000;
-/** What a controller that calls on our behalf is given beyond the call's own deadline. */
-const RELAY_ALLOWANCE_MS = 300;
+/** Time beyond a call's own deadline that a controller relaying the call has to respond. */
+const RELAY_DEADLINE_MARGIN_MS = 300;
 const OK_STATUS = 200;
 const CONFLICT_STATUS = 409;
-/** The status with which a controller responds that had no socket for the call: nothing was sent. */
+/** The status of a relayed call that was not sent because the relaying controller had no free socket. */
 export const NO_SOCKET_STATUS = 429;
 
-/** Makes one call to a worker from this process. */
+/** Makes calls to workers directly from this process. */
 export interface DirectWorkerCaller {
   call(verb: CallVerb, address: string, body: unknown, deadlineMs: number): Promise<CommandReply>;
 }
 
-/** Addresses for which a route is avoided for a while. */
+/** Worker addresses for which a route is avoided until a deadline. */
 class AvoidedAddresses {
   private readonly avoidedUntil = new Map<string, MonotonicTime>();
 
@@ -35,9 +38,9 @@
   }
 
   has(address: string): boolean {
-    const until = this.avoidedUntil.get(address);
-    if (until === undefined) return false;
-    if (until > this.clock.now()) return true;
+    const expiresAt = this.avoidedUntil.get(address);
+    if (expiresAt === undefined) return false;
+    if (expiresAt > this.clock.now()) return true;
     this.avoidedUntil.delete(address);
     return false;
   }
@@ -47,8 +50,10 @@
   }
 }
 
-/** Picks always the same peer for an address, so that its connections to workers are used again. */
-function peerFor(address: string, peers: readonly Peer[]): Peer | undefined {
+/**
+ * Selects a peer by a hash of the worker's address, so that calls to a worker reuse the same peer's connection to it.
+ */
+function peerForAddress(address: string, peers: readonly Peer[]): Peer | undefined {
   let hash = 0;
   for (let index = 0; index < address.length; index++) {
     hash = (hash * 31 + address.charCodeAt(index)) >>> 0;
@@ -57,21 +62,22 @@
 }
 
 /**
- * Reaches workers directly or, across a partition, through another controller: two zones that cannot
- * reach each other are mostly both reached from a third.
+ * Calls workers directly or, across a network partition, through another controller: a third zone can usually reach
+ * both of two zones that cannot reach each other. While this process is busy, calls are delegated to controllers with
+ * less load.
  */
 export class RoutedCaller implements WorkerClient {
   private readonly avoidedDirectly: AvoidedAddresses;
-  /** Avoided through the controller that makes calls for this one while it is busy. */
+  /** Addresses for which a delegated call, made through another controller while this process is busy, has failed. */
   private readonly avoidedByDelegation: AvoidedAddresses;
-  /** Commands across a partition go through the peers in turn. */
+  /** Round-robin counter that selects the peer for commands across a network partition. */
   private nextPeer = 0;
 
   constructor(
     private readonly direct: DirectWorkerCaller,
     private readonly peers: readonly Peer[],
     clock: Clock,
-    /** The share of its processor time that this process uses. */
+    /** Returns this process's processor utilization, between 0 and 1. */
     private readonly load: () => number,
   ) {
     this.avoidedDirectly = new AvoidedAddresses(clock);
@@ -112,8 +118,11 @@
       return reply.heartbeat;
     } catch (error) {
       const failures = (error as AggregateError).errors as unknown[];
-      const unsent = failures.find((failure) => failure instanceof NoSocketError);
-      throw unsent ?? new NoAnswerError('no controller reaches the worker');
+      const noSocketError = failures.find((failure) => failure instanceof NoSocketError);
+      throw (
+        noSocketError ??
+        new NoAnswerError('neither this controller nor any connected peer reached the worker')
+      );
     }
   }
 
@@ -127,10 +136,10 @@
     return this.peers.filter((peer) => peer.isConnected);
   }
 
-  /** The controller that makes this call for us; undefined: we make it. */
+  /** Returns the controller that a call is delegated to; undefined: this process makes the call itself. */
   private delegateFor(address: string): Peer | undefined {
     if (this.load() < DELEGATION_LOAD || this.avoidedByDelegation.has(address)) return undefined;
-    return peerFor(
+    return peerForAddress(
       address,
       this.peers.filter((peer) => peer.hasSpareCapacity),
     );
@@ -151,21 +160,21 @@
     }
   }
 
-  /** Throws `NoSocketError` where nothing was sent, and `NoAnswerError`. */
+  /** Makes a call through a peer. Throws `NoSocketError` if the call was not sent, otherwise `NoAnswerError`. */
   private async callThrough(peer: Peer, payload: Buffer, deadlineMs: number): Promise<CommandReply> {
-    const response = await peer.request(FrameKind.WorkerCall, payload, deadlineMs + RELAY_ALLOWANCE_MS);
+    const response = await peer.request(FrameKind.WorkerCall, payload, deadlineMs + RELAY_DEADLINE_MARGIN_MS);
     if (response?.status === NO_SOCKET_STATUS) {
-      throw new NoSocketError('the other controller has no socket free');
+      throw new NoSocketError('the relaying controller has no free socket');
     }
     if (response?.status !== OK_STATUS && response?.status !== CONFLICT_STATUS) {
-      throw new NoAnswerError('not reached');
+      throw new NoAnswerError('the relaying controller did not respond or did not reach the worker');
     }
     return readCommandReply(response.status, JSON.parse(response.body.toString('utf8')));
   }
 
   /**
-   * Sends commands through one peer: commands take one route at a time, as one that brought no answer may still
-   * arrive, and its caller must know. Without an answer the direct route is tried again next time.
+   * Sends commands through one peer. Commands use one route at a time: commands without an answer may still be
+   * executed, and the caller must know about them. Without an answer, the direct route is tried again on the next call.
    */
   private async sendThroughPeer(address: string, body: unknown, deadlineMs: number): Promise<CommandReply> {
     const payload = encodeWorkerCall('commands', address, deadlineMs, body);
@@ -174,17 +183,19 @@
     const reply = peer ? await this.callThrough(peer, payload, deadlineMs).catch(() => null) : null;
     if (reply) return reply;
     this.avoidedDirectly.delete(address);
-    throw new NoAnswerError('no controller reaches the worker');
+    throw new NoAnswerError('no answer from the worker through another controller');
   }
 
-  /** Reads the heartbeat through all peers at once: reading changes nothing, so every route may be taken. */
+  /**
+   * Fetches the heartbeat through all connected peers in parallel, which is safe since the request changes no state.
+   */
   private async fetchThroughPeers(address: string, deadlineMs: number): Promise<CommandReply> {
     const payload = encodeWorkerCall('show', address, deadlineMs, undefined);
     const calls = this.connectedPeers.map((peer) => this.callThrough(peer, payload, deadlineMs));
     try {
       return await Promise.any(calls);
     } catch (error) {
-      throw new NoAnswerError('no other controller reaches the worker', { cause: error });
+      throw new NoAnswerError('no connected peer reached the worker', { cause: error });
     }
   }
 }
--- a/src/peer/server.ts
+++ b/src/peer/server.ts
@@ -1,4 +1,4 @@
-/** The server for the connections of other controllers. */
+/** The server that accepts connections from other controllers. */
 import { createServer, type Server, type Socket } from 'node:net';
 import type { Logger } from '../log/logger.js';
 import type { MemberId } from '../model/ids.js';
@@ -7,42 +7,44 @@
 import { encodeFrame, encodeResponse, type Frame, FrameKind, type PeerResponse } from './frames.js';
 import { decodePing, encodePing, type Ping } from './ping.js';
 
-/** A connection on which nothing arrives for this long is closed. */
+/** A connection without socket activity for this time is closed. */
 const IDLE_TIMEOUT_MS = 15_000;
 
-type UnansweredKind = FrameKind.Ping | FrameKind.Response | FrameKind.Progress;
+type OneWayKind = FrameKind.Ping | FrameKind.Response | FrameKind.Progress;
 
-/** Kinds of frames that are requests. */
-export type RequestKind = Exclude<FrameKind, UnansweredKind>;
+/** Frame kinds that the server passes to `PeerHandler.handleRequest`. */
+export type RequestKind = Exclude<FrameKind, OneWayKind>;
 
 function isRequestKind(kind: FrameKind): kind is RequestKind {
   return kind !== FrameKind.Ping && kind !== FrameKind.Response && kind !== FrameKind.Progress;
 }
 
-/** Handles what other controllers send. */
+/** Handles the frames that other controllers send. */
 export interface PeerHandler {
-  /** What this controller says of itself. */
+  /** Returns the ping that describes this controller. */
   ping(): Ping;
   onProgress(payload: Buffer): void;
-  /** Never rejects. `from`: the sender, by its own last ping on this connection. */
+  /**
+   * Handles a request. Never rejects. `from`: the sender according to its last ping on the connection; empty before.
+   */
   handleRequest(kind: RequestKind, payload: Buffer, from: MemberId): Promise<PeerResponse>;
 }
 
-/** What a server for other controllers is made of. */
+/** Options of a `PeerServer`. */
 export interface PeerServerOptions {
   readonly handler: PeerHandler;
   readonly maxSockets: number;
   readonly log: Logger;
 }
 
-/** One accepted connection. */
+/** An accepted connection from another controller. */
 interface PeerConnection {
   readonly socket: Socket;
-  /** Empty until the first ping. */
+  /** The peer's name according to its last ping; empty before the first ping. */
   member: MemberId;
 }
 
-/** Listens for the other controllers and responds to their requests. */
+/** Accepts connections from other controllers and responds to their requests. */
 export class PeerServer {
   private readonly server: Server;
   private readonly handler: PeerHandler;
@@ -54,7 +56,7 @@
     this.server.on('error', (error) => log.error({ error: error.message }, 'peer server failed'));
   }
 
-  /** Resolves once the server listens; rejects if it cannot. */
+  /** Starts listening on an address. Resolves once the server listens; rejects if the address cannot be bound. */
   listen(address: string): Promise<void> {
     const { host, port } = splitAddress(address);
     return new Promise((resolve, reject) => {
@@ -66,7 +68,7 @@
     });
   }
 
-  /** Accepts no further connection. */
+  /** Stops accepting connections; open connections are kept. */
   close(): void {
     this.server.close();
   }
@@ -89,7 +91,7 @@
   private respond({ socket, member }: PeerConnection, kind: RequestKind, frame: Frame): void {
     const { requestId, payload } = frame;
     void this.handler.handleRequest(kind, payload, member).then(({ status, body }) => {
-      // A notification (request id 0) needs no response.
+      // A frame with request id 0 is a notification, which is not answered.
       if (requestId === 0 || !socket.writable) return;
       writeFrame(socket, encodeFrame(FrameKind.Response, requestId, encodeResponse(status, body)));
     });
--- a/src/peer/single-request.ts
+++ b/src/peer/single-request.ts
@@ -1,13 +1,13 @@
-/** One request to a controller over a connection of its own: for tools that are no controllers themselves. */
+/** A single request to a controller over a separate connection, for command-line tools. */
 import { connect } from 'node:net';
 import { splitAddress } from '../net/address.js';
 import { decodeResponse, encodeFrame, FrameKind, FrameReader, type PeerResponse } from './frames.js';
 
-/** Why a request brought no response. */
+/** Why a request received no response. */
 export type SingleRequestErrorCode =
   'timeout' | 'connection-failed' | 'connection-closed' | 'malformed-response';
 
-/** The request could not be sent, or brought no response; the message says why, for an operator. */
+/** Thrown if a request could not be sent or received no valid response. The message is meant for operators. */
 export class SingleRequestError extends Error {
   override readonly name = 'SingleRequestError';
 
@@ -22,7 +22,7 @@
 
 const REQUEST_ID = 1;
 
-/** Sends one request and resolves with its response. Rejects with `SingleRequestError`. */
+/** Opens a connection, sends one request and resolves with its response. Rejects with `SingleRequestError`. */
 export function sendSingleRequest(
   address: string,
   kind: FrameKind,
@@ -39,14 +39,21 @@
       reject(error);
     };
     const deadline = setTimeout(
-      () => fail(new SingleRequestError('timeout', `no answer within ${deadlineMs / 1000} s`)),
+      () => fail(new SingleRequestError('timeout', `no response within ${deadlineMs / 1000} s`)),
       deadlineMs,
     );
     socket.on('connect', () => socket.write(encodeFrame(kind, REQUEST_ID, payload)));
     socket.on('error', (error: NodeJS.ErrnoException) =>
       fail(new SingleRequestError('connection-failed', error.code ?? error.message, { cause: error })),
     );
-    socket.on('close', () => fail(new SingleRequestError('connection-closed', 'it closed the connection')));
+    socket.on('close', () =>
+      fail(
+        new SingleRequestError(
+          'connection-closed',
+          'the connection was closed before a response was received',
+        ),
+      ),
+    );
     socket.on('data', (bytes) => {
       try {
         const response = reader.push(bytes).find((frame) => frame.kind === FrameKind.Response);
@@ -55,7 +62,7 @@
         resolve(decodeResponse(response.payload));
         socket.destroy();
       } catch (error) {
-        const problem = 'it does not speak the protocol of controllers';
+        const problem = 'the response is not a valid message of the peer protocol';
         fail(new SingleRequestError('malformed-response', problem, { cause: error }));
       }
     });
--- a/src/peer/user-request.ts
+++ b/src/peer/user-request.ts
@@ -1,19 +1,19 @@
-/** The payload of `FrameKind.UserRequest`. */
+/** Encodes and decodes the payload of `FrameKind.UserRequest`. */
 import { MalformedFrameError } from './frames.js';
 
-/** What a user asks for. */
+/** The operation that a user requests on a job. */
 export type UserVerb = 'submit' | 'query' | 'cancel';
 
-/** A user's request that another controller forwards. */
+/** A user's request that one controller forwards to another. */
 export interface UserRequest {
   readonly verb: UserVerb;
   readonly body: Buffer;
 }
 
-/** A verb's index is its number in the format. */
+/** The verbs by their numbers in the wire format. */
 const VERBS: readonly UserVerb[] = ['submit', 'query', 'cancel'];
 
-/** Encodes: u8 verb, body. */
+/** Encodes a user's request: u8 verb, body. */
 export function encodeUserRequest(verb: UserVerb, body: Buffer): Buffer {
   return Buffer.concat([Buffer.from([VERBS.indexOf(verb)]), body]);
 }
@@ -21,6 +21,6 @@
 /** Decodes a user's request. Throws `MalformedFrameError`. */
 export function decodeUserRequest(payload: Buffer): UserRequest {
   const verb = payload.length > 0 ? VERBS[payload.readUInt8(0)] : undefined;
-  if (!verb) throw new MalformedFrameError('invalid-payload', 'an unknown request');
+  if (!verb) throw new MalformedFrameError('invalid-payload', 'user request has no verb or an unknown verb');
   return { verb, body: payload.subarray(1) };
 }
--- a/src/peer/worker-client.ts
+++ b/src/peer/worker-client.ts
@@ -1,9 +1,11 @@
-/** The interface by which a leader calls workers; `RoutedCaller` implements it. */
+/** The interface through which the leader calls workers; `RoutedCaller` implements it. */
 import type { Heartbeat, WorkerCommand } from '../model/heartbeat.js';
 import type { AgentIncarnation, FencingToken } from '../model/ids.js';
 import type { CommandReply } from '../wire/workers.js';
 
-/** Calls to workers at their own addresses, on whatever route. Calls reject with `NoAnswerError` and `NoSocketError`. */
+/**
+ * Calls workers by address; the implementation chooses the route. Calls reject with `NoAnswerError` or `NoSocketError`.
+ */
 export interface WorkerClient {
   sendCommands(
     address: string,
@@ -12,6 +14,8 @@
     commands: readonly WorkerCommand[],
     deadlineMs: number,
   ): Promise<CommandReply>;
-  /** `useEveryRoute`: directly and through the other controllers at the same time. */
+  /**
+   * Fetches a worker's heartbeat. `useEveryRoute`: calls directly and through all connected controllers in parallel.
+   */
   fetchHeartbeat(address: string, deadlineMs: number, useEveryRoute: boolean): Promise<Heartbeat | null>;
 }
--- a/test/unit/peer-link.test.ts
+++ b/test/unit/peer-link.test.ts
@@ -13,9 +13,9 @@
 import { PeerServer } from '../../src/peer/server.js';
 import { freeAddress } from './free-address.js';
 
-/** Real sockets on loopback; every wait is for an event. */
-const closing: (() => void)[] = [];
-afterEach(() => closing.splice(0).forEach((close) => close()));
+/** Closes the servers of a test. The tests use real sockets on loopback, and wait for events instead of fixed times. */
+const cleanups: (() => void)[] = [];
+afterEach(() => cleanups.splice(0).forEach((close) => close()));
 
 function pingOf(member: string, version: number): Ping {
   return { member, isStoreReachable: true, leadingEpoch: null, version, load: 0 };
@@ -34,8 +34,8 @@
     });
     const address = await freeAddress();
     await server.listen(address);
-    closing.push(() => server.close());
-    const heard = await new Promise<{ link: PeerLink; from: Ping }>((resolve) => {
+    cleanups.push(() => server.close());
+    const firstPing = await new Promise<{ link: PeerLink; from: Ping }>((resolve) => {
       const link: PeerLink = new PeerLink({
         member: 'b' as MemberId,
         address,
@@ -46,27 +46,27 @@
       });
       link.start();
     });
-    expect(heard.from.member).toBe('b');
-    const response = await heard.link.request(FrameKind.Heartbeat, Buffer.from('{}'), 5000);
+    expect(firstPing.from.member).toBe('b');
+    const response = await firstPing.link.request(FrameKind.Heartbeat, Buffer.from('{}'), 5000);
     expect(response).toMatchObject({ status: 200 });
     expect(response?.body.toString()).toBe('{}');
   });
 });
 
 describe('PeerGroup', () => {
-  it('warns where a controller comes back with an earlier version', async () => {
+  it('logs a warning when a controller reconnects with an earlier version', async () => {
     const versions = [PROTOCOL_VERSION, UNVERSIONED];
     const server = createServer((socket) => {
       const version = versions.shift() ?? UNVERSIONED;
       socket.write(encodeFrame(FrameKind.Ping, 0, encodePing(pingOf('b', version))));
-      // The first process ends, and another one takes its place.
+      // The first process exits, and a process of an earlier version replaces it.
       if (version > UNVERSIONED) setTimeout(() => socket.destroy(), 50);
     });
     const address = await freeAddress();
     const { host, port } = splitAddress(address);
     server.listen({ host, port });
-    closing.push(() => server.close());
-    const upgraded: string[] = [];
+    cleanups.push(() => server.close());
+    const upgradeEvents: string[] = [];
     const warning = await new Promise<object>((resolve) => {
       const group = new PeerGroup({
         peers: [{ member: 'b' as MemberId, address }],
@@ -78,11 +78,11 @@
           leadingEpoch: () => null,
           observedLeader: () => null,
         },
-        listener: { onPeerLeading: () => {}, onAllUpgraded: () => upgraded.push('all') },
+        listener: { onPeerLeading: () => {}, onAllUpgraded: () => upgradeEvents.push('all') },
       });
       group.start();
     });
-    expect(upgraded).toEqual(['all']);
+    expect(upgradeEvents).toEqual(['all']);
     expect(warning).toEqual({ member: 'b' });
   });
 });
--- a/test/unit/routed-caller.test.ts
+++ b/test/unit/routed-caller.test.ts
@@ -7,51 +7,51 @@
 
 describe('RoutedCaller', () => {
   const reply = { status: 200, body: Buffer.from('{}') };
-  const peer = (asked: string[], name: string, hasSpareCapacity: boolean, status = 200): Peer => ({
+  const peer = (calledRoutes: string[], name: string, hasSpareCapacity: boolean, status = 200): Peer => ({
     member: name as MemberId,
     lastPing: null,
     isConnected: true,
     hasSpareCapacity,
     supports: () => true,
     request: () => {
-      asked.push(name);
+      calledRoutes.push(name);
       return Promise.resolve({ ...reply, status });
     },
   });
 
-  function caller(load: number, peers: (asked: string[]) => Peer[]) {
-    const asked: string[] = [];
+  function caller(load: number, peers: (calledRoutes: string[]) => Peer[]) {
+    const calledRoutes: string[] = [];
     const direct = {
       call: () => {
-        asked.push('direct');
+        calledRoutes.push('direct');
         return Promise.resolve({ executed: true, heartbeat: null });
       },
     };
-    const routed = new RoutedCaller(direct, peers(asked), new VirtualClock(), () => load);
+    const routed = new RoutedCaller(direct, peers(calledRoutes), new VirtualClock(), () => load);
     const command = () =>
       routed.sendCommands('10.1.0.1:9000', 1 as FencingToken, 1 as AgentIncarnation, [], 1500);
-    return { asked, command };
+    return { calledRoutes, command };
   }
 
-  it('calls through a peer with spare capacity while this controller is busy, and through no other', async () => {
-    const idle = caller(0.2, (asked) => [peer(asked, 'b', true)]);
+  it('calls through a peer with spare capacity while this controller is busy, and otherwise directly', async () => {
+    const idle = caller(0.2, (calledRoutes) => [peer(calledRoutes, 'b', true)]);
     await idle.command();
-    expect(idle.asked).toEqual(['direct']);
-    const busy = caller(0.9, (asked) => [peer(asked, 'b', true)]);
+    expect(idle.calledRoutes).toEqual(['direct']);
+    const busy = caller(0.9, (calledRoutes) => [peer(calledRoutes, 'b', true)]);
     await busy.command();
-    expect(busy.asked).toEqual(['b']);
-    const allBusy = caller(0.9, (asked) => [peer(asked, 'b', false)]);
+    expect(busy.calledRoutes).toEqual(['b']);
+    const allBusy = caller(0.9, (calledRoutes) => [peer(calledRoutes, 'b', false)]);
     await allBusy.command();
-    expect(allBusy.asked).toEqual(['direct']);
+    expect(allBusy.calledRoutes).toEqual(['direct']);
   });
 
-  it('calls directly after a call through a peer failed: that a controller reaches no worker says nothing of the worker', async () => {
-    const failing = caller(0.9, (asked) => [peer(asked, 'b', true, 503)]);
+  it('calls directly after a call through a peer failed, which is no evidence that the worker failed', async () => {
+    const failing = caller(0.9, (calledRoutes) => [peer(calledRoutes, 'b', true, 503)]);
     await expect(failing.command()).rejects.toThrow(NoAnswerError);
     await failing.command();
-    expect(failing.asked).toEqual(['b', 'direct']);
-    // Nothing was sent: the host is under no suspicion.
-    const full = caller(0.9, (asked) => [peer(asked, 'b', true, NO_SOCKET_STATUS)]);
+    expect(failing.calledRoutes).toEqual(['b', 'direct']);
+    // The call was not sent, so the error must not count as missing contact with the worker.
+    const full = caller(0.9, (calledRoutes) => [peer(calledRoutes, 'b', true, NO_SOCKET_STATUS)]);
     await expect(full.command()).rejects.toThrow(NoSocketError);
   });
 });
