--- a/packages/membership/src/codec.ts
+++ b/packages/membership/src/codec.ts
@@ -1,23 +1,24 @@
 /**
- * Encodes messages as JSON and checks every field when decoding. The names in the schemas are the wire format: members
- * of different versions exchange them, so they must not change.
+ * Encodes messages as JSON, and validates every field when decoding. The field names in the schemas are the wire
+ * format: members of different versions exchange messages, so the names must not change.
  */
 import * as z from 'zod/mini';
 import { type Message, MessageKind } from './messages.js';
 
-/** A larger message is neither sent nor decoded. */
+/** The maximum size of an encoded message; larger messages are neither sent nor decoded. */
 export const MAX_MESSAGE_BYTES = 64 * 1024;
 const MAX_NAME_LENGTH = 200;
+/** The maximum number of rows and of missing members in a message, and of peers in a row. */
 const MAX_ROWS = 64;
 
-/** Why bytes could not be decoded. */
+/** Why a message could not be decoded. */
 export enum DecodeErrorCode {
   Oversized = 'oversized',
   Malformed = 'malformed',
   UnknownKind = 'unknown kind',
 }
 
-/** Thrown for bytes that are not a valid message. */
+/** Thrown if bytes are not a valid message. */
 export class DecodeError extends Error {
   constructor(
     readonly code: DecodeErrorCode,
@@ -29,55 +30,55 @@
   }
 }
 
-const name = z.string().check(z.minLength(1), z.maxLength(MAX_NAME_LENGTH));
-const count = z.int().check(z.nonnegative());
-const age = z.number().check(z.nonnegative());
-const identitySchema = z.object({ member: name, process: name, incarnation: count });
+const nameSchema = z.string().check(z.minLength(1), z.maxLength(MAX_NAME_LENGTH));
+const countSchema = z.int().check(z.nonnegative());
+const ageSchema = z.number().check(z.nonnegative());
+const identitySchema = z.object({ member: nameSchema, process: nameSchema, incarnation: countSchema });
 const observationSchema = z.object({
   identity: identitySchema,
-  heardAgoMs: z.nullable(age),
-  reachedAgoMs: z.nullable(age),
-  vouchedAgoMs: z.nullable(age),
-  suspectedForMs: z.nullable(age),
+  heardAgoMs: z.nullable(ageSchema),
+  reachedAgoMs: z.nullable(ageSchema),
+  vouchedAgoMs: z.nullable(ageSchema),
+  suspectedForMs: z.nullable(ageSchema),
 });
 const rowSchema = z.object({
   observer: identitySchema,
-  version: count,
-  ageMs: age,
+  version: countSchema,
+  ageMs: ageSchema,
   leaving: z.boolean(),
   load: z.number().check(z.gte(0), z.lte(1)),
   ready: z.boolean(),
-  localHealth: count,
+  localHealth: countSchema,
   peers: z.array(observationSchema).check(z.maxLength(MAX_ROWS)),
 });
 const envelope = {
   from: identitySchema,
-  sequence: count,
+  sequence: countSchema,
   aboutReceiver: z.nullable(z.object({ identity: identitySchema, suspected: z.boolean() })),
 };
 const messageSchema = z.discriminatedUnion('kind', [
   z.object({
     kind: z.literal(MessageKind.Probe),
     ...envelope,
-    missing: z.array(name).check(z.maxLength(MAX_ROWS)),
+    missing: z.array(nameSchema).check(z.maxLength(MAX_ROWS)),
   }),
   z.object({
     kind: z.literal(MessageKind.Answer),
     ...envelope,
     rows: z.array(rowSchema).check(z.maxLength(MAX_ROWS)),
   }),
-  z.object({ kind: z.literal(MessageKind.IndirectProbe), ...envelope, target: name }),
+  z.object({ kind: z.literal(MessageKind.IndirectProbe), ...envelope, target: nameSchema }),
   z.object({
     kind: z.literal(MessageKind.IndirectAnswer),
     ...envelope,
-    target: name,
+    target: nameSchema,
     answeredBy: z.nullable(identitySchema),
   }),
 ]);
 
 const KINDS = new Set<unknown>(Object.values(MessageKind));
 
-/** Encodes a message for sending. */
+/** Encodes a message as UTF-8 JSON. */
 export function encodeMessage(message: Message): Uint8Array {
   return Buffer.from(JSON.stringify(message), 'utf8');
 }
@@ -86,7 +87,7 @@
   try {
     return JSON.parse(Buffer.from(payload.buffer, payload.byteOffset, payload.byteLength).toString('utf8'));
   } catch (cause) {
-    throw new DecodeError(DecodeErrorCode.Malformed, 'not JSON', { cause });
+    throw new DecodeError(DecodeErrorCode.Malformed, 'message is not valid JSON', { cause });
   }
 }
 
@@ -94,10 +95,13 @@
   return typeof body === 'object' && body !== null ? (body as { kind?: unknown }).kind : undefined;
 }
 
-/** Decodes and checks a message. Throws only `DecodeError`. */
+/** Decodes and validates a message. Throws only `DecodeError`. */
 export function decodeMessage(payload: Uint8Array): Message {
   if (payload.byteLength > MAX_MESSAGE_BYTES) {
-    throw new DecodeError(DecodeErrorCode.Oversized, `${payload.byteLength} bytes`);
+    throw new DecodeError(
+      DecodeErrorCode.Oversized,
+      `message of ${payload.byteLength} bytes exceeds the limit of 64 KiB`,
+    );
   }
   const body = parseJson(payload);
   const kind = kindOf(body);
@@ -107,8 +111,11 @@
   const parsed = messageSchema.safeParse(body);
   if (!parsed.success) {
     const issue = parsed.error.issues[0];
-    throw new DecodeError(DecodeErrorCode.Malformed, issue ? `field ${issue.path.join('.')}` : 'invalid');
+    throw new DecodeError(
+      DecodeErrorCode.Malformed,
+      issue ? `invalid field ${issue.path.join('.')}` : 'message does not match the schema',
+    );
   }
-  // Branded types do not exist at run time, so the schema's result lacks the brands that it has checked.
+  // Branded types exist only at compile time, so the parsed result has plain types and must be cast.
   return parsed.data as unknown as Message;
 }
--- a/packages/membership/src/environment.ts
+++ b/packages/membership/src/environment.ts
@@ -1,36 +1,42 @@
-/** The dependencies that the package is given: clock, randomness, transport to peers, and log. */
+/** The external dependencies of the package: clock, random numbers, transport to peers, and log. */
 import type { MemberId } from './identity.js';
 
 /** Cancels a timer. */
 export type Cancel = () => void;
 
-/** A monotonic clock and the time of day, both in milliseconds. */
+/** A monotonic clock, the wall clock and timers; all times are in milliseconds. */
 export interface Clock {
-  /** Monotonic time; not comparable between processes. */
+  /** Returns monotonic time, which is not comparable between processes. */
   now(): number;
-  /** Milliseconds since 1970, within some bound of true time. */
+  /** Returns milliseconds since the Unix epoch (1970); the clock's error is bounded. */
   wall(): number;
-  /** Calls `run` once after the delay, unless cancelled. */
+  /** Calls `run` once after the delay. The result cancels the timer. */
   after(delayMs: number, run: () => void): Cancel;
 }
 
-/** A number from 0 up to 1. */
+/** Returns a random number from 0 (inclusive) to 1 (exclusive). */
 export type Random = () => number;
 
-/** Whether a peer's program supports membership messages. */
+/** Whether a peer's version supports membership messages. */
 export enum PeerSupport {
-  /** It handles membership messages. */
+  /** The peer handles membership messages. */
   Supported = 'supported',
-  /** It is connected and has announced an earlier version, which does not support them. */
+  /** The peer is connected and has announced an earlier version, without support for membership messages. */
   Unsupported = 'unsupported',
-  /** There is no connection, so its version is not known. */
+  /** There is no connection to the peer, so the peer's version is not known. */
   Unknown = 'unknown',
 }
 
-/** Sends requests to peers. A request may be lost, delayed or repeated; an answer belongs to one request. */
+/**
+ * Sends requests to peers. A request may be lost, delayed or duplicated; each answer belongs to exactly one request.
+ */
 export interface Transport {
-  /** Resolves to the answer; null if the request was not sent or not answered in time. Never rejects. */
+  /**
+   * Sends a request. Resolves to the answer, or to null if the request was not sent or not answered in time. Never
+   * rejects.
+   */
   request(to: MemberId, payload: Uint8Array, deadlineMs: number): Promise<Uint8Array | null>;
+  /** Returns whether a peer supports membership messages. */
   support(peer: MemberId): PeerSupport;
 }
 
@@ -40,11 +46,11 @@
   warn(fields: object, text: string): void;
 }
 
-/** What this controller states about itself in every answer. */
+/** The status that this controller reports about itself in every answer. */
 export interface SelfReport {
-  /** The share of processor time in use, between 0 and 1. */
+  /** Processor utilization, between 0 and 1. */
   readonly load: number;
-  /** Whether it could own work now: it reaches the key-value store and has the data that it needs. */
+  /** Whether this controller could own work now: it reaches the key-value store and has loaded the required data. */
   readonly ready: boolean;
 }
 
--- a/packages/membership/src/events.ts
+++ b/packages/membership/src/events.ts
@@ -1,4 +1,4 @@
-/** Events that a member raises about other members and about itself. */
+/** Events that a member emits about other members and about itself. */
 import type { Evidence } from './evidence.js';
 import type { Identity, MemberId } from './identity.js';
 import type { MemberState } from './verdict.js';
@@ -13,7 +13,7 @@
   readonly evidence: readonly Evidence[];
 }
 
-/** A suspected or failed member has refuted that: it is alive. */
+/** A suspected or failed member has refuted the suspicion or verdict, and is alive. */
 interface Refuted {
   readonly kind: 'refuted';
   readonly member: MemberId;
@@ -21,34 +21,34 @@
   readonly from: MemberState.Suspect | MemberState.Failed;
 }
 
-/** A member's process was restarted: whatever the former process owned is no longer held. */
+/** A member's process was restarted, so whatever the previous process owned is no longer held. */
 interface Restarted {
   readonly kind: 'restarted';
   readonly member: MemberId;
   readonly identity: Identity;
 }
 
-/** This process did not run for some time. */
+/** This process was paused: it did not run for `pausedMs`. */
 interface SelfPaused {
   readonly kind: 'self-paused';
   readonly pausedMs: number;
 }
 
-/** Others suspected this process; it has raised its incarnation to refute that. */
+/** A peer suspected this process, which has raised its incarnation to refute the suspicion. */
 interface SelfSuspected {
   readonly kind: 'self-suspected';
   readonly incarnation: number;
 }
 
-/** This process gained or lost contact with a majority of the members, itself counted. */
+/** This process gained or lost contact with a majority of the members, counting itself. */
 interface ContactChanged {
   readonly kind: 'contact-changed';
   readonly hasMajority: boolean;
 }
 
-/** Any event of a member. */
+/** Any event that a member emits. */
 export type MembershipEvent =
   StateChanged | Refuted | Restarted | SelfPaused | SelfSuspected | ContactChanged;
 
-/** Receives events, one at a time, in order. */
+/** Receives events one at a time, in the order in which they occurred. */
 export type MembershipListener = (event: MembershipEvent) => void;
--- a/packages/membership/src/evidence.ts
+++ b/packages/membership/src/evidence.ts
@@ -1,16 +1,16 @@
-/** Evidence for or against a member: who observed what, how long ago, over which link and in which direction. */
+/** Evidence about a member's liveness: which observer found which condition of its link with the member, and when. */
 import type { MemberId } from './identity.js';
 import type { ObservationRow, PeerObservation } from './messages.js';
 
 /** The condition of an observer's link with a member. */
 export enum LinkCondition {
-  /** Probes are answered. */
+  /** The member answers the observer's direct probes. */
   Reached = 'reached',
-  /** Probes are answered only through another member: the link between the two is cut. */
+  /** Only indirect probes through another member are answered: the link between observer and member is cut. */
   ReachedIndirectly = 'reached-through-others',
-  /** The member's messages arrive, but it answers no probe: the path to it is cut. */
+  /** The member's messages arrive, but the member answers no probe: the path to the member is cut. */
   HeardOnly = 'heard-only',
-  /** No message arrives, and no probe is answered. */
+  /** No message of the member arrives, and no probe is answered. */
   Silent = 'silent',
 }
 
@@ -21,19 +21,21 @@
   readonly condition: LinkCondition;
   /** How long the link has been in this condition. */
   readonly durationMs: number;
-  /** How long the observer has suspected the member; null: it does not. */
+  /** How long the observer has suspected the member; null: the observer does not suspect the member. */
   readonly suspectedForMs: number | null;
   /** Time since the member last answered the observer, directly or indirectly; Infinity: never. */
   readonly answeredAgoMs: number;
-  /** Upper bound of the finding's age. */
+  /** Upper bound on the age of this finding. */
   readonly ageMs: number;
-  /** The observer's local health score: above 0 it is slow itself, and its findings take longer to count. */
+  /**
+   * The observer's local health score; above 0 the observer itself is slow, and its suspicions need more time to count.
+   */
   readonly observerHealthScore: number;
 }
 
 const orInfinity = (ms: number | null): number => ms ?? Infinity;
 
-/** Classifies a link. `windowMs`: the age up to which a contact counts as current. */
+/** Classifies the link that an observation describes. `windowMs`: the age up to which a contact counts as current. */
 function conditionOf(observation: PeerObservation, windowMs: number): LinkCondition {
   const { reachedAgoMs, vouchedAgoMs, heardAgoMs } = observation;
   if (orInfinity(reachedAgoMs) <= windowMs) return LinkCondition.Reached;
@@ -55,7 +57,7 @@
   }
 }
 
-/** Returns the evidence that one observation of a row gives about its member. */
+/** Derives evidence about a member from an observation in a row. */
 export function evidenceOf(
   { observer, localHealth }: ObservationRow,
   observation: PeerObservation,
--- a/packages/membership/src/identity.ts
+++ b/packages/membership/src/identity.ts
@@ -1,14 +1,16 @@
 /** Identities of controllers and of the processes that run them. */
 
 declare const brand: unique symbol;
-/** A `T` that is not assignable to other brands of `T`. */
+/** A nominal type: a `T` that is not assignable to a `T` with another brand. */
 type Branded<T, B extends string> = T & { readonly [brand]: B };
 
-/** Names a configured controller, whichever process runs it. */
+/** The name of a configured controller, which is the same for every process that runs the controller. */
 export type MemberId = Branded<string, 'MemberId'>;
-/** Names one start of a controller's process: a random string, unique to that start. */
+/** Identifies one start of a controller's process by a random string that is unique to this start. */
 export type ProcessId = Branded<string, 'ProcessId'>;
-/** Orders a controller's statements about itself (as in SWIM). A process raises its own to refute a suspicion. */
+/**
+ * Orders a controller's statements about itself, as in SWIM. A process raises its incarnation to refute a suspicion.
+ */
 export type Incarnation = Branded<number, 'Incarnation'>;
 
 /** A controller, its process, and the incarnation of that process. */
@@ -18,17 +20,17 @@
   readonly incarnation: Incarnation;
 }
 
-/** How a received identity relates to the one that is known for the same member. */
+/** How a received identity relates to the known identity of the same member. */
 export enum IdentityOrder {
-  /** The known process, or the first one that is seen of the member. */
+  /** The identity belongs to the known process, or no process of the member was known. */
   Current = 'current',
-  /** A later start of the member's process. */
+  /** The identity belongs to a later start of the member's process. */
   Restarted = 'restarted',
-  /** An earlier process, or a late message of the present one. */
+  /** The identity belongs to an earlier process, or to an earlier incarnation of the known process. */
   Stale = 'stale',
 }
 
-/** Compares a received identity with the one that is known; `current` is null if none is. */
+/** Compares a received identity with the known identity; `current` is null if no identity is known. */
 export function compareIdentity(current: Identity | null, received: Identity): IdentityOrder {
   if (current === null) return IdentityOrder.Current;
   if (current.process === received.process) {
@@ -37,12 +39,14 @@
   return received.incarnation > current.incarnation ? IdentityOrder.Restarted : IdentityOrder.Stale;
 }
 
-/** Whether two identities are the same process in the same incarnation, so that evidence about one holds for the other. */
+/**
+ * Whether two identities are the same process in the same incarnation, so that evidence about one applies to the other.
+ */
 export function isSameIdentity(first: Identity, second: Identity): boolean {
   return first.process === second.process && first.incarnation === second.incarnation;
 }
 
-/** Returns the lowest incarnation that is above both. */
+/** Returns the lowest incarnation that is higher than both arguments. */
 export function incarnationAbove(own: Incarnation, other: Incarnation): Incarnation {
   return (Math.max(own, other) + 1) as Incarnation;
 }
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,4 +1,4 @@
-/** Failure detection among a fixed set of controllers. */
+/** Failure detection among a fixed set of controllers, based on SWIM and Lifeguard. */
 export {
   type Cancel,
   type Clock,
--- a/packages/membership/src/local-member.ts
+++ b/packages/membership/src/local-member.ts
@@ -13,7 +13,7 @@
 const PROCESS_ID_CHARACTERS = 12;
 const RADIX = 36;
 
-/** Returns a random string that no other start of a process has. */
+/** Returns a random string that identifies this start of the process. */
 function newProcessId(random: Random): ProcessId {
   let processId = '';
   for (let index = 0; index < PROCESS_ID_CHARACTERS; index++)
@@ -21,12 +21,14 @@
   return processId as ProcessId;
 }
 
-/** What a peer's statement about this process led to. */
+/** The effect of a peer's statement about this process. */
 export enum ReceiverStatusOutcome {
   NoChange,
-  /** An earlier process of this member had the same or a higher incarnation; ours is above it now. */
+  /**
+   * An earlier process of this member had the same or a higher incarnation; the local incarnation was raised above it.
+   */
   SupersededEarlierProcess,
-  /** The peer suspected this process, which raised its incarnation to refute that. */
+  /** The peer suspected this process, which raised its incarnation to refute the suspicion. */
   Refuted,
 }
 
@@ -45,8 +47,8 @@
     private readonly selfReport: () => SelfReport,
   ) {
     this.process = newProcessId(random);
-    // Successive starts of a member mostly have increasing times of day. Where they do not, peers report the incarnation
-    // that has to be exceeded.
+    // The wall clock usually increases between starts of a member. If not, peers report the incarnation that this
+    // process has to exceed.
     this.incarnation = Math.max(1, Math.floor(clock.wall())) as Incarnation;
   }
 
@@ -59,18 +61,21 @@
     return this.leaveRequested;
   }
 
-  /** Marks this member as leaving in everything that it publishes from now on. */
+  /** Marks this member as leaving in all observation rows that it publishes from now on. */
   leave(): void {
     this.leaveRequested = true;
   }
 
-  /** Returns the sequence number of the next message. */
+  /** Increments the message counter and returns the sequence number for the next message. */
   nextSequence(): number {
     this.sequence++;
     return this.sequence;
   }
 
-  /** Handles a peer's statement about this member: raises the incarnation where a suspicion or an earlier process requires it. */
+  /**
+   * Handles a peer's statement about this member; raises the incarnation to refute a suspicion or to exceed that of an
+   * earlier process.
+   */
   handleReceiverStatus(status: ReceiverStatus | null): ReceiverStatusOutcome {
     if (status === null || status.identity.member !== this.member) return ReceiverStatusOutcome.NoChange;
     const { identity, suspected } = status;
@@ -84,7 +89,7 @@
     return ReceiverStatusOutcome.Refuted;
   }
 
-  /** Returns what this process observes now, in the form that peers receive. Every call has a new version. */
+  /** Returns the current observations of this process as a row for peers. Every call assigns a new row version. */
   observationRow(trackers: Iterable<PeerTracker>, localHealth: number): ObservationRow {
     const now = this.clock.now();
     const peers: PeerObservation[] = [];
--- a/packages/membership/src/member-context.ts
+++ b/packages/membership/src/member-context.ts
@@ -1,4 +1,4 @@
-/** State that the parts of one member share: trackers, observation rows, local health, settings. */
+/** State shared by the components of a member: trackers, observation rows, local health, settings. */
 import type { MembershipEnvironment } from './environment.js';
 import type { MemberId } from './identity.js';
 import type { LocalHealth } from './local-health.js';
@@ -10,18 +10,18 @@
 import type { MembershipSettings } from './settings.js';
 import type { VerdictRules } from './verdict.js';
 
-/** After this many probe intervals since its request, a row no longer counts as evidence. */
+/** The number of probe intervals after its request for which an observation row counts as evidence. */
 const ROW_VALIDITY_INTERVALS = 4;
-/** A row that is no older than this many probe intervals is not requested again. */
+/** An observation row is requested again once it is older than this number of probe intervals. */
 const ROW_REFRESH_INTERVALS = 1.5;
-/** A contact counts as current for this many probe intervals. */
+/** The number of probe intervals for which a contact counts as current. */
 const CONTACT_WINDOW_INTERVALS = 2;
 
-/** The state that the prober, the responder and the roster work on. */
+/** The state that the prober, the responder and the roster share. */
 export class MemberContext {
   readonly trackers: ReadonlyMap<MemberId, PeerTracker>;
   readonly observations = new ObservationTable();
-  /** Incremented by every pause of this process: a probe round that began before it gives no verdict. */
+  /** The number of pauses of this process. A probe round during which the number changes raises no suspicion. */
   pauseCount = 0;
 
   constructor(
@@ -40,7 +40,7 @@
     return this.environment.clock.now();
   }
 
-  /** How long a row counts as evidence, from the time of its request. */
+  /** The age, counted from its request, up to which an observation row counts as evidence. */
   get maxRowAgeMs(): number {
     const { probeIntervalMs, probeTimeoutMs } = this.settings;
     return ROW_VALIDITY_INTERVALS * probeIntervalMs + probeTimeoutMs;
@@ -56,13 +56,15 @@
     };
   }
 
-  /** Returns the rows that count as evidence now, this process's own first. */
+  /** Returns the observation rows that currently count as evidence, this process's own row first. */
   freshRows(): AgedRow[] {
     const own = this.local.observationRow(this.trackers.values(), this.health.score);
     return [{ row: own, ageMs: 0 }, ...this.observations.fresh(this.maxRowAgeMs, this.now)];
   }
 
-  /** Returns the members, except the receiver of the request, whose rows the last probes did not bring. */
+  /**
+   * Returns the members whose observation rows are missing or due for a refresh, except the receiver of the request.
+   */
   missingRows(receiver: MemberId): MemberId[] {
     const { probeIntervalMs } = this.settings;
     const refreshAgeMs = ROW_REFRESH_INTERVALS * probeIntervalMs;
@@ -73,7 +75,7 @@
     });
   }
 
-  /** Returns what we know of the peer that a message goes to, so that it can refute a suspicion. */
+  /** Returns what this process knows of the receiver of a message, so that the receiver can refute a suspicion. */
   receiverStatusFor(peer: MemberId): ReceiverStatus | null {
     const tracker = this.trackers.get(peer);
     if (!tracker?.identity) return null;
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -1,4 +1,4 @@
-/** One member of a fixed set of controllers that monitor each other: the package's entry point. */
+/** The package's entry point: a member of a fixed set of controllers that monitor each other. */
 import type { MembershipEnvironment } from './environment.js';
 import type { Evidence } from './evidence.js';
 import type { MembershipListener } from './events.js';
@@ -15,7 +15,7 @@
 import { checkSettings, type MembershipSettings } from './settings.js';
 import { MemberState } from './verdict.js';
 
-/** A snapshot of a member, for operators and for the choice of a successor. */
+/** A snapshot of a member, for operators and for choosing a successor. */
 export interface MemberView {
   readonly member: MemberId;
   readonly state: MemberState;
@@ -24,24 +24,24 @@
   readonly identity: Identity | null;
   readonly evidence: readonly Evidence[];
   readonly connection: Connection;
-  /** Its last reported load; null: no recent report. */
+  /** The member's last reported load; null: no recent report. */
   readonly load: number | null;
   readonly ready: boolean;
   readonly localHealth: number | null;
-  /** The number of members that receive its messages. */
+  /** The number of members that receive this member's messages. */
   readonly reachedBy: number;
 }
 
-/** States in which a member has no links. */
-const DEPARTED_STATES: ReadonlySet<MemberState> = new Set([
+/** States in which a member is expected to have no working links. */
+const STATES_WITHOUT_LINKS: ReadonlySet<MemberState> = new Set([
   MemberState.Failed,
   MemberState.Left,
   MemberState.Unknown,
 ]);
-/** How long a leaving member waits until its peers have been notified, in probe intervals. */
-const LEAVE_INTERVALS = 3;
+/** The maximum number of probe intervals for which a leaving member waits until all live peers have been notified. */
+const LEAVE_TIMEOUT_INTERVALS = 3;
 
-/** Probes its peers, answers their probes, and raises an event for every change. */
+/** A member that probes its peers, answers their probes, and emits an event for every change. */
 export class Membership {
   private readonly context: MemberContext;
   private readonly roster: Roster;
@@ -56,7 +56,7 @@
   constructor(settings: MembershipSettings, environment: MembershipEnvironment) {
     checkSettings(settings);
     const { clock, random, log, selfReport } = environment;
-    // A single controller is a majority by itself.
+    // With a majority of 1, this process alone is a majority.
     this.hasMajorityContact = settings.majority <= 1;
     this.context = new MemberContext(
       settings,
@@ -80,7 +80,7 @@
     );
   }
 
-  /** Starts probing. Requests of peers are answered before that, too. */
+  /** Starts probing. Requests of peers are answered before the start, too. */
   start(): void {
     this.pauseDetector.start();
     this.prober.start();
@@ -92,7 +92,7 @@
     this.prober.stop();
   }
 
-  /** Registers a listener for all events; the result unregisters it. */
+  /** Registers a listener for all events. The returned function unregisters the listener. */
   listen(listener: MembershipListener): () => void {
     return this.roster.listen(listener);
   }
@@ -103,63 +103,69 @@
     return this.responder.handle(payload);
   }
 
-  /** Announces that this member leaves. Resolves once all live peers have been notified, or after a few probe intervals. */
+  /**
+   * Announces that this member leaves. Resolves once all live peers have been notified, or after
+   * `LEAVE_TIMEOUT_INTERVALS` probe intervals.
+   */
   leave(): Promise<void> {
     const { local, environment, settings } = this.context;
     local.leave();
     return new Promise((resolve) => {
-      const cancelDeadline = environment.clock.after(LEAVE_INTERVALS * settings.probeIntervalMs, resolve);
+      const cancelDeadline = environment.clock.after(
+        LEAVE_TIMEOUT_INTERVALS * settings.probeIntervalMs,
+        resolve,
+      );
       this.onPeerNotifiedOfLeave = () => {
         if (!this.alivePeers().every((member) => this.peersNotifiedOfLeave.has(member))) return;
         this.onPeerNotifiedOfLeave = () => {};
         cancelDeadline();
-        // Gives the last answer time to reach its peer.
+        // The last answer needs time to reach its peer.
         environment.clock.after(settings.probeTimeoutMs, resolve);
       };
       this.onPeerNotifiedOfLeave();
     });
   }
 
-  /** Checks now whether this process was paused. */
+  /** Checks immediately whether this process was paused. */
   checkPause(): void {
     this.pauseDetector.check();
   }
 
-  /** Calls back for every detected pause of this process. */
-  onPause(paused: (pausedMs: number) => void): void {
+  /** Registers a listener for detected pauses of this process. */
+  onPause(listener: (pausedMs: number) => void): void {
     this.listen((event) => {
-      if (event.kind === 'self-paused') paused(event.pausedMs);
+      if (event.kind === 'self-paused') listener(event.pausedMs);
     });
   }
 
-  /** The identity of this process. */
+  /** The current identity of this process. */
   get identity(): Identity {
     return this.context.local.identity;
   }
 
-  /** Whether this process and the members that answer it are a majority. */
+  /** Whether this process and the members that answer its probes are a majority. */
   get hasMajority(): boolean {
     return this.hasMajorityContact;
   }
 
-  /** Returns a member's state as this process sees it. */
+  /** Returns a member's state as determined by this process. */
   state(member: MemberId): MemberState {
     if (member !== this.context.settings.self) return this.roster.state(member);
     return this.context.local.isLeaving ? MemberState.Left : MemberState.Alive;
   }
 
-  /** The numbers of rejected messages by reason. */
+  /** The number of rejected messages for each reason. */
   get rejected(): ReadonlyMap<RejectReason, number> {
-    return this.context.rejectedMessages.all();
+    return this.context.rejectedMessages.countsByReason();
   }
 
-  /** Returns a snapshot of all configured members, in the order of the settings. */
+  /** Returns snapshots of all configured members, in the order of the settings. */
   members(): MemberView[] {
     const rows = this.context.freshRows();
     const { members, self } = this.context.settings;
     const graph = new ReachabilityGraph(members, rows, this.context.verdictRules.contactWindowMs);
-    // A missing link to a departed member is not a partition.
-    const present = members.filter((member) => !DEPARTED_STATES.has(this.state(member)));
+    // A missing link to a failed, left or unknown member is not a partition.
+    const present = members.filter((member) => !STATES_WITHOUT_LINKS.has(this.state(member)));
     return members.map((member) => {
       const entry = this.roster.entry(member);
       const row = rows.find(({ row: { observer } }) => observer.member === member)?.row;
@@ -196,7 +202,7 @@
     this.roster.emit({ kind: 'self-suspected', incarnation: this.identity.incarnation });
   }
 
-  /** Excludes the time in which this process did not run from the evidence about its peers. */
+  /** Excludes a pause of this process from the evidence about peers. */
   private handlePause(pausedMs: number): void {
     const { context } = this;
     context.pauseCount++;
@@ -209,20 +215,20 @@
   private evaluate(): void {
     this.pauseDetector.check();
     this.roster.evaluate();
-    const withMajority = this.computeMajorityContact();
-    if (withMajority === this.hasMajorityContact) return;
-    this.hasMajorityContact = withMajority;
-    this.roster.emit({ kind: 'contact-changed', hasMajority: withMajority });
+    const hasMajority = this.computeMajorityContact();
+    if (hasMajority === this.hasMajorityContact) return;
+    this.hasMajorityContact = hasMajority;
+    this.roster.emit({ kind: 'contact-changed', hasMajority: hasMajority });
   }
 
   private computeMajorityContact(): boolean {
     const { settings, verdictRules } = this.context;
     const now = this.context.now;
-    let reached = 1;
+    let reachedCount = 1;
     for (const tracker of this.context.trackers.values()) {
       const agoMs = tracker.observation(now)?.reachedAgoMs ?? null;
-      if (agoMs !== null && agoMs <= verdictRules.contactWindowMs) reached++;
+      if (agoMs !== null && agoMs <= verdictRules.contactWindowMs) reachedCount++;
     }
-    return reached >= settings.majority;
+    return reachedCount >= settings.majority;
   }
 }
--- a/packages/membership/src/message-reader.ts
+++ b/packages/membership/src/message-reader.ts
@@ -1,4 +1,4 @@
-/** Decodes peers' messages and counts those that cannot be decoded. */
+/** Decodes messages of peers, and counts messages that cannot be decoded. */
 import { decodeMessage, DecodeError, DecodeErrorCode } from './codec.js';
 import type { Message } from './messages.js';
 import { type RejectedMessages, RejectReason } from './rejected-messages.js';
@@ -9,7 +9,7 @@
   [DecodeErrorCode.UnknownKind]: RejectReason.UnknownKind,
 };
 
-/** Decodes a message. Returns null for one that cannot be decoded, and counts it as rejected. */
+/** Decodes a message. A message that cannot be decoded is counted as rejected, and null is returned. */
 export function readMessage(rejectedMessages: RejectedMessages, payload: Uint8Array): Message | null {
   try {
     return decodeMessage(payload);
--- a/packages/membership/src/observation-table.ts
+++ b/packages/membership/src/observation-table.ts
@@ -1,14 +1,14 @@
-/** The newest observation row that was received of each member. */
+/** Stores the latest observation row received from each member. */
 import { compareIdentity, type Identity, IdentityOrder, type MemberId } from './identity.js';
 import type { ObservationRow } from './messages.js';
 
 interface StoredRow {
   readonly row: ObservationRow;
-  /** The row was valid at this time of our clock, or later. */
+  /** Lower bound on the time at which the row was valid, on this process's monotonic clock. */
   readonly validAt: number;
 }
 
-/** A row with its age. */
+/** An observation row with its age. */
 export interface AgedRow {
   readonly row: ObservationRow;
   readonly ageMs: number;
@@ -19,11 +19,16 @@
   return compareIdentity(stored.observer, received.observer) === IdentityOrder.Restarted;
 }
 
-/** Rows by observer. Only rows that answer one of our requests are accepted, because their age is bounded. */
+/**
+ * Observation rows by observer. Only rows in answers to this process's requests are accepted, as their age is bounded.
+ */
 export class ObservationTable {
   private readonly rows = new Map<MemberId, StoredRow>();
 
-  /** Stores a row if it is newer than the stored one. `requestedAt`: when the request was sent that it answers. */
+  /**
+   * Stores a row if it is newer than the stored one, and returns whether it was. `requestedAt`: when the request was
+   * sent whose answer contained the row.
+   */
   accept(row: ObservationRow, requestedAt: number): boolean {
     const { member } = row.observer;
     const stored = this.rows.get(member);
@@ -32,13 +37,13 @@
     return true;
   }
 
-  /** Returns the row of an observer; null if there is none. */
+  /** Returns the stored row of an observer; null if there is none. */
   get(member: MemberId, now: number): AgedRow | null {
     const stored = this.rows.get(member);
     return stored ? { row: stored.row, ageMs: now - stored.validAt } : null;
   }
 
-  /** Returns the rows that are no older than `maxAgeMs`. */
+  /** Returns the stored rows that are at most `maxAgeMs` old. */
   fresh(maxAgeMs: number, now: number): AgedRow[] {
     const fresh: AgedRow[] = [];
     for (const { row, validAt } of this.rows.values()) {
@@ -48,21 +53,21 @@
     return fresh;
   }
 
-  /** Excludes a pause of this process from the rows' ages: it could not have received newer ones meanwhile. */
+  /** Excludes a pause of this process from the ages of the rows: during the pause no newer row could be received. */
   excludePause(pausedMs: number): void {
     for (const [member, { row, validAt }] of this.rows) {
       this.rows.set(member, { row, validAt: validAt + pausedMs });
     }
   }
 
-  /** Removes the row of an observer. */
+  /** Deletes the stored row of an observer. */
   delete(member: MemberId): void {
     this.rows.delete(member);
   }
 }
 
-/** Returns the identity that a row names for a member, the observer included; null if it names none. */
-export function identityIn(row: ObservationRow, member: MemberId): Identity | null {
+/** Returns the identity that a row contains for a member, which may be the observer; null if the row contains none. */
+export function identityInRow(row: ObservationRow, member: MemberId): Identity | null {
   if (row.observer.member === member) return row.observer;
   return row.peers.find((peer) => peer.identity.member === member)?.identity ?? null;
 }
--- a/packages/membership/src/pause-detector.ts
+++ b/packages/membership/src/pause-detector.ts
@@ -1,10 +1,14 @@
-/** Detects that this process did not run: it was stopped, starved of processor time, or its event loop was blocked. */
+/**
+ * Detects pauses of this process: the process was stopped or starved of processor time, or the event loop was blocked.
+ */
 import type { Cancel, Clock } from './environment.js';
 
-/** Checks per threshold period, so that a pause just over the threshold is not missed. */
+/**
+ * The number of clock checks per threshold period; more than 1, so that a pause just over the threshold is not missed.
+ */
 const CHECKS_PER_THRESHOLD = 2;
 
-/** Reports every pause when it is over, before any other part of this package evaluates a peer. */
+/** Reports each pause of this process after its end, before this package evaluates any peer. */
 export class PauseDetector {
   private lastCheckedAt: number;
   private cancelTimer: Cancel | null = null;
@@ -19,19 +23,19 @@
     this.lastCheckedAt = clock.now();
   }
 
-  /** Starts checking periodically. */
+  /** Starts the periodic clock check. */
   start(): void {
     this.lastCheckedAt = this.clock.now();
     this.schedule();
   }
 
-  /** Cancels the periodic check. */
+  /** Stops the periodic clock check. */
   stop(): void {
     this.cancelTimer?.();
     this.cancelTimer = null;
   }
 
-  /** Checks the clock now. Must be called before any evaluation of elapsed time. */
+  /** Checks the clock immediately. Must be called before any evaluation of elapsed time. */
   check(): void {
     const now = this.clock.now();
     const lateMs = now - this.lastCheckedAt - this.checkIntervalMs;
--- a/packages/membership/src/peer-tracker.ts
+++ b/packages/membership/src/peer-tracker.ts
@@ -1,8 +1,8 @@
-/** What this process has observed of one peer, directly or through other members. */
+/** Tracks what this process has observed of a peer, directly or through other members. */
 import { compareIdentity, type Identity, IdentityOrder, type MemberId, isSameIdentity } from './identity.js';
 import type { PeerObservation } from './messages.js';
 
-/** The highest sequence number received from one process. */
+/** The highest sequence number received from a process. */
 interface LastSequence {
   readonly process: string;
   readonly sequence: number;
@@ -13,18 +13,18 @@
 
 const laterTime = (a: number | null, b: number): number => (a === null ? b : Math.max(a, b));
 
-/** The contact times and the suspicion of one peer. All times are of this process's monotonic clock. */
+/** The contact times and the suspicion of a peer. All times are on this process's monotonic clock. */
 export class PeerTracker {
   private currentIdentity: Identity | null = null;
   private lastSequence: LastSequence | null = null;
-  private heardAt: number | null = null;
+  private lastMessageAt: number | null = null;
   private reachedAt: number | null = null;
   private reachedIndirectlyAt: number | null = null;
   private suspectedAt: number | null = null;
 
   constructor(readonly member: MemberId) {}
 
-  /** The last known identity; null: nothing is known of the peer. */
+  /** The last known identity of the peer; null: nothing is known of the peer. */
   get identity(): Identity | null {
     return this.currentIdentity;
   }
@@ -35,8 +35,8 @@
   }
 
   /**
-   * Adopts an identity that the peer or another member has stated. A later incarnation of the same process was alive
-   * after the suspicion of the former one began, so the suspicion ends.
+   * Adopts an identity that the peer or another member has reported, unless the identity is stale. A later incarnation
+   * ends the suspicion: the process raised its incarnation after the suspicion began, so it was alive then.
    */
   updateIdentity(identity: Identity): IdentityOrder {
     const order = compareIdentity(this.currentIdentity, identity);
@@ -48,22 +48,22 @@
     return order;
   }
 
-  /** Clears what was observed of the former process: it says nothing about the new one. */
+  /** Clears the observations of the previous process, which are no evidence about the new one. */
   private resetProcess(): void {
-    this.heardAt = null;
+    this.lastMessageAt = null;
     this.reachedAt = null;
     this.reachedIndirectlyAt = null;
     this.lastSequence = null;
   }
 
-  /** Records a message of the peer. A repeated one is not a sign of life. */
+  /** Records a message of the peer. A duplicate or reordered message does not count as a contact. */
   recordMessage(identity: Identity, sequence: number, now: number): IdentityOrder {
     const order = this.updateIdentity(identity);
     if (order === IdentityOrder.Stale) return order;
-    const last = this.lastSequence;
-    if (last?.process === identity.process && sequence <= last.sequence) return order;
+    const previous = this.lastSequence;
+    if (previous?.process === identity.process && sequence <= previous.sequence) return order;
     this.lastSequence = { process: identity.process, sequence };
-    this.heardAt = now;
+    this.lastMessageAt = now;
     return order;
   }
 
@@ -74,14 +74,17 @@
     this.endSuspicion();
   }
 
-  /** Records that the peer answered the probe of another member in a round that began at `sentAt`. */
+  /** Records that the peer answered the probe of another member in a round that started at `sentAt`. */
   recordIndirectAnswer(identity: Identity, sentAt: number): void {
     if (this.updateIdentity(identity) === IdentityOrder.Stale) return;
     this.reachedIndirectlyAt = laterTime(this.reachedIndirectlyAt, sentAt);
     this.endSuspicion();
   }
 
-  /** Records that neither a direct nor an indirect probe of a round was answered. Returns whether the peer is now suspected. */
+  /**
+   * Records that no direct or indirect probe of a round was answered. Returns whether this started a suspicion of the
+   * peer.
+   */
   recordFailedRound(startedAt: number, now: number): boolean {
     if (this.currentIdentity === null || this.suspectedAt !== null) return false;
     const lastAnswerAt = Math.max(this.reachedAt ?? -Infinity, this.reachedIndirectlyAt ?? -Infinity);
@@ -90,33 +93,37 @@
     return true;
   }
 
-  /** Ends the suspicion, even for an answer to a probe that was sent before it began: the peer was alive to answer. */
+  /**
+   * Ends the suspicion, even if the answered probe was sent before the suspicion began: the peer was alive to answer.
+   */
   private endSuspicion(): void {
     this.suspectedAt = null;
   }
 
-  /** Excludes a pause of this process from all ages: no message of the peer could be handled meanwhile. */
+  /** Excludes a pause of this process from all ages: during the pause no message of the peer could be handled. */
   excludePause(pausedMs: number, now: number): void {
     const shift = (at: number | null): number | null => (at === null ? null : Math.min(now, at + pausedMs));
-    this.heardAt = shift(this.heardAt);
+    this.lastMessageAt = shift(this.lastMessageAt);
     this.reachedAt = shift(this.reachedAt);
     this.reachedIndirectlyAt = shift(this.reachedIndirectlyAt);
     this.suspectedAt = shift(this.suspectedAt);
   }
 
-  /** Clears everything: the peer's program does not support membership messages, so its silence is no evidence. */
+  /**
+   * Clears all state. Used for a peer whose version does not support membership messages: its silence is no evidence.
+   */
   reset(): void {
     this.currentIdentity = null;
     this.suspectedAt = null;
     this.resetProcess();
   }
 
-  /** Returns the observation for this process's row; null if nothing is known of the peer. */
+  /** Returns the observation of the peer for this process's row; null if nothing is known of the peer. */
   observation(now: number): PeerObservation | null {
     if (this.currentIdentity === null) return null;
     return {
       identity: this.currentIdentity,
-      heardAgoMs: ageOrNull(now, this.heardAt),
+      heardAgoMs: ageOrNull(now, this.lastMessageAt),
       reachedAgoMs: ageOrNull(now, this.reachedAt),
       vouchedAgoMs: ageOrNull(now, this.reachedIndirectlyAt),
       suspectedForMs: ageOrNull(now, this.suspectedAt),
--- a/packages/membership/src/prober.ts
+++ b/packages/membership/src/prober.ts
@@ -1,4 +1,4 @@
-/** Probes every peer in rounds: directly, and through other members (SWIM's indirect probe) where it does not answer. */
+/** Probes every peer in rounds: directly, and, without an answer, through other members (SWIM's indirect probe). */
 import { encodeMessage } from './codec.js';
 import { PeerSupport } from './environment.js';
 import type { MemberId } from './identity.js';
@@ -19,16 +19,21 @@
 import { RejectReason } from './rejected-messages.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** A request that ended after this many times its deadline shows a delay of this process, not of the peer. */
+/**
+ * A request that timed out later than its deadline times this factor indicates a delay of this process, not of the
+ * peer.
+ */
 const LATE_ANSWER_FACTOR = 1.5;
-/** Rounds begin up to this share of the interval early or late, so that members do not probe in step. */
-const ROUND_JITTER = 0.1;
+/**
+ * The maximum share of the probe interval by which a round starts early or late, so that members do not synchronize.
+ */
+const ROUND_JITTER_RATIO = 0.1;
 
 /** Callbacks for the results of probes. */
 export interface ProberListener {
-  /** A peer stated what it knows of this process. */
+  /** Called after a peer's statement about this process was handled. */
   onReceiverStatusOutcome(outcome: ReceiverStatusOutcome): void;
-  /** Something that verdicts depend on may have changed. */
+  /** Called when the observations that verdicts depend on may have changed. */
   onObservation(): void;
 }
 
@@ -36,16 +41,16 @@
 type RequestResult<Response> =
   | { readonly kind: 'answered'; readonly message: Response }
   | { readonly kind: 'no-answer' }
-  /** Nothing was sent, or the result says nothing about the peer. */
+  /** The request was not sent, or its result is no evidence about the peer. */
   | { readonly kind: 'inconclusive' };
 
 const NO_ANSWER = { kind: 'no-answer' } as const;
 const INCONCLUSIVE = { kind: 'inconclusive' } as const;
 
-/** Sends probes and applies what the answers say to the trackers and the observation table. */
+/** Sends probes, and applies the answers to the trackers and the observation table. */
 export class Prober {
   private readonly rateLimiter: TokenBucket;
-  /** Peers that other members are probing on our behalf. */
+  /** Peers that other members are currently probing on behalf of this process. */
   private readonly indirectProbesInFlight = new Set<MemberId>();
   private isStopped = false;
 
@@ -56,12 +61,12 @@
     this.rateLimiter = new TokenBucket(context.environment.clock, context.settings.maxMessagesPerSecond);
   }
 
-  /** Starts the rounds of probes. */
+  /** Starts the probe rounds. */
   start(): void {
     this.scheduleRound(0);
   }
 
-  /** Ends the rounds; a probe under way still completes. */
+  /** Stops the probe rounds. Probes in flight still complete. */
   stop(): void {
     this.isStopped = true;
   }
@@ -69,26 +74,27 @@
   private scheduleRound(delayMs: number): void {
     this.context.environment.clock.after(delayMs, () => {
       if (this.isStopped) return;
-      for (const tracker of this.context.trackers.values()) void this.probeRound(tracker);
+      for (const tracker of this.context.trackers.values()) void this.runProbeRound(tracker);
       this.scheduleRound(this.nextRoundDelayMs());
     });
   }
 
   /**
-   * A slow process waits longer for answers, but probes as often as before: for a peer whose own probes do not reach
-   * it, its probes are the only sign that it is alive.
+   * Returns the delay until the next round, which does not grow with the local health score: a slow process waits
+   * longer for answers, but probes at the same rate. For a peer whose own probes do not arrive at this process, this
+   * process's probes are the only evidence that it is alive.
    */
   private nextRoundDelayMs(): number {
     const { settings, environment } = this.context;
-    return settings.probeIntervalMs * (1 + ROUND_JITTER * (2 * environment.random() - 1));
+    return settings.probeIntervalMs * (1 + ROUND_JITTER_RATIO * (2 * environment.random() - 1));
   }
 
   private get timeoutMs(): number {
     return this.context.settings.probeTimeoutMs * this.context.health.multiplier;
   }
 
-  /** One round for one peer: a direct probe, then indirect ones if it is not answered. Rounds may overlap. */
-  private async probeRound(tracker: PeerTracker): Promise<void> {
+  /** Runs a probe round for a peer: a direct probe, then, without an answer, indirect probes. Rounds may overlap. */
+  private async runProbeRound(tracker: PeerTracker): Promise<void> {
     if (!this.shouldProbe(tracker)) return;
     const startedAt = this.context.now;
     const { pauseCount } = this.context;
@@ -109,12 +115,13 @@
         }
         return false;
       case PeerSupport.Unknown:
-        // Without a connection, only the silence of a peer that has taken part before is evidence.
+        // Without a connection, silence is evidence only for a peer from which membership messages were received
+        // before.
         return tracker.identity !== null;
     }
   }
 
-  /** Probes a peer directly; also used on behalf of another member. */
+  /** Probes a peer directly, for this process or on behalf of another member. */
   async probe(tracker: PeerTracker): Promise<RequestResult<Answer>> {
     const sentAt = this.context.now;
     const result = await this.sendRequest(tracker.member, {
@@ -144,7 +151,10 @@
     }
   }
 
-  /** An identity that another member has seen ends suspicions of earlier ones here too; suspicions of us arrive the same way. */
+  /**
+   * Applies a received row. Reported identities update the trackers, which ends suspicions of earlier incarnations;
+   * reported suspicions of this process are refuted.
+   */
   private applyRow({ observer, peers }: ObservationRow): void {
     this.context.trackers.get(observer.member)?.updateIdentity(observer);
     for (const peer of peers) {
@@ -182,9 +192,9 @@
     const { health } = this.context;
     const isReachable = answers.some((answer) => answer !== null && answer.answeredBy !== null);
     if (isReachable) return;
-    const hasNoHelperAnswered = helpers.length > 0 && answers.every((answer) => answer === null);
-    if (hasNoHelperAnswered) health.record(HealthEvent.HelpersUnresponsive);
-    // After a pause of this process, answers may have arrived that were not read yet.
+    const areHelpersUnresponsive = helpers.length > 0 && answers.every((answer) => answer === null);
+    if (areHelpersUnresponsive) health.record(HealthEvent.HelpersUnresponsive);
+    // After a pause of this process, answers may have arrived that have not been read yet.
     if (pauseCount !== this.context.pauseCount || this.isStopped) return;
     tracker.recordFailedRound(startedAt, this.context.now);
   }
@@ -230,12 +240,12 @@
     if (!this.rateLimiter.tryTake()) {
       this.context.rejectedMessages.record(
         RejectReason.RateLimited,
-        `a ${request.kind} to ${to} was not sent`,
+        `${request.kind} request to ${to} was not sent`,
       );
       return INCONCLUSIVE;
     }
     const sentAt = this.context.now;
-    // The member that probes on our behalf needs time for its own probe.
+    // A helper (the member that probes on behalf of this process) needs time for its own probe.
     const deadlineMs = request.kind === MessageKind.IndirectProbe ? 2 * this.timeoutMs : this.timeoutMs;
     const { transport } = this.context.environment;
     const payload = await transport.request(to, encodeMessage(request), deadlineMs);
@@ -250,7 +260,7 @@
     if (message.from.member === to) return { kind: 'answered', message };
     this.context.rejectedMessages.record(
       RejectReason.UnknownMember,
-      `${message.from.member} answered for ${to}`,
+      `${message.from.member} answered a request to ${to}`,
     );
     return INCONCLUSIVE;
   }
--- a/packages/membership/src/reachability.ts
+++ b/packages/membership/src/reachability.ts
@@ -1,29 +1,31 @@
 /**
- * Reachability as a directed graph: whose messages arrive where. It distinguishes one-way from two-way partitions, and
- * a member that is cut off from one peer from one that is cut off from all.
+ * The reachability of members as a directed graph, with an edge for each direction in which messages pass. The graph
+ * distinguishes one-way from two-way partitions, and partitions from a single peer from isolation.
  */
 import type { MemberId } from './identity.js';
 import type { AgedRow } from './observation-table.js';
 
-/** Whether messages pass along one direction of a link. */
+/** Whether messages pass in a given direction of a link. */
 export enum EdgeState {
   Up = 'works',
   Down = 'broken',
-  /** No row says anything about this direction. */
+  /** No observation row covers this direction. */
   Unknown = 'unknown',
 }
 
-/** How a member is connected with the others. The values appear in the API for operators. */
+/** How a member is connected to the other members. The values are part of the API for operators. */
 export enum Connection {
-  /** Messages pass in both directions on all links, as far as is known. */
+  /** No link is known to be down in either direction. */
   Connected = 'connected',
-  /** Some links are cut, but the member is reachable through others: its state does not change. */
+  /** Some links are down, but the member is reachable through other members, so its state does not change. */
   PartialPartition = 'partly-cut',
-  /** It receives messages, but none of its own arrive: the others find it silent and will replace it. */
+  /** The member receives messages, but its own do not arrive: the other members find it silent and will replace it. */
   OutboundPartition = 'mute',
-  /** Its messages arrive, but it receives none: it stays suspected and is not declared failed, since it is alive. */
+  /**
+   * The member's messages arrive, but it receives none: it stays suspected and is not declared failed, as it is alive.
+   */
   InboundPartition = 'deaf',
-  /** No message passes in either direction. */
+  /** The member neither receives messages nor do its messages arrive. */
   Isolated = 'isolated',
   Unknown = 'unknown',
 }
@@ -31,7 +33,7 @@
 const isWithinWindow = (agoMs: number | null, windowMs: number): boolean =>
   agoMs !== null && agoMs <= windowMs;
 
-/** Answers who reaches whom, from the rows of all members. */
+/** The reachability graph, built from the observation rows of all members. */
 export class ReachabilityGraph {
   private readonly edges = new Map<string, EdgeState>();
 
@@ -46,7 +48,7 @@
         const { member } = peer.identity;
         const isHeard = isWithinWindow(peer.heardAgoMs, windowMs);
         const isReached = isWithinWindow(peer.reachedAgoMs, windowMs);
-        // An answer proves both directions; a received message proves only its own.
+        // An answered probe proves that both directions work; a received message proves only its own direction.
         this.recordEdge(member, observer, isHeard || isReached);
         if (isReached) this.recordEdge(observer, member, true);
       }
@@ -59,7 +61,7 @@
     else if (!this.edges.has(key)) this.edges.set(key, EdgeState.Down);
   }
 
-  /** Returns whether messages of `from` arrive at `to`. */
+  /** Returns whether messages from `from` arrive at `to`. */
   edgeState(from: MemberId, to: MemberId): EdgeState {
     return this.edges.get(`${from} ${to}`) ?? EdgeState.Unknown;
   }
@@ -68,17 +70,17 @@
     return this.members.filter((other) => other !== member);
   }
 
-  /** Returns the members that receive messages of this one. */
+  /** Returns the members that receive messages from `member`. */
   receiversOf(member: MemberId): MemberId[] {
     return this.peersOf(member).filter((other) => this.edgeState(member, other) === EdgeState.Up);
   }
 
-  /** Returns the members whose messages this one receives. */
+  /** Returns the members whose messages `member` receives. */
   private sendersTo(member: MemberId): MemberId[] {
     return this.peersOf(member).filter((other) => this.edgeState(other, member) === EdgeState.Up);
   }
 
-  /** Returns the members of `among` whose link with this one is down in at least one direction. */
+  /** Returns the members of `among` whose link with `member` is down in at least one direction. */
   private partitionedFrom(member: MemberId, among: readonly MemberId[]): MemberId[] {
     return among.filter(
       (other) =>
@@ -88,7 +90,7 @@
     );
   }
 
-  /** Classifies a member's connection. `present`: the members with which links should exist. */
+  /** Classifies a member's connection. `present`: the members with which a working link is expected. */
   connectionOf(member: MemberId, present: readonly MemberId[]): Connection {
     const receivers = this.receiversOf(member).length;
     const senders = this.sendersTo(member).length;
--- a/packages/membership/src/rejected-messages.ts
+++ b/packages/membership/src/rejected-messages.ts
@@ -1,7 +1,7 @@
-/** Counts rejected messages by reason, and logs them at a bounded rate. */
+/** Counts rejected messages by reason, and logs them at a limited rate. */
 import type { Clock, Logger } from './environment.js';
 
-/** Why a message was rejected. The values appear in the log and in the API for operators. */
+/** Why a message was rejected. The values are part of the log format and of the API for operators. */
 export enum RejectReason {
   Malformed = 'malformed',
   Oversized = 'oversized',
@@ -12,10 +12,10 @@
   RateLimited = 'over the rate that the settings allow',
 }
 
-/** At most one log line per reason in this time. */
+/** The minimum time between two log lines with the same reason. */
 const LOG_INTERVAL_MS = 30_000;
 
-/** Counters by reason. */
+/** Counters of rejected messages by reason. */
 export class RejectedMessages {
   private readonly counts = new Map<RejectReason, number>();
   private readonly lastLoggedAt = new Map<RejectReason, number>();
@@ -25,7 +25,7 @@
     private readonly log: Logger,
   ) {}
 
-  /** Counts a rejected message and logs it, unless the reason was logged recently. */
+  /** Counts a rejected message, and logs it unless the same reason was logged within `LOG_INTERVAL_MS`. */
   record(reason: RejectReason, detail: string): void {
     const count = (this.counts.get(reason) ?? 0) + 1;
     this.counts.set(reason, count);
@@ -36,8 +36,8 @@
     this.log.info({ reason, count, detail }, 'membership message dropped');
   }
 
-  /** Returns all counters that are not zero. */
-  all(): ReadonlyMap<RejectReason, number> {
+  /** Returns all counters greater than 0. */
+  countsByReason(): ReadonlyMap<RejectReason, number> {
     return this.counts;
   }
 }
--- a/packages/membership/src/responder.ts
+++ b/packages/membership/src/responder.ts
@@ -1,4 +1,4 @@
-/** Answers the requests of peers. */
+/** Answers probes and indirect probes of peers. */
 import { encodeMessage, MAX_MESSAGE_BYTES } from './codec.js';
 import { type Identity, IdentityOrder } from './identity.js';
 import type { ReceiverStatusOutcome } from './local-member.js';
@@ -17,17 +17,17 @@
 import { RejectReason } from './rejected-messages.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** Callbacks for what requests say and for answers sent. */
+/** Callbacks for handled requests and sent answers. */
 export interface ResponderListener {
-  /** A peer stated what it knows of this process. */
+  /** Called after a peer's statement about this process was handled. */
   onReceiverStatusOutcome(outcome: ReceiverStatusOutcome): void;
-  /** Something that verdicts depend on may have changed. */
+  /** Called when the observations that verdicts depend on may have changed. */
   onObservation(): void;
-  /** An answer with this process's observations was made for the peer. */
+  /** Called when an answer with this process's observations to a peer is about to be sent. */
   onAnswerSent(identity: Identity): void;
 }
 
-/** Handles requests from any sender; answers only those of configured members that can be decoded. */
+/** Handles requests from any sender, but answers only valid requests of configured members. */
 export class Responder {
   private readonly rateLimiter: TokenBucket;
 
@@ -39,7 +39,7 @@
     this.rateLimiter = new TokenBucket(context.environment.clock, context.settings.maxMessagesPerSecond);
   }
 
-  /** Answers one request. Resolves to null for one that is dropped; the drop is counted. */
+  /** Answers a request. Resolves to null for a dropped request, which is counted as rejected. */
   async handle(payload: Uint8Array): Promise<Uint8Array | null> {
     const request = readMessage(this.context.rejectedMessages, payload);
     if (request === null) return null;
@@ -47,7 +47,7 @@
     if (!this.rateLimiter.tryTake()) {
       this.context.rejectedMessages.record(
         RejectReason.RateLimited,
-        `a request of ${request.from.member} was not answered`,
+        `request from ${request.from.member} was not answered`,
       );
       return null;
     }
@@ -58,10 +58,7 @@
       case MessageKind.IndirectProbe:
         return this.answerIndirectProbe(request);
       default:
-        this.context.rejectedMessages.record(
-          RejectReason.Malformed,
-          `a ${request.kind} that nobody asked for`,
-        );
+        this.context.rejectedMessages.record(RejectReason.Malformed, `unsolicited ${request.kind} message`);
         return null;
     }
   }
@@ -76,8 +73,8 @@
     const tracker = this.context.trackers.get(from.member);
     const order = tracker?.recordMessage(from, sequence, this.context.now);
     if (order === IdentityOrder.Stale) {
-      // It is answered all the same: a restarted process whose clock is behind learns from the answer which incarnation
-      // it has to exceed.
+      // A stale request is answered nevertheless: a restarted process whose clock is behind learns from the answer
+      // which incarnation it has to exceed.
       this.context.rejectedMessages.record(RejectReason.Stale, from.member);
     } else {
       this.listener.onReceiverStatusOutcome(this.context.local.handleReceiverStatus(aboutReceiver));
@@ -100,13 +97,13 @@
     const [own, ...others] = this.context
       .freshRows()
       .map(({ row, ageMs }) => ({ ...row, ageMs: Math.round(ageMs) }));
-    // Our own row comes first: no other member can supply it.
+    // This process's own row comes first, since no other member can supply its current version.
     const rows = own
       ? [own, ...others.filter(({ observer }) => request.missing.includes(observer.member))]
       : [];
-    const complete = encodeAnswer(rows);
+    const fullAnswer = encodeAnswer(rows);
     this.listener.onAnswerSent(request.from);
-    return complete.byteLength <= MAX_MESSAGE_BYTES ? complete : encodeAnswer(rows.slice(0, 1));
+    return fullAnswer.byteLength <= MAX_MESSAGE_BYTES ? fullAnswer : encodeAnswer(rows.slice(0, 1));
   }
 
   private async answerIndirectProbe(request: IndirectProbe): Promise<Uint8Array | null> {
--- a/packages/membership/src/roster.ts
+++ b/packages/membership/src/roster.ts
@@ -1,4 +1,4 @@
-/** The state of every peer as this process sees it, and the events that changes of it raise. */
+/** Maintains the state of every peer as determined by this process, and emits events for state changes. */
 import { PeerSupport } from './environment.js';
 import type { MembershipEvent, MembershipListener } from './events.js';
 import type { Evidence } from './evidence.js';
@@ -7,7 +7,7 @@
 import type { AgedRow } from './observation-table.js';
 import { evaluateMember, MemberState, type Verdict } from './verdict.js';
 
-/** A peer's state, since when, and why. */
+/** A peer's state, when the state began, and the evidence for it. */
 interface RosterEntry {
   readonly state: MemberState;
   readonly sinceMs: number;
@@ -15,12 +15,14 @@
   readonly evidence: readonly Evidence[];
 }
 
-/** Whether a member in this state can refute it by showing that it is alive. */
+/** Whether a member can refute this state by proving that it is alive. */
 function isRefutable(state: MemberState): state is MemberState.Suspect | MemberState.Failed {
   return state === MemberState.Suspect || state === MemberState.Failed;
 }
 
-/** Evaluates all peers from the rows that are known, and keeps verdicts until they are refuted. */
+/**
+ * Evaluates all peers from the current observation rows. A failed member remains failed until it refutes the verdict.
+ */
 export class Roster {
   private readonly entries = new Map<MemberId, RosterEntry>();
   private readonly listeners = new Set<MembershipListener>();
@@ -32,7 +34,7 @@
     }
   }
 
-  /** Registers a listener for all events; the result unregisters it. */
+  /** Registers a listener for all events. The returned function unregisters the listener. */
   listen(listener: MembershipListener): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
@@ -43,47 +45,47 @@
     for (const listener of [...this.listeners]) listener(event);
   }
 
-  /** Returns a peer's entry; null for other names. */
+  /** Returns a peer's entry; null if the member is not a peer. */
   entry(member: MemberId): RosterEntry | null {
     return this.entries.get(member) ?? null;
   }
 
-  /** Returns a peer's state. */
+  /** Returns a peer's state; `Unknown` if the member is not a peer. */
   state(member: MemberId): MemberState {
     return this.entries.get(member)?.state ?? MemberState.Unknown;
   }
 
-  /** Evaluates every peer again and raises events for what has changed. */
+  /** Re-evaluates every peer and emits events for changes. */
   evaluate(): void {
     const rows = this.context.freshRows();
     for (const [member, entry] of this.entries) this.update(member, entry, rows);
   }
 
-  private update(member: MemberId, before: RosterEntry, rows: readonly AgedRow[]): void {
+  private update(member: MemberId, previous: RosterEntry, rows: readonly AgedRow[]): void {
     const verdict = evaluateMember(member, rows, this.context.verdictRules);
-    const hasRestarted = this.hasRestarted(before, verdict);
-    const state = this.nextState(member, before, verdict);
-    const identity = verdict.identity ?? before.identity;
-    const hasChanged = state !== before.state;
+    const hasRestarted = this.hasRestarted(previous, verdict);
+    const state = this.nextState(member, previous, verdict);
+    const identity = verdict.identity ?? previous.identity;
+    const hasChanged = state !== previous.state;
     const entry = {
       state,
-      sinceMs: hasChanged ? this.context.now : before.sinceMs,
+      sinceMs: hasChanged ? this.context.now : previous.sinceMs,
       identity,
-      // A verdict that stands keeps the evidence that it rests on.
-      evidence: hasChanged || !isRefutable(state) ? verdict.evidence : this.latestEvidence(before, verdict),
+      // An unchanged suspicion or failure keeps its evidence if there is no newer evidence.
+      evidence: hasChanged || !isRefutable(state) ? verdict.evidence : this.latestEvidence(previous, verdict),
     };
     this.entries.set(member, entry);
     if (hasRestarted && identity) this.emit({ kind: 'restarted', member, identity });
     if (!hasChanged) return;
-    if (isRefutable(before.state) && state === MemberState.Alive && identity && !hasRestarted) {
-      this.emit({ kind: 'refuted', member, identity, from: before.state });
+    if (isRefutable(previous.state) && state === MemberState.Alive && identity && !hasRestarted) {
+      this.emit({ kind: 'refuted', member, identity, from: previous.state });
     }
     const { evidence } = entry;
-    this.emit({ kind: 'state-changed', member, identity, from: before.state, to: state, evidence });
+    this.emit({ kind: 'state-changed', member, identity, from: previous.state, to: state, evidence });
   }
 
-  private latestEvidence(before: RosterEntry, verdict: Verdict): readonly Evidence[] {
-    return verdict.evidence.length > 0 ? verdict.evidence : before.evidence;
+  private latestEvidence(previous: RosterEntry, verdict: Verdict): readonly Evidence[] {
+    return verdict.evidence.length > 0 ? verdict.evidence : previous.evidence;
   }
 
   private hasRestarted({ identity }: RosterEntry, verdict: Verdict): boolean {
@@ -91,19 +93,22 @@
     return identity.process !== verdict.identity.process;
   }
 
-  /** Returns the new state: a failed or left member stays so until it shows another identity. */
-  private nextState(member: MemberId, before: RosterEntry, verdict: Verdict): MemberState {
+  /**
+   * Returns a member's new state. A failed member remains failed until it shows another identity; a member that has
+   * left remains so until it shows another process.
+   */
+  private nextState(member: MemberId, previous: RosterEntry, verdict: Verdict): MemberState {
     const support = this.context.environment.transport.support(member);
     if (support === PeerSupport.Unsupported) return MemberState.Unknown;
     const { identity } = verdict;
     if (identity === null) {
-      // No current row mentions the member: the earlier finding still holds.
-      return before.state === MemberState.Alive ? MemberState.Suspect : before.state;
+      // No current row mentions the member, so the previous state is kept, except that an alive member becomes suspect.
+      return previous.state === MemberState.Alive ? MemberState.Suspect : previous.state;
     }
-    if (before.identity === null) return verdict.state;
-    if (before.state === MemberState.Failed && isSameIdentity(before.identity, identity))
+    if (previous.identity === null) return verdict.state;
+    if (previous.state === MemberState.Failed && isSameIdentity(previous.identity, identity))
       return MemberState.Failed;
-    if (before.state === MemberState.Left && before.identity.process === identity.process) {
+    if (previous.state === MemberState.Left && previous.identity.process === identity.process) {
       return MemberState.Left;
     }
     return verdict.state;
--- a/packages/membership/src/settings.ts
+++ b/packages/membership/src/settings.ts
@@ -1,30 +1,32 @@
-/** Settings of the failure detector, and their validation. */
+/** The settings of the failure detector, and their validation. */
 import type { MemberId } from './identity.js';
 
-/** Settings of one member. Periods are in milliseconds. */
+/** The settings of a member. Periods are in milliseconds. */
 export interface MembershipSettings {
   readonly self: MemberId;
   /** All configured controllers, this one included. */
   readonly members: readonly MemberId[];
-  /** The number of observers, out of all configured controllers, that must find a member silent before it is failed. */
+  /**
+   * The number of observers, out of all configured controllers, that must find a member silent to declare it failed.
+   */
   readonly majority: number;
-  /** Time between the beginnings of two rounds of probes. */
+  /** The time between the starts of two probe rounds. */
   readonly probeIntervalMs: number;
-  /** How long a probe waits for its answer. */
+  /** The time within which a probe must be answered. */
   readonly probeTimeoutMs: number;
-  /** How long a suspicion must have stood unrefuted before it counts towards a verdict. */
+  /** The time for which a suspicion must remain unrefuted before it counts towards a verdict. */
   readonly suspicionMs: number;
-  /** The number of peers that are asked to probe a member that did not answer. */
+  /** The number of peers that are asked to probe a member that did not answer a direct probe. */
   readonly indirectProbes: number;
-  /** The maximum of the local health score: a slow observer multiplies its timeouts by up to one more than this. */
+  /** The maximum local health score: a slow observer multiplies its timeouts by at most this score plus 1. */
   readonly maxLocalHealth: number;
-  /** A timer that fires later than this indicates a pause of this process. */
+  /** A timer that fires late by more than this time indicates a pause of this process. */
   readonly pauseThresholdMs: number;
-  /** The maximum of probes sent per second; the same limit applies separately to answers. */
+  /** The maximum number of probes sent per second. The same limit applies separately to answers. */
   readonly maxMessagesPerSecond: number;
 }
 
-/** The periods and limits, without the names of the members. */
+/** The settings that do not depend on the set of members: periods and limits. */
 export type MembershipTuning = Omit<MembershipSettings, 'self' | 'members' | 'majority'>;
 
 /** The default periods and limits. */
@@ -38,7 +40,7 @@
   maxMessagesPerSecond: 100,
 };
 
-/** Thrown for an invalid setting. The message names the field. */
+/** Thrown for an invalid setting. The message starts with the name of the field. */
 export class MembershipSettingsError extends Error {
   readonly code = 'INVALID_SETTING';
 
@@ -55,45 +57,47 @@
 const MAX_PERIOD_MS = 600_000;
 const MIN_PERIOD_MS = 10;
 const MAX_INDIRECT_PROBES = 8;
-const MAX_LOCAL_HEALTH = 16;
-const MAX_RATE = 10_000;
+const MAX_LOCAL_HEALTH_SCORE = 16;
+const MAX_MESSAGES_PER_SECOND = 10_000;
 
-/** Returns the smallest number that is more than half of the configured controllers. */
+/** Returns the size of the smallest majority of the given number of controllers. */
 export function majorityOf(members: number): number {
   return Math.floor(members / 2) + 1;
 }
 
 function requireWithin(field: string, value: number, min: number, max: number): void {
-  if (!Number.isFinite(value)) throw new MembershipSettingsError(field, 'not a number');
-  if (value < min) throw new MembershipSettingsError(field, `below ${min}`);
-  if (value > max) throw new MembershipSettingsError(field, `above ${max}`);
+  if (!Number.isFinite(value)) throw new MembershipSettingsError(field, 'must be a finite number');
+  if (value < min) throw new MembershipSettingsError(field, `must be at least ${min}`);
+  if (value > max) throw new MembershipSettingsError(field, `must be at most ${max}`);
 }
 
 function checkMembers({ self, members }: MembershipSettings): void {
   if (members.length > MAX_MEMBERS) {
-    throw new MembershipSettingsError('members', `more than ${MAX_MEMBERS} controllers`);
+    throw new MembershipSettingsError('members', `must contain at most ${MAX_MEMBERS} controllers`);
   }
   const names = new Set<MemberId>();
   for (const member of members) {
-    if (member === '') throw new MembershipSettingsError('members', 'an empty name');
+    if (member === '') throw new MembershipSettingsError('members', 'must not contain an empty name');
     if (names.has(member)) throw new MembershipSettingsError('members', `${member} is named twice`);
     names.add(member);
   }
-  if (!names.has(self))
-    throw new MembershipSettingsError('members', `${self} (this controller) is not named`);
+  if (!names.has(self)) throw new MembershipSettingsError('members', `must contain this controller, ${self}`);
 }
 
 function checkMajority({ members, majority }: MembershipSettings): void {
   const minMajority = majorityOf(members.length);
-  if (!Number.isInteger(majority)) throw new MembershipSettingsError('majority', 'not a whole number');
+  if (!Number.isInteger(majority)) throw new MembershipSettingsError('majority', 'must be an integer');
   if (majority < minMajority) {
     throw new MembershipSettingsError(
       'majority',
-      `${majority} of ${members.length} controllers is no majority; at least ${minMajority} are needed`,
+      `${majority} of ${members.length} controllers is not a majority; must be at least ${minMajority}`,
     );
   }
   if (majority > members.length) {
-    throw new MembershipSettingsError('majority', `above the ${members.length} controllers that there are`);
+    throw new MembershipSettingsError(
+      'majority',
+      `must be at most the number of controllers (${members.length})`,
+    );
   }
 }
 
@@ -105,9 +109,9 @@
   requireWithin('probeTimeoutMs', settings.probeTimeoutMs, MIN_PERIOD_MS, settings.probeIntervalMs);
   requireWithin('suspicionMs', settings.suspicionMs, MIN_PERIOD_MS, MAX_PERIOD_MS);
   requireWithin('indirectProbes', settings.indirectProbes, 0, MAX_INDIRECT_PROBES);
-  requireWithin('maxLocalHealth', settings.maxLocalHealth, 0, MAX_LOCAL_HEALTH);
+  requireWithin('maxLocalHealth', settings.maxLocalHealth, 0, MAX_LOCAL_HEALTH_SCORE);
   requireWithin('pauseThresholdMs', settings.pauseThresholdMs, MIN_PERIOD_MS, MAX_PERIOD_MS);
   const peers = settings.members.length - 1;
   const minRate = Math.max(1, Math.ceil((peers * 1000) / settings.probeIntervalMs));
-  requireWithin('maxMessagesPerSecond', settings.maxMessagesPerSecond, minRate, MAX_RATE);
+  requireWithin('maxMessagesPerSecond', settings.maxMessagesPerSecond, minRate, MAX_MESSAGES_PER_SECOND);
 }
--- a/packages/membership/src/token-bucket.ts
+++ b/packages/membership/src/token-bucket.ts
@@ -1,7 +1,7 @@
-/** A token bucket. */
+/** A token bucket rate limiter. */
 import type { Clock } from './environment.js';
 
-/** Allows `perSecond` operations per second on average, and a burst of at most one second's worth. */
+/** Allows `perSecond` operations per second on average, in bursts of at most `perSecond` operations. */
 export class TokenBucket {
   private tokens: number;
   private refilledAt: number;
@@ -14,11 +14,11 @@
     this.refilledAt = clock.now();
   }
 
-  /** Takes one token; false if there is none. */
+  /** Takes a token. Returns false if no token is available. */
   tryTake(): boolean {
     const now = this.clock.now();
-    const earned = ((now - this.refilledAt) / 1000) * this.perSecond;
-    this.tokens = Math.min(this.perSecond, this.tokens + earned);
+    const refilledTokens = ((now - this.refilledAt) / 1000) * this.perSecond;
+    this.tokens = Math.min(this.perSecond, this.tokens + refilledTokens);
     this.refilledAt = now;
     if (this.tokens < 1) return false;
     this.tokens--;
--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -1,26 +1,26 @@
 /**
- * The verdict on one member from the observations of all members. A pure function of the rows: members that hold the
- * same rows reach the same verdict.
+ * Derives the verdict on a member from the observations of all members. The verdict is a pure function of the rows, so
+ * members that hold the same rows reach the same verdict.
  */
 import { type Evidence, evidenceOf, LinkCondition } from './evidence.js';
 import { compareIdentity, type Identity, IdentityOrder, type MemberId, isSameIdentity } from './identity.js';
 import type { ObservationRow } from './messages.js';
-import { type AgedRow, identityIn } from './observation-table.js';
+import { type AgedRow, identityInRow } from './observation-table.js';
 
-/** The states of a member. The values appear in the log and in the API for operators. */
+/** The states of a member. The values are part of the log format and of the API for operators. */
 export enum MemberState {
-  /** Nothing is known of it yet, or its program does not support membership messages. */
+  /** Nothing is known of the member yet, or its version does not support membership messages. */
   Unknown = 'unknown',
   Alive = 'alive',
-  /** It did not answer, and may still refute the suspicion. */
+  /** The member did not answer probes, and may still refute the suspicion. */
   Suspect = 'suspect',
-  /** A majority of the configured controllers has found it silent. */
+  /** A majority of the configured controllers has found the member silent. */
   Failed = 'failed',
-  /** It announced that it leaves. */
+  /** The member announced that it leaves. */
   Left = 'left',
 }
 
-/** The thresholds for a verdict. */
+/** The thresholds for verdicts. */
 export interface VerdictRules {
   readonly majority: number;
   readonly suspicionMs: number;
@@ -31,7 +31,7 @@
 /** The state of a member, and the evidence for it. */
 export interface Verdict {
   readonly state: MemberState;
-  /** The latest identity that any row names. */
+  /** The member's latest identity in any row; null: no row mentions the member. */
   readonly identity: Identity | null;
   readonly evidence: readonly Evidence[];
 }
@@ -39,13 +39,13 @@
 function latestIdentity(subject: MemberId, rows: readonly AgedRow[]): Identity | null {
   let latest: Identity | null = null;
   for (const { row } of rows) {
-    const identity = identityIn(row, subject);
+    const identity = identityInRow(row, subject);
     if (identity !== null && compareIdentity(latest, identity) !== IdentityOrder.Stale) latest = identity;
   }
   return latest;
 }
 
-/** Returns the findings about exactly this identity: those about an earlier one are no evidence. */
+/** Returns the evidence about exactly this identity; observations of an earlier identity are ignored. */
 function evidenceAbout(identity: Identity, rows: readonly AgedRow[], rules: VerdictRules): Evidence[] {
   const findings: Evidence[] = [];
   for (const { row, ageMs } of rows) {
@@ -56,7 +56,10 @@
   return findings;
 }
 
-/** Whether a finding counts towards a failure: silent in both directions, and suspected for long enough. */
+/**
+ * Whether a finding counts as a vote for failure: the member has been silent in both directions, and suspected, for at
+ * least the suspicion time, which is extended by the observer's local health score.
+ */
 function supportsFailure(evidence: Evidence, rules: VerdictRules): boolean {
   const { condition, suspectedForMs, durationMs, observerHealthScore } = evidence;
   const neededMs = rules.suspicionMs * (1 + observerHealthScore);
@@ -64,7 +67,7 @@
   return suspectedForMs >= neededMs && durationMs >= neededMs;
 }
 
-/** Whether an observer suspects the member and no observer has had an answer from it since that began. */
+/** Whether an observer suspects the member, and no observer received an answer since the suspicion began. */
 function isSuspectedSinceLastAnswer(evidence: readonly Evidence[]): boolean {
   const answeredAgoMs = Math.min(...evidence.map((finding) => finding.answeredAgoMs));
   return evidence.some(
@@ -76,7 +79,7 @@
   return rows.find(({ row }) => row.observer.member === subject)?.row ?? null;
 }
 
-/** Derives the state. `own`: the member's own row; null if there is none. */
+/** Derives a member's state. `own`: the member's own row; null if there is none. */
 function stateFrom(
   identity: Identity,
   own: ObservationRow | null,
@@ -89,7 +92,7 @@
   return isSuspectedSinceLastAnswer(evidence) ? MemberState.Suspect : MemberState.Alive;
 }
 
-/** Evaluates a member. `rows`: those that are recent enough to count, the evaluating member's own among them. */
+/** Evaluates a member. `rows`: the rows that are recent enough to count, including the evaluating member's own row. */
 export function evaluateMember(subject: MemberId, rows: readonly AgedRow[], rules: VerdictRules): Verdict {
   const identity = latestIdentity(subject, rows);
   if (identity === null) return { state: MemberState.Unknown, identity, evidence: [] };
--- a/packages/membership/test/failure-detection.test.ts
+++ b/packages/membership/test/failure-detection.test.ts
@@ -12,11 +12,11 @@
 const B = 'c1' as MemberId;
 const C = 'c2' as MemberId;
 
-async function cluster(controllers = 3, seed = 1): Promise<SimulatedCluster> {
-  const started = new SimulatedCluster({ controllers, units: 1, seed });
-  started.startAll();
-  await started.run(3000);
-  return started;
+async function startCluster(controllers = 3, seed = 1): Promise<SimulatedCluster> {
+  const cluster = new SimulatedCluster({ controllers, units: 1, seed });
+  cluster.startAll();
+  await cluster.run(3000);
+  return cluster;
 }
 
 function cutBothWays({ network }: SimulatedCluster, first: MemberId, second: MemberId): void {
@@ -30,43 +30,44 @@
 
 describe('a healthy cluster', () => {
   it('declares no member failed while messages are lost, delayed and repeated', async () => {
-    const healthy = await cluster();
-    Object.assign(healthy.network.faults, {
+    const cluster = await startCluster();
+    Object.assign(cluster.network.faults, {
       lossRate: 0.02,
       maxDelayMs: 60,
       duplicateRate: 0.05,
       maxDuplicateDelayMs: 9000,
     });
-    await healthy.run(600_000);
-    const failed = healthy.events.filter(
+    await cluster.run(600_000);
+    const failed = cluster.events.filter(
       ({ event }) => event.kind === 'state-changed' && event.to === MemberState.Failed,
     );
     expect(failed).toEqual([]);
-    for (const observer of healthy.members) {
-      for (const subject of healthy.members) {
-        expect(healthy.state(observer, subject)).not.toBe(MemberState.Failed);
+    for (const observer of cluster.members) {
+      for (const subject of cluster.members) {
+        expect(cluster.state(observer, subject)).not.toBe(MemberState.Failed);
       }
     }
   });
 });
 
-describe('a member that dies', () => {
+describe('a member whose process ends', () => {
   it('is suspected, then declared failed by all others, with evidence from each observer', async () => {
-    const members = await cluster();
-    members.kill(C);
-    await members.run(1200);
-    expect(members.state(A, C)).toBe(MemberState.Suspect);
-    await members.run(2000);
-    expect(members.state(A, C)).toBe(MemberState.Failed);
-    expect(members.state(B, C)).toBe(MemberState.Failed);
-    const view = members
+    const cluster = await startCluster();
+    cluster.kill(C);
+    await cluster.run(1200);
+    expect(cluster.state(A, C)).toBe(MemberState.Suspect);
+    await cluster.run(2000);
+    expect(cluster.state(A, C)).toBe(MemberState.Failed);
+    expect(cluster.state(B, C)).toBe(MemberState.Failed);
+    const view = cluster
       .membership(A)
       .members()
       .find(({ member }) => member === C);
     expect(view?.evidence.map(({ observer }) => observer).sort()).toEqual([A, B]);
     expect(view?.evidence.every(({ condition }) => condition === LinkCondition.Silent)).toBe(true);
-    // A dead controller must not be reported as a partition: operators would look for a network fault.
-    const survivors = members
+    // A controller whose process ended must not be reported as a partition, or operators would look for a network
+    // fault.
+    const survivors = cluster
       .membership(A)
       .members()
       .filter(({ member }) => member !== C);
@@ -76,32 +77,33 @@
     ]);
   });
 
-  it('is not declared failed by a single survivor of three, which is no majority', async () => {
-    const members = await cluster();
-    members.kill(B);
-    members.kill(C);
-    await members.run(30_000);
-    expect(members.state(A, B)).toBe(MemberState.Suspect);
-    expect(members.state(A, C)).toBe(MemberState.Suspect);
-    expect(members.membership(A).hasMajority).toBe(false);
+  it('is not declared failed by a single survivor of three, which is not a majority', async () => {
+    const cluster = await startCluster();
+    cluster.kill(B);
+    cluster.kill(C);
+    await cluster.run(30_000);
+    expect(cluster.state(A, B)).toBe(MemberState.Suspect);
+    expect(cluster.state(A, C)).toBe(MemberState.Suspect);
+    expect(cluster.membership(A).hasMajority).toBe(false);
   });
 
-  // The platform restarts a process within a fraction of a second; its clock may be behind its predecessor's.
+  // The platform restarts a process within a fraction of a second, and the wall clock of the new process may be behind
+  // that of the previous one.
   it.each([1, 2, 3, 4, 5, 6])(
     'is a new process, alive everywhere, when it restarts within 200 ms (seed %i)',
     async (seed) => {
-      const members = await cluster(3, seed);
-      const formerIdentity = members.membership(C).identity;
-      members.kill(C);
-      await members.run(200);
-      members.start(C);
-      await members.run(3000);
-      const { identity } = members.membership(C);
-      expect(identity.process).not.toBe(formerIdentity.process);
+      const cluster = await startCluster(3, seed);
+      const previousIdentity = cluster.membership(C).identity;
+      cluster.kill(C);
+      await cluster.run(200);
+      cluster.start(C);
+      await cluster.run(3000);
+      const { identity } = cluster.membership(C);
+      expect(identity.process).not.toBe(previousIdentity.process);
       for (const observer of [A, B]) {
-        expect(members.state(observer, C)).toBe(MemberState.Alive);
-        expect(eventKinds(members, observer)).toContain('restarted');
-        const view = members
+        expect(cluster.state(observer, C)).toBe(MemberState.Alive);
+        expect(eventKinds(cluster, observer)).toContain('restarted');
+        const view = cluster
           .membership(observer)
           .members()
           .find(({ member }) => member === C);
@@ -112,27 +114,27 @@
 });
 
 describe('a paused member', () => {
-  it('is declared failed, and alive again once it resumes and refutes that', async () => {
-    const members = await cluster();
-    members.pause(C);
-    await members.run(4000);
-    expect(members.state(A, C)).toBe(MemberState.Failed);
-    members.resume(C);
-    await members.run(2000);
-    expect(members.state(A, C)).toBe(MemberState.Alive);
-    expect(eventKinds(members, A)).toContain('refuted');
-    expect(eventKinds(members, C)).toContain('self-paused');
+  it('is declared failed, and is alive again once it resumes and refutes the verdict', async () => {
+    const cluster = await startCluster();
+    cluster.pause(C);
+    await cluster.run(4000);
+    expect(cluster.state(A, C)).toBe(MemberState.Failed);
+    cluster.resume(C);
+    await cluster.run(2000);
+    expect(cluster.state(A, C)).toBe(MemberState.Alive);
+    expect(eventKinds(cluster, A)).toContain('refuted');
+    expect(eventKinds(cluster, C)).toContain('self-paused');
   });
 
-  // If the pause counted, it would find everybody silent for 20 s and suspect them all.
-  it('suspects nobody for the time in which it did not run', async () => {
-    const members = await cluster();
-    members.pause(C);
-    await members.run(20_000);
-    members.events.length = 0;
-    members.resume(C);
-    await members.run(5000);
-    const suspicions = members.events.filter(
+  // If the pause were not excluded, the resumed member would find all peers silent for 20 s and suspect all of them.
+  it('suspects no peer for the time of its own pause', async () => {
+    const cluster = await startCluster();
+    cluster.pause(C);
+    await cluster.run(20_000);
+    cluster.events.length = 0;
+    cluster.resume(C);
+    await cluster.run(5000);
+    const suspicions = cluster.events.filter(
       ({ observer, event }) =>
         observer === C && event.kind === 'state-changed' && event.to !== MemberState.Alive,
     );
@@ -140,23 +142,23 @@
   });
 
   it('is only suspected when all members but one are paused', async () => {
-    const members = await cluster(5);
-    for (const member of members.members.slice(1)) members.pause(member);
-    await members.run(10_000);
-    for (const member of members.members.slice(1)) {
-      expect(members.state(A, member)).toBe(MemberState.Suspect);
+    const cluster = await startCluster(5);
+    for (const member of cluster.members.slice(1)) cluster.pause(member);
+    await cluster.run(10_000);
+    for (const member of cluster.members.slice(1)) {
+      expect(cluster.state(A, member)).toBe(MemberState.Suspect);
     }
   });
 });
 
 describe('partitions', () => {
   it('from a single peer: the member stays alive, and the link is reported', async () => {
-    const members = await cluster();
-    cutBothWays(members, A, C);
-    await members.run(15_000);
-    expect(members.state(A, C)).toBe(MemberState.Alive);
-    expect(members.state(C, A)).toBe(MemberState.Alive);
-    const view = members
+    const cluster = await startCluster();
+    cutBothWays(cluster, A, C);
+    await cluster.run(15_000);
+    expect(cluster.state(A, C)).toBe(MemberState.Alive);
+    expect(cluster.state(C, A)).toBe(MemberState.Alive);
+    const view = cluster
       .membership(A)
       .members()
       .find(({ member }) => member === C);
@@ -167,30 +169,30 @@
   });
 
   it('outbound: the others declare the member failed, and it detects its own partition', async () => {
-    const members = await cluster();
-    members.network.cut(C, A);
-    members.network.cut(C, B);
-    await members.run(6000);
-    expect(members.state(A, C)).toBe(MemberState.Failed);
-    expect(members.state(B, C)).toBe(MemberState.Failed);
-    const own = members
+    const cluster = await startCluster();
+    cluster.network.cut(C, A);
+    cluster.network.cut(C, B);
+    await cluster.run(6000);
+    expect(cluster.state(A, C)).toBe(MemberState.Failed);
+    expect(cluster.state(B, C)).toBe(MemberState.Failed);
+    const own = cluster
       .membership(C)
       .members()
       .find(({ member }) => member === C);
     expect(own?.connection).toBe(Connection.OutboundPartition);
-    expect(members.membership(C).hasMajority).toBe(false);
-    members.network.healAll();
-    await members.run(4000);
-    expect(members.state(A, C)).toBe(MemberState.Alive);
+    expect(cluster.membership(C).hasMajority).toBe(false);
+    cluster.network.healAll();
+    await cluster.run(4000);
+    expect(cluster.state(A, C)).toBe(MemberState.Alive);
   });
 
   it('inbound: the member stays suspected, since its messages still arrive', async () => {
-    const members = await cluster();
-    members.network.cut(A, C);
-    members.network.cut(B, C);
-    await members.run(20_000);
-    expect(members.state(A, C)).toBe(MemberState.Suspect);
-    const view = members
+    const cluster = await startCluster();
+    cluster.network.cut(A, C);
+    cluster.network.cut(B, C);
+    await cluster.run(20_000);
+    expect(cluster.state(A, C)).toBe(MemberState.Suspect);
+    const view = cluster
       .membership(A)
       .members()
       .find(({ member }) => member === C);
@@ -198,36 +200,36 @@
     expect(view?.evidence.map(({ condition }) => condition)).toContain(LinkCondition.HeardOnly);
   });
 
-  it('in two parts: the larger one declares the smaller one failed, and not the reverse', async () => {
-    const members = await cluster(5);
-    const [a, b, c, d, e] = members.members as [MemberId, MemberId, MemberId, MemberId, MemberId];
+  it('in two sides: the majority declares the minority failed, and not the reverse', async () => {
+    const cluster = await startCluster(5);
+    const [a, b, c, d, e] = cluster.members as [MemberId, MemberId, MemberId, MemberId, MemberId];
     for (const minority of [a, b]) {
-      for (const majority of [c, d, e]) cutBothWays(members, minority, majority);
+      for (const majority of [c, d, e]) cutBothWays(cluster, minority, majority);
     }
-    await members.run(8000);
-    expect(members.state(c, a)).toBe(MemberState.Failed);
-    expect(members.state(e, b)).toBe(MemberState.Failed);
-    for (const majority of [c, d, e]) expect(members.state(a, majority)).toBe(MemberState.Suspect);
-    members.network.healAll();
-    await members.run(5000);
-    for (const minority of [a, b]) expect(members.state(d, minority)).toBe(MemberState.Alive);
+    await cluster.run(8000);
+    expect(cluster.state(c, a)).toBe(MemberState.Failed);
+    expect(cluster.state(e, b)).toBe(MemberState.Failed);
+    for (const majority of [c, d, e]) expect(cluster.state(a, majority)).toBe(MemberState.Suspect);
+    cluster.network.healAll();
+    await cluster.run(5000);
+    for (const minority of [a, b]) expect(cluster.state(d, minority)).toBe(MemberState.Alive);
   });
 });
 
 describe('a member that leaves', () => {
-  it('has left at once, without suspicion, and is alive again when it is restarted', async () => {
-    const members = await cluster();
-    members.events.length = 0;
-    const leaving = members.leave(C);
-    await members.run(2000);
+  it('has left within 2 s, without suspicion, and is alive again when it is restarted', async () => {
+    const cluster = await startCluster();
+    cluster.events.length = 0;
+    const leaving = cluster.leave(C);
+    await cluster.run(2000);
     await leaving;
-    expect(members.state(A, C)).toBe(MemberState.Left);
-    await members.run(10_000);
-    expect(members.state(A, C)).toBe(MemberState.Left);
-    const states = members.events.flatMap(({ event }) => (event.kind === 'state-changed' ? [event.to] : []));
+    expect(cluster.state(A, C)).toBe(MemberState.Left);
+    await cluster.run(10_000);
+    expect(cluster.state(A, C)).toBe(MemberState.Left);
+    const states = cluster.events.flatMap(({ event }) => (event.kind === 'state-changed' ? [event.to] : []));
     expect(states).not.toContain(MemberState.Suspect);
-    members.start(C);
-    await members.run(3000);
-    expect(members.state(A, C)).toBe(MemberState.Alive);
+    cluster.start(C);
+    await cluster.run(3000);
+    expect(cluster.state(A, C)).toBe(MemberState.Alive);
   });
 });
--- a/packages/membership/test/membership.test.ts
+++ b/packages/membership/test/membership.test.ts
@@ -23,23 +23,23 @@
   majority: majorityOf(3),
 };
 
-/** One member without live peers, and what it did. */
+/** A member without live peers, with the log lines and requests that it produced. */
 interface IsolatedMember {
   readonly clock: VirtualClock;
   readonly membership: Membership;
-  readonly lines: string[];
+  readonly logLines: string[];
   readonly requests: string[];
 }
 
-/** Starts one member whose requests are recorded and never answered. */
+/** Creates a member whose requests are recorded and never answered. */
 function isolatedMember(support = PeerSupport.Supported, settings = SETTINGS): IsolatedMember {
   const clock = new VirtualClock();
-  const lines: string[] = [];
+  const logLines: string[] = [];
   const requests: string[] = [];
   const environment: MembershipEnvironment = {
     clock,
     random: () => 0.5,
-    log: { info: (_, text) => lines.push(text), warn: (_, text) => lines.push(text) },
+    log: { info: (_, text) => logLines.push(text), warn: (_, text) => logLines.push(text) },
     selfReport: () => ({ load: 0, ready: true }),
     transport: {
       support: () => support,
@@ -49,10 +49,10 @@
       },
     },
   };
-  return { clock, membership: new Membership(settings, environment), lines, requests };
+  return { clock, membership: new Membership(settings, environment), logLines, requests };
 }
 
-const probe = (from: string, sequence = 1, process = 'p1', incarnation = 5): Uint8Array =>
+const encodedProbe = (from: string, sequence = 1, process = 'p1', incarnation = 5): Uint8Array =>
   Buffer.from(
     JSON.stringify({
       kind: 'probe',
@@ -66,17 +66,17 @@
 describe('checkSettings', () => {
   it.each<[string, Partial<MembershipSettings>]>([
     ['members: b is named twice', { members: ['a', 'b', 'b'] as MemberId[] }],
-    ['members: a (this controller) is not named', { members: ['b', 'c'] as MemberId[] }],
-    ['members: an empty name', { members: ['a', ''] as MemberId[] }],
-    ['majority: 1 of 3 controllers is no majority; at least 2 are needed', { majority: 1 }],
-    ['majority: above the 3 controllers that there are', { majority: 4 }],
-    ['majority: not a whole number', { majority: 2.5 }],
-    ['probeIntervalMs: below 10', { probeIntervalMs: -500 }],
-    ['probeTimeoutMs: above 500', { probeTimeoutMs: 700 }],
-    ['suspicionMs: not a number', { suspicionMs: Number.NaN }],
-    ['suspicionMs: above 600000', { suspicionMs: 1e9 }],
-    ['pauseThresholdMs: below 10', { pauseThresholdMs: 0 }],
-    ['maxMessagesPerSecond: below 4', { maxMessagesPerSecond: 1 }],
+    ['members: must contain this controller, a', { members: ['b', 'c'] as MemberId[] }],
+    ['members: must not contain an empty name', { members: ['a', ''] as MemberId[] }],
+    ['majority: 1 of 3 controllers is not a majority; must be at least 2', { majority: 1 }],
+    ['majority: must be at most the number of controllers (3)', { majority: 4 }],
+    ['majority: must be an integer', { majority: 2.5 }],
+    ['probeIntervalMs: must be at least 10', { probeIntervalMs: -500 }],
+    ['probeTimeoutMs: must be at most 500', { probeTimeoutMs: 700 }],
+    ['suspicionMs: must be a finite number', { suspicionMs: Number.NaN }],
+    ['suspicionMs: must be at most 600000', { suspicionMs: 1e9 }],
+    ['pauseThresholdMs: must be at least 10', { pauseThresholdMs: 0 }],
+    ['maxMessagesPerSecond: must be at least 4', { maxMessagesPerSecond: 1 }],
   ])('%s', (message, change) => {
     expect(() => checkSettings({ ...SETTINGS, ...change })).toThrow(MembershipSettingsError);
     expect(() => checkSettings({ ...SETTINGS, ...change })).toThrow(message);
@@ -85,10 +85,10 @@
 
 describe('Membership.handle', () => {
   it('answers a peer, and counts rejected messages by reason, logging each reason at a bounded rate', async () => {
-    const { membership, clock, lines } = isolatedMember();
-    expect(await membership.handle(probe('b'))).not.toBeNull();
+    const { membership, clock, logLines } = isolatedMember();
+    expect(await membership.handle(encodedProbe('b'))).not.toBeNull();
     for (let round = 0; round < 50; round++) {
-      expect(await membership.handle(probe('stranger'))).toBeNull();
+      expect(await membership.handle(encodedProbe('stranger'))).toBeNull();
       expect(await membership.handle(Buffer.from('{'))).toBeNull();
       expect(await membership.handle(Buffer.from('{"kind":"poke"}'))).toBeNull();
       expect(await membership.handle(Buffer.alloc(70_000, 0x20))).toBeNull();
@@ -98,14 +98,14 @@
     expect(membership.rejected.get(RejectReason.Malformed)).toBe(50);
     expect(membership.rejected.get(RejectReason.UnknownKind)).toBe(50);
     expect(membership.rejected.get(RejectReason.Oversized)).toBe(50);
-    expect(lines).toHaveLength(4);
+    expect(logLines).toHaveLength(4);
   });
 
   it('answers no more requests per second than the settings allow', async () => {
     const { membership } = isolatedMember();
     let answered = 0;
     for (let sequence = 1; sequence <= 1000; sequence++) {
-      if (await membership.handle(probe('b', sequence))) answered++;
+      if (await membership.handle(encodedProbe('b', sequence))) answered++;
     }
     expect(answered).toBe(SETTINGS.maxMessagesPerSecond);
     expect(membership.rejected.get(RejectReason.RateLimited)).toBe(1000 - answered);
@@ -140,37 +140,37 @@
     );
   });
 
-  // A copy that arrives minutes later must not keep a dead member alive.
-  it('takes neither a repeated message nor one of an earlier process for a sign of life', async () => {
+  // A duplicate that arrives minutes later must not make a failed member appear alive.
+  it('counts neither a duplicate message nor a message of an earlier process as a contact', async () => {
     const { membership, clock } = isolatedMember();
     membership.start();
     const heardAgoMs = async (): Promise<number | null | undefined> => {
-      const answer = await membership.handle(probe('c'));
+      const answer = await membership.handle(encodedProbe('c'));
       const { rows } = JSON.parse(Buffer.from(answer ?? []).toString()) as {
         rows: { peers: { identity: { member: string }; heardAgoMs: number | null }[] }[];
       };
       return rows[0]?.peers.find(({ identity }) => identity.member === 'b')?.heardAgoMs;
     };
-    await membership.handle(probe('b', 7));
+    await membership.handle(encodedProbe('b', 7));
     await clock.advance(9000);
-    await membership.handle(probe('b', 7));
-    await membership.handle(probe('b', 3));
-    await membership.handle(probe('b', 99, 'p0', 4));
+    await membership.handle(encodedProbe('b', 7));
+    await membership.handle(encodedProbe('b', 3));
+    await membership.handle(encodedProbe('b', 99, 'p0', 4));
     expect(await heardAgoMs()).toBe(9000);
-    await membership.handle(probe('b', 8));
+    await membership.handle(encodedProbe('b', 8));
     expect(await heardAgoMs()).toBe(0);
     expect(membership.rejected.get(RejectReason.Stale)).toBe(1);
   });
 
-  it('tells a process whose clock is behind which incarnation it has to exceed', async () => {
+  it('reports to a process whose clock is behind which incarnation it has to exceed', async () => {
     const { membership } = isolatedMember();
-    await membership.handle(probe('b', 1, 'p1', 1000));
-    const answer = await membership.handle(probe('b', 1, 'p2', 900));
+    await membership.handle(encodedProbe('b', 1, 'p1', 1000));
+    const answer = await membership.handle(encodedProbe('b', 1, 'p2', 900));
     const { aboutReceiver } = JSON.parse(Buffer.from(answer ?? []).toString()) as {
       aboutReceiver: { identity: { process: string; incarnation: number } };
     };
     expect(aboutReceiver.identity).toMatchObject({ process: 'p1', incarnation: 1000 });
-    await membership.handle(probe('b', 2, 'p2', 1001));
+    await membership.handle(encodedProbe('b', 2, 'p2', 1001));
     expect(membership.members().find(({ member }) => member === 'b')?.identity?.process).toBe('p2');
   });
 });
@@ -193,11 +193,11 @@
 });
 
 describe('a member that leaves', () => {
-  // Regression: the process ended before its last answer had been sent, and was suspected.
+  // Regression test: a leaving process exited before its last answer was sent, and its peers suspected it.
   it('waits until its last answer has had time to arrive', async () => {
     const { membership, clock } = isolatedMember();
     membership.start();
-    await membership.handle(probe('b'));
+    await membership.handle(encodedProbe('b'));
     let hasLeft = false;
     void membership.leave().then(() => {
       hasLeft = true;
@@ -210,11 +210,11 @@
 });
 
 describe('message rate', () => {
-  it('stays within the settings when no peer answers and each needs indirect probes', async () => {
+  it('stays within the configured limit when no peer answers and all need indirect probes', async () => {
     const settings = { ...SETTINGS, maxMessagesPerSecond: 6 };
     const { membership, clock, requests } = isolatedMember(PeerSupport.Supported, settings);
-    await membership.handle(probe('b'));
-    await membership.handle(probe('c'));
+    await membership.handle(encodedProbe('b'));
+    await membership.handle(encodedProbe('c'));
     membership.start();
     await clock.advance(30_000);
     expect(requests.length).toBeGreaterThan(6 * 20);
