--- a/packages/takeover/src/effect-gate.ts
+++ b/packages/takeover/src/effect-gate.ts
@@ -1,42 +1,43 @@
 /**
- * The gate that an owner checks before every effect: whether it has run without a pause since its ownership was last
- * confirmed. A process that was paused may have been replaced meanwhile, and detects that here before it acts.
+ * The gate that an owner checks before every effect. The gate is open while the process has run without a pause since
+ * its ownership was last confirmed: another process may take over during a pause, and a paused owner must not act
+ * before the next confirmation.
  */
 
-/** Detects pauses of this process. */
+/** Detects pauses of this process, such as SIGSTOP or a suspended virtual machine. */
 export interface PauseSource {
-  /** Checks for a pause now: after one, the first effect may come before any timer has run. */
+  /** Checks for a pause now. After a pause, the first effect may be attempted before any timer has run. */
   checkPause(): void;
-  /** Calls back for every detected pause. */
+  /** Registers a listener that is called with the duration of every detected pause. */
   onPause(listener: (pausedMs: number) => void): void;
 }
 
-/** Is closed from a pause of the process until the ownership is confirmed again. */
+/** Blocks effects from a pause of the process until its ownership is confirmed again. */
 export class EffectGate {
   private isClosed = false;
   private pauseCount = 0;
 
   constructor(
-    private readonly source: PauseSource,
+    private readonly pauseSource: PauseSource,
     private readonly onClose: (pausedMs: number) => void,
   ) {
-    source.onPause((pausedMs) => this.close(pausedMs));
+    pauseSource.onPause((pausedMs) => this.close(pausedMs));
   }
 
-  /** Whether effects are allowed now. Checks for a pause first. */
+  /** Whether effects are allowed now. The getter checks for a pause first. */
   get open(): boolean {
-    this.source.checkPause();
+    this.pauseSource.checkPause();
     return !this.isClosed;
   }
 
-  /** Changes with every pause: a confirmation that was requested before a pause is void after it. */
+  /** The number of pauses so far. A confirmation that was requested in an earlier generation must not open the gate. */
   get generation(): number {
     return this.pauseCount;
   }
 
-  /** Opens the gate, if the ownership was confirmed by a request that was sent in the current generation. */
+  /** Opens the gate if `generation`, in which the confirmation was requested, is still the current generation. */
   reopen(generation: number): void {
-    this.source.checkPause();
+    this.pauseSource.checkPause();
     if (generation === this.pauseCount) this.isClosed = false;
   }
 
--- a/packages/takeover/src/follower-role.ts
+++ b/packages/takeover/src/follower-role.ts
@@ -1,4 +1,6 @@
-/** The follower's side of a takeover: watches a unit's owner, and claims the unit when the owner is failed or gone. */
+/**
+ * The follower's side of a takeover: watches a unit's owner and claims the unit when the owner has failed or is gone.
+ */
 import {
   claimableReading,
   claimDelayMs,
@@ -11,14 +13,14 @@
 import { minObservationMs } from './takeover-settings.js';
 import type { UnitState } from './unit-state.js';
 
-/** What a member does for each unit that it does not own. */
+/** Polls the units that this member does not own, and claims a unit whose owner has failed or is gone. */
 export class FollowerRole<Prepared> {
   constructor(private readonly context: TakeoverContext<Prepared>) {}
 
-  /** Reads the unit's records when that is due, and acts on the status of its owner. */
+  /** Reads the unit's records if the last reading is too old, and acts on the status of the unit's owner. */
   async poll(state: UnitState<Prepared>): Promise<void> {
     const { settings } = this.context.environment;
-    const isReadDue = state.reading === null || this.context.now - state.readAt >= settings.maxReadingAgeMs;
+    const isReadDue = state.reading === null || this.context.now - state.readAtMs >= settings.maxReadingAgeMs;
     if (isReadDue) await this.read(state);
     const reading = claimableReading(state.reading);
     if (reading === null) return;
@@ -33,7 +35,7 @@
     const reading = await this.context.environment.claims.read(state.unit);
     if (reading === null) return;
     state.reading = reading;
-    state.readAt = this.context.now;
+    state.readAtMs = this.context.now;
     if (reading.kind === 'damaged') {
       this.context.advance(state, { kind: 'damaged', damage: reading });
       return;
@@ -50,22 +52,24 @@
   private async follow(state: UnitState<Prepared>, reading: ClaimableReading): Promise<void> {
     const status = this.statusOf(reading);
     if (status === OwnerStatus.Present) {
-      state.vacantSince = null;
+      state.vacantSinceMs = null;
       this.context.advance(state, { kind: 'owner-cleared' });
       return;
     }
     if (reading.kind === 'owned') this.context.advance(state, { kind: 'owner-suspected', reading });
-    this.prepareIfFirst(state);
+    this.prepareIfFirstSuccessor(state);
     if (status === OwnerStatus.Suspected) {
-      state.vacantSince = null;
+      state.vacantSinceMs = null;
       return;
     }
-    state.vacantSince ??= this.context.now;
+    state.vacantSinceMs ??= this.context.now;
     if (this.isClaimDue(state, reading)) await this.claim(state);
   }
 
-  /** Only the first choice reads ahead; the others would load the store with the same requests. */
-  private prepareIfFirst(state: UnitState<Prepared>): void {
+  /**
+   * Prefetches the unit's data if this member ranks first. Lower-ranked members would only repeat the same store reads.
+   */
+  private prepareIfFirstSuccessor(state: UnitState<Prepared>): void {
     if (state.preparation !== null) return;
     if (this.context.ranking(state.unit)[0] !== this.context.self.member) return;
     state.preparation = this.context.handler.prepare(state.unit).catch(() => null);
@@ -73,13 +77,16 @@
 
   private isClaimDue(state: UnitState<Prepared>, reading: ClaimableReading): boolean {
     const { membership, settings } = this.context.environment;
-    if (!settings.claimOnFailure || !membership.hasMajority || state.vacantSince === null) return false;
+    if (!settings.claimOnFailure || !membership.hasMajority || state.vacantSinceMs === null) return false;
     const ranking = this.context.ranking(state.unit);
     const delayMs = claimDelayMs(reading, ranking, this.context.self.member, settings.claimStaggerMs);
-    return this.context.now - state.vacantSince >= delayMs;
+    return this.context.now - state.vacantSinceMs >= delayMs;
   }
 
-  /** Reads once more before it claims: an owner that reaches the store has had time to write a heartbeat. */
+  /**
+   * Claims the unit if a fresh reading of its records still allows a claim. The records are read again because an owner
+   * that reaches the store has had time to write a heartbeat.
+   */
   private async claim(state: UnitState<Prepared>): Promise<void> {
     await this.read(state);
     const reading = claimableReading(state.reading);
@@ -87,7 +94,7 @@
     this.context.advance(state, { kind: 'claim-began' });
     const { generation } = this.context.gate;
     const result = await this.context.environment.claims.claim(state.unit, this.context.self, reading);
-    state.readAt = -Infinity;
+    state.readAtMs = -Infinity;
     if (result.kind !== 'won') {
       this.context.advance(state, { kind: 'claim-lost' });
       return;
@@ -109,13 +116,13 @@
     );
   }
 
-  /** Adopts the unit after a claim of this process whose answer was lost, but which has won. */
+  /** Adopts a unit whose record already names this process: an earlier claim succeeded, but its response was lost. */
   private async adoptEarlierClaim(state: UnitState<Prepared>, reading: Owned): Promise<void> {
     const { generation } = this.context.gate;
     const { owner, epoch, revisions } = reading;
     const ownership: Ownership = { unit: state.unit, owner, epoch, epochRevision: revisions.epoch };
     const confirmation = await this.context.environment.claims.confirm(ownership);
-    state.readAt = -Infinity;
+    state.readAtMs = -Infinity;
     if (confirmation !== Confirmation.Held) return;
     this.context.gate.reopen(generation);
     await this.adopt(state, ownership);
@@ -124,8 +131,8 @@
   private async adopt(state: UnitState<Prepared>, ownership: Ownership): Promise<void> {
     const { environment, handler } = this.context;
     this.context.advance(state, { kind: 'claim-won', ownership });
-    state.vacantSince = null;
-    state.readAt = this.context.now;
+    state.vacantSinceMs = null;
+    state.readAtMs = this.context.now;
     const prepared = (await state.preparation) ?? null;
     state.preparation = null;
     try {
@@ -133,7 +140,7 @@
       this.context.advance(state, { kind: 'adopted' });
     } catch (error) {
       const reason = error instanceof Error ? error.message : String(error);
-      environment.log.warn({ unit: state.unit, error: reason }, 'unit adoption failed, ownership released');
+      environment.log.warn({ unit: state.unit, error: reason }, 'unit adoption failed; ownership released');
       this.context.endOwnership(state, reason);
       await environment.claims.release(ownership, this.context.successorFor(state.unit));
     }
--- a/packages/takeover/src/index.ts
+++ b/packages/takeover/src/index.ts
@@ -1,4 +1,4 @@
-/** Ownership of units of work, and its takeover by one survivor when an owner fails. */
+/** Ownership of units of work, and the takeover of a unit by exactly one surviving member when its owner fails. */
 export { EffectGate, type PauseSource } from './effect-gate.js';
 export {
   type ClaimableReading,
--- a/packages/takeover/src/owner-status.ts
+++ b/packages/takeover/src/owner-status.ts
@@ -1,20 +1,20 @@
-/** The status of a unit's owner, and the rules for replacing it. Pure functions. */
+/** Pure functions that derive the status of a unit's owner and decide when another member may claim the unit. */
 import { type MemberId, MemberState, type MemberView } from '@plumyoke/membership';
 import type { ClaimableReading, Owned, OwnershipReading } from './ownership.js';
 import type { Suspecting } from './stage.js';
 
-/** The status of a unit's owner. */
+/** The status of a unit's owner, derived from the unit's records and this member's view of the membership. */
 export enum OwnerStatus {
-  /** The owner is alive, as far as is known. */
+  /** The owner is alive as far as this member knows. */
   Present = 'present',
   Suspected = 'suspected',
-  /** A majority found the owner silent; it may still be running. */
+  /** A majority of the members has lost contact with the owner, which may still be running. */
   Failed = 'failed',
-  /** The owner has left, was restarted, was never seen, or there is none. */
+  /** The owner has left, has restarted as another process or was never observed, or the unit has no owner. */
   Gone = 'gone',
 }
 
-/** Returns the reading if a claim can be based on it; null if there is none or the record is damaged. */
+/** Returns the reading if a claim can be based on the reading; null if there is no reading or the record is damaged. */
 export function claimableReading(reading: OwnershipReading | null): ClaimableReading | null {
   return reading === null || reading.kind === 'damaged' ? null : reading;
 }
@@ -40,7 +40,7 @@
   }
 }
 
-/** Returns the status of a unit's owner. `unknownOwnerTimeoutMs`: after this, an owner that was never seen is gone. */
+/** Returns the status of a unit's owner. An owner that was not observed for `unknownOwnerTimeoutMs` counts as gone. */
 export function ownerStatus(
   reading: ClaimableReading,
   members: readonly MemberView[],
@@ -51,7 +51,10 @@
   return memberStatus(reading, view, unknownOwnerTimeoutMs);
 }
 
-/** Returns how long a member waits after the unit became vacant before it claims, by its rank among the successors. */
+/**
+ * Returns how long member `self` waits after the unit became vacant before claiming the unit: `claimStaggerMs` for each
+ * better-ranked successor, 0 if the last owner named `self` as successor, Infinity if `self` is not ranked.
+ */
 export function claimDelayMs(
   reading: ClaimableReading,
   ranking: readonly MemberId[],
@@ -63,7 +66,10 @@
   return rank < 0 ? Infinity : rank * claimStaggerMs;
 }
 
-/** Returns whether the owner had time to write a heartbeat to the store, and has not done so. */
+/**
+ * Returns whether the suspected owner was observed for at least `minObservedMs` and wrote no heartbeat to the store
+ * within the last `heartbeatTimeoutMs`.
+ */
 export function hasMissedHeartbeats(
   stage: Suspecting,
   nowMs: number,
--- a/packages/takeover/src/ownership.ts
+++ b/packages/takeover/src/ownership.ts
@@ -1,12 +1,15 @@
-/** The types of ownership: who owns a unit of work, and under which fencing epoch. */
+/** The types of ownership: which process owns a unit of work, and under which fencing epoch. */
 import type { MemberId, ProcessId } from '@plumyoke/membership';
 
 declare const brand: unique symbol;
 type Branded<T, B extends string> = T & { readonly [brand]: B };
 
-/** Names a unit of work, which is owned as a whole: by one process at a time, or by none. */
+/** The name of a unit of work. A unit has at most one owner at a time. */
 export type UnitId = Branded<string, 'UnitId'>;
-/** A fencing token: increases with every change of owner. Every effect carries it, and a lower one is refused. */
+/**
+ * A fencing token that increases with every change of owner. Resources refuse effects with a lower epoch than the
+ * latest.
+ */
 export type FencingEpoch = Branded<number, 'FencingEpoch'>;
 /** The revision of a key in the store; 0: the key does not exist. */
 export type StoreRevision = Branded<number, 'StoreRevision'>;
@@ -16,18 +19,18 @@
 /** The epoch of a unit that never had an owner. */
 export const NO_EPOCH = 0 as FencingEpoch;
 
-/** A process that owns a unit. A later start of the same member is another owner. */
+/** A process that owns a unit. After a restart, the same member is a different owner. */
 export interface Owner {
   readonly member: MemberId;
   readonly process: ProcessId;
 }
 
-/** An ownership that a process has won, and that it presents with every effect. */
+/** The ownership of a unit that a process has claimed. The process presents the ownership with every effect. */
 export interface Ownership {
   readonly unit: UnitId;
   readonly owner: Owner;
   readonly epoch: FencingEpoch;
-  /** Every write of the owner is conditioned on the epoch's key being at this revision. */
+  /** The revision of the unit's epoch key. Every write of the owner requires that the key is still at this revision. */
   readonly epochRevision: StoreRevision;
 }
 
@@ -60,52 +63,53 @@
   readonly revisions: UnitRevisions;
 }
 
-/** A record cannot be decoded: no member acts on the unit until an operator has repaired it. */
+/** A record of the unit cannot be decoded. No member acts on the unit until an operator has repaired the record. */
 export interface Damaged {
   readonly kind: 'damaged';
   readonly key: string;
+  /** A predicate of which the record is the subject, such as "is not a JSON object". */
   readonly problem: string;
 }
 
-/** The records of a unit on which a claim can be based. */
+/** A reading of a unit's records on which a claim can be based. */
 export type ClaimableReading = Unowned | Owned | Released;
 
-/** The records of a unit as they were read. */
+/** The result of reading a unit's records. */
 export type OwnershipReading = ClaimableReading | Damaged;
 
 /** The result of a claim. */
 export type ClaimResult =
   | { readonly kind: 'won'; readonly ownership: Ownership }
-  /** Another member was faster, or the owner has written a heartbeat: the records must be read again. */
+  /** The records have changed, by a claim of another member or a heartbeat of the owner, and must be read again. */
   | { readonly kind: 'superseded' }
-  /** The store did not carry it out and will not. */
+  /** The store rejected the claim and will not execute it later. */
   | { readonly kind: 'unavailable' }
-  /** No answer came: the claim may have been carried out, or may still be. */
+  /** The store did not respond: the claim may have been executed, or may still be executed. */
   | { readonly kind: 'uncertain' };
 
 /** The result of confirming an ownership. */
 export enum Confirmation {
   Held = 'held',
   Superseded = 'superseded',
-  /** The store did not answer. */
+  /** The store did not respond. */
   Unknown = 'unknown',
 }
 
-/** The records of ownership. Only a conditional write decides a claim. */
+/** Reads and writes ownership records. A claim is decided by a conditional write to the store alone. */
 export interface OwnershipClaims {
-  /** Reads the unit's records. Resolves to null if the store did not answer. */
+  /** Reads the unit's records. Resolves to null if the store did not respond. */
   read(unit: UnitId): Promise<OwnershipReading | null>;
-  /** Claims a unit. Succeeds only if its records have not changed since `reading`. */
+  /** Claims a unit. Succeeds only if the unit's records have not changed since `reading`. */
   claim(unit: UnitId, claimant: Owner, reading: ClaimableReading): Promise<ClaimResult>;
-  /** Checks that no later epoch has begun. */
+  /** Checks that no other process has claimed the unit under a later epoch. */
   confirm(ownership: Ownership): Promise<Confirmation>;
-  /** Shows through the store that the owner is alive. The epoch does not change. */
+  /** Writes a heartbeat to the store, as evidence that the owner is alive. The epoch does not change. */
   writeHeartbeat(ownership: Ownership): Promise<void>;
-  /** Gives the unit up. `successor`: who should claim it first. */
+  /** Releases the unit. `successor` may claim the unit without delay; null: no member is preferred. */
   release(ownership: Ownership, successor: MemberId | null): Promise<void>;
 }
 
-/** Returns whether both are the same process. */
+/** Returns whether both owners are the same process of the same member. */
 export function isSameOwner(first: Owner, second: Owner): boolean {
   return first.member === second.member && first.process === second.process;
 }
--- a/packages/takeover/src/reference/conditional-store.ts
+++ b/packages/takeover/src/reference/conditional-store.ts
@@ -7,43 +7,43 @@
   readonly revision: StoreRevision;
 }
 
-/** A precondition: the key must be at this revision; 0: it must not exist. */
+/** A precondition of a transaction: the key must be at `revision`; at revision 0, the key must not exist. */
 export interface StoreCondition {
   readonly key: string;
   readonly revision: StoreRevision;
 }
 
-/** A value to be written. */
+/** A write of a transaction: the key is set to the value. */
 export interface StoreWrite {
   readonly key: string;
   readonly value: unknown;
 }
 
-/** The result of a transaction: carried out as a whole, or not at all because a condition did not hold. */
+/** The result of a transaction, which is committed as a whole or, if a condition does not hold, not at all. */
 export type CommitResult =
   { readonly committed: true; readonly revision: StoreRevision } | { readonly committed: false };
 
-/** Base of the errors with which a store rejects. */
+/** The base class of the errors with which the methods of a store reject. */
 export abstract class StoreError extends Error {
   abstract readonly code: 'STORE_UNAVAILABLE' | 'STORE_OUTCOME_UNKNOWN';
 }
 
-/** The request was not carried out and will not be. */
+/** Reports that the store did not execute the request and will not execute it later. */
 export class StoreUnavailableError extends StoreError {
   override readonly name = 'StoreUnavailableError';
   readonly code = 'STORE_UNAVAILABLE';
 }
 
-/** No answer came: the request may have been carried out, or may still be. */
+/** Reports that the store did not respond: the request may have been executed, or may still be executed. */
 export class StoreOutcomeUnknownError extends StoreError {
   override readonly name = 'StoreOutcomeUnknownError';
   readonly code = 'STORE_OUTCOME_UNKNOWN';
 }
 
-/** A store with conditional writes. Its methods reject only with a `StoreError`, within a deadline of their own. */
+/** A store with conditional writes. Its methods reject only with a `StoreError`, and enforce their own deadlines. */
 export interface ConditionalStore {
-  /** Resolves to null if the key does not exist. */
+  /** Reads a key. Resolves to null if the key does not exist. */
   get(key: string): Promise<StoredValue | null>;
-  /** Carries out all writes in one transaction if all conditions hold. */
+  /** Executes all writes in one transaction if all conditions hold. */
   commit(conditions: readonly StoreCondition[], writes: readonly StoreWrite[]): Promise<CommitResult>;
 }
--- a/packages/takeover/src/reference/epoch-fence.ts
+++ b/packages/takeover/src/reference/epoch-fence.ts
@@ -1,19 +1,19 @@
-/** The resource's side of fencing: effects of replaced owners are refused. */
+/** The resource's side of fencing: refuses effects of owners that were replaced. */
 import { type FencingEpoch, NO_EPOCH, type UnitId } from '../ownership.js';
 
-/** Remembers the highest epoch of each unit, and admits no effect under a lower one. */
+/** Records the highest epoch of each unit, and refuses effects under a lower epoch. */
 export class EpochFence {
-  private readonly highest = new Map<UnitId, FencingEpoch>();
+  private readonly highestEpochs = new Map<UnitId, FencingEpoch>();
 
-  /** Returns false if a later owner has already acted: the effect must not happen. */
+  /** Returns whether the effect may be applied; false: an owner with a later epoch has already acted on the unit. */
   admit(unit: UnitId, epoch: FencingEpoch): boolean {
-    if (epoch < this.highestOf(unit)) return false;
-    this.highest.set(unit, epoch);
+    if (epoch < this.highestEpoch(unit)) return false;
+    this.highestEpochs.set(unit, epoch);
     return true;
   }
 
-  /** Returns the highest epoch that was admitted for a unit. */
-  highestOf(unit: UnitId): FencingEpoch {
-    return this.highest.get(unit) ?? NO_EPOCH;
+  /** Returns the highest epoch that was admitted for a unit; `NO_EPOCH` if no effect was admitted. */
+  highestEpoch(unit: UnitId): FencingEpoch {
+    return this.highestEpochs.get(unit) ?? NO_EPOCH;
   }
 }
--- a/packages/takeover/src/reference/ownership-record.ts
+++ b/packages/takeover/src/reference/ownership-record.ts
@@ -6,29 +6,34 @@
 import * as z from 'zod/mini';
 import { type FencingEpoch, NO_EPOCH, type Owner } from '../ownership.js';
 
-/** The version of the records' format; a reader that finds another one does not act. */
-const RECORD_FORMAT = 1;
+/** The version of the record format. Records of any other version are treated as damaged. */
+const RECORD_FORMAT_VERSION = 1;
 
-const name = z.string().check(z.minLength(1));
-const epoch = z.int().check(z.gte(1));
-const holderSchema = z.discriminatedUnion('state', [
+const nameSchema = z.string().check(z.minLength(1));
+const epochSchema = z.int().check(z.gte(1));
+const holderRecordSchema = z.discriminatedUnion('state', [
   z.object({
-    format: z.literal(RECORD_FORMAT),
+    format: z.literal(RECORD_FORMAT_VERSION),
     state: z.literal('held'),
-    member: name,
-    process: name,
-    epoch,
+    member: nameSchema,
+    process: nameSchema,
+    epoch: epochSchema,
+  }),
+  z.object({
+    format: z.literal(RECORD_FORMAT_VERSION),
+    state: z.literal('released'),
+    heir: z.nullable(nameSchema),
+    epoch: epochSchema,
   }),
-  z.object({ format: z.literal(RECORD_FORMAT), state: z.literal('released'), heir: z.nullable(name), epoch }),
 ]);
-const epochSchema = z.object({ format: z.literal(RECORD_FORMAT), epoch });
+const epochRecordSchema = z.object({ format: z.literal(RECORD_FORMAT_VERSION), epoch: epochSchema });
 
-/** The content of a holder's record. */
+/** The decoded content of a holder's record. */
 export type HolderRecord =
   | { readonly state: 'held'; readonly owner: Owner; readonly epoch: FencingEpoch }
   | { readonly state: 'released'; readonly successor: MemberId | null; readonly epoch: FencingEpoch };
 
-/** Thrown for a record that cannot be decoded. */
+/** Reports a record that cannot be decoded. */
 export class DamagedRecordError extends Error {
   override readonly name = 'DamagedRecordError';
   readonly code = 'DAMAGED_RECORD';
@@ -38,27 +43,35 @@
     readonly problem: string,
     options?: ErrorOptions,
   ) {
-    super(`${key}: ${problem}`, options);
+    super(`record ${key} ${problem}`, options);
   }
 }
 
-/** Encodes a holder's record. `heartbeatCount` makes every heartbeat of the holder a different value. */
+/** Encodes a holder's record. `heartbeatCount` gives each heartbeat of the holder a different value. */
 export function encodeHolder(record: HolderRecord, heartbeatCount = 0): object {
-  const shared = { format: RECORD_FORMAT, state: record.state, epoch: record.epoch, signs: heartbeatCount };
-  return record.state === 'held' ? { ...shared, ...record.owner } : { ...shared, heir: record.successor };
+  const commonFields = {
+    format: RECORD_FORMAT_VERSION,
+    state: record.state,
+    epoch: record.epoch,
+    signs: heartbeatCount,
+  };
+  return record.state === 'held'
+    ? { ...commonFields, ...record.owner }
+    : { ...commonFields, heir: record.successor };
 }
 
-function problemOf(error: z.core.$ZodError): string {
+function describeSchemaError(error: z.core.$ZodError): string {
   const issue = error.issues[0];
-  if (!issue) return 'cannot be read';
+  if (!issue) return 'cannot be decoded';
   const field = issue.path.join('.');
-  return field === '' ? 'is not a record' : `field ${field} cannot be read`;
+  return field === '' ? 'is not a JSON object' : `has a missing or invalid field ${field}`;
 }
 
-/** Decodes a holder's record. Throws `DamagedRecordError`. */
+/** Decodes a holder's record. Throws `DamagedRecordError` if the value does not match the schema. */
 export function decodeHolder(key: string, value: unknown): HolderRecord {
-  const parsed = holderSchema.safeParse(value);
-  if (!parsed.success) throw new DamagedRecordError(key, problemOf(parsed.error), { cause: parsed.error });
+  const parsed = holderRecordSchema.safeParse(value);
+  if (!parsed.success)
+    throw new DamagedRecordError(key, describeSchemaError(parsed.error), { cause: parsed.error });
   const { data } = parsed;
   if (data.state === 'released') {
     return { state: 'released', successor: data.heir as MemberId | null, epoch: data.epoch as FencingEpoch };
@@ -69,13 +82,17 @@
 
 /** Encodes an epoch's record. */
 export function encodeEpoch(value: FencingEpoch): object {
-  return { format: RECORD_FORMAT, epoch: value };
+  return { format: RECORD_FORMAT_VERSION, epoch: value };
 }
 
-/** Decodes an epoch's record; an absent one means that the unit never had an owner. Throws `DamagedRecordError`. */
+/**
+ * Decodes an epoch's record. An absent record means that the unit never had an owner. Throws `DamagedRecordError` if
+ * the value does not match the schema.
+ */
 export function decodeEpoch(key: string, value: unknown): FencingEpoch {
   if (value === undefined) return NO_EPOCH;
-  const parsed = epochSchema.safeParse(value);
-  if (!parsed.success) throw new DamagedRecordError(key, problemOf(parsed.error), { cause: parsed.error });
+  const parsed = epochRecordSchema.safeParse(value);
+  if (!parsed.success)
+    throw new DamagedRecordError(key, describeSchemaError(parsed.error), { cause: parsed.error });
   return parsed.data.epoch as FencingEpoch;
 }
--- a/packages/takeover/src/reference/ownership-registry.ts
+++ b/packages/takeover/src/reference/ownership-registry.ts
@@ -1,6 +1,7 @@
 /**
- * The reference implementation of `OwnershipClaims` on a store with conditional writes, two keys a unit. Tests,
- * simulations and measurements use it; the controllers record leadership in `src/leadership/failover/leader-claims.ts`.
+ * The reference implementation of `OwnershipClaims` on a store with conditional writes, with two keys for each unit.
+ * Tests, simulations and measurements use this implementation; the controllers record leadership in
+ * `src/leadership/failover/leader-claims.ts`.
  */
 import type { MemberId } from '@plumyoke/membership';
 import {
@@ -37,15 +38,15 @@
 const holderKey = (unit: UnitId): string => `ownership/${unit}/holder`;
 const epochKey = (unit: UnitId): string => `ownership/${unit}/epoch`;
 
-/** Both records of a unit as they were read. */
+/** The two records of a unit as read from the store; null: the key does not exist. */
 interface UnitRecords {
   readonly holder: StoredValue | null;
   readonly epoch: StoredValue | null;
 }
 
 /**
- * Keeps ownership in a conditional store. The epoch has a key of its own, so that the holder's record can change
- * (heartbeats, a release) without failing the owner's writes that are under way.
+ * Keeps ownership records in a conditional store. The epoch has its own key, so that changes of the holder's record
+ * (heartbeats, a release) do not fail writes of the owner that are in flight.
  */
 export class OwnershipRegistry implements OwnershipClaims {
   private heartbeatCount = 0;
@@ -54,7 +55,7 @@
 
   async read(unit: UnitId): Promise<OwnershipReading | null> {
     try {
-      return interpret(unit, await this.readRecords(unit));
+      return toOwnershipReading(unit, await this.readRecords(unit));
     } catch (error) {
       if (error instanceof DamagedRecordError)
         return { kind: 'damaged', key: error.key, problem: error.problem };
@@ -92,7 +93,7 @@
     }
   }
 
-  // Every claim changes the epoch's key, and nothing else does: its revision confirms the ownership.
+  // Claims are the only writes to the epoch's key, so an unchanged revision of that key confirms the ownership.
   async confirm({ unit, epochRevision }: Ownership): Promise<Confirmation> {
     try {
       const epoch = await this.store.get(epochKey(unit));
@@ -116,7 +117,9 @@
     await this.write(ownership, [{ key: holderKey(unit), value }]);
   }
 
-  /** Writes the owner's own records. A write that fails is not retried here: the next heartbeat or claim replaces it. */
+  /**
+   * Writes the owner's own records. Failed writes are not retried, because the next heartbeat or claim replaces them.
+   */
   private async write(ownership: Ownership, writes: readonly StoreWrite[]): Promise<void> {
     try {
       await this.commitAs(ownership, [], writes);
@@ -125,7 +128,7 @@
     }
   }
 
-  /** Carries out a transaction of the owner. It fails once a later epoch has begun, however late it arrives. */
+  /** Commits a transaction of the owner. A transaction that reaches the store after a later claim is not committed. */
   commitAs(
     { unit, epochRevision }: Ownership,
     conditions: readonly StoreCondition[],
@@ -135,15 +138,16 @@
   }
 }
 
-function interpret(unit: UnitId, { holder, epoch: epochRow }: UnitRecords): OwnershipReading {
-  const epoch = decodeEpoch(epochKey(unit), epochRow?.value);
+function toOwnershipReading(unit: UnitId, { holder, epoch: storedEpoch }: UnitRecords): OwnershipReading {
+  const epoch = decodeEpoch(epochKey(unit), storedEpoch?.value);
   const revisions: UnitRevisions = {
     holder: holder?.revision ?? NO_REVISION,
-    epoch: epochRow?.revision ?? NO_REVISION,
+    epoch: storedEpoch?.revision ?? NO_REVISION,
   };
   if (holder === null) return { kind: 'unowned', epoch, revisions };
   const record = decodeHolder(holderKey(unit), holder.value);
-  // The two keys are not read atomically: a claim may have written both between the reads.
+  // The two keys are not read atomically. A claim between the reads leaves a holder with a newer epoch than the epoch
+  // read; a claim based on such a reading fails, because the revision of the epoch's key has changed.
   if (record.epoch > epoch) return { kind: 'unowned', epoch, revisions };
   if (record.state === 'released') return { kind: 'released', successor: record.successor, epoch, revisions };
   return { kind: 'owned', owner: record.owner, epoch, revisions };
--- a/packages/takeover/src/stage.ts
+++ b/packages/takeover/src/stage.ts
@@ -1,28 +1,31 @@
-/** The stages of a unit's takeover as one member sees it: a state machine without side effects. */
+/** The stages of a unit's takeover from the view of one member: a state machine without side effects. */
 import type { Damaged, Owned, Owner, Ownership, StoreRevision } from './ownership.js';
 
-/** Another process owns the unit, or none does, and this member has nothing to do. */
+/** Another process owns the unit, or the unit has no owner, and this member has nothing to do. */
 export interface Watching {
   readonly kind: 'watching';
 }
 
-/** The owner is suspected or failed. Its record is watched for heartbeats; the first successor reads ahead. */
+/**
+ * The owner is suspected or failed. This member watches the owner's record for heartbeats; the first successor
+ * prefetches.
+ */
 export interface Suspecting {
   readonly kind: 'suspecting';
   readonly owner: Owner;
   readonly sinceMs: number;
-  /** The revision of the holder's record when last read: a heartbeat of the owner changes it. */
+  /** The revision of the holder's record at the last reading. Every heartbeat of the owner changes the revision. */
   readonly holderRevision: StoreRevision;
-  /** When a heartbeat was last observed; null: none was. */
+  /** When a heartbeat was last observed, in monotonic milliseconds; null: no heartbeat was observed. */
   readonly lastHeartbeatMs: number | null;
 }
 
-/** A claim is under way. */
+/** This member has sent a claim whose result is pending. */
 interface Claiming {
   readonly kind: 'claiming';
 }
 
-/** This process owns the unit, and is adopting its machines and jobs. */
+/** This process owns the unit and is adopting the unit's machines and jobs. */
 export interface Adopting {
   readonly kind: 'adopting';
   readonly ownership: Ownership;
@@ -34,16 +37,16 @@
   readonly ownership: Ownership;
 }
 
-/** The unit's record cannot be decoded: no member acts. */
+/** A record of the unit cannot be decoded, so no member acts on the unit. */
 interface Blocked {
   readonly kind: 'blocked';
   readonly damage: Damaged;
 }
 
-/** The stage of one unit. The kinds appear in the log. */
+/** The stage of a unit's takeover. The values of `kind` appear in the log. */
 export type Stage = Watching | Suspecting | Claiming | Adopting | Serving | Blocked;
 
-/** The events that change a stage. */
+/** An event that may change a unit's stage. */
 export type StageEvent =
   | { readonly kind: 'owner-suspected'; readonly reading: Owned }
   | { readonly kind: 'owner-cleared' }
@@ -59,7 +62,7 @@
 /** The initial stage. */
 export const WATCHING: Watching = { kind: 'watching' };
 
-/** Returns whether this process owns the unit, as far as it knows. */
+/** Returns whether this process believes that it owns the unit. Another process may have claimed the unit since. */
 export function isOwnerStage(stage: Stage): stage is Adopting | Serving {
   return stage.kind === 'adopting' || stage.kind === 'serving';
 }
@@ -75,7 +78,7 @@
   };
 }
 
-/** Applies a new reading of the suspected owner's record. */
+/** Returns the stage after a new reading of the suspected owner's record. */
 function recordHolderRead(stage: Stage, { owner, revisions }: Owned, nowMs: number): Stage {
   if (stage.kind !== 'suspecting') return stage;
   if (stage.owner.process !== owner.process) return WATCHING;
@@ -88,12 +91,12 @@
   return { kind: 'claiming' };
 }
 
-/** Ends the named stage; any other stage stays. */
+/** Returns to `watching` from a stage of the given kind. A stage of another kind is returned unchanged. */
 function leaveStage(stage: Stage, kind: Stage['kind']): Stage {
   return stage.kind === kind ? WATCHING : stage;
 }
 
-/** Returns the stage that follows an event; an event that does not apply changes nothing. */
+/** Returns the stage that follows an event. An event that does not apply to the stage leaves the stage unchanged. */
 export function nextStage(stage: Stage, event: StageEvent, nowMs: number): Stage {
   switch (event.kind) {
     case 'owner-suspected':
--- a/packages/takeover/src/successor-ranking.ts
+++ b/packages/takeover/src/successor-ranking.ts
@@ -1,12 +1,15 @@
-/** Ranks the possible successors of an owner: members with the same view compute the same order. */
+/** Ranks the possible successors of an owner. Members with the same view of the membership compute the same order. */
 import { type MemberId, MemberState, type MemberView } from '@plumyoke/membership';
 import type { UnitId } from './ownership.js';
 
-/** Loads are compared in steps of this size: they change faster than the members' views converge. */
-const LOAD_STEP = 0.25;
+/**
+ * The size of the buckets in which loads are compared, as a fraction of full load. Exact loads change faster than the
+ * members' views converge, and would give the members different orders.
+ */
+const LOAD_STEP_RATIO = 0.25;
 
-/** Returns an FNV-1a hash of unit and member: it spreads units evenly over members that are otherwise equal. */
-function tieBreaker(unit: UnitId, member: MemberId): number {
+/** Returns an FNV-1a hash of unit and member, which spreads units evenly over members that are otherwise equal. */
+function tieBreakHash(unit: UnitId, member: MemberId): number {
   let hash = 0x811c9dc5;
   for (const character of `${unit} ${member}`) {
     hash ^= character.codePointAt(0) ?? 0;
@@ -19,18 +22,20 @@
   return state === MemberState.Alive && ready && load !== null;
 }
 
-/** Compares two candidates; negative: `first` is the better one. */
+/** Compares two candidates. Returns a negative number if `first` is the better candidate. */
 function compareCandidates(unit: UnitId, first: MemberView, second: MemberView): number {
-  const loadStep = (view: MemberView): number => Math.floor((view.load ?? 1) / LOAD_STEP);
+  const loadStep = (view: MemberView): number => Math.floor((view.load ?? 1) / LOAD_STEP_RATIO);
   return (
     second.reachedBy - first.reachedBy ||
     (first.localHealth ?? 0) - (second.localHealth ?? 0) ||
     loadStep(first) - loadStep(second) ||
-    tieBreaker(unit, first.member) - tieBreaker(unit, second.member)
+    tieBreakHash(unit, first.member) - tieBreakHash(unit, second.member)
   );
 }
 
-/** Returns the members that could own the unit, the best first: well connected, healthy, lightly loaded. */
+/**
+ * Returns the members that are eligible to own the unit, best first: by reachability, local health, load, then a hash.
+ */
 export function rankSuccessors(unit: UnitId, members: readonly MemberView[]): MemberId[] {
   return members
     .filter(isEligible)
--- a/packages/takeover/src/takeover-context.ts
+++ b/packages/takeover/src/takeover-context.ts
@@ -1,4 +1,6 @@
-/** What the owner's and the follower's side of a takeover share: dependencies, the effect gate, and stage changes. */
+/**
+ * The state that the owner's and the follower's side of a takeover share: dependencies, effect gate, stage transitions.
+ */
 import type { Clock, Logger, MemberId, Membership } from '@plumyoke/membership';
 import { EffectGate } from './effect-gate.js';
 import { describeDamage } from './operator-messages.js';
@@ -8,19 +10,19 @@
 import type { TakeoverSettings } from './takeover-settings.js';
 import type { UnitState } from './unit-state.js';
 
-/** The application's part of a takeover. `Prepared` is what is read ahead for a unit. */
+/** The callbacks through which an application takes part in takeovers. `Prepared` is the data prefetched for a unit. */
 export interface UnitHandler<Prepared> {
-  /** Reads ahead what a new owner needs. Must have no effect that others can observe. */
+  /** Prefetches the data that a new owner needs. Must have no effect that other processes can observe. */
   prepare(unit: UnitId): Promise<Prepared>;
-  /** Drops what was read ahead, because the suspicion was refuted. */
+  /** Discards the prefetched data, because the suspicion was refuted. */
   discard(unit: UnitId): void;
-  /** Takes over the unit's machines and jobs. A rejection releases the unit. */
+  /** Takes over the unit's machines and jobs. If the promise is rejected, the coordinator releases the unit. */
   adopt(ownership: Ownership, prepared: Prepared | null): Promise<void>;
-  /** Stops everything that runs under the ownership's epoch: the ownership has ended. */
+  /** Stops all work under the ownership's epoch, because the ownership has ended. */
   stop(ownership: Ownership, reason: string): void;
 }
 
-/** The dependencies of a coordinator. */
+/** The dependencies of a takeover coordinator. */
 export interface TakeoverEnvironment {
   readonly clock: Clock;
   readonly log: Logger;
@@ -29,10 +31,10 @@
   readonly settings: TakeoverSettings;
 }
 
-/** The shared state of one coordinator. */
+/** The state that a coordinator shares with its owner and follower roles. */
 export class TakeoverContext<Prepared> {
   readonly gate: EffectGate;
-  /** The duration of the last pause of this process, for the log; null: there was none. */
+  /** The duration of the last pause of this process, for log messages; null: the process was never paused. */
   lastPauseMs: number | null = null;
 
   constructor(
@@ -57,28 +59,32 @@
     return { member, process };
   }
 
-  /** Returns the members that could own the unit, the best first. */
+  /** Returns the members that are eligible to own the unit, best first. */
   ranking(unit: UnitId): MemberId[] {
     return rankSuccessors(unit, this.environment.membership.members());
   }
 
-  /** Returns the best successor of this process; null if there is none. */
+  /** Returns the best-ranked member other than this process; null if no other member is eligible. */
   successorFor(unit: UnitId): MemberId | null {
     return this.ranking(unit).find((member) => member !== this.self.member) ?? null;
   }
 
-  /** Moves a unit to the stage that follows an event. */
+  /**
+   * Moves a unit to the stage that follows an event. Discards prefetched data when a suspicion ends, and logs a warning
+   * when a damaged record blocks the unit.
+   */
   advance(state: UnitState<Prepared>, event: StageEvent): void {
-    const before = state.stage;
-    state.stage = nextStage(before, event, this.now);
-    if (before.kind === 'suspecting' && state.stage.kind === 'watching') this.discardPreparation(state);
-    if (state.stage.kind === 'blocked' && before.kind !== 'blocked') {
+    const previousStage = state.stage;
+    state.stage = nextStage(previousStage, event, this.now);
+    if (previousStage.kind === 'suspecting' && state.stage.kind === 'watching')
+      this.discardPreparation(state);
+    if (state.stage.kind === 'blocked' && previousStage.kind !== 'blocked') {
       const { damage } = state.stage;
       this.environment.log.warn({ key: damage.key }, describeDamage(state.unit, damage));
     }
   }
 
-  /** Ends this process's ownership of a unit and stops the work under it. */
+  /** Ends this process's ownership of a unit and stops the work under that ownership. */
   endOwnership(state: UnitState<Prepared>, reason: string): void {
     if (!isOwnerStage(state.stage)) return;
     const { ownership } = state.stage;
--- a/packages/takeover/src/takeover-coordinator.ts
+++ b/packages/takeover/src/takeover-coordinator.ts
@@ -1,6 +1,7 @@
 /**
- * Takes units over when their owners fail, one survivor a unit. Verdicts of the failure detector decide when a member
- * tries; the conditional write in `OwnershipClaims` decides who owns.
+ * The coordinator of takeovers: when an owner fails, one surviving member takes over each of its units. The verdicts of
+ * the failure detector decide when a member tries to claim; the conditional write in `OwnershipClaims` decides which
+ * member becomes the owner.
  */
 import type { Cancel } from '@plumyoke/membership';
 import { FollowerRole } from './follower-role.js';
@@ -9,81 +10,81 @@
 import { isOwnerStage, type Stage, WATCHING } from './stage.js';
 import { TakeoverContext, type TakeoverEnvironment, type UnitHandler } from './takeover-context.js';
 import { checkTakeoverSettings } from './takeover-settings.js';
-import { newUnitState, type UnitState } from './unit-state.js';
+import { createUnitState, type UnitState } from './unit-state.js';
 
-/** One member's part in the takeover of its units: polls each unit, as its owner or as a follower. */
+/** Polls every unit on behalf of one member, as the unit's owner or as a follower. */
 export class TakeoverCoordinator<Prepared> {
   private readonly units: ReadonlyMap<UnitId, UnitState<Prepared>>;
   private readonly context: TakeoverContext<Prepared>;
   private readonly ownerRole: OwnerRole<Prepared>;
   private readonly followerRole: FollowerRole<Prepared>;
-  /** Cancels the next poll; null: not started, or stopped. */
-  private cancelTimer: Cancel | null = null;
-  private unlisten: () => void = () => {};
+  /** Cancels the next periodic poll; null: polling has not started or was stopped. */
+  private cancelPollTimer: Cancel | null = null;
+  private stopListening: () => void = () => {};
   private isLeaving = false;
 
-  /** Throws `TakeoverSettingsError` for invalid settings. */
+  /** Creates a coordinator that is not yet polling. Throws `TakeoverSettingsError` for invalid settings. */
   constructor(
     units: readonly UnitId[],
     private readonly environment: TakeoverEnvironment,
     handler: UnitHandler<Prepared>,
   ) {
     checkTakeoverSettings(environment.settings);
-    this.units = new Map(units.map((unit) => [unit, newUnitState<Prepared>(unit)]));
+    this.units = new Map(units.map((unit) => [unit, createUnitState<Prepared>(unit)]));
     this.context = new TakeoverContext(environment, handler, () => this.pollAll());
     this.ownerRole = new OwnerRole(this.context);
     this.followerRole = new FollowerRole(this.context);
   }
 
-  /** Starts polling: periodically, and whenever a member's state changes. */
+  /** Starts polling the units, periodically and whenever a member changes its state or restarts. */
   start(): void {
-    this.unlisten = this.environment.membership.listen((event) => {
+    this.stopListening = this.environment.membership.listen((event) => {
       if (event.kind === 'state-changed' || event.kind === 'restarted') this.pollAll();
     });
     this.schedulePoll();
   }
 
-  /** Stops polling. Units that this process owns stay its own; see `leave`. */
+  /** Stops polling. This process keeps the ownership of its units; `leave` releases them. */
   stop(): void {
-    this.unlisten();
-    this.cancelTimer?.();
-    this.cancelTimer = null;
+    this.stopListening();
+    this.cancelPollTimer?.();
+    this.cancelPollTimer = null;
   }
 
-  /** Returns the ownership under which this process may act on the unit now; null: it must not act. */
+  /** Returns the ownership under which this process may act on the unit now; null: the process must not act. */
   currentOwnership(unit: UnitId): Ownership | null {
     const stage = this.stage(unit);
     return stage.kind === 'serving' && this.context.gate.open ? stage.ownership : null;
   }
 
-  /** Returns the stage of the unit's takeover as this process sees it. */
+  /** Returns the stage of the unit's takeover from the view of this process; `watching` for an unknown unit. */
   stage(unit: UnitId): Stage {
     return this.units.get(unit)?.stage ?? WATCHING;
   }
 
-  /** Reads the unit's records again at once, because its owner may have changed. */
+  /** Forces a new reading of the unit's records and polls all units now, because the unit's owner may have changed. */
   refresh(unit: UnitId): void {
     const state = this.units.get(unit);
     if (!state) return;
-    state.readAt = -Infinity;
+    state.readAtMs = -Infinity;
     this.pollAll();
   }
 
-  /** Records that the ownership was given up by other means; the handler has nothing left to stop. */
+  /** Records that the application itself ended the ownership of the unit. The handler's `stop` is not called. */
   markRelinquished(unit: UnitId): void {
     const state = this.units.get(unit);
     if (!state || !isOwnerStage(state.stage)) return;
     this.context.advance(state, { kind: 'superseded' });
-    state.readAt = -Infinity;
+    state.readAtMs = -Infinity;
   }
 
-  /** Releases every unit to its best successor, so that nobody has to suspect this process first. */
+  /** Releases every owned unit to its best successor, so that takeovers do not wait for a suspicion of this process. */
   async leave(): Promise<void> {
     this.isLeaving = true;
     for (const state of this.units.values()) {
       if (!isOwnerStage(state.stage)) continue;
       const { ownership } = state.stage;
-      this.context.endOwnership(state, 'this controller leaves');
+      this.context.endOwnership(state, 'this controller is leaving the cluster');
       await this.environment.claims.release(ownership, this.context.successorFor(state.unit));
     }
   }
@@ -91,10 +92,10 @@
   private schedulePoll(): void {
     const { clock, settings } = this.environment;
     const delayMs = this.isIdle ? settings.idlePollIntervalMs : settings.pollIntervalMs;
-    this.cancelTimer = clock.after(delayMs, () => this.pollAll());
+    this.cancelPollTimer = clock.after(delayMs, () => this.pollAll());
   }
 
-  /** Whether every unit is served, here or elsewhere, by an owner that is not suspected. */
+  /** Whether every unit is served, by this or another process, and no owner is suspected. */
   private get isIdle(): boolean {
     if (!this.environment.membership.hasMajority) return false;
     return [...this.units.values()].every(({ stage, reading }) => {
@@ -104,8 +105,8 @@
   }
 
   private pollAll(): void {
-    if (this.cancelTimer === null) return;
-    this.cancelTimer();
+    if (this.cancelPollTimer === null) return;
+    this.cancelPollTimer();
     for (const state of this.units.values()) void this.poll(state);
     this.schedulePoll();
   }
--- a/packages/takeover/src/takeover-settings.ts
+++ b/packages/takeover/src/takeover-settings.ts
@@ -1,26 +1,30 @@
-/** Settings of a takeover, and their validation. */
+/** The settings of takeovers, and their validation. */
 
-/** Settings of one coordinator. Periods are in milliseconds. */
+/** The settings of a takeover coordinator. Durations are in milliseconds. */
 export interface TakeoverSettings {
-  /** How often units are polled, apart from events of the membership, while any unit is not served normally. */
+  /**
+   * The poll interval while any unit is unserved or its owner suspected. Membership events trigger additional polls.
+   */
   readonly pollIntervalMs: number;
-  /** How often units are polled while every unit is served and no owner is suspected. */
+  /** The poll interval while every unit is served and no owner is suspected. */
   readonly idlePollIntervalMs: number;
-  /** A reading older than this is renewed. */
+  /**
+   * The maximum age of a reading of a unit's records, or of a confirmation of an ownership, before the next request.
+   */
   readonly maxReadingAgeMs: number;
-  /** The second-ranked successor waits this long before it claims, the third twice as long. */
+  /** The additional delay of a claim for each better-ranked successor: 0 for the first, one stagger for the second. */
   readonly claimStaggerMs: number;
-  /** How often an owner without contact to a majority writes a heartbeat to the store. */
+  /** The interval at which an owner without contact to a majority writes heartbeats to the store. */
   readonly heartbeatIntervalMs: number;
-  /** An owner whose last heartbeat in the store is more recent is not replaced, whatever the verdict. */
+  /** The age of an owner's last heartbeat in the store up to which the owner is not replaced, even if found failed. */
   readonly heartbeatTimeoutMs: number;
-  /** An owner that was never seen is considered gone after this. */
+  /** The time after which an owner that this member has never observed is considered gone. */
   readonly unknownOwnerTimeoutMs: number;
-  /** Whether a failed verdict leads to a claim. If not, a successor only prepares. */
+  /** Whether a member claims a vacant unit. If false, the first successor only prefetches. */
   readonly claimOnFailure: boolean;
 }
 
-/** The default settings. */
+/** The default settings of a takeover coordinator. */
 export const DEFAULT_TAKEOVER_SETTINGS: TakeoverSettings = {
   pollIntervalMs: 200,
   idlePollIntervalMs: 1000,
@@ -32,10 +36,12 @@
   claimOnFailure: true,
 };
 
-/** An owner is watched for this many heartbeat intervals before it is considered silent. */
-const MIN_OBSERVED_HEARTBEATS = 2;
+/**
+ * The number of heartbeat intervals for which an owner is observed before missing heartbeats count against the owner.
+ */
+const MIN_OBSERVATION_INTERVAL_COUNT = 2;
 
-/** Thrown for an invalid setting. The message names the field. */
+/** Reports an invalid takeover setting. The message names the field. */
 export class TakeoverSettingsError extends Error {
   readonly code = 'INVALID_SETTING';
 
@@ -48,21 +54,22 @@
   }
 }
 
-/** Validates settings. Throws `TakeoverSettingsError` for the first invalid field. */
+/** Validates takeover settings. Throws `TakeoverSettingsError` for the first invalid field. */
 export function checkTakeoverSettings(settings: TakeoverSettings): void {
   for (const [field, value] of Object.entries(settings)) {
     if (typeof value === 'boolean') continue;
-    if (!Number.isFinite(value) || value <= 0) throw new TakeoverSettingsError(field, 'not above 0');
+    if (!Number.isFinite(value) || value <= 0)
+      throw new TakeoverSettingsError(field, 'must be a finite number above 0');
   }
-  if (settings.heartbeatTimeoutMs < MIN_OBSERVED_HEARTBEATS * settings.heartbeatIntervalMs) {
+  if (settings.heartbeatTimeoutMs < MIN_OBSERVATION_INTERVAL_COUNT * settings.heartbeatIntervalMs) {
     throw new TakeoverSettingsError(
       'heartbeatTimeoutMs',
-      `below ${MIN_OBSERVED_HEARTBEATS} times heartbeatIntervalMs`,
+      `must be at least ${MIN_OBSERVATION_INTERVAL_COUNT} times heartbeatIntervalMs`,
     );
   }
 }
 
-/** Returns the minimum time for which a suspected owner is watched before it is replaced. */
+/** Returns the minimum time in milliseconds for which a suspected owner is observed before it is replaced. */
 export function minObservationMs({ heartbeatIntervalMs }: TakeoverSettings): number {
-  return MIN_OBSERVED_HEARTBEATS * heartbeatIntervalMs;
+  return MIN_OBSERVATION_INTERVAL_COUNT * heartbeatIntervalMs;
 }
--- a/packages/takeover/src/unit-state.ts
+++ b/packages/takeover/src/unit-state.ts
@@ -1,33 +1,35 @@
-/** What a member remembers of one unit between two polls. */
+/** The state that a member keeps for each unit between polls. */
 import type { OwnershipReading, UnitId } from './ownership.js';
 import { type Stage, WATCHING } from './stage.js';
 
-/** The state of one unit. `Prepared` is what a successor reads ahead for it. Times are monotonic, in milliseconds. */
+/**
+ * A member's state of one unit. `Prepared` is the data that a successor prefetches for the unit. Times are monotonic.
+ */
 export interface UnitState<Prepared> {
   readonly unit: UnitId;
   stage: Stage;
   reading: OwnershipReading | null;
-  /** When the unit's records were last read or confirmed; -Infinity: they must be read again. */
-  readAt: number;
-  /** A poll of the unit is under way. */
+  /** When the unit's records were last read or the ownership confirmed; -Infinity: the next poll must do so again. */
+  readAtMs: number;
+  /** Whether a poll of the unit is in progress. */
   isPolling: boolean;
-  /** Since when the owner has been failed or gone; null: it is not. */
-  vacantSince: number | null;
+  /** When this member first saw the unit's owner as failed or gone; null: the owner is present or only suspected. */
+  vacantSinceMs: number | null;
   preparation: Promise<Prepared | null> | null;
   /** When this process, as the owner, last wrote a heartbeat to the store. */
-  lastHeartbeatAt: number;
+  lastHeartbeatAtMs: number;
 }
 
-/** Returns the state of a unit of which nothing is known yet. */
-export function newUnitState<Prepared>(unit: UnitId): UnitState<Prepared> {
+/** Returns the initial state of a unit whose records have not been read yet. */
+export function createUnitState<Prepared>(unit: UnitId): UnitState<Prepared> {
   return {
     unit,
     stage: WATCHING,
     reading: null,
-    readAt: -Infinity,
+    readAtMs: -Infinity,
     isPolling: false,
-    vacantSince: null,
+    vacantSinceMs: null,
     preparation: null,
-    lastHeartbeatAt: -Infinity,
+    lastHeartbeatAtMs: -Infinity,
   };
 }
--- a/packages/takeover/test/takeover.test.ts
+++ b/packages/takeover/test/takeover.test.ts
@@ -32,8 +32,8 @@
   readonly clock: VirtualClock;
   readonly store: SharedStore;
   readonly registry: (name: string) => OwnershipRegistry;
-  /** Awaits while the virtual clock runs. */
-  readonly get: <T>(promise: Promise<T>) => Promise<T>;
+  /** Advances the virtual clock past the store's deadline and resolves to the promise's result. */
+  readonly runUntilSettled: <T>(promise: Promise<T>) => Promise<T>;
 }
 
 function createFixture(): RegistryFixture {
@@ -43,7 +43,7 @@
     clock,
     store,
     registry: (name) => new OwnershipRegistry(store.clientFor(name, clock)),
-    async get(promise) {
+    async runUntilSettled(promise) {
       await clock.advance(1500);
       return promise;
     },
@@ -51,80 +51,95 @@
 }
 
 function claimable(reading: OwnershipReading | null): Exclude<OwnershipReading, { kind: 'damaged' }> {
-  if (reading === null || reading.kind === 'damaged') throw new Error('not claimable');
+  if (reading === null || reading.kind === 'damaged')
+    throw new Error('the unit has no reading that can be claimed');
   return reading;
 }
 
 describe('OwnershipRegistry', () => {
-  it('grants one of two claims that are made at the same time', async () => {
-    const { registry, get } = createFixture();
+  it('grants exactly one of two concurrent claims', async () => {
+    const { registry, runUntilSettled } = createFixture();
     const registryA = registry('a');
-    const found = claimable(await get(registryA.read(UNIT)));
-    const claims = [registryA.claim(UNIT, owner('a'), found), registry('b').claim(UNIT, owner('b'), found)];
-    const results = await get(Promise.all(claims));
+    const initialReading = claimable(await runUntilSettled(registryA.read(UNIT)));
+    const claims = [
+      registryA.claim(UNIT, owner('a'), initialReading),
+      registry('b').claim(UNIT, owner('b'), initialReading),
+    ];
+    const results = await runUntilSettled(Promise.all(claims));
     expect(results.map(({ kind }) => kind).sort()).toEqual(['superseded', 'won']);
-    const reading = claimable(await get(registryA.read(UNIT)));
+    const reading = claimable(await runUntilSettled(registryA.read(UNIT)));
     expect(reading.epoch).toBe(1);
   });
 
   it('refuses every write of an owner whose successor has claimed, and reports it to the owner', async () => {
-    const { registry, get } = createFixture();
+    const { registry, runUntilSettled } = createFixture();
     const registryA = registry('a');
-    const first = await get(registryA.claim(UNIT, owner('a'), claimable(await get(registryA.read(UNIT)))));
-    if (first.kind !== 'won') throw new Error('not won');
-    expect(await get(registryA.confirm(first.ownership))).toBe(Confirmation.Held);
-    await get(registryA.writeHeartbeat(first.ownership));
-    expect(await get(registryA.confirm(first.ownership))).toBe(Confirmation.Held);
+    const firstClaim = await runUntilSettled(
+      registryA.claim(UNIT, owner('a'), claimable(await runUntilSettled(registryA.read(UNIT)))),
+    );
+    if (firstClaim.kind !== 'won') throw new Error('the first claim was not won');
+    expect(await runUntilSettled(registryA.confirm(firstClaim.ownership))).toBe(Confirmation.Held);
+    await runUntilSettled(registryA.writeHeartbeat(firstClaim.ownership));
+    expect(await runUntilSettled(registryA.confirm(firstClaim.ownership))).toBe(Confirmation.Held);
     const registryB = registry('b');
-    const second = await get(registryB.claim(UNIT, owner('b'), claimable(await get(registryB.read(UNIT)))));
-    expect(second.kind).toBe('won');
-    expect(await get(registryA.commitAs(first.ownership, [], [{ key: 'job/1', value: 1 }]))).toEqual({
+    const secondClaim = await runUntilSettled(
+      registryB.claim(UNIT, owner('b'), claimable(await runUntilSettled(registryB.read(UNIT)))),
+    );
+    expect(secondClaim.kind).toBe('won');
+    expect(
+      await runUntilSettled(registryA.commitAs(firstClaim.ownership, [], [{ key: 'job/1', value: 1 }])),
+    ).toEqual({
       committed: false,
     });
-    // A sign of life or a release of the former owner must not touch its successor's record.
-    await get(registryA.writeHeartbeat(first.ownership));
-    await get(registryA.release(first.ownership, null));
-    expect(claimable(await get(registryB.read(UNIT)))).toMatchObject({
+    // Neither a heartbeat nor a release of the previous owner may change the record of its successor.
+    await runUntilSettled(registryA.writeHeartbeat(firstClaim.ownership));
+    await runUntilSettled(registryA.release(firstClaim.ownership, null));
+    expect(claimable(await runUntilSettled(registryB.read(UNIT)))).toMatchObject({
       kind: 'owned',
       owner: owner('b'),
       epoch: 2,
     });
-    expect(await get(registryA.confirm(first.ownership))).toBe(Confirmation.Superseded);
+    expect(await runUntilSettled(registryA.confirm(firstClaim.ownership))).toBe(Confirmation.Superseded);
   });
 
-  it('reports an unanswered claim as uncertain, and reading again settles it', async () => {
-    const { registry, get, store, clock } = createFixture();
+  it('reports a claim without a response as uncertain, and a later read shows its result', async () => {
+    const { registry, runUntilSettled, store, clock } = createFixture();
     const registryA = registry('a');
-    const found = claimable(await get(registryA.read(UNIT)));
+    const initialReading = claimable(await runUntilSettled(registryA.read(UNIT)));
     store.lateCommitRate = 1;
-    const result = await get(registryA.claim(UNIT, owner('a'), found));
+    const result = await runUntilSettled(registryA.claim(UNIT, owner('a'), initialReading));
     expect(result.kind).toBe('uncertain');
     await clock.advance(8000);
-    expect(claimable(await get(registryA.read(UNIT)))).toMatchObject({ kind: 'owned', owner: owner('a') });
+    expect(claimable(await runUntilSettled(registryA.read(UNIT)))).toMatchObject({
+      kind: 'owned',
+      owner: owner('a'),
+    });
   });
 
   it('reports a store outage without throwing', async () => {
-    const { registry, get, store } = createFixture();
+    const { registry, runUntilSettled, store } = createFixture();
     const registryA = registry('a');
-    const found = claimable(await get(registryA.read(UNIT)));
+    const initialReading = claimable(await runUntilSettled(registryA.read(UNIT)));
     store.isUnavailable = true;
-    expect(await get(registryA.read(UNIT))).toBeNull();
-    expect(await get(registryA.claim(UNIT, owner('a'), found))).toEqual({ kind: 'unavailable' });
+    expect(await runUntilSettled(registryA.read(UNIT))).toBeNull();
+    expect(await runUntilSettled(registryA.claim(UNIT, owner('a'), initialReading))).toEqual({
+      kind: 'unavailable',
+    });
   });
 
   it.each([
-    ['holder', 'nonsense', 'is not a record'],
-    ['holder', { format: 1, state: 'held', member: 'a', epoch: 3 }, 'field process cannot be read'],
+    ['holder', 'nonsense', 'is not a JSON object'],
+    ['holder', { format: 1, state: 'held', member: 'a', epoch: 3 }, 'has a missing or invalid field process'],
     [
       'holder',
       { format: 2, state: 'held', member: 'a', process: 'p', epoch: 3 },
-      'field format cannot be read',
+      'has a missing or invalid field format',
     ],
-    ['epoch', { format: 1, epoch: -1 }, 'field epoch cannot be read'],
+    ['epoch', { format: 1, epoch: -1 }, 'has a missing or invalid field epoch'],
   ])('names a damaged %s record', async (key, value, problem) => {
-    const { registry, get, store } = createFixture();
+    const { registry, runUntilSettled, store } = createFixture();
     store.overwrite(`ownership/${UNIT}/${key}`, value);
-    expect(await get(registry('a').read(UNIT))).toEqual({
+    expect(await runUntilSettled(registry('a').read(UNIT))).toEqual({
       kind: 'damaged',
       key: `ownership/${UNIT}/${key}`,
       problem,
@@ -133,7 +148,7 @@
 });
 
 describe('EpochFence', () => {
-  it('admits equal and higher epochs of each unit, and no lower one', () => {
+  it('admits equal and higher epochs of each unit, and refuses lower epochs', () => {
     const fence = new EpochFence();
     const epoch = (value: number): FencingEpoch => value as FencingEpoch;
     expect(fence.admit(UNIT, epoch(3))).toBe(true);
@@ -167,7 +182,7 @@
     skippedMs = 3000;
     expect(gate.open).toBe(false);
     expect(pauses).toHaveLength(1);
-    // A confirmation that was requested before the pause is void after it.
+    // A confirmation that was requested before the pause must not open the gate after the pause.
     gate.reopen(before);
     expect(gate.open).toBe(false);
     gate.reopen(gate.generation);
@@ -177,15 +192,15 @@
 
 describe('checkTakeoverSettings', () => {
   it.each<[string, Partial<TakeoverSettings>]>([
-    ['claimStaggerMs: not above 0', { claimStaggerMs: -1 }],
-    ['pollIntervalMs: not above 0', { pollIntervalMs: Number.NaN }],
-    ['heartbeatTimeoutMs: below 2 times heartbeatIntervalMs', { heartbeatTimeoutMs: 500 }],
+    ['claimStaggerMs: must be a finite number above 0', { claimStaggerMs: -1 }],
+    ['pollIntervalMs: must be a finite number above 0', { pollIntervalMs: Number.NaN }],
+    ['heartbeatTimeoutMs: must be at least 2 times heartbeatIntervalMs', { heartbeatTimeoutMs: 500 }],
   ])('%s', (message, change) => {
     expect(() => checkTakeoverSettings({ ...DEFAULT_TAKEOVER_SETTINGS, ...change })).toThrow(message);
   });
 });
 
-async function cluster(controllers = 3, units = 1, seed = 1): Promise<SimulatedCluster> {
+async function startCluster(controllers = 3, units = 1, seed = 1): Promise<SimulatedCluster> {
   const started = new SimulatedCluster({ controllers, units, seed });
   started.startAll();
   await started.run(5000);
@@ -206,21 +221,21 @@
 }
 
 describe('a takeover', () => {
-  it('is carried out by one survivor after the owner has died', async () => {
-    const simulated = await cluster(5, 4);
-    const former = soleOwner(simulated);
+  it('is executed by exactly one survivor after the owner is killed', async () => {
+    const simulated = await startCluster(5, 4);
+    const previousOwner = soleOwner(simulated);
     const epoch = simulated.history.lastEpoch(UNIT);
-    simulated.kill(former);
+    simulated.kill(previousOwner);
     await simulated.run(1500);
     const stages = simulated.members.map((member) => simulated.stageOf(member, UNIT));
     expect(stages).toContain('suspecting');
     await simulated.run(3000);
-    expect(soleOwner(simulated)).not.toBe(former);
+    expect(soleOwner(simulated)).not.toBe(previousOwner);
     expect(simulated.history.lastEpoch(UNIT)).toBe((epoch ?? 0) + 1);
   });
 
   it('is not started by a suspicion that is refuted', async () => {
-    const simulated = await cluster();
+    const simulated = await startCluster();
     const owner = soleOwner(simulated);
     simulated.pause(owner);
     await simulated.run(1300);
@@ -234,19 +249,20 @@
   });
 
   it('is detected by a paused owner before its next effect', async () => {
-    const simulated = await cluster();
-    const former = soleOwner(simulated);
-    simulated.pause(former);
+    const simulated = await startCluster();
+    const previousOwner = soleOwner(simulated);
+    simulated.pause(previousOwner);
     await simulated.run(6000);
     const refused = simulated.history.refusedCount;
-    simulated.resume(former);
+    simulated.resume(previousOwner);
     await simulated.run(3000);
-    expect(soleOwner(simulated)).not.toBe(former);
-    expect(simulated.stageOf(former, UNIT)).toBe('watching');
-    // Effects that it had sent before the pause may still arrive, and are refused; it must not send new ones.
+    expect(soleOwner(simulated)).not.toBe(previousOwner);
+    expect(simulated.stageOf(previousOwner, UNIT)).toBe('watching');
+    // Effects that the paused owner sent before the pause may still arrive and are refused. The owner must send no
+    // others.
     expect(simulated.history.refusedCount).toBe(refused);
     const replacedWarnings = simulated.warnings.filter((line) =>
-      line.startsWith(`${former}: another controller took over`),
+      line.startsWith(`${previousOwner}: another controller took over`),
     );
     expect(replacedWarnings).toHaveLength(1);
     expect(replacedWarnings[0]).toMatch(
@@ -254,88 +270,88 @@
     );
   });
 
-  it('spares an owner that is cut off from its peers but reaches the store', async () => {
-    const simulated = await cluster();
+  it('does not replace an owner that is partitioned from its peers but reaches the store', async () => {
+    const simulated = await startCluster();
     const owner = soleOwner(simulated);
     cutFromPeers(simulated, owner);
     await simulated.run(20_000);
     expect(soleOwner(simulated)).toBe(owner);
     const other = simulated.members.find((member) => member !== owner) as MemberId;
     expect(simulated.state(other, owner)).toBe(MemberState.Failed);
-    // Once the store refuses it as well, it cannot write heartbeats any more.
+    // An owner whose store requests are refused as well can no longer write heartbeats.
     simulated.store.refusedClients.add(owner);
     await simulated.run(5000);
     expect(simulated.ownersOf(UNIT).filter((member) => member !== owner)).toHaveLength(1);
   });
 
-  it('is completed by another survivor when the first one dies during it', async () => {
+  it('is completed by another survivor when the first successor is killed during the takeover', async () => {
     for (const deathAfterMs of [1200, 1900, 2000, 2050, 2100, 2200, 2400]) {
-      const simulated = await cluster(5, 1, deathAfterMs);
-      const former = soleOwner(simulated);
-      simulated.kill(former);
+      const simulated = await startCluster(5, 1, deathAfterMs);
+      const previousOwner = soleOwner(simulated);
+      simulated.kill(previousOwner);
       await simulated.run(deathAfterMs);
       const successor = simulated.members.find((member) =>
         ['suspecting', 'claiming', 'adopting', 'serving'].includes(simulated.stageOf(member, UNIT)),
       );
       if (successor) simulated.kill(successor);
       await simulated.run(12_000);
-      expect([former, successor]).not.toContain(soleOwner(simulated));
+      expect([previousOwner, successor]).not.toContain(soleOwner(simulated));
       expect(simulated.history.check()).toEqual([]);
     }
   });
 
   it('waits for the store, and passes to the next survivor when the store refuses the first', async () => {
-    const simulated = await cluster();
-    const former = soleOwner(simulated);
+    const simulated = await startCluster();
+    const previousOwner = soleOwner(simulated);
     simulated.store.isUnavailable = true;
-    simulated.kill(former);
+    simulated.kill(previousOwner);
     await simulated.run(6000);
     expect(simulated.ownersOf(UNIT)).toEqual([]);
     simulated.store.isUnavailable = false;
     await simulated.run(4000);
-    const second = soleOwner(simulated);
-    simulated.start(former);
+    const secondOwner = soleOwner(simulated);
+    simulated.start(previousOwner);
     await simulated.run(4000);
-    simulated.store.refusedClients.add(former);
-    simulated.kill(second);
+    simulated.store.refusedClients.add(previousOwner);
+    simulated.kill(secondOwner);
     await simulated.run(8000);
-    expect([former, second]).not.toContain(soleOwner(simulated));
+    expect([previousOwner, secondOwner]).not.toContain(soleOwner(simulated));
   });
 
   it('needs no suspicion when the owner leaves', async () => {
-    const simulated = await cluster();
-    const former = soleOwner(simulated);
+    const simulated = await startCluster();
+    const previousOwner = soleOwner(simulated);
     simulated.events.length = 0;
-    const leaving = simulated.leave(former);
+    const leaving = simulated.leave(previousOwner);
     await simulated.run(1000);
     await leaving;
-    expect(soleOwner(simulated)).not.toBe(former);
+    expect(soleOwner(simulated)).not.toBe(previousOwner);
     const states = simulated.events.flatMap(({ event }) =>
       event.kind === 'state-changed' ? [event.to] : [],
     );
     expect(states).not.toContain(MemberState.Suspect);
   });
 
-  it('takes units whose owner was not seen since all members restarted', async () => {
-    const simulated = await cluster();
-    const former = soleOwner(simulated);
+  it('claims units whose owner was not observed since all members restarted', async () => {
+    const simulated = await startCluster();
+    const previousOwner = soleOwner(simulated);
     for (const member of simulated.members) simulated.kill(member);
-    for (const member of simulated.members) if (member !== former) simulated.start(member);
+    for (const member of simulated.members) if (member !== previousOwner) simulated.start(member);
     await simulated.run(10_000);
-    expect(soleOwner(simulated)).not.toBe(former);
+    expect(soleOwner(simulated)).not.toBe(previousOwner);
   });
 
   it('is blocked by a damaged record, names the key and the remedy, and continues once it is repaired', async () => {
-    const simulated = await cluster();
-    const former = soleOwner(simulated);
+    const simulated = await startCluster();
+    const previousOwner = soleOwner(simulated);
     simulated.store.overwrite(`ownership/${UNIT}/holder`, 'scribble');
-    simulated.kill(former);
+    simulated.kill(previousOwner);
     await simulated.run(10_000);
     expect(simulated.ownersOf(UNIT)).toEqual([]);
-    const others = simulated.members.filter((member) => member !== former);
+    const others = simulated.members.filter((member) => member !== previousOwner);
     expect(others.map((member) => simulated.stageOf(member, UNIT))).toEqual(['blocked', 'blocked']);
     expect(simulated.warnings.join('\n')).toContain(
-      `Nobody takes over ${UNIT}: its record ownership/${UNIT}/holder is not a record. Look at the key in the state service.`,
+      `No controller takes over ${UNIT}: its record ownership/${UNIT}/holder is not a JSON object. Inspect the key in the state service.`,
     );
     simulated.store.delete(`ownership/${UNIT}/holder`);
     await simulated.run(8000);
