--- a/packages/takeover/test/loopback.test.ts
+++ b/packages/takeover/test/loopback.test.ts
@@ -3,13 +3,13 @@
 import { afterEach, beforeAll, describe, expect, it } from 'vitest';
 
 /**
- * Real processes on loopback that are killed, paused and cut off. Ownership is asserted, times are not: the machine may
- * be busy. `npm run measure:takeover` measures the times.
+ * Controllers as real processes on loopback that are killed, paused and partitioned. The tests assert ownership but no
+ * takeover times, because the machine may be busy; `npm run measure:takeover` measures the times.
  */
 const UNIT = 'unit-0' as UnitId;
 const TIMEOUT_MS = 60_000;
 const POLL_INTERVAL_MS = 50;
-/** Longer than it takes to suspect a controller. */
+/** How long all views must agree. Longer than the failure detector needs to suspect a controller. */
 const STABLE_MS = 1500;
 
 let program = '';
@@ -20,10 +20,11 @@
 const clusters: LoopbackCluster[] = [];
 afterEach(() => clusters.splice(0).forEach((cluster) => cluster.close()));
 
-async function until(description: string, condition: () => boolean): Promise<void> {
+async function waitUntil(description: string, condition: () => boolean): Promise<void> {
   const end = performance.now() + TIMEOUT_MS;
   while (!condition()) {
-    if (performance.now() > end) throw new Error(`not within ${TIMEOUT_MS / 1000} s: ${description}`);
+    if (performance.now() > end)
+      throw new Error(`condition not met within ${TIMEOUT_MS / 1000} s: ${description}`);
     await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
   }
 }
@@ -33,10 +34,10 @@
   const started = new LoopbackCluster({ controllers, units: 2, mode: FailoverMode.Membership, program });
   clusters.push(started);
   await started.start();
-  await until('all units are served', () =>
+  await waitUntil('all units are served', () =>
     started.units.every((unit) => started.servingOwner(unit) !== null),
   );
-  await until(
+  await waitUntil(
     'all controllers see all others',
     () => countViews(started, 'alive') >= controllers * (controllers - 1),
   );
@@ -53,8 +54,8 @@
   return cluster.servingOwner(UNIT)?.member ?? '';
 }
 
-async function untilReplaced(cluster: LoopbackCluster, former: string): Promise<void> {
-  await until(`another than ${former} serves`, () => owner(cluster) !== former);
+async function untilReplaced(cluster: LoopbackCluster, previousOwner: string): Promise<void> {
+  await waitUntil(`a controller other than ${previousOwner} serves`, () => owner(cluster) !== previousOwner);
 }
 
 /** Returns whether every controller has last reported every other as alive. */
@@ -66,11 +67,11 @@
   );
 }
 
-/** Ends all faults and waits until the views agree for some time: a late suspicion would show. */
+/** Ends all faults and waits until the views have agreed for `STABLE_MS`, so that a late suspicion is detected. */
 async function settle(cluster: LoopbackCluster): Promise<void> {
   cluster.endFaults();
   let agreedSince = performance.now();
-  await until('the views agree, and stay so', () => {
+  await waitUntil('all controllers keep reporting each other as alive', () => {
     if (!viewsAgree(cluster)) agreedSince = performance.now();
     return performance.now() - agreedSince > STABLE_MS;
   });
@@ -81,17 +82,17 @@
   it(
     'replace a killed owner, which is a follower when it restarts within 200 ms',
     async () => {
-      const running = await startCluster();
-      const former = owner(running);
-      running.kill(former);
+      const cluster = await startCluster();
+      const initialOwner = owner(cluster);
+      cluster.kill(initialOwner);
       await new Promise((resolve) => setTimeout(resolve, 200));
-      running.spawn(former);
-      const epoch = running.servingOwner(UNIT)?.epoch ?? 0;
-      await until(
+      cluster.spawn(initialOwner);
+      const epoch = cluster.servingOwner(UNIT)?.epoch ?? 0;
+      await waitUntil(
         'the unit has another owner process',
-        () => (running.servingOwner(UNIT)?.epoch ?? 0) > epoch,
+        () => (cluster.servingOwner(UNIT)?.epoch ?? 0) > epoch,
       );
-      await settle(running);
+      await settle(cluster);
     },
     TIMEOUT_MS * 3,
   );
@@ -99,97 +100,101 @@
   it(
     'replace an owner that is paused for longer than the suspicion period, and refuse its late effects',
     async () => {
-      const running = await startCluster();
-      const former = owner(running);
-      running.pause(former);
-      await untilReplaced(running, former);
-      const successor = owner(running);
-      running.resume(former);
-      await until('the former owner reports that it was replaced', () =>
-        running.events.some(
+      const cluster = await startCluster();
+      const initialOwner = owner(cluster);
+      cluster.pause(initialOwner);
+      await untilReplaced(cluster, initialOwner);
+      const successor = owner(cluster);
+      cluster.resume(initialOwner);
+      await waitUntil('the initial owner reports that it was replaced', () =>
+        cluster.events.some(
           ({ observer, kind, to }) =>
-            observer === former && kind === 'warning' && to.includes('another controller took over unit-0'),
+            observer === initialOwner &&
+            kind === 'warning' &&
+            to.includes('another controller took over unit-0'),
         ),
       );
-      expect(owner(running)).toBe(successor);
-      await settle(running);
+      expect(owner(cluster)).toBe(successor);
+      await settle(cluster);
     },
     TIMEOUT_MS * 3,
   );
 
   it(
-    'replace an owner with an outbound partition once the store refuses it as well',
+    'replace an owner with an outbound partition once the store refuses its requests as well',
     async () => {
-      const running = await startCluster();
-      const former = owner(running);
-      running.cutOutbound(former);
-      await until('the others declare it failed', () =>
-        running.events.some(({ subject, to }) => subject === former && to === 'failed'),
+      const cluster = await startCluster();
+      const initialOwner = owner(cluster);
+      cluster.cutOutbound(initialOwner);
+      await waitUntil('the other controllers declare the owner failed', () =>
+        cluster.events.some(({ subject, to }) => subject === initialOwner && to === 'failed'),
       );
-      // Its heartbeats in the store protect it.
-      expect(owner(running)).toBe(former);
-      running.store.refusedClients.add(former);
-      await untilReplaced(running, former);
-      await settle(running);
+      // The heartbeats that the owner writes to the store prevent its replacement.
+      expect(owner(cluster)).toBe(initialOwner);
+      cluster.store.refusedClients.add(initialOwner);
+      await untilReplaced(cluster, initialOwner);
+      await settle(cluster);
     },
     TIMEOUT_MS * 3,
   );
 
   it(
-    'spare an owner with an inbound partition',
+    'do not replace an owner with an inbound partition',
     async () => {
-      const running = await startCluster();
-      const former = owner(running);
-      running.cutInbound(former);
-      await until('the others suspect it', () =>
-        running.events.some(({ subject, to }) => subject === former && to === 'suspect'),
+      const cluster = await startCluster();
+      const initialOwner = owner(cluster);
+      cluster.cutInbound(initialOwner);
+      await waitUntil('the other controllers suspect the owner', () =>
+        cluster.events.some(({ subject, to }) => subject === initialOwner && to === 'suspect'),
       );
-      expect(running.events.some(({ subject, to }) => subject === former && to === 'failed')).toBe(false);
-      expect(owner(running)).toBe(former);
-      await settle(running);
-      expect(owner(running)).toBe(former);
+      expect(cluster.events.some(({ subject, to }) => subject === initialOwner && to === 'failed')).toBe(
+        false,
+      );
+      expect(owner(cluster)).toBe(initialOwner);
+      await settle(cluster);
+      expect(owner(cluster)).toBe(initialOwner);
     },
     TIMEOUT_MS * 3,
   );
 
   it(
-    'let the next survivor take over when the first one is killed after its claim',
+    'let the next survivor take over when the first successor is killed after its claim',
     async () => {
-      const running = await startCluster(5);
-      const former = owner(running);
-      running.kill(former);
-      await untilReplaced(running, former);
-      const second = owner(running);
-      running.kill(second);
-      await until('a third owner serves', () => ![former, second].includes(owner(running)));
-      await settle(running);
+      const cluster = await startCluster(5);
+      const initialOwner = owner(cluster);
+      cluster.kill(initialOwner);
+      await untilReplaced(cluster, initialOwner);
+      const secondOwner = owner(cluster);
+      cluster.kill(secondOwner);
+      await waitUntil('a third owner serves', () => ![initialOwner, secondOwner].includes(owner(cluster)));
+      await settle(cluster);
     },
     TIMEOUT_MS * 3,
   );
 
   it(
-    'let a single running controller take nothing, and have one owner a unit afterwards',
+    'do not let a single running controller take over a unit, and have one owner for each unit afterwards',
     async () => {
-      const running = await startCluster();
-      const former = owner(running);
-      const epoch = running.servingOwner(UNIT)?.epoch;
-      const others = running.members.filter((member) => member !== former);
+      const cluster = await startCluster();
+      const initialOwner = owner(cluster);
+      const epoch = cluster.servingOwner(UNIT)?.epoch;
+      const others = cluster.members.filter((member) => member !== initialOwner);
       const [survivor] = others as [string];
-      for (const member of running.members) if (member !== survivor) running.pause(member);
-      await until('the survivor suspects the others', () =>
+      for (const member of cluster.members) if (member !== survivor) cluster.pause(member);
+      await waitUntil('the survivor suspects all other controllers', () =>
         others
-          .concat(former)
+          .concat(initialOwner)
           .every(
             (member) =>
               member === survivor ||
-              running.events.some(
+              cluster.events.some(
                 ({ observer, subject, to }) =>
                   observer === survivor && subject === member && to === 'suspect',
               ),
           ),
       );
-      expect(running.servingOwner(UNIT)?.epoch).toBe(epoch);
-      await settle(running);
+      expect(cluster.servingOwner(UNIT)?.epoch).toBe(epoch);
+      await settle(cluster);
     },
     TIMEOUT_MS * 3,
   );
--- a/packages/takeover/test/random-schedules.test.ts
+++ b/packages/takeover/test/random-schedules.test.ts
@@ -5,22 +5,22 @@
 
 /**
  * Random schedules of faults against whole clusters on a virtual clock. The seed is fixed, so that CI runs the same
- * schedules every time; `SCHEDULE_RUNS` and `SCHEDULE_SEED` search for more.
+ * schedules every time; the environment variables `SCHEDULE_RUNS` and `SCHEDULE_SEED` select more or other schedules.
  */
 const RUNS = Number(process.env['SCHEDULE_RUNS'] ?? 60);
 const SEED = Number(process.env['SCHEDULE_SEED'] ?? 20261202);
 
-/** After all faults have ended, views agree and every unit is owned within this time. */
+/** The time after the end of all faults within which all views must agree and every unit must have an owner. */
 const SETTLE_MS = 12_000;
 
-/** The model that fast-check's commands work on. */
+/** The model state that fast-check passes to every command. */
 interface Model {
   steps: number;
 }
 
 type ClusterCommand = fc.AsyncCommand<Model, SimulatedCluster>;
 
-/** One fault, and some time in which it takes effect. */
+/** A fault, followed by a time in which the fault takes effect. */
 class FaultCommand implements ClusterCommand {
   constructor(
     private readonly name: string,
@@ -46,55 +46,55 @@
 function faultCommands(controllers: number): fc.Arbitrary<ClusterCommand>[] {
   const member = fc.nat(controllers - 1).map((index) => `c${index}` as MemberId);
   const wait = fc.integer({ min: 0, max: 4000 });
-  const onOne = (name: string, act: (cluster: SimulatedCluster, member: MemberId) => void) =>
+  const memberFault = (name: string, act: (cluster: SimulatedCluster, member: MemberId) => void) =>
     fc
       .tuple(member, wait)
-      .map(([on, ms]) => new FaultCommand(`${name} ${on}`, ms, (cluster) => act(cluster, on)));
-  const onPair = (name: string, act: (cluster: SimulatedCluster, a: MemberId, b: MemberId) => void) =>
+      .map(([target, ms]) => new FaultCommand(`${name} ${target}`, ms, (cluster) => act(cluster, target)));
+  const pairFault = (name: string, act: (cluster: SimulatedCluster, a: MemberId, b: MemberId) => void) =>
     fc
       .tuple(member, member, wait)
       .map(([a, b, ms]) => new FaultCommand(`${name} ${a} ${b}`, ms, (cluster) => act(cluster, a, b)));
-  const onAll = (name: string, act: (cluster: SimulatedCluster, share: number) => void) =>
+  const clusterFault = (name: string, act: (cluster: SimulatedCluster, share: number) => void) =>
     fc
       .tuple(fc.integer({ min: 0, max: 4 }), wait)
       .map(
         ([tenths, ms]) => new FaultCommand(`${name} 0.${tenths}`, ms, (cluster) => act(cluster, tenths / 10)),
       );
   return [
-    onOne('kill', (cluster, on) => cluster.kill(on)),
-    onOne('start', (cluster, on) => cluster.start(on)),
-    onOne('restart at once', (cluster, on) => {
-      cluster.kill(on);
-      cluster.start(on);
+    memberFault('kill', (cluster, target) => cluster.kill(target)),
+    memberFault('start', (cluster, target) => cluster.start(target)),
+    memberFault('restart at once', (cluster, target) => {
+      cluster.kill(target);
+      cluster.start(target);
     }),
-    onOne('pause', (cluster, on) => cluster.pause(on)),
-    onOne('resume', (cluster, on) => cluster.resume(on)),
-    onOne('leave', (cluster, on) => void cluster.leave(on)),
-    onOne('store refuses', (cluster, on) => cluster.store.refusedClients.add(on)),
-    onPair('cut one way', (cluster, from, to) => cluster.network.cut(from, to)),
-    onPair('heal', (cluster, from, to) => cluster.network.heal(from, to)),
-    onOne('cut off', (cluster, on) => {
+    memberFault('pause', (cluster, target) => cluster.pause(target)),
+    memberFault('resume', (cluster, target) => cluster.resume(target)),
+    memberFault('leave', (cluster, target) => void cluster.leave(target)),
+    memberFault('store refuses', (cluster, target) => cluster.store.refusedClients.add(target)),
+    pairFault('cut one way', (cluster, from, to) => cluster.network.cut(from, to)),
+    pairFault('heal', (cluster, from, to) => cluster.network.heal(from, to)),
+    memberFault('cut off', (cluster, target) => {
       for (const other of cluster.members) {
-        cluster.network.cut(on, other);
-        cluster.network.cut(other, on);
+        cluster.network.cut(target, other);
+        cluster.network.cut(other, target);
       }
     }),
-    onAll('store outage', (cluster, share) => {
+    clusterFault('store outage', (cluster, share) => {
       cluster.store.isUnavailable = share < 0.2;
     }),
-    onAll('late transactions', (cluster, share) => {
+    clusterFault('late transactions', (cluster, share) => {
       cluster.store.lateCommitRate = share;
     }),
-    onAll('duplicate requests', (cluster, share) => {
+    clusterFault('duplicate requests', (cluster, share) => {
       Object.assign(cluster.network.faults, { duplicateRate: share, maxDuplicateDelayMs: 8000 });
     }),
-    onAll('slow and lost messages', (cluster, share) => {
+    clusterFault('slow and lost messages', (cluster, share) => {
       Object.assign(cluster.network.faults, { maxDelayMs: 4 + share * 800, lossRate: share / 2 });
     }),
   ];
 }
 
-/** Expects the invariants to hold, and the cluster to have recovered. */
+/** Expects that the invariants hold, every unit has exactly one owner, and all members see each other as alive. */
 function expectSettled(cluster: SimulatedCluster): void {
   expect(cluster.history.check()).toEqual([]);
   expect(cluster.unfoundedVerdicts).toEqual([]);
@@ -122,11 +122,11 @@
 
 describe('random schedules of faults', () => {
   it.each([3, 5, 9])(
-    'keep one owner a unit, refuse effects of replaced owners, and end in agreeing views (%i controllers)',
+    'keep one owner for each unit, refuse effects of replaced owners, and end in agreeing views (%i controllers)',
     async (controllers) => {
       const commands = fc.commands(faultCommands(controllers), { maxCommands: 25 });
-      const property = fc.asyncProperty(fc.nat(1_000_000), commands, (seed, chosen) =>
-        runSchedule(controllers, seed, chosen),
+      const property = fc.asyncProperty(fc.nat(1_000_000), commands, (seed, schedule) =>
+        runSchedule(controllers, seed, schedule),
       );
       await fc.assert(property, { seed: SEED, numRuns: Math.max(3, Math.round(RUNS / controllers)) });
     },
@@ -134,7 +134,7 @@
   );
 });
 
-/** Pauses the owner with effects in flight, and resumes it after it was replaced. */
+/** Runs four rounds in which the owner is paused with effects in flight and resumed after its replacement. */
 async function pauseAndResumeOwner(defects: Defects): Promise<SimulatedCluster> {
   const cluster = new SimulatedCluster({ controllers: 5, units: 2, seed: 3, defects });
   cluster.startAll();
@@ -149,7 +149,7 @@
   return cluster;
 }
 
-// Each check must fail for the defect that it is there for.
+// Each check must fail for the deliberate defect that the check is meant to detect.
 describe('deliberate defects are detected', () => {
   it('passes without a defect', async () => {
     const cluster = await pauseAndResumeOwner({});
@@ -174,7 +174,7 @@
     expect(states).toContain(MemberState.Failed);
   });
 
-  it('no majority: one that is cut off declares the others failed', async () => {
+  it('no majority: a member that is partitioned from all others declares them failed', async () => {
     const verdicts = async (defects: Defects): Promise<readonly string[]> => {
       const cluster = new SimulatedCluster({ controllers: 5, units: 2, seed: 5, defects });
       cluster.startAll();
