--- a/packages/simulation/src/loopback/build-controller.ts
+++ b/packages/simulation/src/loopback/build-controller.ts
@@ -1,10 +1,13 @@
-/** Builds the program of a simulated controller from source. */
+/** Bundles the program of a simulated controller from its TypeScript source. */
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { build } from 'esbuild';
 
-/** Resolves to the path of the built program. `source`: must be given by callers that are bundled themselves. */
+/**
+ * Builds the program and resolves to its path. A caller that is itself bundled must pass `source`, because the default
+ * is relative to the location of this module.
+ */
 export async function buildController(
   source = fileURLToPath(new URL('controller-main.ts', import.meta.url)),
 ): Promise<string> {
--- a/packages/simulation/src/loopback/channel.ts
+++ b/packages/simulation/src/loopback/channel.ts
@@ -1,17 +1,19 @@
-/** Requests and answers as lines of JSON over one connection, in both directions. */
+/** A bidirectional channel that carries requests and responses as newline-delimited JSON over one connection. */
 import type { Socket } from 'node:net';
 
-/** A request has an id and a name; its answer has only the id. */
+/** A message on the channel. A request has an id and a name; the response carries the id of the request and no name. */
 interface Frame {
   readonly id: number;
   readonly name?: string;
   readonly body: unknown;
 }
 
-/** Handles a request of the other side; resolves to undefined for no answer. */
+/** Handles a request of the remote end; resolves to undefined if no response is to be sent. */
 export type RequestHandler = (name: string, body: unknown) => Promise<unknown>;
 
-/** One end of a connection. */
+/**
+ * One end of a channel. `handler` handles requests of the remote end; `onClose` is called when the connection closes.
+ */
 export class Channel {
   private buffer = '';
   private nextId = 1;
@@ -50,11 +52,11 @@
     });
   }
 
-  private write(line: Frame): void {
-    if (this.socket.writable) this.socket.write(`${JSON.stringify(line)}\n`);
+  private write(frame: Frame): void {
+    if (this.socket.writable) this.socket.write(`${JSON.stringify(frame)}\n`);
   }
 
-  /** Sends a request. Resolves to null if there is no answer in time or the connection ends. */
+  /** Sends a request. Resolves to null if no response arrives within `deadlineMs` or the connection closes. */
   request(name: string, body: unknown, deadlineMs: number): Promise<unknown> {
     const id = this.nextId++;
     return new Promise((resolve) => {
@@ -70,7 +72,7 @@
     });
   }
 
-  /** Sends a message that needs no answer. */
+  /** Sends a message for which no response is expected. */
   notify(name: string, body: unknown): void {
     this.write({ id: 0, name, body });
   }
--- a/packages/simulation/src/loopback/controller-main.ts
+++ b/packages/simulation/src/loopback/controller-main.ts
@@ -1,4 +1,6 @@
-/** A simulated controller as a real process: the real packages over real connections, with jobs that do nothing. */
+/**
+ * A simulated controller as an operating system process: runs the real packages over TCP, with jobs that do nothing.
+ */
 import { createServer } from 'node:net';
 import {
   type Clock,
@@ -30,12 +32,12 @@
   HarnessRequest,
   LEASE_EXPIRED,
 } from './protocol.js';
-import { dial, listen } from './relay.js';
+import { dial, listenOnFreePort } from './relay.js';
 
-const ACTION_INTERVAL_MS = 20;
+const JOB_START_INTERVAL_MS = 20;
 const STORE_TIMEOUT_MS = 1000;
 const RECONNECT_DELAY_MS = 100;
-/** The time to live of a lease, and how often it is renewed, as in the service. */
+/** The time to live of a lease. The lease is renewed four times in this time, as in the service. */
 const LEASE_TTL_MS = 2500;
 const LEASE_RENEW_INTERVAL_MS = LEASE_TTL_MS / 4;
 
@@ -48,7 +50,7 @@
   },
 };
 
-/** A channel to a peer that reconnects when the connection ends. */
+/** A channel to a peer. The channel reconnects when the connection closes. */
 class PeerChannel {
   private channel: Channel | null = null;
 
@@ -78,12 +80,13 @@
   }
 }
 
-/** Returns the harness's store over its channel. */
-function remoteStore(harness: Channel): ConditionalStore {
+/** Returns a client of the harness's store. The client sends its requests over the channel to the harness. */
+function createRemoteStore(harness: Channel): ConditionalStore {
   const request = async <T>(name: HarnessRequest, body: unknown): Promise<T> => {
     const answer = await harness.request(name, body, STORE_TIMEOUT_MS);
-    if (answer === null) throw new StoreOutcomeUnknownError('no answer');
-    if (answer === 'refused') throw new StoreUnavailableError('refused');
+    if (answer === null)
+      throw new StoreOutcomeUnknownError('the harness did not respond to the store request');
+    if (answer === 'refused') throw new StoreUnavailableError('the harness refused the store request');
     return (answer as { value: T }).value;
   };
   return {
@@ -92,7 +95,7 @@
   };
 }
 
-/** Both modes of failover decide whether this process may act on a unit. */
+/** The part that both failover modes share: the decision whether this process may act on a unit. */
 interface Failover {
   currentOwnership(unit: UnitId): Ownership | null;
 }
@@ -126,7 +129,7 @@
       return answer === null ? undefined : Buffer.from(answer).toString('base64');
     });
   });
-  const port = await listen(server);
+  const port = await listenOnFreePort(server);
   harness.notify(HarnessRequest.Hello, { member: options.member, port } satisfies HelloRequest);
   const coordinator = new TakeoverCoordinator<null>(
     options.units as UnitId[],
@@ -137,7 +140,7 @@
         warn: (_, text) => harness.notify(HarnessRequest.Event, { kind: 'warning', subject: '', to: text }),
       },
       membership,
-      claims: new OwnershipRegistry(remoteStore(harness)),
+      claims: new OwnershipRegistry(createRemoteStore(harness)),
       settings: DEFAULT_TAKEOVER_SETTINGS,
     },
     {
@@ -152,7 +155,10 @@
   return coordinator;
 }
 
-/** Ownership by a renewed lease: the first that claims the unit after its expiry is the next owner. */
+/**
+ * Ownership by a renewed lease. The first controller that claims the unit after the lease has expired is the next
+ * owner.
+ */
 class LeaseElection implements Failover {
   private readonly ownedUnits = new Map<UnitId, { readonly ownership: Ownership; validUntil: number }>();
   private readonly registry: OwnershipRegistry;
@@ -162,15 +168,15 @@
     private readonly options: ControllerOptions,
     private readonly harness: Channel,
   ) {
-    this.registry = new OwnershipRegistry(remoteStore(harness));
+    this.registry = new OwnershipRegistry(createRemoteStore(harness));
     const process = Math.random().toString(36).slice(2) as ProcessId;
     this.self = { member: options.member as MemberId, process };
     this.scheduleRenewals();
   }
 
   currentOwnership(unit: UnitId): Ownership | null {
-    const held = this.ownedUnits.get(unit);
-    return held !== undefined && clock.now() < held.validUntil ? held.ownership : null;
+    const ownedUnit = this.ownedUnits.get(unit);
+    return ownedUnit !== undefined && clock.now() < ownedUnit.validUntil ? ownedUnit.ownership : null;
   }
 
   async campaign(unit: UnitId): Promise<void> {
@@ -190,7 +196,7 @@
 
   private scheduleRenewals(): void {
     clock.after(LEASE_RENEW_INTERVAL_MS, () => {
-      for (const [unit, held] of this.ownedUnits) void this.renew(unit, held);
+      for (const [unit, ownedUnit] of this.ownedUnits) void this.renew(unit, ownedUnit);
       for (const unit of this.options.units as UnitId[]) void this.campaign(unit);
       this.scheduleRenewals();
     });
@@ -198,46 +204,46 @@
 
   private async renew(
     unit: UnitId,
-    held: { readonly ownership: Ownership; validUntil: number },
+    ownedUnit: { readonly ownership: Ownership; validUntil: number },
   ): Promise<void> {
     const sentAt = clock.now();
     const answer = await this.harness.request(
       HarnessRequest.RenewLease,
-      { unit, epoch: held.ownership.epoch },
+      { unit, epoch: ownedUnit.ownership.epoch },
       STORE_TIMEOUT_MS,
     );
-    if (answer === true) held.validUntil = sentAt + LEASE_TTL_MS;
+    if (answer === true) ownedUnit.validUntil = sentAt + LEASE_TTL_MS;
     else if (answer === false) this.ownedUnits.delete(unit);
   }
 }
 
-/** Starts jobs on every unit that this process may act on, one after the other. */
-function startActions(options: ControllerOptions, failover: Failover, harness: Channel): void {
-  let jobs = 0;
-  const step = (): void => {
+/** Periodically starts one job on every unit that this process may act on. */
+function scheduleJobStarts(options: ControllerOptions, failover: Failover, harness: Channel): void {
+  let jobCount = 0;
+  const startJobs = (): void => {
     for (const unit of options.units as UnitId[]) {
       const ownership = failover.currentOwnership(unit);
       if (!ownership) continue;
       const { owner, epoch } = ownership;
-      jobs++;
+      jobCount++;
       const effect: EffectRequest = {
         unit,
         member: owner.member,
         process: owner.process,
         epoch,
-        job: `${unit}/${epoch}/${jobs}`,
+        job: `${unit}/${epoch}/${jobCount}`,
       };
       harness.notify(HarnessRequest.Effect, effect);
     }
-    clock.after(ACTION_INTERVAL_MS, step);
+    clock.after(JOB_START_INTERVAL_MS, startJobs);
   };
-  step();
+  startJobs();
 }
 
 function main(): void {
   const options = JSON.parse(process.argv[2] ?? '') as ControllerOptions;
   const socket = dial(options.harnessPort);
-  // The harness has ended, and so does the controller.
+  // The controller exits when the connection to the harness closes, because the harness has then exited.
   socket.on('close', () => process.exit(0));
   socket.on('connect', () => {
     let election: LeaseElection | null = null;
@@ -248,9 +254,11 @@
     if (options.mode === FailoverMode.LeaseOnly) {
       harness.notify(HarnessRequest.Hello, { member: options.member, port: 0 } satisfies HelloRequest);
       election = new LeaseElection(options, harness);
-      startActions(options, election, harness);
+      scheduleJobStarts(options, election, harness);
     } else {
-      void startMembership(options, harness).then((failover) => startActions(options, failover, harness));
+      void startMembership(options, harness).then((failover) =>
+        scheduleJobStarts(options, failover, harness),
+      );
     }
   });
 }
--- a/packages/simulation/src/loopback/loopback-cluster.ts
+++ b/packages/simulation/src/loopback/loopback-cluster.ts
@@ -1,4 +1,4 @@
-/** The test harness: runs simulated controllers as processes of this machine, injects faults, and records effects. */
+/** A test harness that runs simulated controllers as processes of this machine, injects faults and records effects. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { createServer, type Server, type Socket } from 'node:net';
 import { DEFAULT_TUNING, type MemberId, type MembershipTuning, type ProcessId } from '@plumyoke/membership';
@@ -16,9 +16,9 @@
   HarnessRequest,
   LEASE_EXPIRED,
 } from './protocol.js';
-import { listen, Relay } from './relay.js';
+import { listenOnFreePort, Relay } from './relay.js';
 
-/** How often leases are checked for expiry. */
+/** The interval at which the harness checks leases for expiry. */
 const LEASE_CHECK_INTERVAL_MS = 50;
 
 interface Lease {
@@ -27,7 +27,7 @@
   validUntil: number;
 }
 
-/** An event that a controller reported, with the harness's time of its arrival. */
+/** An event that a controller reported. `at` is the time at which the harness received the event. */
 export interface ClusterEvent {
   readonly at: number;
   readonly observer: string;
@@ -36,19 +36,19 @@
   readonly to: string;
 }
 
-/** The owner of an epoch, with the time of its first accepted effect. */
+/** The owner of a unit under an epoch. `at` is the time of the owner's first accepted effect. */
 export interface ServingOwner {
   readonly at: number;
   readonly member: string;
   readonly epoch: number;
 }
 
-/** The options of a cluster. */
+/** The options of a cluster of controller processes. */
 export interface LoopbackClusterOptions {
   readonly controllers: number;
   readonly units: number;
   readonly mode: FailoverMode;
-  /** The path of the built program of a controller (see `buildController`). */
+  /** The path of the controller's program, as built by `buildController`. */
   readonly program: string;
   readonly tuning?: MembershipTuning;
 }
@@ -60,7 +60,7 @@
 
 const now = (): number => performance.now();
 
-/** Controllers as child processes, with their store, their resources, and the links between them. */
+/** A cluster of controllers as child processes, with their shared store, their resources and the links between them. */
 export class LoopbackCluster {
   readonly members: readonly string[];
   readonly units: readonly UnitId[];
@@ -70,12 +70,12 @@
   private readonly relay = new Relay();
   private readonly running = new Map<string, ControllerProcess>();
   private readonly channels = new Map<string, Channel>();
-  private readonly ports = new Map<string, number>();
-  private readonly routes = new Map<string, number>();
+  private readonly controllerPorts = new Map<string, number>();
+  private readonly relayPorts = new Map<string, number>();
   private readonly leases = new Map<string, Lease>();
   private readonly servingOwners = new Map<UnitId, ServingOwner>();
-  /** When each unit was last claimed. */
-  private readonly claimedAt = new Map<UnitId, number>();
+  /** The time of the last claim of each unit. */
+  private readonly lastClaimTimes = new Map<UnitId, number>();
   private readonly leaseTimer: NodeJS.Timeout;
   private server: Server | null = null;
   private harnessPort = 0;
@@ -97,14 +97,17 @@
 
   /** Starts the harness and all controllers. */
   async start(): Promise<void> {
-    // A paused child does not notice that its connection to the harness has closed, and would outlive this process.
+    // A paused child does not notice that the connection to the harness has closed, and would outlive this process.
     process.once('exit', this.killAll);
     this.server = createServer((socket) => this.accept(socket));
-    this.harnessPort = await listen(this.server);
+    this.harnessPort = await listenOnFreePort(this.server);
     for (const from of this.members) {
       for (const to of this.members) {
         if (from === to) continue;
-        this.routes.set(`${from} ${to}`, await this.relay.open(from, to, () => this.ports.get(to) ?? 0));
+        this.relayPorts.set(
+          `${from} ${to}`,
+          await this.relay.open(from, to, () => this.controllerPorts.get(to) ?? 0),
+        );
       }
     }
     for (const member of this.members) this.spawn(member);
@@ -116,7 +119,7 @@
       if (name === (HarnessRequest.Hello as string)) {
         const hello = body as HelloRequest;
         member = hello.member;
-        this.ports.set(member, hello.port);
+        this.controllerPorts.set(member, hello.port);
         this.channels.set(member, channel);
         return Promise.resolve(undefined);
       }
@@ -165,7 +168,7 @@
     const result = this.store.commit(conditions, writes);
     for (const { key, value } of result.committed ? writes : []) {
       const unit = /^ownership\/(.*)\/epoch$/.exec(key)?.[1];
-      if (unit !== undefined && value !== null) this.claimedAt.set(unit as UnitId, now());
+      if (unit !== undefined && value !== null) this.lastClaimTimes.set(unit as UnitId, now());
     }
     return result;
   }
@@ -189,24 +192,24 @@
     }
   }
 
-  /** Returns the owner of the unit, by its effects; null: there was none yet. */
+  /** Returns the owner with the highest epoch whose effect on the unit was accepted; null: no effect was accepted. */
   servingOwner(unit: UnitId): ServingOwner | null {
     return this.servingOwners.get(unit) ?? null;
   }
 
-  /** Returns when the unit was last claimed; 0: never. */
+  /** Returns the time of the unit's last claim; 0: the unit was never claimed. */
   lastClaimAt(unit: UnitId): number {
-    return this.claimedAt.get(unit) ?? 0;
+    return this.lastClaimTimes.get(unit) ?? 0;
   }
 
-  // Faults; each acts on a child of this process, by its id
+  // Fault injection. Signals go only to child processes of this process.
 
-  /** Starts a controller unless it is running. */
+  /** Starts a controller's process unless that process is running. */
   spawn(member: string): void {
     if (this.running.has(member)) return;
     const peers: Record<string, number> = {};
     for (const other of this.members) {
-      if (other !== member) peers[other] = this.routes.get(`${member} ${other}`) ?? 0;
+      if (other !== member) peers[other] = this.relayPorts.get(`${member} ${other}`) ?? 0;
     }
     const options: ControllerOptions = {
       member,
@@ -222,7 +225,7 @@
     this.running.set(member, { child, isPaused: false });
   }
 
-  /** Kills a controller. */
+  /** Kills a controller's process with SIGKILL. */
   kill(member: string): void {
     const running = this.running.get(member);
     if (!running) return;
@@ -230,7 +233,7 @@
     running.child.kill('SIGKILL');
   }
 
-  /** Stops a controller's process without ending it. */
+  /** Suspends a controller's process with SIGSTOP. */
   pause(member: string): void {
     const running = this.running.get(member);
     if (!running) return;
@@ -238,7 +241,7 @@
     running.child.kill('SIGSTOP');
   }
 
-  /** Continues a paused controller. */
+  /** Resumes a paused controller's process with SIGCONT. */
   resume(member: string): void {
     const running = this.running.get(member);
     if (!running?.isPaused) return;
@@ -251,7 +254,7 @@
     for (const other of this.members) if (other !== member) this.relay.cut(member, other);
   }
 
-  /** Drops all messages from its peers to `member`. */
+  /** Drops all messages from the peers of `member` to `member`. */
   cutInbound(member: string): void {
     for (const other of this.members) if (other !== member) this.relay.cut(other, member);
   }
@@ -260,7 +263,7 @@
     for (const member of [...this.running.keys()]) this.kill(member);
   };
 
-  /** Ends all faults: every process runs, and every link works. */
+  /** Ends all faults: restores all links, lets the store serve all controllers, and resumes or starts every process. */
   endFaults(): void {
     this.relay.healAll();
     this.store.refusedClients.clear();
@@ -270,7 +273,7 @@
     }
   }
 
-  /** Kills all children and closes all ports. */
+  /** Kills all child processes and closes all ports. */
   close(): void {
     process.off('exit', this.killAll);
     clearInterval(this.leaseTimer);
--- a/packages/simulation/src/loopback/protocol.ts
+++ b/packages/simulation/src/loopback/protocol.ts
@@ -1,28 +1,28 @@
-/** The protocol between simulated controllers and the test harness that runs them. */
+/** The messages between simulated controllers and the test harness that runs the controllers. */
 import type { MembershipTuning } from '@plumyoke/membership';
 import type { StoreCondition, StoreWrite } from '@plumyoke/takeover/reference';
 
-/** How owners are replaced. */
+/** The mechanism that triggers the replacement of an owner. */
 export enum FailoverMode {
-  /** By the failure detector's verdict. */
+  /** An owner is replaced after the failure detector's verdict. */
   Membership = 'membership',
-  /** When the owner's lease has expired, as in the service without failure detection. */
+  /** An owner is replaced after its lease has expired, as in the service without failure detection. */
   LeaseOnly = 'grant-only',
 }
 
-/** The options of a simulated controller, passed as JSON in its first argument. */
+/** The options of a simulated controller, which the process receives as JSON in its first argument. */
 export interface ControllerOptions {
   readonly member: string;
   readonly mode: FailoverMode;
   readonly units: readonly string[];
   readonly tuning: MembershipTuning;
-  /** The ports of its peers, by member. */
+  /** The ports on which the controller reaches its peers, by member. */
   readonly peers: Readonly<Record<string, number>>;
-  /** The harness's port: store, resources, log. */
+  /** The port of the harness, which serves the store, receives effects and collects events. */
   readonly harnessPort: number;
 }
 
-/** The requests of a controller to the harness. */
+/** The names of the requests that a controller sends to the harness. */
 export enum HarnessRequest {
   Hello = 'hello',
   Get = 'get',
@@ -33,22 +33,24 @@
   Event = 'event',
 }
 
-/** What the harness sends to controllers in lease-only mode: an owner's lease has expired. */
+/**
+ * The name of the message with which the harness notifies controllers in lease-only mode that a unit's lease expired.
+ */
 export const LEASE_EXPIRED = 'lease-expired';
 
-/** A controller's first message: the port on which its peers reach it. */
+/** A controller's first message. `port` is the port on which the controller accepts connections of its peers. */
 export interface HelloRequest {
   readonly member: string;
   readonly port: number;
 }
 
-/** A transaction. */
+/** A transaction for the harness's store. */
 export interface CommitRequest {
   readonly conditions: readonly StoreCondition[];
   readonly writes: readonly StoreWrite[];
 }
 
-/** An effect of an owner on a unit. */
+/** An effect of an owner on a unit, which starts `job`. */
 export interface EffectRequest {
   readonly unit: string;
   readonly member: string;
@@ -57,7 +59,7 @@
   readonly job: string;
 }
 
-/** An event that a controller reports. */
+/** An event that a controller reports to the harness: a member's change of state, or a logged warning. */
 export interface EventReport {
   readonly kind: string;
   readonly subject: string;
--- a/packages/simulation/src/loopback/relay.ts
+++ b/packages/simulation/src/loopback/relay.ts
@@ -1,82 +1,90 @@
-/** A relay between processes on loopback: every ordered pair has a port, and bytes of a cut direction are dropped. */
+/**
+ * A TCP relay between processes on loopback. Every ordered pair of processes has a port, and each direction can be cut.
+ */
 import { type AddressInfo, connect, createServer, type Server, type Socket } from 'node:net';
 
-const LOOPBACK = '127.0.0.1';
+const LOOPBACK_ADDRESS = '127.0.0.1';
 
-/** Listens on a free port; resolves to the port. */
-export function listen(server: Server): Promise<number> {
+/** Lets the server listen on a free loopback port. Resolves to the port number. */
+export function listenOnFreePort(server: Server): Promise<number> {
   return new Promise((resolve, reject) => {
     server.once('error', reject);
-    server.listen(0, LOOPBACK, () => resolve((server.address() as AddressInfo).port));
+    server.listen(0, LOOPBACK_ADDRESS, () => resolve((server.address() as AddressInfo).port));
   });
 }
 
-/** Connects to a port of this machine. */
-export function dial(port: number, host = LOOPBACK): Socket {
+/** Connects to a TCP port, by default of this machine. */
+export function dial(port: number, host = LOOPBACK_ADDRESS): Socket {
   return connect({ host, port });
 }
 
-/** Forwards connections that `from` opens to `to`. */
+/** Forwards connections between named processes, and drops bytes of directions that are cut. */
 export class Relay {
   private readonly servers: Server[] = [];
   private readonly sockets = new Set<Socket>();
-  private readonly cuts = new Set<string>();
-  /** Connections that lost bytes, by the direction that was cut. */
-  private readonly broken = new Map<Socket, string>();
+  private readonly cutLinks = new Set<string>();
+  /** The source sockets of streams that lost bytes, with the direction ("from to") that was cut. */
+  private readonly brokenSources = new Map<Socket, string>();
 
-  /** Opens a port on which `from` reaches `to`; resolves to it. */
-  open(from: string, to: string, targetPort: () => number, targetHost = LOOPBACK): Promise<number> {
+  /** Opens a port on which process `from` reaches process `to`. Resolves to the port number. */
+  open(from: string, to: string, targetPort: () => number, targetHost = LOOPBACK_ADDRESS): Promise<number> {
     const server = createServer((inbound) => {
       const outbound = dial(targetPort(), targetHost);
       this.pipe(inbound, outbound, from, to);
       this.pipe(outbound, inbound, to, from);
     });
     this.servers.push(server);
-    return listen(server);
+    return listenOnFreePort(server);
   }
 
-  /** Forwards bytes. Those of a cut direction are dropped; the connection stays open, as behind a packet filter. */
+  /**
+   * Forwards bytes from `source` to `target`. Bytes of a cut direction are dropped; the connection stays open, as
+   * behind a packet filter.
+   */
   private pipe(source: Socket, target: Socket, from: string, to: string): void {
     this.sockets.add(source);
     let isBroken = false;
     source.on('data', (bytes) => {
-      // Dropped bytes are lost for good, so the stream is unusable from then on.
+      // Dropped bytes are not retransmitted, so the stream is unusable after the first drop.
       if (!isBroken && this.isCut(from, to)) {
         isBroken = true;
-        this.broken.set(source, `${from} ${to}`);
+        this.brokenSources.set(source, `${from} ${to}`);
       }
       if (!isBroken && target.writable) target.write(bytes);
     });
     source.on('error', () => source.destroy());
     source.on('close', () => {
       this.sockets.delete(source);
-      this.broken.delete(source);
+      this.brokenSources.delete(source);
       target.destroy();
     });
   }
 
   private isCut(from: string, to: string): boolean {
-    return this.cuts.has(`${from} ${to}`);
+    return this.cutLinks.has(`${from} ${to}`);
   }
 
   /** Drops bytes from `from` to `to` from now on. */
   cut(from: string, to: string): void {
-    this.cuts.add(`${from} ${to}`);
+    this.cutLinks.add(`${from} ${to}`);
   }
 
-  /** Restores one direction. Connections that lost bytes are closed, so that the processes reconnect. */
+  /**
+   * Restores the direction from `from` to `to`. Connections that lost bytes are closed, so that the processes
+   * reconnect.
+   */
   heal(from: string, to: string): void {
     const pair = `${from} ${to}`;
-    this.cuts.delete(pair);
-    for (const [socket, brokenPair] of this.broken) {
+    this.cutLinks.delete(pair);
+    for (const [socket, brokenPair] of this.brokenSources) {
       if (brokenPair === pair) socket.destroy();
     }
   }
 
   /** Restores all directions. If any was cut, all connections are closed, so that the processes reconnect. */
   healAll(): void {
-    if (this.cuts.size === 0) return;
-    this.cuts.clear();
+    if (this.cutLinks.size === 0) return;
+    this.cutLinks.clear();
     for (const socket of this.sockets) socket.destroy();
   }
 
--- a/packages/simulation/src/measure/failure-kinds.ts
+++ b/packages/simulation/src/measure/failure-kinds.ts
@@ -1,18 +1,18 @@
-/** The kinds of failures that are measured, and how each is injected. */
+/** The kinds of owner failures whose takeovers are measured. */
 import type { LoopbackCluster } from '../loopback/loopback-cluster.js';
 
-/** A kind of failure of an owner. */
+/** A kind of owner failure. `inject` applies the failure to the given owner. */
 export interface FailureKind {
   readonly name: string;
   readonly inject: (cluster: LoopbackCluster, owner: string) => void;
 }
 
-/** All kinds. Each leads to a takeover, by a verdict or by the expiry of the lease. */
+/** All measured kinds of failure. Each leads to a takeover, by a failure verdict or by the expiry of the lease. */
 export const FAILURE_KINDS: readonly FailureKind[] = [
   { name: 'killed', inject: (cluster, owner) => cluster.kill(owner) },
   { name: 'stopped', inject: (cluster, owner) => cluster.pause(owner) },
   {
-    name: 'cut off',
+    name: 'full partition',
     inject: (cluster, owner) => {
       cluster.cutOutbound(owner);
       cluster.cutInbound(owner);
@@ -20,7 +20,7 @@
     },
   },
   {
-    name: 'heard by none',
+    name: 'outbound partition',
     inject: (cluster, owner) => {
       cluster.cutOutbound(owner);
       cluster.store.refusedClients.add(owner);
--- a/packages/simulation/src/measure/host-load.ts
+++ b/packages/simulation/src/measure/host-load.ts
@@ -1,7 +1,7 @@
-/** Artificial processor load beside a measurement. */
+/** Generates artificial processor load during a measurement. */
 import { type ChildProcess, spawn } from 'node:child_process';
 
-/** Spins until it is killed. Also ends with its parent, in case that dies without having killed it. */
+/** A program that keeps one processor busy until killed. The program also exits when its parent process has exited. */
 const SPIN_PROGRAM = `
   const parent = process.ppid;
   while (process.ppid === parent) {
@@ -9,12 +9,12 @@
   }
 `;
 
-/** Child processes that keep processors busy until they are stopped. */
+/** A group of child processes, each of which keeps one processor busy until `stop` is called. */
 export class HostLoad {
   private readonly children: ChildProcess[];
 
-  constructor(processes: number) {
-    this.children = Array.from({ length: processes }, () =>
+  constructor(processCount: number) {
+    this.children = Array.from({ length: processCount }, () =>
       spawn(process.execPath, ['-e', SPIN_PROGRAM], { stdio: 'ignore' }),
     );
   }
--- a/packages/simulation/src/measure/takeover-main.ts
+++ b/packages/simulation/src/measure/takeover-main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run measure:takeover`: measures takeover times by stage, with the failure detector and by lease expiry alone, on
- * this machine. Takes long: not for CI.
+ * The program behind `npm run measure:takeover`. Measures takeover times by stage on this machine, with the failure
+ * detector and by lease expiry alone. The program runs too long for CI.
  */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { cpus } from 'node:os';
@@ -12,34 +12,34 @@
 import { FailoverMode } from '../loopback/protocol.js';
 import { HostLoad } from './host-load.js';
 import { FAILURE_KINDS, type FailureKind } from './failure-kinds.js';
-import { barPlot, htmlPage, htmlTable, linePlot } from './report.js';
+import { renderBarPlot, renderPage, renderTable, renderLinePlot } from './report.js';
 import { type TakeoverTimes, Trial } from './trial.js';
 
-/** Relative to the repository's root, where `npm run` starts. */
+/** The path of the controller's source, relative to the repository's root, where `npm run` starts. */
 const CONTROLLER_SOURCE = 'packages/simulation/src/loopback/controller-main.ts';
 const PERCENTILES = [50, 90, 99];
-const CURVE_STEP = 2;
+const CURVE_STEP_PERCENT = 2;
 const HOUR_MS = 3_600_000;
 const STAGES = ['suspectMs', 'failedMs', 'claimedMs', 'servingMs'] as const;
 type Stage = (typeof STAGES)[number];
 
-/** One combination that is measured. */
-interface Setup {
+/** A combination of failover mode, cluster size, failure kind and load that is measured. */
+interface TrialSetup {
   readonly mode: FailoverMode;
   readonly controllers: number;
   readonly kind: FailureKind;
-  /** The number of busy processes beside it. */
+  /** The number of processes that keep processors busy during the measurement. */
   readonly load: number;
 }
 
-interface Result extends Setup {
+interface SetupResult extends TrialSetup {
   readonly histograms: Readonly<Record<Stage, Histogram>>;
   readonly failures: number;
-  /** The number of takeovers that were not completed within the time that a trial waits. */
+  /** The number of takeovers that were not completed before the trial's wait timed out. */
   readonly missing: number;
 }
 
-interface Options {
+interface MeasureOptions {
   readonly failures: number;
   readonly parallel: number;
   readonly sizes: readonly number[];
@@ -50,7 +50,7 @@
   readonly tuning: MembershipTuning;
 }
 
-function parseOptions(): Options {
+function parseOptions(): MeasureOptions {
   const { values } = parseArgs({
     options: {
       failures: { type: 'string', default: '200' },
@@ -65,12 +65,12 @@
       'suspicion-ms': { type: 'string', default: String(DEFAULT_TUNING.suspicionMs) },
     },
   });
-  const numbers = (text: string): number[] => text.split(',').map(Number);
+  const parseNumbers = (text: string): number[] => text.split(',').map(Number);
   return {
     failures: Number(values.failures),
     parallel: Number(values.parallel),
-    sizes: numbers(values.sizes),
-    loads: numbers(values.loads),
+    sizes: parseNumbers(values.sizes),
+    loads: parseNumbers(values.loads),
     quietMs: Number(values['quiet-s']) * 1000,
     folder: values.out,
     modes: values.modes.split(',') as FailoverMode[],
@@ -83,8 +83,8 @@
   };
 }
 
-function setups({ sizes, loads, modes }: Options): Setup[] {
-  const combinations: Setup[] = [];
+function createSetups({ sizes, loads, modes }: MeasureOptions): TrialSetup[] {
+  const combinations: TrialSetup[] = [];
   for (const load of loads) {
     for (const controllers of sizes) {
       for (const kind of FAILURE_KINDS) {
@@ -95,24 +95,24 @@
   return combinations;
 }
 
-async function measure(
-  setup: Setup,
-  { failures, parallel, tuning }: Options,
+async function measureSetup(
+  setup: TrialSetup,
+  { failures, parallel, tuning }: MeasureOptions,
   program: string,
-): Promise<Result> {
+): Promise<SetupResult> {
   const failuresPerTrial = Math.ceil(failures / parallel);
   const load = new HostLoad(setup.load);
   try {
     const trials = Array.from({ length: parallel }, () =>
       new Trial({ ...setup, failures: failuresPerTrial, program, tuning }).run(),
     );
-    return collect(setup, (await Promise.all(trials)).flat());
+    return summarizeTimes(setup, (await Promise.all(trials)).flat());
   } finally {
     load.stop();
   }
 }
 
-function collect(setup: Setup, times: readonly TakeoverTimes[]): Result {
+function summarizeTimes(setup: TrialSetup, times: readonly TakeoverTimes[]): SetupResult {
   const histogramOf = (stage: Stage): Histogram => {
     const histogram = buildHistogram();
     for (const time of times) {
@@ -129,9 +129,9 @@
   return { ...setup, histograms, failures: times.length, missing };
 }
 
-/** Resolves to the number of suspicions in each of the quiet clusters. */
+/** Runs `parallel` clusters without failures. Resolves to the number of suspicions in each cluster. */
 async function countFalseSuspicions(
-  { parallel, quietMs, tuning }: Options,
+  { parallel, quietMs, tuning }: MeasureOptions,
   program: string,
   controllers: number,
   load: number,
@@ -147,7 +147,7 @@
   }
 }
 
-async function measureFalseSuspicions(options: Options, program: string): Promise<string[][]> {
+async function measureFalseSuspicions(options: MeasureOptions, program: string): Promise<string[][]> {
   const rows: string[][] = [];
   for (const load of options.loads) {
     for (const controllers of options.sizes) {
@@ -165,43 +165,43 @@
   return rows;
 }
 
-const nameOf = ({ kind, controllers, load, mode }: Setup): string =>
+const describeSetup = ({ kind, controllers, load, mode }: TrialSetup): string =>
   `${kind.name}, ${controllers} controllers, load ${load}, ${mode}`;
 
-function cells(result: Result, stage: Stage): string[] {
+function percentileCells(result: SetupResult, stage: Stage): string[] {
   const histogram = result.histograms[stage];
   if (histogram.totalCount === 0) return PERCENTILES.map(() => '-');
   return PERCENTILES.map((percentile) => String(histogram.getValueAtPercentile(percentile)));
 }
 
-function curve(result: Result): [number, number][] {
+function cumulativeCurve(result: SetupResult): [number, number][] {
   const points: [number, number][] = [];
-  for (let percentile = 0; percentile <= 100; percentile += CURVE_STEP) {
+  for (let percentile = 0; percentile <= 100; percentile += CURVE_STEP_PERCENT) {
     points.push([result.histograms.servingMs.getValueAtPercentile(percentile), percentile]);
   }
   return points;
 }
 
-function plots(results: readonly Result[]): string[] {
+function renderPlots(results: readonly SetupResult[]): string[] {
   return FAILURE_KINDS.flatMap((kind) => {
-    const ofKind = results.filter((result) => result.kind === kind);
+    const kindResults = results.filter((result) => result.kind === kind);
     const categories = [
-      ...new Set(ofKind.map(({ controllers, load }) => `${controllers} controllers, load ${load}`)),
+      ...new Set(kindResults.map(({ controllers, load }) => `${controllers} controllers, load ${load}`)),
     ];
-    const median = (mode: FailoverMode): (number | null)[] =>
-      ofKind
+    const medians = (mode: FailoverMode): (number | null)[] =>
+      kindResults
         .filter((result) => result.mode === mode)
         .map(({ histograms }) => histograms.servingMs.getValueAtPercentile(50));
     return [
-      barPlot(`${kind.name}: until another controller serves, median`, 'ms', categories, [
-        { name: 'failure detector', values: median(FailoverMode.Membership) },
-        { name: 'lease alone', values: median(FailoverMode.LeaseOnly) },
+      renderBarPlot(`${kind.name}: median time until another controller serves`, 'ms', categories, [
+        { name: 'failure detector', values: medians(FailoverMode.Membership) },
+        { name: 'lease expiry alone', values: medians(FailoverMode.LeaseOnly) },
       ]),
-      linePlot(
-        `${kind.name}: share of takeovers that were over by then`,
+      renderLinePlot(
+        `${kind.name}: share of takeovers completed within this time`,
         'ms',
         '%',
-        ofKind.map((result) => ({ name: nameOf(result), points: curve(result) })),
+        kindResults.map((result) => ({ name: describeSetup(result), points: cumulativeCurve(result) })),
       ),
     ];
   });
@@ -210,18 +210,18 @@
 async function main(): Promise<void> {
   const options = parseOptions();
   const program = await buildController(CONTROLLER_SOURCE);
-  const results: Result[] = [];
-  for (const setup of setups(options)) {
-    const result = await measure(setup, options, program);
+  const results: SetupResult[] = [];
+  for (const setup of createSetups(options)) {
+    const result = await measureSetup(setup, options, program);
     results.push(result);
-    const serving = cells(result, 'servingMs').join(' / ');
+    const serving = percentileCells(result, 'servingMs').join(' / ');
     process.stdout.write(
-      `${nameOf(setup)}: ${result.failures} failures, ${result.missing} not taken over, serving after ${serving} ms\n`,
+      `${describeSetup(setup)}: ${result.failures} failures, ${result.missing} not taken over, serving after ${serving} ms\n`,
     );
   }
-  const quiet = await measureFalseSuspicions(options, program);
-  for (const [name, total, hours, rate] of quiet) {
-    process.stdout.write(`quiet, ${name}: ${total} suspicions in ${hours} cluster hours, ${rate} an hour\n`);
+  const falseSuspicionRows = await measureFalseSuspicions(options, program);
+  for (const [name, total, hours, rate] of falseSuspicionRows) {
+    process.stdout.write(`quiet, ${name}: ${total} suspicions in ${hours} cluster hours, ${rate} per hour\n`);
   }
   const header = [
     'setup',
@@ -230,18 +230,18 @@
     ...STAGES.flatMap((stage) => PERCENTILES.map((percentile) => `${stage.slice(0, -2)} p${percentile}`)),
   ];
   const rows = results.map((result) => [
-    nameOf(result),
+    describeSetup(result),
     String(result.failures),
     String(result.missing),
-    ...STAGES.flatMap((stage) => cells(result, stage)),
+    ...STAGES.flatMap((stage) => percentileCells(result, stage)),
   ]);
-  const page = htmlPage(
+  const page = renderPage(
     'Takeovers by simulated controllers',
     `Milliseconds from the failure. All processes ran on this one machine (${cpus().length} cores) over loopback, ${options.parallel} clusters at once; "load" is the number of busy processes beside them; probes every ${options.tuning.probeIntervalMs} ms, suspicion ${options.tuning.suspicionMs} ms. Times on separate machines will differ.`,
     [
-      htmlTable(header, rows),
-      htmlTable(['quiet clusters', 'suspicions', 'hours', 'an hour'], quiet),
-      ...plots(results),
+      renderTable(header, rows),
+      renderTable(['quiet clusters', 'suspicions', 'hours', 'per hour'], falseSuspicionRows),
+      ...renderPlots(results),
     ],
   );
   mkdirSync(options.folder, { recursive: true });
@@ -250,7 +250,7 @@
   process.stdout.write(`report: ${path}\n`);
 }
 
-// Exits through the `exit` event, which kills the children of all clusters, also those that are paused.
+// Signals exit through `process.exit`, whose `exit` event kills the child processes of all clusters, even paused ones.
 process.once('SIGINT', () => process.exit(130));
 process.once('SIGTERM', () => process.exit(143));
 
--- a/packages/simulation/src/measure/trial.ts
+++ b/packages/simulation/src/measure/trial.ts
@@ -1,4 +1,4 @@
-/** Measures takeovers in one cluster whose owners fail repeatedly. */
+/** Measures takeovers in a cluster whose owners fail repeatedly. */
 import type { MembershipTuning } from '@plumyoke/membership';
 import type { UnitId } from '@plumyoke/takeover';
 import { type ClusterEvent, LoopbackCluster } from '../loopback/loopback-cluster.js';
@@ -6,11 +6,11 @@
 import type { FailureKind } from './failure-kinds.js';
 
 const POLL_INTERVAL_MS = 5;
-const TIMEOUT_MS = 30_000;
-/** A cluster is settled once no event has occurred for this time. */
-const QUIET_MS = 1200;
+const WAIT_TIMEOUT_MS = 30_000;
+/** The time without events after which a cluster counts as settled. */
+const SETTLED_AFTER_MS = 1200;
 
-/** The times of one takeover in milliseconds from the failure; null: the stage was not reached. */
+/** The times from a failure to each stage of the takeover, in milliseconds; null: the stage was not reached. */
 export interface TakeoverTimes {
   readonly suspectMs: number | null;
   readonly failedMs: number | null;
@@ -31,7 +31,7 @@
 const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
 async function waitUntil(condition: () => boolean): Promise<boolean> {
-  const end = performance.now() + TIMEOUT_MS;
+  const end = performance.now() + WAIT_TIMEOUT_MS;
   while (performance.now() < end) {
     if (condition()) return true;
     await sleep(POLL_INTERVAL_MS);
@@ -39,7 +39,7 @@
   return false;
 }
 
-/** A trial on one cluster of processes. A trial is run once. */
+/** A trial on one cluster of processes. A trial can be run only once, because the cluster is closed afterwards. */
 export class Trial {
   private readonly cluster: LoopbackCluster;
   private readonly unit: UnitId;
@@ -50,7 +50,7 @@
     this.unit = this.cluster.units[0] as UnitId;
   }
 
-  /** Resolves to the times of all failures. Throws if the history violates an invariant. */
+  /** Injects all failures and resolves to the takeover times of each. Throws if the history violates an invariant. */
   async run(): Promise<TakeoverTimes[]> {
     const times: TakeoverTimes[] = [];
     try {
@@ -68,14 +68,14 @@
     return times;
   }
 
-  /** Counts the suspicions in a cluster without failures. */
+  /** Resolves to the number of suspicions within `durationMs` in a cluster without failures. */
   async countFalseSuspicions(durationMs: number): Promise<number> {
     try {
       await this.cluster.start();
       await this.settle();
-      const from = this.cluster.events.length;
+      const firstEventIndex = this.cluster.events.length;
       await sleep(durationMs);
-      return this.cluster.events.slice(from).filter(({ to }) => to === 'suspect').length;
+      return this.cluster.events.slice(firstEventIndex).filter(({ to }) => to === 'suspect').length;
     } finally {
       this.cluster.close();
     }
@@ -84,37 +84,40 @@
   private async settle(): Promise<void> {
     const { cluster, unit } = this;
     await waitUntil(() => cluster.servingOwner(unit) !== null);
-    // A random delay, so that failures occur at different phases of probing and renewal.
-    await sleep(QUIET_MS + Math.random() * 700);
-    let last = cluster.events.length;
+    // The random delay makes failures occur at different phases of probing and lease renewal.
+    await sleep(SETTLED_AFTER_MS + Math.random() * 700);
+    let lastEventCount = cluster.events.length;
     let quietSince = performance.now();
     await waitUntil(() => {
-      if (cluster.events.length !== last) quietSince = performance.now();
-      last = cluster.events.length;
-      return performance.now() - quietSince > QUIET_MS;
+      if (cluster.events.length !== lastEventCount) quietSince = performance.now();
+      lastEventCount = cluster.events.length;
+      return performance.now() - quietSince > SETTLED_AFTER_MS;
     });
   }
 
   private async measureFailure(): Promise<TakeoverTimes> {
     const { cluster, unit, options } = this;
-    const before = cluster.servingOwner(unit);
-    if (before === null) throw new Error('the unit has no owner');
-    const events = cluster.events.length;
-    const at = performance.now();
-    options.kind.inject(cluster, before.member);
-    const isTakenOver = await waitUntil(() => (cluster.servingOwner(unit)?.epoch ?? 0) > before.epoch);
-    const after = cluster.events.slice(events).filter(({ subject }) => subject === before.member);
-    const first = (state: string): number | null => firstAt(after, state, at);
+    const failedOwner = cluster.servingOwner(unit);
+    if (failedOwner === null)
+      throw new Error('no controller serves the unit, so there is no owner that can fail');
+    const firstEventIndex = cluster.events.length;
+    const injectedAtMs = performance.now();
+    options.kind.inject(cluster, failedOwner.member);
+    const isTakenOver = await waitUntil(() => (cluster.servingOwner(unit)?.epoch ?? 0) > failedOwner.epoch);
+    const ownerEvents = cluster.events
+      .slice(firstEventIndex)
+      .filter(({ subject }) => subject === failedOwner.member);
+    const elapsedToState = (state: string): number | null => elapsedToFirst(ownerEvents, state, injectedAtMs);
     return {
-      suspectMs: first('suspect'),
-      failedMs: first('failed'),
-      claimedMs: isTakenOver ? cluster.lastClaimAt(unit) - at : null,
-      servingMs: isTakenOver ? (cluster.servingOwner(unit)?.at ?? at) - at : null,
+      suspectMs: elapsedToState('suspect'),
+      failedMs: elapsedToState('failed'),
+      claimedMs: isTakenOver ? cluster.lastClaimAt(unit) - injectedAtMs : null,
+      servingMs: isTakenOver ? (cluster.servingOwner(unit)?.at ?? injectedAtMs) - injectedAtMs : null,
     };
   }
 }
 
-function firstAt(events: readonly ClusterEvent[], state: string, from: number): number | null {
+function elapsedToFirst(events: readonly ClusterEvent[], state: string, fromMs: number): number | null {
   const event = events.find(({ to }) => to === state);
-  return event ? event.at - from : null;
+  return event ? event.at - fromMs : null;
 }
