--- a/packages/simulation/src/history.ts
+++ b/packages/simulation/src/history.ts
@@ -1,33 +1,33 @@
-/** Records the effects of owners as the resources see them, and checks the invariants of ownership. */
+/** Records the effects that resources accept from owners, and checks the invariants of ownership. */
 import { type FencingEpoch, type Owner, type UnitId } from '@plumyoke/takeover';
 import { EpochFence } from '@plumyoke/takeover/reference';
 
-/** An effect of an owner on a unit's resources. */
+/** An effect that an owner requests on a unit's resources under an epoch. */
 interface Effect {
   readonly unit: UnitId;
   readonly owner: Owner;
   readonly epoch: FencingEpoch;
 }
 
-/** Descriptions of violated invariants; empty if there are none. */
+/** Descriptions of violated invariants; empty if every invariant holds. */
 export type Violations = readonly string[];
 
-const nameOf = ({ member, process }: Owner): string => `${member}#${process}`;
+const formatOwner = ({ member, process }: Owner): string => `${member}#${process}`;
 
-/** Resources behind an epoch fence, which record the effects that they accept. */
+/** Resources behind an epoch fence. The resources record every effect that the fence admits. */
 export class EffectHistory {
   private readonly fence = new EpochFence();
-  private readonly ownerOfEpoch = new Map<string, string>();
-  private readonly lastAccepted = new Map<UnitId, FencingEpoch>();
-  private readonly jobStarters = new Map<string, string>();
+  private readonly ownerByEpoch = new Map<string, string>();
+  private readonly highestAcceptedEpochs = new Map<UnitId, FencingEpoch>();
+  private readonly starterByJob = new Map<string, string>();
   private readonly violations: string[] = [];
   acceptedCount = 0;
   refusedCount = 0;
 
-  /** `isFenced`: false makes a deliberately defective variant that accepts every effect. */
+  /** Creates an empty history. `isFenced` false creates a deliberately defective variant that accepts every effect. */
   constructor(private readonly isFenced = true) {}
 
-  /** Records an effect, which may arrive late. Returns false if it was refused. */
+  /** Records an effect, which may arrive after a later owner's. Returns false if the fence refused the effect. */
   recordEffect({ unit, owner, epoch }: Effect, now: number): boolean {
     if (this.isFenced && !this.fence.admit(unit, epoch)) {
       this.refusedCount++;
@@ -35,46 +35,50 @@
     }
     this.acceptedCount++;
     this.checkSingleOwner(unit, owner, epoch, now);
-    const last = this.lastAccepted.get(unit);
-    if (last !== undefined && epoch < last) {
-      this.violations.push(`${now}: ${unit} accepted epoch ${epoch} of ${nameOf(owner)} after epoch ${last}`);
+    const highestEpoch = this.highestAcceptedEpochs.get(unit);
+    if (highestEpoch !== undefined && epoch < highestEpoch) {
+      this.violations.push(
+        `${now}: ${unit} accepted epoch ${epoch} of ${formatOwner(owner)} after epoch ${highestEpoch}`,
+      );
     }
-    if (last === undefined || epoch > last) this.lastAccepted.set(unit, epoch);
+    if (highestEpoch === undefined || epoch > highestEpoch) this.highestAcceptedEpochs.set(unit, epoch);
     return true;
   }
 
-  /** Records an effect that starts a job. Returns false if it was refused. */
+  /** Records an effect that starts a job. Returns false if the fence refused the effect. */
   recordJobStart(job: string, effect: Effect, now: number): boolean {
     if (!this.recordEffect(effect, now)) return false;
-    const before = this.jobStarters.get(job);
-    if (before !== undefined) {
-      this.violations.push(`${now}: ${job} was begun by ${nameOf(effect.owner)} after ${before}`);
+    const previousStarter = this.starterByJob.get(job);
+    if (previousStarter !== undefined) {
+      this.violations.push(
+        `${now}: ${job} was started by ${formatOwner(effect.owner)} although ${previousStarter} had started the job`,
+      );
     }
-    this.jobStarters.set(job, nameOf(effect.owner));
+    this.starterByJob.set(job, formatOwner(effect.owner));
     return true;
   }
 
-  /** The number of jobs that were started. */
+  /** The number of distinct jobs that were started. */
   get startedJobCount(): number {
-    return this.jobStarters.size;
+    return this.starterByJob.size;
   }
 
-  /** Returns the highest epoch under which an effect on the unit was accepted; null: none was. */
+  /** Returns the highest epoch under which an effect on the unit was accepted; null: no effect was accepted. */
   lastEpoch(unit: UnitId): FencingEpoch | null {
-    return this.lastAccepted.get(unit) ?? null;
+    return this.highestAcceptedEpochs.get(unit) ?? null;
   }
 
   private checkSingleOwner(unit: UnitId, owner: Owner, epoch: FencingEpoch, now: number): void {
     const key = `${unit} ${epoch}`;
-    const name = nameOf(owner);
-    const before = this.ownerOfEpoch.get(key);
-    if (before !== undefined && before !== name) {
-      this.violations.push(`${now}: epoch ${epoch} of ${unit} has two owners, ${before} and ${name}`);
+    const name = formatOwner(owner);
+    const previousOwner = this.ownerByEpoch.get(key);
+    if (previousOwner !== undefined && previousOwner !== name) {
+      this.violations.push(`${now}: epoch ${epoch} of ${unit} has two owners, ${previousOwner} and ${name}`);
     }
-    this.ownerOfEpoch.set(key, name);
+    this.ownerByEpoch.set(key, name);
   }
 
-  /** Returns the violations so far. */
+  /** Returns all violations that were recorded so far. */
   check(): Violations {
     return this.violations;
   }
--- a/packages/simulation/src/index.ts
+++ b/packages/simulation/src/index.ts
@@ -1,4 +1,6 @@
-/** Simulated clocks, networks, stores and clusters, and the checker of their histories. For tests and measurements. */
+/**
+ * Simulated clocks, networks, stores and clusters, and a checker of ownership histories, for tests and measurements.
+ */
 export { EffectHistory } from './history.js';
 export { SimulatedNetwork } from './network.js';
 export { SharedStore } from './shared-store.js';
--- a/packages/simulation/src/network.ts
+++ b/packages/simulation/src/network.ts
@@ -1,22 +1,22 @@
-/** A network between simulated processes, with one-way partitions, delays, losses and duplicates. */
+/** A simulated network between processes, with one-way partitions, delays, message loss and duplicates. */
 import type { SimulatedClock } from './virtual-clock.js';
 
-/** Handles a request; resolves to null for no answer. */
+/** Handles a request; resolves to null if no response is to be sent. */
 type RequestHandler = (payload: Uint8Array) => Promise<Uint8Array | null>;
 
-/** A reachable process. */
+/** A process that is attached to the network. */
 interface Endpoint {
   readonly clock: { whenRunning(run: () => void): void };
   readonly handler: RequestHandler;
 }
 
-/** Faults of the network other than cut links. */
+/** The faults of the network other than cut links. Rates are fractions between 0 and 1. */
 export interface NetworkFaults {
   minDelayMs: number;
   maxDelayMs: number;
-  /** The fraction of requests of which a duplicate arrives later. */
+  /** The fraction of requests that are delivered a second time later. */
   duplicateRate: number;
-  /** The maximum delay of a duplicate. */
+  /** The maximum additional delay of a duplicate. */
   maxDuplicateDelayMs: number;
   /** The fraction of messages that are lost. */
   lossRate: number;
@@ -30,54 +30,56 @@
   lossRate: 0,
 };
 
-/** Delivers requests and answers between named processes. */
+/** Delivers requests and responses between named processes, subject to cut links and faults. */
 export class SimulatedNetwork {
   readonly faults: NetworkFaults = { ...DEFAULT_FAULTS };
   private readonly endpoints = new Map<string, Endpoint>();
-  private readonly cuts = new Set<string>();
+  private readonly cutLinks = new Set<string>();
 
   constructor(
     private readonly clock: SimulatedClock,
     private readonly random: () => number,
   ) {}
 
-  /** Makes a process reachable. */
+  /** Attaches a process to the network, so that other processes reach it by `name`. */
   attach(name: string, endpoint: Endpoint): void {
     this.endpoints.set(name, endpoint);
   }
 
-  /** Makes a process unreachable. */
+  /** Detaches a process from the network, so that requests to `name` are no longer delivered. */
   detach(name: string): void {
     this.endpoints.delete(name);
   }
 
-  /** Cuts the link from `from` to `to`; the other direction is not changed. */
+  /** Cuts the link from `from` to `to`. The opposite direction is not changed. */
   cut(from: string, to: string): void {
-    this.cuts.add(`${from} ${to}`);
+    this.cutLinks.add(`${from} ${to}`);
   }
 
-  /** Restores a link in one direction. */
+  /** Restores the link from `from` to `to`. The opposite direction is not changed. */
   heal(from: string, to: string): void {
-    this.cuts.delete(`${from} ${to}`);
+    this.cutLinks.delete(`${from} ${to}`);
   }
 
   /** Restores all links and ends all faults. */
   healAll(): void {
-    this.cuts.clear();
+    this.cutLinks.clear();
     Object.assign(this.faults, DEFAULT_FAULTS);
   }
 
-  /** Returns whether a message passes now. Draws a random number if the link is not cut. */
+  /** Returns whether a message passes now. Draws a random number for message loss if the link is not cut. */
   canPass(from: string, to: string): boolean {
-    return !this.cuts.has(`${from} ${to}`) && this.random() >= this.faults.lossRate;
+    return !this.cutLinks.has(`${from} ${to}`) && this.random() >= this.faults.lossRate;
   }
 
-  private delayMs(): number {
+  private drawDelayMs(): number {
     const { minDelayMs, maxDelayMs } = this.faults;
     return minDelayMs + (maxDelayMs - minDelayMs) * this.random();
   }
 
-  /** Sends a request of the process that `clock` belongs to. Resolves to null once its deadline has passed. */
+  /**
+   * Sends a request from the process that owns `clock`. Resolves to null if no response arrives within `deadlineMs`.
+   */
   request(
     from: string,
     to: string,
@@ -90,7 +92,7 @@
       if (!this.canPass(from, to)) return;
       this.deliver(to, payload, (answer) => {
         if (!this.canPass(to, from)) return;
-        clock.after(this.delayMs(), () => resolve(answer));
+        clock.after(this.drawDelayMs(), () => resolve(answer));
       });
       if (this.random() < this.faults.duplicateRate) {
         this.clock.after(this.random() * this.faults.maxDuplicateDelayMs, () =>
@@ -101,7 +103,7 @@
   }
 
   private deliver(to: string, payload: Uint8Array, onAnswer: (answer: Uint8Array) => void): void {
-    this.clock.after(this.delayMs(), () => {
+    this.clock.after(this.drawDelayMs(), () => {
       const endpoint = this.endpoints.get(to);
       endpoint?.clock.whenRunning(() => {
         void endpoint.handler(payload).then((answer) => {
--- a/packages/simulation/src/shared-store.ts
+++ b/packages/simulation/src/shared-store.ts
@@ -1,4 +1,4 @@
-/** A simulated store with conditional writes, with latency, outages and late commits. */
+/** A simulated store with conditional writes, a fixed latency, and configurable outages and late commits. */
 import { type StoreRevision } from '@plumyoke/takeover';
 import {
   type CommitResult,
@@ -11,20 +11,20 @@
 } from '@plumyoke/takeover/reference';
 import type { SimulatedClock } from './virtual-clock.js';
 
-const LATENCY_MS = 5;
-const DEADLINE_MS = 1000;
-/** A transaction that is not answered is carried out within this time. */
+const REQUEST_LATENCY_MS = 5;
+const REQUEST_DEADLINE_MS = 1000;
+/** The maximum delay after which a transaction without a response is executed. */
 const MAX_LATE_COMMIT_MS = 8000;
 
-/** A consistent store that all simulated processes share. */
+/** A consistent in-memory store that all simulated processes share. */
 export class SharedStore {
   private readonly keys = new Map<string, StoredValue>();
   private revision = 0;
-  /** Whether the store refuses every request. */
+  /** Whether the store refuses every request, as in an outage. */
   isUnavailable = false;
-  /** Clients that are refused while the others are served. */
+  /** The clients whose requests the store refuses while serving all other clients. */
   readonly refusedClients = new Set<string>();
-  /** The fraction of transactions that are not answered and are carried out late. */
+  /** The fraction of transactions that receive no response and are executed late. */
   lateCommitRate = 0;
   requestCount = 0;
 
@@ -38,7 +38,7 @@
     return this.keys.get(key) ?? null;
   }
 
-  /** Carries out a transaction without latency or faults. */
+  /** Executes a transaction without latency or faults. */
   commit(conditions: readonly StoreCondition[], writes: readonly StoreWrite[]): CommitResult {
     const conditionsHold = conditions.every(
       ({ key, revision }) => (this.keys.get(key)?.revision ?? 0) === revision,
@@ -52,7 +52,7 @@
     return { committed: true, revision };
   }
 
-  /** Overwrites a key with a value that no program wrote, such as a damaged record. */
+  /** Overwrites a key unconditionally, for example with a damaged record that no program writes. */
   overwrite(key: string, value: unknown): void {
     this.revision++;
     this.keys.set(key, { value, revision: this.revision as StoreRevision });
@@ -63,14 +63,14 @@
     this.keys.delete(key);
   }
 
-  /** Returns the store's interface for one client, whose timers run on `clock`. */
+  /** Returns a connection to the store for the named client, whose timers run on `clock`. */
   clientFor(name: string, clock: SimulatedClock): ConditionalStore {
     const request = <T>(operation: () => T): Promise<T> =>
       new Promise((resolve, reject) => {
         this.requestCount++;
-        clock.after(LATENCY_MS, () => {
+        clock.after(REQUEST_LATENCY_MS, () => {
           if (this.isUnavailable || this.refusedClients.has(name))
-            reject(new StoreUnavailableError('refused'));
+            reject(new StoreUnavailableError('the simulated store refused the request'));
           else resolve(operation());
         });
       });
@@ -82,7 +82,9 @@
           if (!this.isUnavailable) this.commit(conditions, writes);
         });
         return new Promise((_, reject) => {
-          clock.after(DEADLINE_MS, () => reject(new StoreOutcomeUnknownError('no answer')));
+          clock.after(REQUEST_DEADLINE_MS, () =>
+            reject(new StoreOutcomeUnknownError('the simulated store did not respond')),
+          );
         });
       },
     };
--- a/packages/simulation/src/simulated-cluster.ts
+++ b/packages/simulation/src/simulated-cluster.ts
@@ -1,4 +1,4 @@
-/** A cluster of controllers with membership and takeover on a virtual clock, and the faults that tests inject. */
+/** A cluster of controllers with membership and takeover on a virtual clock, into which tests inject faults. */
 import {
   DEFAULT_TUNING,
   majorityOf,
@@ -23,20 +23,21 @@
 import { SharedStore } from './shared-store.js';
 import { ProcessClock, VirtualClock } from './virtual-clock.js';
 
-/** How often an owner acts on its units. */
-const ACTION_INTERVAL_MS = 100;
-const SAMPLE_INTERVAL_MS = 50;
+/** The interval at which an owner starts a job on each of its units. */
+const JOB_START_INTERVAL_MS = 100;
+const LINK_SAMPLE_INTERVAL_MS = 50;
 
-/** Deliberate defects, to show that the checks detect them. */
+/** Deliberate defects of a cluster. Tests use the defects to show that the checks detect each of them. */
 export interface Defects {
+  /** Resources accept effects of replaced owners. */
   readonly noFencing?: boolean;
-  /** No member learns that it is suspected. */
+  /** Messages hide from their receiver that the receiver is suspected, so suspicions are never refuted. */
   readonly noRefutation?: boolean;
-  /** One observer is enough for a verdict. */
+  /** A single observer can declare a member failed. */
   readonly noMajority?: boolean;
 }
 
-/** The options of a cluster. */
+/** The options of a simulated cluster. */
 export interface ClusterOptions {
   readonly controllers: number;
   readonly units: number;
@@ -44,7 +45,7 @@
   readonly defects?: Defects;
 }
 
-/** One running process of a controller. */
+/** A running controller process, which may be paused. */
 interface RunningController {
   readonly clock: ProcessClock;
   readonly membership: Membership;
@@ -52,21 +53,21 @@
   isPaused: boolean;
 }
 
-/** An event of the membership, with its time and observer. */
+/** A membership event, with the member that observed the event and the time of the observation. */
 export interface ObservedEvent {
   readonly at: number;
   readonly observer: MemberId;
   readonly event: MembershipEvent;
 }
 
-/** The parts of a message that the variant without refutation changes. */
+/** The parts of a membership message that the defective variant without refutation changes. */
 interface SuspicionsInMessage {
   aboutReceiver: { suspected: boolean } | null;
   rows?: { peers: { identity: { member: string }; suspectedForMs: number | null }[] }[];
 }
 
-/** Removes from a message everything that tells its receiver that it is suspected. */
-function withoutSuspicionOf(receiver: MemberId, payload: Uint8Array): Uint8Array {
+/** Returns a copy of a message from which `receiver` cannot learn that other members suspect `receiver`. */
+function removeSuspicionOf(receiver: MemberId, payload: Uint8Array): Uint8Array {
   const message = JSON.parse(Buffer.from(payload).toString('utf8')) as SuspicionsInMessage;
   if (message.aboutReceiver) message.aboutReceiver.suspected = false;
   for (const { peers } of message.rows ?? []) {
@@ -77,7 +78,7 @@
 
 const silentLog = { info: () => {}, warn: () => {} };
 
-/** A cluster whose controllers all run in this process. */
+/** A cluster whose controllers all run in this process, on a virtual clock and from a seeded random generator. */
 export class SimulatedCluster {
   readonly clock = new VirtualClock();
   readonly random: () => number;
@@ -87,12 +88,12 @@
   readonly members: readonly MemberId[];
   readonly units: readonly UnitId[];
   readonly events: ObservedEvent[] = [];
-  /** All warnings that were logged. */
+  /** All warnings that the controllers logged, each prefixed with the member. */
   readonly warnings: string[] = [];
   private readonly running = new Map<MemberId, RunningController>();
   private readonly connectedSince = new Map<string, number>();
   private jobCount = 0;
-  /** Verdicts of failure on members that too many others had reached all the time. */
+  /** Failure verdicts that contradict the actual links: too many members were connected to the member without interruption. */
   readonly unfoundedVerdicts: string[] = [];
 
   constructor(private readonly options: ClusterOptions) {
@@ -103,7 +104,7 @@
     this.history = new EffectHistory(!options.defects?.noFencing);
     this.members = Array.from({ length: options.controllers }, (_, index) => `c${index}` as MemberId);
     this.units = Array.from({ length: options.units }, (_, index) => `unit-${index}` as UnitId);
-    this.scheduleSample();
+    this.scheduleLinkSample();
   }
 
   get settings(): MembershipSettings {
@@ -117,11 +118,11 @@
 
   start(member: MemberId): void {
     if (this.running.has(member)) return;
-    // Each process's time of day is off by up to a second: a restart may seem to precede the former process.
+    // Each process's wall clock is off by up to 1 s, so a restarted process may seem older than its predecessor.
     const clock = new ProcessClock(this.clock, (this.random() - 0.5) * 2000);
     const settings = { ...this.settings, self: member };
     const membership = this.createMembership(member, settings, clock);
-    // The settings have been validated: only now can the defective variant lower the majority.
+    // The defective variant lowers the majority only after the membership has validated the settings.
     if (this.options.defects?.noMajority) settings.majority = 1;
     const log = {
       info: () => {},
@@ -144,13 +145,13 @@
     membership.listen((event) => this.recordEvent(member, event));
     membership.start();
     coordinator.start();
-    this.scheduleActions(member, controller, claims);
+    this.scheduleJobStarts(member, controller, claims);
   }
 
   private createMembership(member: MemberId, settings: MembershipSettings, clock: ProcessClock): Membership {
     const { noRefutation } = this.options.defects ?? {};
-    const change = (receiver: MemberId, payload: Uint8Array): Uint8Array =>
-      noRefutation ? withoutSuspicionOf(receiver, payload) : payload;
+    const filterMessage = (receiver: MemberId, payload: Uint8Array): Uint8Array =>
+      noRefutation ? removeSuspicionOf(receiver, payload) : payload;
     return new Membership(settings, {
       clock,
       random: this.random,
@@ -159,34 +160,48 @@
       transport: {
         support: () => PeerSupport.Supported,
         request: async (to, payload, deadlineMs) => {
-          const answer = await this.network.request(member, to, change(to, payload), deadlineMs, clock);
-          return answer === null ? null : change(member, answer);
+          const answer = await this.network.request(
+            member,
+            to,
+            filterMessage(to, payload),
+            deadlineMs,
+            clock,
+          );
+          return answer === null ? null : filterMessage(member, answer);
         },
       },
     });
   }
 
-  /** Lets an owner start jobs periodically: recorded first, then carried out by an effect that may arrive late. */
-  private scheduleActions(member: MemberId, controller: RunningController, claims: OwnershipRegistry): void {
-    controller.clock.after(ACTION_INTERVAL_MS, () => {
+  /**
+   * Makes an owner start jobs periodically. Each job is first recorded in the store, then started by an effect that may
+   * arrive late.
+   */
+  private scheduleJobStarts(
+    member: MemberId,
+    controller: RunningController,
+    claims: OwnershipRegistry,
+  ): void {
+    controller.clock.after(JOB_START_INTERVAL_MS, () => {
       for (const unit of this.units) {
         const ownership = controller.coordinator.currentOwnership(unit);
         if (ownership) void this.startJob(ownership, claims);
       }
-      this.scheduleActions(member, controller, claims);
+      this.scheduleJobStarts(member, controller, claims);
     });
   }
 
   private async startJob(ownership: Ownership, claims: OwnershipRegistry): Promise<void> {
     const { unit, owner, epoch } = ownership;
-    // Owners draw from a small pool, so that two processes that both believe to own a unit try the same job.
+    // Jobs come from a pool of 500 names, so that two processes that both believe they own a unit try to start the same
+    // job.
     const job = `${unit}/job-${this.jobCount % 500}`;
     this.jobCount++;
     const key = `job/${job}`;
     if (this.store.get(key) !== null) return;
     try {
-      const absent = { key, revision: 0 as never };
-      const result = await claims.commitAs(ownership, [absent], [{ key, value: { epoch } }]);
+      const absentCondition = { key, revision: 0 as never };
+      const result = await claims.commitAs(ownership, [absentCondition], [{ key, value: { epoch } }]);
       if (!result.committed) return;
     } catch {
       return;
@@ -205,7 +220,7 @@
     this.network.detach(member);
   }
 
-  /** Pauses the process; its clocks continue. */
+  /** Pauses the member's process. The process's clocks continue. */
   pause(member: MemberId): void {
     const controller = this.running.get(member);
     if (!controller || controller.isPaused) return;
@@ -220,7 +235,7 @@
     controller.clock.resume();
   }
 
-  /** Shuts down gracefully: releases the units, announces the departure, ends. */
+  /** Shuts a controller down gracefully: releases its units, announces its departure and ends its process. */
   async leave(member: MemberId): Promise<void> {
     const controller = this.running.get(member);
     if (!controller || controller.isPaused) return;
@@ -231,7 +246,7 @@
     this.kill(member);
   }
 
-  /** Ends all faults: every process runs, every link works, the store answers. */
+  /** Ends all faults: restores all links and the store, and resumes or starts every process. */
   endFaults(): void {
     this.network.healAll();
     this.store.isUnavailable = false;
@@ -257,7 +272,9 @@
     return this.membership(observer).state(subject);
   }
 
-  /** Returns the running controllers that believe they may act on the unit now. A paused one believes nothing. */
+  /**
+   * Returns the running controllers that may act on the unit now in their own view. Paused controllers are excluded.
+   */
   ownersOf(unit: UnitId): MemberId[] {
     return [...this.running]
       .filter(([, { coordinator, isPaused }]) => !isPaused && coordinator.currentOwnership(unit) !== null)
@@ -272,19 +289,19 @@
     await this.clock.advance(ms);
   }
 
-  // The true state, to check verdicts against
+  // Sampling of the actual links, against which failure verdicts are checked
 
-  private scheduleSample(): void {
-    this.clock.after(SAMPLE_INTERVAL_MS, () => {
+  private scheduleLinkSample(): void {
+    this.clock.after(LINK_SAMPLE_INTERVAL_MS, () => {
       const now = this.clock.now();
       for (const from of this.members) {
-        for (const to of this.members) this.samplePair(from, to, now);
+        for (const to of this.members) this.sampleLink(from, to, now);
       }
-      this.scheduleSample();
+      this.scheduleLinkSample();
     });
   }
 
-  private samplePair(from: MemberId, to: MemberId, now: number): void {
+  private sampleLink(from: MemberId, to: MemberId, now: number): void {
     const key = `${from} ${to}`;
     const isConnected =
       this.isRunning(from) &&
@@ -303,7 +320,11 @@
       this.checkVerdict(at, event.member);
   }
 
-  /** A member that more than a minority has reached all the time cannot have been found silent by a majority. */
+  /**
+   * Records a failure verdict as unfounded if too few members can have lost contact with the subject to form a
+   * majority. A member counts as in contact if its links to the subject worked for the suspicion period plus 4 probe
+   * intervals.
+   */
   private checkVerdict(at: number, subject: MemberId): void {
     const { suspicionMs, probeIntervalMs } = DEFAULT_TUNING;
     const reachedBy = this.members.filter((other) => {
@@ -311,7 +332,9 @@
       return since !== undefined && at - since >= suspicionMs + 4 * probeIntervalMs;
     });
     if (reachedBy.length > this.members.length - majorityOf(this.members.length)) {
-      this.unfoundedVerdicts.push(`${at}: ${subject} was failed while ${reachedBy.join(', ')} reached it`);
+      this.unfoundedVerdicts.push(
+        `${at}: ${subject} was declared failed although ${reachedBy.join(', ')} could reach the member`,
+      );
     }
   }
 }
--- a/packages/simulation/src/virtual-clock.ts
+++ b/packages/simulation/src/virtual-clock.ts
@@ -1,4 +1,4 @@
-/** Virtual time that only tests advance, and clocks of simulated processes that pause and die. */
+/** A virtual clock that only tests advance, and clocks of simulated processes, which tests can pause and kill. */
 
 interface Timer {
   readonly at: number;
@@ -6,37 +6,39 @@
   run: (() => void) | null;
 }
 
-/** Orders timers by time; those of the same time run in the order in which they were set. */
+/** Returns whether the first timer runs before the second. Timers due at the same time run in the order of creation. */
 const isEarlier = (first: Timer, second: Timer): boolean =>
   first.at < second.at || (first.at === second.at && first.order < second.order);
 
-/** The clock that simulated processes use. */
+/** A clock for simulated processes: monotonic time, wall time and timers, in milliseconds. */
 export interface SimulatedClock {
   now(): number;
   wall(): number;
   after(delayMs: number, run: () => void): () => void;
 }
 
-/** The time of day at which simulations begin, in milliseconds since 1970. */
-const EPOCH_MS = 1_790_000_000_000;
+/** The wall time at which simulations begin, in milliseconds since the Unix epoch (1970-01-01 UTC). */
+const START_WALL_TIME_MS = 1_790_000_000_000;
 
-/** A queue of timers that `advance` runs in order. */
+/** A clock whose time changes only in `advance`, which runs the due timers in order. */
 export class VirtualClock implements SimulatedClock {
-  private time = 0;
-  private order = 0;
-  /** A binary heap, the earliest first: full-size simulated sites have tens of thousands of timers. */
+  private currentMs = 0;
+  private nextTimerOrder = 0;
+  /**
+   * A binary heap with the earliest timer first, because full-size simulated sites have tens of thousands of timers.
+   */
   private readonly timers: Timer[] = [];
 
   now(): number {
-    return this.time;
+    return this.currentMs;
   }
 
   wall(): number {
-    return EPOCH_MS + this.time;
+    return START_WALL_TIME_MS + this.currentMs;
   }
 
   after(delayMs: number, run: () => void): () => void {
-    const timer: Timer = { at: this.time + Math.max(0, delayMs), order: this.order++, run };
+    const timer: Timer = { at: this.currentMs + Math.max(0, delayMs), order: this.nextTimerOrder++, run };
     const { timers } = this;
     let index = timers.push(timer) - 1;
     while (index > 0) {
@@ -67,27 +69,27 @@
     timers[index] = last;
   }
 
-  /** Advances the time and runs all timers that become due, with the promises that they settle. */
+  /** Advances the time by `ms`. Runs all timers that become due, and the continuations of promises that they settle. */
   async advance(ms: number): Promise<void> {
-    const until = this.time + ms;
+    const until = this.currentMs + ms;
     for (;;) {
-      await settle();
+      await flushMicrotasks();
       const next = this.timers[0];
       if (!next || next.at > until) break;
       this.removeFirst();
-      this.time = next.at;
+      this.currentMs = next.at;
       next.run?.();
     }
-    this.time = until;
+    this.currentMs = until;
   }
 }
 
-/** Lets all settled promises continue: every microtask runs before the next immediate. */
-function settle(): Promise<void> {
+/** Resolves after all pending microtasks have run, since every microtask runs before the next immediate. */
+function flushMicrotasks(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
 
-/** The clock of one process: none of its timers runs after the process was killed, or while it is paused. */
+/** The clock of a simulated process. No timer runs while the process is paused or after the process was killed. */
 export class ProcessClock implements SimulatedClock {
   isAlive = true;
   private isPaused = false;
@@ -95,7 +97,7 @@
 
   constructor(
     private readonly base: SimulatedClock,
-    /** How far this process's time of day is off. */
+    /** The offset of this process's wall clock, in milliseconds. */
     private readonly wallOffsetMs = 0,
   ) {}
 
@@ -111,18 +113,18 @@
     return this.base.after(delayMs, () => this.whenRunning(run));
   }
 
-  /** Runs the callback now, or when the paused process resumes; never once it was killed. */
+  /** Runs the callback now, or at the next resume if the process is paused. After a kill, the callback never runs. */
   whenRunning(run: () => void): void {
     if (this.isPaused) this.pendingCallbacks.push(run);
     else if (this.isAlive) run();
   }
 
-  /** Pauses the process; its clock continues. */
+  /** Pauses the process. The time continues, but callbacks are deferred. */
   pause(): void {
     this.isPaused = true;
   }
 
-  /** Resumes the process; callbacks that became due meanwhile run at once. */
+  /** Resumes the process and runs the callbacks that became due during the pause. */
   resume(): void {
     this.isPaused = false;
     for (const run of this.pendingCallbacks.splice(0)) this.whenRunning(run);
