--- a/test/simulation/clock.ts
+++ b/test/simulation/clock.ts
@@ -1,9 +1,12 @@
-/** The simulation's clocks with the service's own types of time. */
-import { ProcessClock as SimulatedProcessClock, VirtualClock as SimulatedTime } from '@plumyoke/simulation';
+/** The clocks of `@plumyoke/simulation`, typed with the service's own `MonotonicTime` and `WallTime`. */
+import {
+  ProcessClock as SimulatedProcessClock,
+  VirtualClock as SimulatedVirtualClock,
+} from '@plumyoke/simulation';
 import type { Clock, MonotonicTime, WallTime } from '../../src/model/time.js';
 
-/** Virtual time that only tests advance. */
-export class VirtualClock extends SimulatedTime implements Clock {
+/** A virtual clock whose time advances only when a test advances it. */
+export class VirtualClock extends SimulatedVirtualClock implements Clock {
   override now(): MonotonicTime {
     return super.now() as MonotonicTime;
   }
@@ -13,7 +16,7 @@
   }
 }
 
-/** The clock of one process: none of its timers runs after the process was killed. */
+/** The clock of one simulated process. After the process is killed, none of its timers runs. */
 export class ProcessClock extends SimulatedProcessClock implements Clock {
   override now(): MonotonicTime {
     return super.now() as MonotonicTime;
--- a/test/simulation/placement-request.ts
+++ b/test/simulation/placement-request.ts
@@ -1,21 +1,27 @@
-/** Random jobs with placement rules: machine types, zones, spot, zone affinity, zone anti-affinity. */
+/** Random jobs with placement constraints: machine types, zones, spot, zone affinity, zone anti-affinity. */
 import { type JobRequest, MIXED_MACHINE_TYPES, MIXED_ZONES } from './site-setup.js';
 
-const SERVICE_FRACTION = 0.2;
+/** The fraction of random jobs that are services; all others are arrays. */
+const SERVICE_JOB_RATIO = 0.2;
 
-function pick<T>(from: readonly T[], random: () => number): T {
-  return from[Math.floor(random() * from.length)] as T;
+function pickRandom<T>(values: readonly T[], random: () => number): T {
+  return values[Math.floor(random() * values.length)] as T;
 }
 
-/** Draws each part of the rule independently, so that most jobs have several. Several of their tasks fit a machine. */
+/**
+ * Returns a random job of 1 to `maxTasks` tasks. Placement constraints are drawn independently of each other, so that
+ * many jobs combine several, except that zone affinity and zone anti-affinity exclude each other. A task uses at most
+ * 2 CPUs, so that several tasks fit on one machine.
+ */
 export function randomPlacementRequest(random: () => number, maxTasks: number): Omit<JobRequest, 'ref'> {
-  const isService = random() < SERVICE_FRACTION;
-  const spread = random();
-  const samePlace = spread < 0.4;
-  // In a single zone, a job with anti-affinity could never run all of its tasks.
-  const apart = !samePlace && spread < 0.7;
-  const hasZone = !apart && random() < 0.35;
-  const hasTypes = random() < 0.4;
+  const isService = random() < SERVICE_JOB_RATIO;
+  const spreadDraw = random();
+  const samePlace = spreadDraw < 0.4;
+  // A job with anti-affinity runs at most half of its tasks, rounded up, in one zone: restricted to a single zone, a job
+  // of two or more tasks could never run all of them.
+  const apart = !samePlace && spreadDraw < 0.7;
+  const isRestrictedToZone = !apart && random() < 0.35;
+  const isRestrictedToTypes = random() < 0.4;
   return {
     kind: isService ? 'service' : 'array',
     tasks: 1 + Math.floor(random() * maxTasks),
@@ -25,7 +31,7 @@
     runS: 3 + 25 * random(),
     samePlace,
     apart,
-    ...(hasZone ? { zone: pick(MIXED_ZONES, random) } : {}),
-    ...(hasTypes ? { types: [pick(MIXED_MACHINE_TYPES, random).id] } : {}),
+    ...(isRestrictedToZone ? { zone: pickRandom(MIXED_ZONES, random) } : {}),
+    ...(isRestrictedToTypes ? { types: [pickRandom(MIXED_MACHINE_TYPES, random).id] } : {}),
   };
 }
--- a/test/simulation/site-setup.ts
+++ b/test/simulation/site-setup.ts
@@ -1,10 +1,10 @@
-/** The setup of simulated sites: settings, machine types, and jobs as tests request them. */
+/** The configuration of simulated sites: settings, machine types, and jobs that tests submit. */
 import type { MachineTypeId, ZoneId } from '../../src/model/ids.js';
 import type { MachineType } from '../../src/model/machine.js';
 import { seconds } from '../../src/model/time.js';
 import { readSettings, type Settings } from '../../src/wire/settings.js';
 
-/** A job as a test requests it; omitted fields get defaults. Fields ending in `S` are seconds. */
+/** A job that a test submits. Omitted fields get defaults; fields that end in `S` are in seconds. */
 export interface JobRequest {
   ref: string;
   team?: string;
@@ -17,6 +17,7 @@
   samePlace?: boolean;
   apart?: boolean;
   runS?: number;
+  /** Whether every attempt of every task fails. */
   broken?: boolean;
   awaits?: readonly string[];
   jobClass?: string;
@@ -25,7 +26,7 @@
   dueS?: number;
 }
 
-/** The defaults of a request. */
+/** The default values of the fields that a `JobRequest` omits. */
 const DEFAULT_JOB_REQUEST = {
   team: 'red',
   kind: 'array' as NonNullable<JobRequest['kind']>,
@@ -39,7 +40,7 @@
   awaits: [] as readonly string[],
 } satisfies Partial<JobRequest>;
 
-/** The machine types that the cloud offers. */
+/** The machine types that the cloud offers by default: one type in two zones. */
 export const MACHINE_TYPES: MachineType[] = [
   {
     id: 'small' as MachineTypeId,
@@ -55,8 +56,9 @@
   },
 ];
 
-/** Three zones and two machine types, so that every part of a placement rule matters. */
+/** The three zones of sites on which every kind of placement constraint has an effect. */
 export const MIXED_ZONES = ['north', 'south', 'west'] as ZoneId[];
+/** The two machine types of sites on which every kind of placement constraint has an effect; both boot in 2 s. */
 export const MIXED_MACHINE_TYPES: MachineType[] = [
   { ...(MACHINE_TYPES[0] as MachineType), bootTime: seconds(2), zones: MIXED_ZONES },
   {
@@ -71,29 +73,31 @@
   },
 ];
 
-/** The duration of a worker's lease. */
+/** The duration of a worker's lease, after which a worker that gets no answer to heartbeats ends its tasks. */
 export const LEASE_S = 20;
-/** The time within which a cancelled job must have ended. */
+/** The time after a confirmed cancellation within which all tasks of the job must have ended. */
 export const CANCEL_S = 40;
 
-/** The size of a site, and the limits of its key-value store. */
+/** The size of a site, and the announced limits of its key-value store. */
 export interface SiteSize {
-  /** CPUs that each team may use. */
+  /** The maximum number of CPUs that the running tasks of each team may use. */
   readonly limit: { red: number; blue: number };
+  /** The interval between heartbeats of a worker, in seconds. */
   readonly reportS: number;
+  /** The number of controllers. */
   readonly nodes: number;
-  /** The machine types that the cloud offers; by default one type in two zones. */
+  /** The machine types that the cloud offers; `MACHINE_TYPES` by default. */
   readonly types?: readonly MachineType[];
-  /** The zones of the controllers, in turn; by default all are in the north. */
+  /** The zones to which the controllers are assigned in turn; by default all controllers are in `north`. */
   readonly zones?: readonly ZoneId[];
-  /** Later limits of the key-value store, as the settings announce them. */
+  /** Future limits of the key-value store that the settings announce. */
   readonly next?: object;
 }
 
-/** Two teams on a few machines. */
+/** A site with three controllers whose two teams may use 24 and 40 CPUs. */
 export const SMALL_SITE: SiteSize = { limit: { red: 24, blue: 40 }, reportS: 3, nodes: 3 };
 
-/** Room for many jobs of all placement kinds in three zones. */
+/** A site with three zones and two machine types for jobs with placement constraints of all kinds; 96 CPUs per team. */
 export const MIXED_SITE: SiteSize = {
   ...SMALL_SITE,
   limit: { red: 96, blue: 96 },
@@ -101,15 +105,15 @@
   zones: MIXED_ZONES,
 };
 
-function zoneOf(member: string, zones: readonly ZoneId[] = ['north' as ZoneId]): ZoneId {
+function controllerZone(member: string, zones: readonly ZoneId[] = ['north' as ZoneId]): ZoneId {
   return zones[Number(member.slice('node-'.length)) % zones.length] ?? (zones[0] as ZoneId);
 }
 
-/** Returns the settings of one controller. */
+/** Returns the settings of one controller of a site. */
 export function siteSettings(member: string, size: SiteSize): Settings {
   return readSettings({
     member,
-    site: zoneOf(member, size.zones),
+    site: controllerZone(member, size.zones),
     front: '127.0.0.1:1',
     cluster_listen: '127.0.0.1:2',
     endpoints: { cloud: '127.0.0.1:3', state: '127.0.0.1:4' },
@@ -126,31 +130,34 @@
   });
 }
 
-/** Returns the body with which a user submits the job. */
+/** Returns the body of a job's submission, with defaults for omitted fields. */
 export function submissionBody({ ref, ...request }: JobRequest) {
-  const { tasks, runS, zone, types, team, rank, spot, ...more } = { ...DEFAULT_JOB_REQUEST, ...request };
-  const isArray = more.kind === 'array';
+  const { tasks, runS, zone, types, team, rank, spot, ...otherFields } = {
+    ...DEFAULT_JOB_REQUEST,
+    ...request,
+  };
+  const isArray = otherFields.kind === 'array';
   return {
     ref,
-    jobclass: more.jobClass ?? (isArray ? 'batch' : 'live'),
+    jobclass: otherFields.jobClass ?? (isArray ? 'batch' : 'live'),
     owner: team,
-    shape: more.kind,
+    shape: otherFields.kind,
     rank: rank ?? (isArray ? 'standard' : 'production'),
     shards: tasks,
-    cpus: more.cpus,
+    cpus: otherFields.cpus,
     gpus: 0,
     memoryGb: 4,
-    bundle: more.image,
+    bundle: otherFields.image,
     pullGb: 1,
     flavours: types ?? null,
     hall: zone ?? null,
-    samePlace: more.samePlace,
-    apart: more.apart,
+    samePlace: otherFields.samePlace,
+    apart: otherFields.apart,
     reclaimable: spot,
     expectedS: isArray ? runS : 0,
     savepointS: 0,
     flushS: 0,
-    awaits: more.awaits,
-    dueS: more.dueS ?? null,
+    awaits: otherFields.awaits,
+    dueS: otherFields.dueS ?? null,
   };
 }
--- a/test/simulation/submission.ts
+++ b/test/simulation/submission.ts
@@ -1,8 +1,10 @@
-/** Builds jobs for unit tests. */
+/** Builds job specifications for unit tests. */
 import type { JobSpec } from '../../src/model/job.js';
 import { parseSubmission } from '../../src/wire/users.js';
 
-/** Returns the parsed submission of a job with 200 tasks. `overrides`: fields of the body. */
+/**
+ * Returns the specification of a job with 200 tasks, parsed from a submission. `overrides` replaces fields of the body.
+ */
 export function submission(overrides: object): JobSpec {
   const parsed = parseSubmission({
     ref: 'j-000001',
