--- a/test/simulation/fake-key-value-store.ts
+++ b/test/simulation/fake-key-value-store.ts
@@ -1,4 +1,4 @@
-/** A fake of the key-value store. */
+/** An in-memory fake of the key-value store. */
 import type { LeaseId, Revision } from '../../src/model/ids.js';
 import type { Clock } from '../../src/model/time.js';
 import type { TokenBucket } from '../../src/net/token-bucket.js';
@@ -16,73 +16,91 @@
   WriteOperation,
 } from '../../src/wire/key-value-store.js';
 
-interface Entry {
+interface StoredEntry {
   value: unknown;
   revision: Revision;
   lease: LeaseId | null;
 }
 
-const LATENCY_MS = 5;
-/** The maximum of rows in one answer. */
-const PAGE_SIZE = 500;
-const DEADLINE_MS = 1000;
+/** The delay between a request to the store and its answer. */
+const REQUEST_LATENCY_MS = 5;
+/** The maximum number of rows in one page of a range read. */
+const MAX_ROWS_PER_PAGE = 500;
+/** The time after which a client gives up on a transaction that gets no answer. */
+const REQUEST_DEADLINE_MS = 1000;
+/** The maximum size of a transaction's JSON body. */
 const MAX_TXN_BYTES = 64 * 1024;
 
-/** The limits of a transaction's operations and of a value's bytes. */
+/** The size limits of the key-value store. */
 export interface SizeLimits {
+  /** The maximum number of writes in a transaction; a transaction may have four times as many conditions. */
   readonly txnOps: number;
+  /** The maximum length of a value's JSON. */
   readonly valueBytes: number;
 }
 
-/** Returns why the service would answer 400; null if it would not. */
+/** Returns the size limit that a transaction exceeds, for which the store answers 400; null if it exceeds none. */
 function sizeViolation(
   { txnOps, valueBytes }: SizeLimits,
   conditions: readonly Compare[],
   writes: readonly WriteOperation[],
 ): string | null {
-  if (writes.length > txnOps) return 'too many writes';
-  if (conditions.length > txnOps * 4) return 'too many conditions';
+  if (writes.length > txnOps) return 'the number of writes exceeds the limit';
+  if (conditions.length > txnOps * 4) return 'the number of conditions exceeds the limit';
   if (writes.some((write) => 'set' in write && Buffer.byteLength(JSON.stringify(write.value)) > valueBytes))
-    return 'a value too long';
-  return Buffer.byteLength(JSON.stringify({ conditions, writes })) > MAX_TXN_BYTES ? 'too long' : null;
+    return 'the length of a value exceeds the limit';
+  return Buffer.byteLength(JSON.stringify({ conditions, writes })) > MAX_TXN_BYTES
+    ? 'the length of the transaction exceeds the limit'
+    : null;
 }
 
-/** Returns whether a transaction only compares keys that nobody writes, to learn the limits. */
+/**
+ * Returns whether a transaction is a limit probe, with which a controller learns the size limits: the transaction writes
+ * nothing and compares only `unused/` keys, which no controller writes.
+ */
 function isLimitProbe(conditions: readonly Compare[], writes: readonly WriteOperation[]): boolean {
   return writes.length === 0 && conditions.every(({ key }) => key.startsWith('unused/'));
 }
 
-/** A key-value store in memory that behaves as the published protocol says. */
+/** An in-memory key-value store that follows the published protocol, with faults that tests switch on. */
 export class FakeKeyValueStore {
-  readonly keys = new Map<string, Entry>();
+  readonly keys = new Map<string, StoredEntry>();
   private readonly history: WatchEvent[] = [];
   private readonly leases = new Map<LeaseId, { ttl: number; validUntil: number }>();
   private readonly watchers = new Set<() => void>();
   private revision = 0;
   private nextLeaseId = 1;
-  /** The number of requested puts and deletes, carried out or not. */
+  /** The number of puts and deletes in all transactions that reached the store, committed or not. */
   writeCount = 0;
-  /** The number of requests. */
+  /**
+   * The number of requests of all clients except watches, and except transactions that are rejected for their size or
+   * get no answer.
+   */
   requestCount = 0;
-  /** The limits of transactions and values. */
+  /** The current limits on the sizes of transactions and values. */
   sizeLimits: SizeLimits = { txnOps: 16, valueBytes: 16 * 1024 };
-  /** Transactions that were rejected for their size, by reason. */
+  /** The reason of each transaction that was rejected for its size, without limit probes. */
   readonly rejectedTransactions: string[] = [];
-  /** The number of probes for the limits that were rejected because the limits have fallen. */
+  /** The number of limit probes that were rejected: a controller sends limit probes to detect lowered limits. */
   limitProbeCount = 0;
-  /** Whether every request is refused. */
+  /** Whether the store refuses every request with status 503. */
   isUnavailable = false;
-  /** Rate limits, beyond which requests are answered 429; null: none. */
+  /** Token buckets for requests and writes; a request over either rate is answered 429. Null: no rate limit. */
   rateLimits: { readonly requests: TokenBucket; readonly writes: TokenBucket } | null = null;
-  /** Every transaction is carried out a second time after this delay; null: it is not. */
+  /** The delay after which every transaction is executed a second time; null: transactions run once. */
   duplicateDelayMs: number | null = null;
-  /** Nodes whose requests are refused while the others are served. */
+  /** Controllers whose requests are refused with status 503 while the requests of all others are served. */
   readonly refusedClients = new Set<string>();
-  /** The fraction of transactions that are not answered and are carried out 2 to 12 s later, after newer ones. */
+  /**
+   * The fraction of writing transactions that get no answer and are executed 2 to 12 s later, after newer transactions.
+   */
   lateCommitRate = 0;
-  /** A random number from 0 up to 1. */
+  /** Returns a random number from 0 (inclusive) to 1 (exclusive). */
   random: () => number = () => 0;
-  /** By node: its next transaction is not answered, and is carried out after this delay. */
+  /**
+   * The delay after which the next transaction of a controller is executed, by controller. That transaction gets no
+   * answer.
+   */
   readonly nextCommitDelayMs = new Map<string, number>();
 
   constructor(private readonly clock: Clock) {
@@ -93,7 +111,7 @@
     this.clock.after(50, () => {
       const now = this.clock.now();
       for (const [id, lease] of this.leases) {
-        // During an outage no lease expires; after it every lease has its full time to live again.
+        // No lease expires during an outage of the store; after the outage every lease has its full TTL again.
         if (this.isUnavailable) lease.validUntil = now + lease.ttl;
         else if (lease.validUntil <= now) this.endLease(id);
       }
@@ -103,11 +121,13 @@
 
   private endLease(id: LeaseId): void {
     this.leases.delete(id);
-    const drops = [...this.keys].filter(([, entry]) => entry.lease === id).map(([key]) => ({ drop: key }));
-    if (drops.length > 0) this.apply(drops);
+    const deletions = [...this.keys]
+      .filter(([, entry]) => entry.lease === id)
+      .map(([key]) => ({ drop: key }));
+    if (deletions.length > 0) this.applyWrites(deletions);
   }
 
-  private apply(writes: readonly WriteOperation[]): Revision {
+  private applyWrites(writes: readonly WriteOperation[]): Revision {
     this.revision++;
     const revision = this.revision as Revision;
     for (const write of writes) {
@@ -123,13 +143,13 @@
     return revision;
   }
 
-  private execute(conditions: readonly Compare[], writes: readonly WriteOperation[]): TxnResult {
+  private executeTransaction(conditions: readonly Compare[], writes: readonly WriteOperation[]): TxnResult {
     this.writeCount += writes.length;
     const failed = conditions
       .filter(({ key, revision }) => (this.keys.get(key)?.revision ?? 0) !== revision)
       .map(({ key }) => key);
     if (failed.length > 0) return { ok: false, failed };
-    return { ok: true, revision: writes.length > 0 ? this.apply(writes) : (this.revision as Revision) };
+    return { ok: true, revision: writes.length > 0 ? this.applyWrites(writes) : (this.revision as Revision) };
   }
 
   private isRateLimited(writes: number): boolean {
@@ -137,12 +157,12 @@
     return !this.rateLimits.requests.tryTake() || (writes > 0 && !this.rateLimits.writes.tryTake(writes));
   }
 
-  /** Returns the value of a key without latency or faults. */
+  /** Reads the value of a key directly, without latency or injected faults. */
   value(key: string): unknown {
     return this.keys.get(key)?.value;
   }
 
-  /** Restores records of an earlier run. */
+  /** Loads the records of an earlier run with their revisions, attached to no lease. */
   restore(records: readonly KeyValue[]): void {
     for (const { key, value, revision } of records) {
       this.keys.set(key, { value, revision, lease: null });
@@ -150,16 +170,20 @@
     }
   }
 
-  /** Returns the store's interface for one node, whose timers run on `clock`. */
+  /** Returns a client of the store for one controller; the client's timers run on the controller's `clock`. */
   clientFor(node: string, clock: Clock): KeyValueStore {
     const request = <T>(operation: () => T, writes = 0): Promise<T> =>
       new Promise((resolve, reject) => {
         this.requestCount++;
-        clock.after(LATENCY_MS, () => {
+        clock.after(REQUEST_LATENCY_MS, () => {
           if (this.isUnavailable || this.refusedClients.has(node))
-            reject(new StoreRefusedError('state answered 503'));
+            reject(new StoreRefusedError('key-value store answered a request with status 503'));
           else if (this.isRateLimited(writes))
-            reject(new StoreRefusedError('state answered 429', { isRateLimited: true }));
+            reject(
+              new StoreRefusedError('key-value store answered a request with status 429', {
+                isRateLimited: true,
+              }),
+            );
           else resolve(operation());
         });
       });
@@ -178,8 +202,8 @@
             .sort(([first], [second]) => (first < second ? -1 : 1))
             .map(([key, { value, revision }]) => ({ key, value, revision }));
           return {
-            rows: rows.slice(0, PAGE_SIZE),
-            more: rows.length > PAGE_SIZE,
+            rows: rows.slice(0, MAX_ROWS_PER_PAGE),
+            more: rows.length > MAX_ROWS_PER_PAGE,
             revision: this.revision as Revision,
           };
         }),
@@ -188,20 +212,28 @@
         if (error) {
           if (isLimitProbe(conditions, writes)) this.limitProbeCount++;
           else this.rejectedTransactions.push(error);
-          return Promise.reject(new StoreRequestTooLargeError(`state: commit refused ${error}`));
+          return Promise.reject(
+            new StoreRequestTooLargeError(`key-value store rejected a transaction: ${error}`),
+          );
         }
         const isLate = writes.length > 0 && this.lateCommitRate > 0 && this.random() < this.lateCommitRate;
-        const delay = isLate ? 2000 + 10_000 * this.random() : this.nextCommitDelayMs.get(node);
-        if (delay === undefined)
+        const delayMs = isLate ? 2000 + 10_000 * this.random() : this.nextCommitDelayMs.get(node);
+        if (delayMs === undefined)
           return request(() => {
             if (this.duplicateDelayMs !== null)
-              this.clock.after(this.duplicateDelayMs, () => this.execute(conditions, writes));
-            return this.execute(conditions, writes);
+              this.clock.after(this.duplicateDelayMs, () => this.executeTransaction(conditions, writes));
+            return this.executeTransaction(conditions, writes);
           }, writes.length);
         this.nextCommitDelayMs.delete(node);
-        this.clock.after(delay, () => this.execute(conditions, writes));
+        this.clock.after(delayMs, () => this.executeTransaction(conditions, writes));
         return new Promise((_, reject) => {
-          clock.after(DEADLINE_MS, () => reject(new StoreOutcomeUnknownError('state: deadline passed')));
+          clock.after(REQUEST_DEADLINE_MS, () =>
+            reject(
+              new StoreOutcomeUnknownError(
+                'key-value store did not answer a transaction before its deadline',
+              ),
+            ),
+          );
         });
       },
       grantLease: (ttl) =>
@@ -220,7 +252,9 @@
       watch: (prefix, after, waitMs) =>
         new Promise((resolve, reject) => {
           if (this.refusedClients.has(node) || this.isUnavailable) {
-            clock.after(LATENCY_MS, () => reject(new StoreRefusedError('state: watch answered 503')));
+            clock.after(REQUEST_LATENCY_MS, () =>
+              reject(new StoreRefusedError('key-value store answered a watch with status 503')),
+            );
             return;
           }
           const newEvents = (): WatchEvent[] =>
@@ -229,7 +263,7 @@
             if (this.isUnavailable || this.refusedClients.has(node)) return;
             if (newEvents().length === 0 && this.clock.now() < deadline) return;
             this.watchers.delete(answerIfDue);
-            clock.after(LATENCY_MS, () =>
+            clock.after(REQUEST_LATENCY_MS, () =>
               resolve({ revision: this.revision as Revision, changes: newEvents() }),
             );
           };
--- a/test/simulation/fake-servers.ts
+++ b/test/simulation/fake-servers.ts
@@ -1,4 +1,7 @@
-/** HTTP servers in front of the fakes of key-value store, cloud and workers, in the terms of their protocols. */
+/**
+ * HTTP servers for the fakes of the key-value store, the cloud and the workers. The names on the wire are those of the
+ * published protocols.
+ */
 import { createServer, type IncomingMessage, type Server } from 'node:http';
 import { type Cloud, CloudRequestRefusedError } from '../../src/cloud/client.js';
 import type {
@@ -24,34 +27,35 @@
 import type { WriteOperation } from '../../src/wire/key-value-store.js';
 import type { HeartbeatAnswer, FakeWorker } from './fake-worker.js';
 
-/** A request with its parsed body. */
-interface Request {
+/** A received HTTP request with its parsed JSON body. */
+interface HttpRequest {
   readonly method: string;
   readonly url: URL;
-  /** The address that the client connected to. */
-  readonly to: string;
+  /** The IP address that the client connected to. */
+  readonly localAddress: string;
+  /** The parsed body, typed `never` so that a handler can pass it on as the type that it expects. */
   readonly body: never;
 }
 
-interface Answer {
+interface HttpResponse {
   readonly status: number;
   readonly body: unknown;
 }
 
-/** Answers one request. */
-export type Handler = (request: Request) => Promise<Answer>;
+/** Handles one HTTP request; rejects with an error that `serve` maps to a status or to no answer. */
+export type Handler = (request: HttpRequest) => Promise<HttpResponse>;
 
 async function readJson(request: IncomingMessage): Promise<never> {
-  const parts: Buffer[] = [];
-  for await (const part of request) parts.push(part as Buffer);
-  const text = Buffer.concat(parts).toString();
+  const chunks: Buffer[] = [];
+  for await (const chunk of request) chunks.push(chunk as Buffer);
+  const text = Buffer.concat(chunks).toString();
   return (text === '' ? undefined : JSON.parse(text)) as never;
 }
 
-/** Thrown by a handler to send no answer, as if the network had lost it. */
+/** Thrown by a handler to simulate an answer that the network loses: the server sends no answer. */
 export class AnswerLostError extends Error {}
 
-function answerTo(error: unknown): Answer | null {
+function errorResponse(error: unknown): HttpResponse | null {
   if (error instanceof AnswerLostError || error instanceof StoreOutcomeUnknownError) return null;
   if (error instanceof StoreRequestTooLargeError) return { status: 400, body: { error: error.message } };
   if (error instanceof StoreRefusedError) return { status: error.isRateLimited ? 429 : 503, body: {} };
@@ -59,17 +63,26 @@
   return { status: 400, body: { error: String(error) } };
 }
 
-/** Serves `handler` on an address. Refusals of the store or the cloud become 503, of too large requests 400, lost answers are not sent. */
+/**
+ * Starts an HTTP server for `handler`; resolves once the server listens. A refused request to the store or the cloud is
+ * answered 503 (429 over the store's rate limit), any other error 400. For `AnswerLostError` and
+ * `StoreOutcomeUnknownError` the server sends no answer.
+ */
 export function serve(port: number, host: string, handler: Handler): Promise<Server> {
   const server = createServer((request, response) => {
     void readJson(request)
       .then((body) => {
         const url = new URL(request.url ?? '/', 'http://local');
-        return handler({ method: request.method ?? '', url, to: request.socket.localAddress ?? '', body });
+        return handler({
+          method: request.method ?? '',
+          url,
+          localAddress: request.socket.localAddress ?? '',
+          body,
+        });
       })
-      .catch(answerTo)
+      .catch(errorResponse)
       .then((answer) => {
-        // The request ends by the client's deadline.
+        // Without an answer, the request ends when the client's deadline expires.
         if (answer === null) return;
         response.writeHead(answer.status, { 'content-type': 'application/json' });
         response.end(JSON.stringify(answer.body));
@@ -82,13 +95,13 @@
   });
 }
 
-const rowOf = (row: { key: string; value: unknown; revision: Revision }): object => ({
+const encodeRow = (row: { key: string; value: unknown; revision: Revision }): object => ({
   key: row.key,
   data: row.value,
   stamp: row.revision,
 });
 
-interface WireCommit {
+interface WireTransaction {
   readonly if: readonly { readonly key: string; readonly stamp: Revision }[];
   readonly writes?: readonly WireWrite[];
 }
@@ -100,38 +113,38 @@
   readonly tether?: LeaseId;
 }
 
-function writeOf({ set, drop, data, tether }: WireWrite): WriteOperation {
+function decodeWrite({ set, drop, data, tether }: WireWrite): WriteOperation {
   if (set === undefined) return { drop: drop ?? '' };
   return tether === undefined ? { set, value: data } : { set, value: data, grant: tether };
 }
 
 async function handleTransaction(
   store: KeyValueStore,
-  { if: conditions, writes = [] }: WireCommit,
-): Promise<Answer> {
+  { if: conditions, writes = [] }: WireTransaction,
+): Promise<HttpResponse> {
   const result = await store.txn(
     conditions.map(({ key, stamp }) => ({ key, revision: stamp })),
-    writes.map(writeOf),
+    writes.map(decodeWrite),
   );
   if (result.ok) return { status: 200, body: { ledger: result.revision } };
   return { status: 409, body: { failed: result.failed } };
 }
 
-async function handleWatch(store: KeyValueStore, query: URLSearchParams): Promise<Answer> {
+async function handleWatch(store: KeyValueStore, query: URLSearchParams): Promise<HttpResponse> {
   const after = Number(query.get('after')) as Revision;
-  const read = await store.watch(query.get('under') ?? '', after, Number(query.get('waitMs')));
-  const news = (read?.changes ?? []).map(({ key, value, revision }) =>
+  const watchResult = await store.watch(query.get('under') ?? '', after, Number(query.get('waitMs')));
+  const news = (watchResult?.changes ?? []).map(({ key, value, revision }) =>
     value === undefined ? { drop: key, stamp: revision } : { set: key, data: value, stamp: revision },
   );
-  return { status: 200, body: { ledger: read?.revision, news } };
+  return { status: 200, body: { ledger: watchResult?.revision, news } };
 }
 
-async function handleRange(store: KeyValueStore, query: URLSearchParams): Promise<Answer> {
+async function handleRange(store: KeyValueStore, query: URLSearchParams): Promise<HttpResponse> {
   const page = await store.range(query.get('under') ?? '', query.get('after') ?? undefined);
-  return { status: 200, body: { rows: page.rows.map(rowOf), more: page.more, ledger: page.revision } };
+  return { status: 200, body: { rows: page.rows.map(encodeRow), more: page.more, ledger: page.revision } };
 }
 
-async function handleLease(store: KeyValueStore, { method, url, body }: Request): Promise<Answer> {
+async function handleLease(store: KeyValueStore, { method, url, body }: HttpRequest): Promise<HttpResponse> {
   if (url.pathname === '/grants') {
     const { ttlMs } = body as { ttlMs: number };
     return { status: 200, body: { tether: await store.grantLease(ttlMs) } };
@@ -142,7 +155,7 @@
   return { status: 200, body: {} };
 }
 
-/** Returns the key-value store's HTTP interface. */
+/** Returns the handler for the key-value store's HTTP API. */
 export function storeHandler(store: KeyValueStore): Handler {
   return async (request) => {
     const { pathname, searchParams } = request.url;
@@ -151,11 +164,11 @@
     if (pathname === '/keys') return handleRange(store, searchParams);
     if (pathname.startsWith('/grants')) return handleLease(store, request);
     const row = await store.get(decodeURIComponent(pathname.slice('/keys/'.length)));
-    return row ? { status: 200, body: rowOf(row) } : { status: 404, body: {} };
+    return row ? { status: 200, body: encodeRow(row) } : { status: 404, body: {} };
   };
 }
 
-/** Returns the cloud's HTTP interface. */
+/** Returns the handler for the cloud's HTTP API. */
 export function cloudHandler(
   cloud: Cloud,
   types: readonly MachineType[],
@@ -215,14 +228,14 @@
   };
 }
 
-const STATES: Record<Attempt['state'], string> = {
+const WIRE_ATTEMPT_STATES: Record<Attempt['state'], string> = {
   fetching: 'pulling',
   running: 'running',
   saving: 'flushing',
   exited: 'ended',
 };
 
-/** Returns the body of a heartbeat in the terms of the protocol. */
+/** Encodes a heartbeat as its body on the wire. */
 export function heartbeatBody(heartbeat: Heartbeat, addressOf: (id: MachineId) => string): object {
   return {
     host: heartbeat.machine,
@@ -237,7 +250,7 @@
     shards: heartbeat.attempts.map(({ task, attemptNumber, state, cause }) => ({
       shard: task,
       try: attemptNumber,
-      status: STATES[state],
+      status: WIRE_ATTEMPT_STATES[state],
       cause,
     })),
   };
@@ -250,38 +263,40 @@
   readonly drainS?: number;
 }
 
-interface WireAnswer {
+interface WireHeartbeatAnswer {
   readonly epoch?: number;
   readonly orders?: readonly WireCommand[];
   readonly foreman?: string;
 }
 
-const KINDS = { run: 'start', kill: 'stop', clear: 'forget' } as const;
+const COMMAND_KIND_BY_VERB = { run: 'start', kill: 'stop', clear: 'forget' } as const;
 
-function commandOf({
+function decodeCommand({
   verb,
   shard: task,
   try: attemptNumber,
   drainS: graceS = 0,
 }: WireCommand): WorkerCommand {
-  const kind = KINDS[verb];
+  const kind = COMMAND_KIND_BY_VERB[verb];
   return kind === 'stop' ? { kind, task, attemptNumber, graceS } : { kind, task, attemptNumber };
 }
 
-/** Parses a controller's answer to a heartbeat. */
+/** Decodes a controller's answer to a heartbeat. */
 export function heartbeatAnswer(status: number, body: unknown): HeartbeatAnswer {
-  const { epoch = 0, orders = [], foreman } = (body ?? {}) as WireAnswer;
-  const answer = { status, token: epoch as FencingToken, orders: orders.map(commandOf) };
+  const { epoch = 0, orders = [], foreman } = (body ?? {}) as WireHeartbeatAnswer;
+  const answer = { status, token: epoch as FencingToken, orders: orders.map(decodeCommand) };
   return foreman === undefined ? answer : { ...answer, foreman };
 }
 
-/** Returns the HTTP interface of all workers; the address that was called selects the worker. */
+/**
+ * Returns the handler for the HTTP API of all workers. The IP address that the client connected to selects the worker.
+ */
 export function workersHandler(
   workerAt: (address: string) => FakeWorker | undefined,
   addressOf: (id: MachineId) => string,
 ): Handler {
-  return ({ url, body, to }) => {
-    const worker = workerAt(to);
+  return ({ url, body, localAddress }) => {
+    const worker = workerAt(localAddress);
     if (!worker) return Promise.resolve({ status: 404, body: {} });
     if (url.pathname === '/show')
       return Promise.resolve({ status: 200, body: heartbeatBody(worker.currentHeartbeat(), addressOf) });
@@ -290,7 +305,7 @@
       tenure: AgentIncarnation;
       orders: WireCommand[];
     };
-    const { executed, heartbeat } = worker.command(epoch, tenure, orders.map(commandOf));
+    const { executed, heartbeat } = worker.command(epoch, tenure, orders.map(decodeCommand));
     return Promise.resolve({ status: executed ? 200 : 409, body: heartbeatBody(heartbeat, addressOf) });
   };
 }
--- a/test/simulation/fake-worker.ts
+++ b/test/simulation/fake-worker.ts
@@ -1,4 +1,4 @@
-/** A fake of the agent on a machine. */
+/** A fake of the worker agent that runs on each machine. */
 import type {
   HeartbeatSequence,
   ImageId,
@@ -14,13 +14,14 @@
 import type { Clock } from '../../src/model/time.js';
 import { address } from './fake-cloud.js';
 
-/** How the tasks of a job behave. */
+/** The simulated behavior of a job's tasks. */
 export interface JobBehavior {
   readonly image: ImageId;
+  /** The time to fetch the image on a machine that has not fetched the image before. */
   readonly fetchMs: number;
-  /** Null: runs until it is stopped. */
+  /** The run time of a task; null: a task runs until it is stopped. */
   readonly runMs: number | null;
-  /** Every attempt fails. */
+  /** Whether every attempt of every task fails. */
   readonly failsAlways: boolean;
 }
 
@@ -29,22 +30,23 @@
   readonly status: number;
   readonly token: FencingToken;
   readonly orders: readonly WorkerCommand[];
-  /** The controller to which the worker is redirected. */
+  /** The controller to which a 421 answer redirects the worker. */
   readonly foreman?: string;
 }
 
-/** What a worker needs of the site: the network, its jobs, and callbacks for its tasks. */
+/** The environment of a worker: the network to the controllers, the jobs of the site, and callbacks for task events. */
 export interface WorkerEnvironment {
   readonly nodes: readonly string[];
   behaviorOf(id: JobId): JobBehavior | undefined;
   onTaskStarted(worker: FakeWorker, task: TaskId, attemptNumber: AttemptNumber): void;
   onTaskEnded(worker: FakeWorker, task: TaskId, cause: string): void;
-  /** Sends a heartbeat; resolves to null for no answer. */
+  /** Sends a heartbeat to a controller; resolves to null if no answer arrives. */
   heartbeat(worker: FakeWorker, node: string, heartbeat: Heartbeat): Promise<HeartbeatAnswer | null>;
 }
 
+/** The HTTP status with which a controller redirects a heartbeat to another controller. */
 const MISDIRECTED_STATUS = 421;
-/** A redirected worker sends its next heartbeat within this time. */
+/** The maximum delay between a redirect and the next heartbeat, before rounding up to the worker's 250 ms tick. */
 const REDIRECT_DELAY_MS = 250;
 
 interface LocalAttempt {
@@ -53,7 +55,7 @@
   cause: string | null;
 }
 
-/** A worker that behaves as the published protocol says. */
+/** A worker agent that follows the published protocol, with faults that tests switch on. */
 export class FakeWorker {
   private incarnation = 1;
   private sequence = 0;
@@ -63,15 +65,18 @@
   private readonly attempts = new Map<TaskId, LocalAttempt>();
   private readonly fetchedImages = new Set<ImageId>();
   private isHeartbeatInFlight = false;
-  private hasChanges = false;
+  private hasUnreportedChanges = false;
   private lastHeartbeatAt = -Infinity;
-  /** Whether the machine hangs: it does nothing, and messages to it wait. */
+  /** Whether the machine hangs: the worker sends no heartbeats, and callbacks for the machine are deferred. */
   isHung = false;
-  /** Whether every task fails on this machine. */
+  /** Whether every task that runs on this machine fails. */
   failsTasks = false;
-  isGone = false;
+  /** Whether the machine was removed. */
+  isTerminated = false;
+  /** The interruption notice, in seconds, that the worker's heartbeats report; null: none. */
   interruptionNoticeS: number | null = null;
-  private readonly heldCallbacks: (() => void)[] = [];
+  /** Callbacks that run once the hanging machine resumes. */
+  private readonly deferredCallbacks: (() => void)[] = [];
 
   constructor(
     readonly machine: Machine,
@@ -84,24 +89,26 @@
     this.scheduleTick();
   }
 
-  /** Makes the machine hang. */
+  /** Makes the machine hang until `resume` is called. */
   hang(): void {
     this.isHung = true;
   }
 
-  /** Lets the machine resume: it checks its lease, then handles what has waited. */
+  /**
+   * Resumes a hanging machine: the worker first checks whether its lease has expired, then runs the deferred callbacks.
+   */
   resume(): void {
     this.isHung = false;
     this.checkLease();
-    for (const run of this.heldCallbacks.splice(0)) run();
+    for (const run of this.deferredCallbacks.splice(0)) run();
   }
 
   private scheduleTick(): void {
-    if (this.isGone) return;
+    if (this.isTerminated) return;
     this.clock.after(250, () => {
       if (!this.isHung) {
         this.checkLease();
-        const intervalMs = this.hasChanges ? 500 : this.heartbeatIntervalMs;
+        const intervalMs = this.hasUnreportedChanges ? 500 : this.heartbeatIntervalMs;
         if (!this.isHeartbeatInFlight && this.clock.now() - this.lastHeartbeatAt >= intervalMs)
           void this.heartbeat();
       }
@@ -110,13 +117,13 @@
   }
 
   private checkLease(): void {
-    if (this.isGone || this.clock.now() - this.leaseRenewedAt <= this.leaseMs) return;
+    if (this.isTerminated || this.clock.now() - this.leaseRenewedAt <= this.leaseMs) return;
     for (const [task, attempt] of this.attempts)
       if (attempt.state !== 'exited') this.environment.onTaskEnded(this, task, 'lease over');
     this.attempts.clear();
     this.incarnation++;
     this.leaseRenewedAt = this.clock.now();
-    this.hasChanges = true;
+    this.hasUnreportedChanges = true;
   }
 
   private snapshot(): Heartbeat {
@@ -143,14 +150,14 @@
 
   private async heartbeat(): Promise<void> {
     this.isHeartbeatInFlight = true;
-    this.hasChanges = false;
+    this.hasUnreportedChanges = false;
     const sentAt = this.clock.now();
     this.lastHeartbeatAt = sentAt;
     const { incarnation } = this;
     const node = this.environment.nodes[this.nodeIndex % this.environment.nodes.length] as string;
     const answer = await this.environment.heartbeat(this, node, this.snapshot());
     this.isHeartbeatInFlight = false;
-    if (this.isGone || this.isHung) return;
+    if (this.isTerminated || this.isHung) return;
     const redirectIndex =
       answer?.status === MISDIRECTED_STATUS ? this.environment.nodes.indexOf(answer.foreman ?? '') : -1;
     if (redirectIndex >= 0 && this.environment.nodes[redirectIndex] !== node) {
@@ -165,13 +172,16 @@
     }
     if (this.clock.now() - sentAt > 4000 || incarnation !== this.incarnation || answer.token < this.token)
       return;
-    if (answer.token > this.token) this.hasChanges = true;
+    if (answer.token > this.token) this.hasUnreportedChanges = true;
     this.token = answer.token;
     this.leaseRenewedAt = sentAt;
-    this.execute(answer.orders);
+    this.executeCommands(answer.orders);
   }
 
-  /** Handles POST /commands. A hanging machine handles it once it resumes. */
+  /**
+   * Handles POST /commands. Commands with an older fencing token or for another incarnation of the worker are not
+   * executed. Callers defer the call with `runWhenResponsive` while the machine hangs.
+   */
   command(
     token: FencingToken,
     incarnation: AgentIncarnation,
@@ -179,60 +189,63 @@
   ): { executed: boolean; heartbeat: Heartbeat } {
     if (token < this.token || incarnation !== this.incarnation)
       return { executed: false, heartbeat: this.snapshot() };
-    if (token > this.token) this.hasChanges = true;
+    if (token > this.token) this.hasUnreportedChanges = true;
     this.token = token;
-    this.execute(commands);
+    this.executeCommands(commands);
     return { executed: true, heartbeat: this.snapshot() };
   }
 
-  /** Runs the callback now, or once the hanging machine resumes. */
+  /**
+   * Runs the callback immediately; on a hanging machine, once the machine resumes. A removed machine that does not hang
+   * drops the callback.
+   */
   runWhenResponsive(run: () => void): void {
-    if (this.isHung) this.heldCallbacks.push(run);
-    else if (!this.isGone) run();
+    if (this.isHung) this.deferredCallbacks.push(run);
+    else if (!this.isTerminated) run();
   }
 
-  /** Returns the current heartbeat without using up a sequence number. */
+  /** Returns the current heartbeat with the next sequence number, which a later heartbeat uses again. */
   repeatedHeartbeat(): Heartbeat {
     const heartbeat = this.snapshot();
     this.sequence--;
     return heartbeat;
   }
 
-  /** Returns the current heartbeat under a new sequence number. */
+  /** Returns the current heartbeat with a new sequence number. */
   currentHeartbeat(): Heartbeat {
     return this.snapshot();
   }
 
-  private execute(commands: readonly WorkerCommand[]): void {
+  private executeCommands(commands: readonly WorkerCommand[]): void {
     for (const command of commands) {
       const attempt = this.attempts.get(command.task);
       if (command.kind === 'start') {
         if (attempt && attempt.attemptNumber === command.attemptNumber) continue;
         if (attempt && attempt.state !== 'exited') continue;
-        this.start(command.task, command.attemptNumber);
+        this.startAttempt(command.task, command.attemptNumber);
       } else if (command.kind === 'stop') {
         if (attempt && attempt.attemptNumber === command.attemptNumber && attempt.state !== 'exited')
-          this.exit(command.task, attempt, 'stopped');
+          this.exitAttempt(command.task, attempt, 'stopped');
       } else if (attempt && attempt.attemptNumber === command.attemptNumber && attempt.state === 'exited')
         this.attempts.delete(command.task);
     }
   }
 
-  private exit(task: TaskId, attempt: LocalAttempt, cause: string): void {
+  private exitAttempt(task: TaskId, attempt: LocalAttempt, cause: string): void {
     const previousState = attempt.state;
     attempt.state = 'exited';
     attempt.cause = cause;
-    this.hasChanges = true;
+    this.hasUnreportedChanges = true;
     if (previousState === 'running') this.environment.onTaskEnded(this, task, cause);
   }
 
-  private start(task: TaskId, attemptNumber: AttemptNumber): void {
+  private startAttempt(task: TaskId, attemptNumber: AttemptNumber): void {
     const job = this.environment.behaviorOf(parseTaskId(task)?.job as JobId);
     const attempt: LocalAttempt = { attemptNumber, state: 'fetching', cause: null };
     this.attempts.set(task, attempt);
-    this.hasChanges = true;
+    this.hasUnreportedChanges = true;
     if (!job) {
-      this.exit(task, attempt, 'no_such');
+      this.exitAttempt(task, attempt, 'no_such');
       return;
     }
     this.clock.after(this.fetchedImages.has(job.image) ? 1 : job.fetchMs, () =>
@@ -241,26 +254,26 @@
   }
 
   private startRunning(task: TaskId, attempt: LocalAttempt, job: JobBehavior): void {
-    if (this.isGone || attempt.state !== 'fetching' || this.attempts.get(task) !== attempt) return;
+    if (this.isTerminated || attempt.state !== 'fetching' || this.attempts.get(task) !== attempt) return;
     this.fetchedImages.add(job.image);
     attempt.state = 'running';
-    this.hasChanges = true;
+    this.hasUnreportedChanges = true;
     this.environment.onTaskStarted(this, task, attempt.attemptNumber);
     if (this.failsTasks || job.failsAlways) this.finishAfter(task, attempt, 800, 'error');
     else if (job.runMs !== null) this.finishAfter(task, attempt, job.runMs, 'done');
   }
 
-  private finishAfter(task: TaskId, attempt: LocalAttempt, ms: number, cause: string): void {
-    this.clock.after(ms, () => {
+  private finishAfter(task: TaskId, attempt: LocalAttempt, delayMs: number, cause: string): void {
+    this.clock.after(delayMs, () => {
       const finish = (): void => {
-        if (!this.isGone && attempt.state === 'running' && this.attempts.get(task) === attempt)
-          this.exit(task, attempt, cause);
+        if (!this.isTerminated && attempt.state === 'running' && this.attempts.get(task) === attempt)
+          this.exitAttempt(task, attempt, cause);
       };
       this.runWhenResponsive(finish);
     });
   }
 
-  /** Restarts the machine at once: a new incarnation without tasks. */
+  /** Restarts the machine without delay: the worker has a new incarnation, no tasks and no fetched images. */
   restart(): void {
     for (const [task, attempt] of this.attempts)
       if (attempt.state !== 'exited') this.environment.onTaskEnded(this, task, 'restarted');
@@ -268,12 +281,12 @@
     this.fetchedImages.clear();
     this.incarnation++;
     this.leaseRenewedAt = this.clock.now();
-    this.hasChanges = true;
+    this.hasUnreportedChanges = true;
   }
 
-  /** Removes the machine with all its tasks. */
+  /** Ends all running tasks and marks the machine as removed. */
   terminate(): void {
-    this.isGone = true;
+    this.isTerminated = true;
     for (const [task, attempt] of this.attempts)
       if (attempt.state === 'running') this.environment.onTaskEnded(this, task, 'machine gone');
     this.attempts.clear();
