--- a/test/simulation/faults.ts
+++ b/test/simulation/faults.ts
@@ -1,29 +1,33 @@
-/** The faults that scenarios inject. */
+/** Faults that random scenarios inject into a site. */
 import type { MachineId } from '../../src/model/ids.js';
 import type { ScenarioSite } from './scenario-site.js';
 
-/** The users of a scenario, as far as faults control them. */
+/** The operations and switches of a scenario's simulated users that faults control. */
 export interface ScenarioUsers {
-  /** Cancels up to `count` of the running jobs. */
-  cancelSome(count: number): void;
-  /** Whether jobs are cancelled at about the time of their end. */
-  cancelNearEnd: boolean;
-  /** Whether users repeat submissions, cancel ended jobs, and submit jobs that cannot run or lack a field. */
-  sendOddRequests: boolean;
+  /** Cancels up to `count` jobs that have running tasks. */
+  cancelRunningJobs(count: number): void;
+  /** Whether users cancel arrays at about the time at which the tasks end. */
+  cancelsJobsNearEnd: boolean;
+  /**
+   * Whether users repeat submissions, cancel jobs that are done, and submit jobs that fit no machine or lack a field.
+   */
+  sendsRepeatedAndInvalidRequests: boolean;
 }
 
-/** A fault that is injected, and ended after `durationS` seconds. */
+/** A fault that a scenario injects and ends after `durationS` seconds. */
 export interface Fault {
+  /** The description that is written to the trace. */
   readonly name: string;
   readonly durationS: number;
-  /** Injects the fault; the result ends it. */
+  /** Injects the fault; the returned function ends the fault. */
   inject(site: ScenarioSite, users: ScenarioUsers, random: () => number): () => void;
 }
 
+/** The default time between the crash of a leader and the restart of its process. */
 const RESTART_DELAY_S = 3;
 
-function randomMachines(site: ScenarioSite, fraction: number, random: () => number): MachineId[] {
-  return [...site.workers.keys()].filter(() => random() < fraction);
+function randomMachines(site: ScenarioSite, probability: number, random: () => number): MachineId[] {
+  return [...site.workers.keys()].filter(() => random() < probability);
 }
 
 function crashLeader(site: ScenarioSite, restartDelayS: number): void {
@@ -41,7 +45,10 @@
 
 const noop = (): void => {};
 
-/** Partitions a controller and some machines from everything else; the result ends the partition. */
+/**
+ * Partitions one controller and the machines for which `isInside` is true from the key-value store and from all other
+ * controllers and machines. The returned function ends the partition.
+ */
 export function isolateNode(
   site: ScenarioSite,
   node: string,
@@ -60,7 +67,9 @@
   };
 }
 
-/** The faults of the protocol, and those in which users have seen rules broken. */
+/**
+ * The faults that the protocol describes, and faults during which users observed violations of the protocol's rules.
+ */
 export const FAULTS: readonly Fault[] = [
   {
     name: 'leaders change, some within a fraction of a second',
@@ -169,8 +178,8 @@
     name: 'many jobs are cancelled at once',
     durationS: 20,
     inject(site, users) {
-      users.cancelSome(4);
-      site.clock.after(2000, () => users.cancelSome(2));
+      users.cancelRunningJobs(4);
+      site.clock.after(2000, () => users.cancelRunningJobs(2));
       return noop;
     },
   },
@@ -178,9 +187,9 @@
     name: 'jobs are cancelled as they end',
     durationS: 40,
     inject(_site, users) {
-      users.cancelNearEnd = true;
+      users.cancelsJobsNearEnd = true;
       return () => {
-        users.cancelNearEnd = false;
+        users.cancelsJobsNearEnd = false;
       };
     },
   },
@@ -188,9 +197,9 @@
     name: 'repeated and invalid requests',
     durationS: 40,
     inject(_site, users) {
-      users.sendOddRequests = true;
+      users.sendsRepeatedAndInvalidRequests = true;
       return () => {
-        users.sendOddRequests = false;
+        users.sendsRepeatedAndInvalidRequests = false;
       };
     },
   },
--- a/test/simulation/scenario-site.ts
+++ b/test/simulation/scenario-site.ts
@@ -1,34 +1,37 @@
-/** The interface of a site that scenarios run on: simulated on a virtual clock, or real processes on loopback. */
+/** The interface of a site on which scenarios run: simulated on a virtual clock, or real processes on loopback. */
 import type { MachineId } from '../../src/model/ids.js';
 import type { Clock } from '../../src/model/time.js';
 import type { JobRequest } from './site-setup.js';
 
-/** A worker, as far as faults act on it. */
-interface FaultyWorker {
+/** The operations of a worker that faults use. */
+interface FaultInjectableWorker {
   hang(): void;
   resume(): void;
 }
 
-/** The key-value store, as far as faults act on it. */
-interface FaultyStore {
+/** The switches of the fake key-value store that faults use. */
+interface FaultInjectableStore {
   isUnavailable: boolean;
   lateCommitRate: number;
   readonly refusedClients: Set<string>;
 }
 
-/** The checker's interface for violations that the scenario itself detects. */
+/** The part of `RuleChecker` that scenarios use to report the violations that they detect themselves. */
 interface ScenarioRules {
   readonly violations: readonly string[];
   recordViolation(text: string): void;
 }
 
-/** Controllers, machines and users; see `SimulatedSite`. Durations in `s` are seconds of the scenario's clock. */
+/**
+ * The controllers, machines and users of a site; `SimulatedSite` documents the members. Durations named `s` are in
+ * seconds of the scenario's clock.
+ */
 export interface ScenarioSite {
   readonly clock: Pick<Clock, 'now' | 'after'>;
   readonly nodes: readonly string[];
   readonly rules: ScenarioRules;
-  readonly store: FaultyStore;
-  readonly workers: ReadonlyMap<MachineId, FaultyWorker>;
+  readonly store: FaultInjectableStore;
+  readonly workers: ReadonlyMap<MachineId, FaultInjectableWorker>;
   readonly leader: string | undefined;
   readonly cutLinks: Set<string>;
   readonly isolatedNodes: Set<string>;
@@ -43,7 +46,7 @@
   crash(node: string): void;
   pause(node: string, s: number): void;
   isRunning(node: string): boolean;
-  worker(id: MachineId): FaultyWorker;
+  worker(id: MachineId): FaultInjectableWorker;
   holdCommands(node: string, machine: MachineId): void;
   releaseCommands(): void;
   killMachine(id: MachineId): void;
--- a/test/simulation/scenario.ts
+++ b/test/simulation/scenario.ts
@@ -1,4 +1,4 @@
-/** Random scenarios: users with jobs of every shape, overlapping faults, and checks of what must hold in the end. */
+/** Random scenarios: simulated users with jobs of all kinds, overlapping faults, and checks of the final state. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import type { ScenarioSite } from './scenario-site.js';
@@ -6,57 +6,73 @@
 import { randomPlacementRequest } from './placement-request.js';
 import type { Fault, ScenarioUsers } from './faults.js';
 
+/** A job from the view of the user who submitted the job. */
 interface UserJob {
   readonly request: JobRequest;
+  /** The last state that the user received; `new` until the job is accepted. */
   state: 'new' | 'accepted' | 'done' | 'cancelled';
+  /** Whether the user has sent a request to cancel the job. */
   isCancelling: boolean;
   readonly submittedAt: number;
-  /** When its user was told that it is done; null: not yet. */
+  /** The time at which the user received the state `done`; null before that. */
   doneAt: number | null;
 }
 
-/** Once the faults are over, a job may wait 90 s, and then it runs. */
-const MAX_AFTER_S = 170;
+/**
+ * The time within which every array must be done and every service must run, counted from the last submission after
+ * the faults or from the time at which all dependencies of the job are done. A job may wait 90 s before the tasks start;
+ * the rest is for the tasks to run.
+ */
+const MAX_COMPLETION_S = 170;
+/** The shortest interval between two random submissions, without placement jobs. */
 const MIN_ARRIVAL_MS = 1500;
+/** The maximum random time that is added to `MIN_ARRIVAL_MS` between two submissions. */
 const ARRIVAL_SPREAD_MS = 5000;
-/** How much more often jobs of all placement kinds are submitted. */
-const PLACEMENT_ARRIVAL_FACTOR = 3;
-/** More than any machine has. */
-const TOO_MANY_CPUS = 1000;
-/** Every fault begins this long after the one before. */
+/** The factor by which submissions are more frequent in scenarios with placement jobs than in other scenarios. */
+const PLACEMENT_ARRIVAL_RATE_RATIO = 3;
+/** The CPUs of a job that must be rejected: more CPUs than any machine type has. */
+const UNSCHEDULABLE_CPU_COUNT = 1000;
+/** The interval between the starts of successive faults. */
 const FAULT_STAGGER_MS = 1200;
-const INITIAL_SERVICES = 3;
+/** The number of services that are submitted before the first fault, apart from random submissions. */
+const INITIAL_SERVICE_COUNT = 3;
+/** The mean interval at which a user queries each accepted job; each interval varies by up to 10 %. */
 const QUERY_INTERVAL_MS = 5000;
-const RETRY_MS = 2000;
+/** The delay after which a user repeats a submission or cancellation that failed. */
+const RETRY_DELAY_MS = 2000;
 
 /** The options of a scenario. Durations are in seconds of the site's clock. */
 export interface ScenarioPlan {
-  /** Whether jobs have placement rules of all kinds, with up to `maxTasks` tasks. */
+  /** Whether the scenario submits random jobs with placement constraints of all kinds. */
   readonly hasPlacementJobs: boolean;
+  /** The maximum number of tasks of a job with placement constraints. */
   readonly maxTasks: number;
-  /** Time before the first fault. */
+  /** The time before the first fault. */
   readonly quietBeforeS: number;
-  /** The minimum time for which rules are checked after the faults. */
+  /** The minimum time for which rules are checked after the last fault. */
   readonly minAfterS: number;
 }
 
-/** Jobs of every shape, for sites with one machine type. */
+/**
+ * The default plan: jobs with at most one kind of placement constraint besides spot, for sites with one machine type.
+ */
 const DEFAULT_PLAN: ScenarioPlan = {
   hasPlacementJobs: false,
   maxTasks: 4,
   quietBeforeS: 30,
-  minAfterS: MAX_AFTER_S,
+  minAfterS: MAX_COMPLETION_S,
 };
-/** Jobs of every placement kind, for sites with several machine types and zones. */
+/** A plan whose jobs combine placement constraints of all kinds, for sites with several machine types and zones. */
 export const PLACEMENT_PLAN: ScenarioPlan = { ...DEFAULT_PLAN, hasPlacementJobs: true, maxTasks: 6 };
 
-/** One scenario on a site. All that is random is drawn from the seed. */
+/** A random scenario on a site. All random choices of the scenario are drawn from the seed. */
 export class Scenario<S extends ScenarioSite = ScenarioSite> implements ScenarioUsers {
-  cancelNearEnd = false;
-  sendOddRequests = false;
+  cancelsJobsNearEnd = false;
+  sendsRepeatedAndInvalidRequests = false;
   private readonly jobs: UserJob[] = [];
   private readonly random: () => number;
-  private isOver = false;
+  /** Whether the faults are over, so that no new jobs are submitted. */
+  private hasStoppedArrivals = false;
 
   constructor(
     seed: number,
@@ -67,47 +83,49 @@
     this.random = () => uniformFloat64(generator);
   }
 
-  /** Runs the scenario to its end. Violations are recorded in the site's rules. */
+  /** Runs the scenario with `faults` to the end. Violations are recorded in `site.rules`. */
   async run(faults: readonly Fault[]): Promise<void> {
     const { site } = this;
     site.startAll();
     await site.run(1);
-    for (let index = 0; index < INITIAL_SERVICES; index++) {
+    for (let index = 0; index < INITIAL_SERVICE_COUNT; index++) {
       this.submit({ kind: 'service', tasks: 1 + (index % 2), team: 'blue' });
     }
     this.scheduleArrivals();
     await site.run(this.plan.quietBeforeS);
-    const ends: number[] = [];
+    const faultEndsS: number[] = [];
     for (const [index, fault] of faults.entries()) {
-      // Faults overlap: each begins while the one before lasts.
+      // Faults overlap: each fault starts before the preceding fault ends.
       site.clock.after(index * FAULT_STAGGER_MS, () => {
         site.trace(`fault      ${fault.name}`);
-        const end = fault.inject(site, this, this.random);
+        const endFault = fault.inject(site, this, this.random);
         site.clock.after(fault.durationS * 1000, () => {
           site.trace(`over       ${fault.name}`);
-          end();
+          endFault();
         });
       });
-      ends.push((index * FAULT_STAGGER_MS) / 1000 + fault.durationS);
+      faultEndsS.push((index * FAULT_STAGGER_MS) / 1000 + fault.durationS);
     }
-    await site.run(Math.max(5, ...ends) + 1);
-    // Controllers that are still down are restarted.
+    await site.run(Math.max(5, ...faultEndsS) + 1);
+    // Restarts the controllers that are still down after the last fault.
     for (const name of site.nodes) if (!site.isRunning(name)) site.start(name);
     await site.run(15);
-    this.isOver = true;
-    const overAt = site.clock.now();
+    this.hasStoppedArrivals = true;
+    const faultsOverAt = site.clock.now();
     await site.run(this.plan.minAfterS);
-    const inTime = (): boolean => site.clock.now() - overAt < MAX_AFTER_S * 1000 || this.mayStillBeServed();
-    while (this.unservedJobs().length > 0 && inTime()) await site.run(QUERY_INTERVAL_MS / 1000);
-    for (const text of this.unservedJobs()) site.rules.recordViolation(text);
+    const hasTimeLeft = (): boolean =>
+      site.clock.now() - faultsOverAt < MAX_COMPLETION_S * 1000 || this.mayStillComplete();
+    while (this.describeIncompleteJobs().length > 0 && hasTimeLeft())
+      await site.run(QUERY_INTERVAL_MS / 1000);
+    for (const text of this.describeIncompleteJobs()) site.rules.recordViolation(text);
     await site.finish();
   }
 
   private scheduleArrivals(): void {
-    if (this.isOver) return;
-    const rate = this.plan.hasPlacementJobs ? PLACEMENT_ARRIVAL_FACTOR : 1;
+    if (this.hasStoppedArrivals) return;
+    const rate = this.plan.hasPlacementJobs ? PLACEMENT_ARRIVAL_RATE_RATIO : 1;
     this.site.clock.after((MIN_ARRIVAL_MS + ARRIVAL_SPREAD_MS * this.random()) / rate, () => {
-      if (this.isOver) return;
+      if (this.hasStoppedArrivals) return;
       this.submit(
         this.plan.hasPlacementJobs
           ? randomPlacementRequest(this.random, this.plan.maxTasks)
@@ -129,12 +147,12 @@
       apart: shape === 2,
       ...(shape === 3 ? { zone: 'north' } : {}),
       ...(shape === 4 ? { kind: 'service' as const, tasks: 1, spot: false } : {}),
-      ...(shape !== 4 && this.random() < 0.35 ? { awaits: this.someAcceptedArrays() } : {}),
+      ...(shape !== 4 && this.random() < 0.35 ? { awaits: this.randomAcceptedArrays() } : {}),
     };
   }
 
-  /** Returns some of the latest arrays that were accepted, whatever their state is. */
-  private someAcceptedArrays(): string[] {
+  /** Returns a random subset of the four latest accepted arrays, in any state. */
+  private randomAcceptedArrays(): string[] {
     const recent = this.jobs.filter((job) => job.state !== 'new' && job.request.kind !== 'service').slice(-4);
     return recent.filter(() => this.random() < 0.5).map((job) => job.request.ref);
   }
@@ -163,12 +181,12 @@
     if (status === 200 || status === 201) {
       job.state = 'accepted';
       this.scheduleQueries(job);
-      // Some services are cancelled later.
+      // A user cancels a service with a probability of 40 %, 10 to 70 s after the service was accepted.
       if (job.request.kind === 'service' && this.random() < 0.4) {
         this.site.clock.after(10_000 + 60_000 * this.random(), () => void this.cancel(job));
       }
     } else if (this.site.clock.now() - job.submittedAt < 60_000) {
-      this.site.clock.after(RETRY_MS, () => void this.submitUntilAccepted(job));
+      this.site.clock.after(RETRY_DELAY_MS, () => void this.submitUntilAccepted(job));
     }
   }
 
@@ -182,13 +200,13 @@
       this.scheduleQueries(job);
       const ageMs = this.site.clock.now() - job.submittedAt;
       const runMs = (job.request.runS ?? 0) * 1000;
-      if (this.cancelNearEnd && job.request.kind !== 'service' && ageMs > runMs && this.random() < 0.4)
+      if (this.cancelsJobsNearEnd && job.request.kind !== 'service' && ageMs > runMs && this.random() < 0.4)
         void this.cancel(job);
-      if (this.sendOddRequests) this.makeOddRequests(job);
+      if (this.sendsRepeatedAndInvalidRequests) this.sendRepeatedAndInvalidRequests(job);
     });
   }
 
-  private makeOddRequests(job: UserJob): void {
+  private sendRepeatedAndInvalidRequests(job: UserJob): void {
     void this.site.submitConcurrently(job.request, this.randomRunningNode());
     const ended = this.jobs.find((job) => job.state === 'done');
     if (ended) {
@@ -196,7 +214,7 @@
       void this.site.submitConcurrently(ended.request, this.randomRunningNode());
     }
     void this.site.expectRejected(
-      { ...job.request, ref: `j-8${job.request.ref.slice(2)}`, cpus: TOO_MANY_CPUS },
+      { ...job.request, ref: `j-8${job.request.ref.slice(2)}`, cpus: UNSCHEDULABLE_CPU_COUNT },
       this.randomRunningNode(),
     );
     void this.site.expectRejected(
@@ -211,11 +229,11 @@
     job.isCancelling = true;
     const state = await this.site.cancelConcurrently(job.request.ref, this.randomRunningNode());
     if (state === 'cancelled' || state === 'done') job.state = state;
-    else this.site.clock.after(RETRY_MS, () => void this.cancel(job));
+    else this.site.clock.after(RETRY_DELAY_MS, () => void this.cancel(job));
   }
 
-  /** Cancels up to `count` of the running jobs, the latest ones. */
-  cancelSome(count: number): void {
+  /** Cancels the latest `count` of the jobs that have running tasks and are not being cancelled. */
+  cancelRunningJobs(count: number): void {
     const { site } = this;
     const running = this.jobs.filter(
       (job) => job.state === 'accepted' && !job.isCancelling && site.runningTaskCount(job.request.ref) > 0,
@@ -223,7 +241,9 @@
     for (const job of running.slice(-count)) void this.cancel(job);
   }
 
-  /** Returns when all dependencies of the job were done; null: one is not. */
+  /**
+   * Returns the time at which the job was submitted and all dependencies were done; null if a dependency is not done.
+   */
   private readyAt({ submittedAt, request }: UserJob): number | null {
     let ready = submittedAt;
     for (const ref of request.awaits ?? []) {
@@ -235,41 +255,49 @@
   }
 
   /**
-   * The last jobs of a chain of dependencies may become ready long after the faults: each has the same time from then
-   * on, and none may exceed it.
+   * Returns whether all incomplete arrays are within `MAX_COMPLETION_S` of the time at which they became ready, and at
+   * least one array is ready. The last jobs of a chain of dependencies may become ready long after the faults, and each
+   * array has the same time to complete from then on.
    */
-  private mayStillBeServed(): boolean {
+  private mayStillComplete(): boolean {
     const now = this.site.clock.now();
-    const waiting = this.jobs.filter(
+    const incompleteArrays = this.jobs.filter(
       ({ state, request }) => state === 'accepted' && request.kind !== 'service',
     );
-    const limits = waiting.map((job) => (this.readyAt(job) ?? Infinity) + MAX_AFTER_S * 1000);
-    return limits.length > 0 && limits.every((limit) => now < limit) && limits.some(Number.isFinite);
+    const deadlines = incompleteArrays.map(
+      (job) => (this.readyAt(job) ?? Infinity) + MAX_COMPLETION_S * 1000,
+    );
+    return (
+      deadlines.length > 0 && deadlines.every((deadline) => now < deadline) && deadlines.some(Number.isFinite)
+    );
   }
 
-  /** Describes the jobs that are not served: long after the faults arrays must be done, and services must run. */
-  private unservedJobs(): string[] {
+  /**
+   * Returns descriptions of all jobs in a wrong final state: accepted arrays must be done, all replicas of accepted
+   * services must run, and no task of a cancelled job may run.
+   */
+  private describeIncompleteJobs(): string[] {
     const { site } = this;
-    const texts: string[] = [];
+    const violations: string[] = [];
     for (const { request, state } of this.jobs) {
       if (state === 'new' || state === 'done') continue;
       const running = site.runningTaskCount(request.ref);
       const tasks = request.tasks ?? 1;
-      if (state === 'cancelled' && running > 0) texts.push(`ran_cancelled: ${request.ref} at the end`);
+      if (state === 'cancelled' && running > 0) violations.push(`ran_cancelled: ${request.ref} at the end`);
       if (state === 'accepted' && request.kind !== 'service')
-        texts.push(`waits: ${request.ref} is not done, ${running} of ${tasks} run`);
+        violations.push(`waits: ${request.ref} is not done, ${running} of ${tasks} run`);
       if (state === 'accepted' && request.kind === 'service' && running < tasks)
-        texts.push(`waits: ${request.ref}, ${running} of ${tasks} replicas run`);
+        violations.push(`waits: ${request.ref}, ${running} of ${tasks} replicas run`);
     }
-    return texts;
+    return violations;
   }
 
-  /** The number of jobs that were accepted. */
+  /** The number of accepted jobs, including jobs that have ended. */
   get acceptedCount(): number {
     return this.jobs.filter((job) => job.state !== 'new').length;
   }
 
-  /** The number of jobs that were submitted. */
+  /** The number of submitted jobs, accepted or not. */
   get submittedCount(): number {
     return this.jobs.length;
   }
--- a/test/simulation/simulated-controllers.ts
+++ b/test/simulation/simulated-controllers.ts
@@ -1,4 +1,4 @@
-/** The controllers of a simulated site. */
+/** The controllers of a simulated site, and the simulated network between them. */
 import { PeerSupport } from '@plumyoke/membership';
 import { SimulatedNetwork } from '@plumyoke/simulation';
 import { UserService } from '../../src/api/user-service.js';
@@ -24,11 +24,12 @@
 import { SimulatedMachines } from './simulated-machines.js';
 import { type HeartbeatAnswer, type FakeWorker } from './fake-worker.js';
 
-/** The latency of one direction between two controllers. */
+/** The one-way latency between two controllers. */
 const PEER_LATENCY_MS = 3;
 
+/** The components of a controller whose simulated process runs. */
 interface RunningController {
-  /** Null: the site runs without failure detection. */
+  /** The failure detection among controllers; null if the controller was started without failure detection. */
   readonly failover: Failover | null;
   readonly clock: ProcessClock;
   readonly leadership: Leadership;
@@ -36,29 +37,33 @@
   readonly cancellations: ConfirmedCancellations;
 }
 
-/** Controllers that can be started, killed, paused and partitioned. */
+/** The controllers of a site, which tests can start, kill, pause and partition. */
 export class SimulatedControllers extends SimulatedMachines {
+  /** The running controllers, by node name. */
   protected readonly running = new Map<string, RunningController>();
-  /** The fraction of heartbeats of which a duplicate arrives 2 to 40 s later, at the leader of that time. */
+  /** The fraction of heartbeats of which a duplicate arrives 2 to 40 s later, at the node that leads at that time. */
   duplicateHeartbeatRate = 0;
-  /** Nodes that cannot reach other controllers. */
+  /** Nodes that cannot exchange messages with other nodes. */
   readonly isolatedNodes = new Set<string>();
-  /** Whether nodes that start from now on do not know the machine types. */
+  /** Whether nodes that start from now on begin without machine types. */
   machineTypesUnknown = false;
-  /** Nodes of a version that does not exchange cancellations with its peers. */
+  /** Nodes that run an earlier version, which does not exchange cancellations with its peers. */
   readonly earlierVersionNodes = new Set<string>();
-  /** The protocol version of all other nodes. */
+  /** The protocol version of all nodes that are not in `earlierVersionNodes`. */
   version = PROTOCOL_VERSION;
-  /** Failure detection for nodes that start from now on; null: none. */
+  /** The failure detection settings of nodes that start from now on; null: no failure detection. */
   failover: FailoverFeature | null = null;
   readonly peerNetwork: SimulatedNetwork;
-  /** The share of processor time that each node reports. */
+  /** The fraction of processor time that every node reports as used. */
   load = 0;
 
-  /** Called for every line that a controller logs as an error or as information. */
+  /** Called for every line that a controller logs at the levels `error` and `info`. */
   onLogLine: (level: 'error' | 'info', text: string, fields: object) => void = () => {};
 
-  /** A withheld command is recorded as a violation: without that check the controller would have broken a rule. */
+  /**
+   * The controllers' log. A withheld start is recorded as a violation: only the last check before the start was sent
+   * prevented a violation of a placement rule.
+   */
   private readonly log: Logger = {
     ...silentLogger,
     error: (fields, text) => {
@@ -73,7 +78,7 @@
     this.peerNetwork = new SimulatedNetwork(this.clock, this.random);
   }
 
-  /** Starts a node. */
+  /** Starts the controller process of a node with empty memory. */
   start(name: string): void {
     const clock = new ProcessClock(this.clock);
     const settings = this.failover ? this.settingsWithPeers(name) : siteSettings(name, this.size);
@@ -100,12 +105,12 @@
       cancellations,
       allPeersSupport: (version) =>
         version <= this.version && !this.nodes.some((other) => this.earlierVersionNodes.has(other)),
-      peers: this.peersOf(name, clock),
+      peers: this.createPeerStatusSource(name, clock),
       prefetchedRecords: (prefix) =>
         this.running.get(name)?.failover?.takePrefetchedRecords(prefix) ?? Promise.resolve(null),
     };
     const leadership = new Leadership(context, () => Promise.resolve());
-    const failover = this.failoverOf(name, context, leadership, clock);
+    const failover = this.createFailover(name, context, leadership, clock);
     this.running.set(name, {
       failover,
       clock,
@@ -121,7 +126,7 @@
       leadership.leader?.onCancellationsConfirmed(ids);
       const confirmed = cancellations.list(ids);
       for (const other of this.nodes) {
-        if (other === name || !this.canReach(name, other)) continue;
+        if (other === name || !this.canExchangePeerMessages(name, other)) continue;
         this.clock.after(PEER_LATENCY_MS, () => {
           const receiver = this.running.get(other);
           receiver?.clock.whenRunning(() => receiver.cancellations.learn(confirmed));
@@ -139,7 +144,7 @@
     return { ...siteSettings(name, this.size), peers };
   }
 
-  protected failoverOf(
+  protected createFailover(
     name: string,
     context: ControllerContext,
     leadership: Leadership,
@@ -172,7 +177,7 @@
     return failover;
   }
 
-  /** Shuts a node down gracefully: it hands over and announces its departure, then its process ends. */
+  /** Shuts a node down gracefully: the controller hands over and announces its departure, then its process ends. */
   leave(name: string): void {
     this.trace(`${name}     leaves`);
     void this.running
@@ -181,23 +186,26 @@
       .then(() => this.crash(name));
   }
 
-  /** Returns the members as a node shows them to operators. */
+  /** Returns the list of members as a node shows the list to operators; empty without failure detection. */
   members(name: string): MemberLine[] {
     return this.running.get(name)?.failover?.memberLines() ?? [];
   }
 
-  /** Returns whether cancellations pass between two controllers: both support them and neither is isolated. */
-  protected canReach(first: string, second: string): boolean {
+  /**
+   * Returns whether two controllers exchange cancellations and status: both run a version that supports this, and
+   * neither is isolated.
+   */
+  protected canExchangePeerMessages(first: string, second: string): boolean {
     return ![first, second].some(
       (name) => this.isolatedNodes.has(name) || this.earlierVersionNodes.has(name) || !this.running.has(name),
     );
   }
 
-  protected peersOf(name: string, clock: ProcessClock): PeerStatusSource {
+  protected createPeerStatusSource(name: string, clock: ProcessClock): PeerStatusSource {
     const requestStatus = (other: string, deadlineMs: number): Promise<PeerStatus | null> =>
       new Promise((resolve) => {
         clock.after(deadlineMs, () => resolve(null));
-        if (!this.canReach(name, other)) return;
+        if (!this.canExchangePeerMessages(name, other)) return;
         this.clock.after(PEER_LATENCY_MS, () => {
           const receiver = this.running.get(other);
           receiver?.clock.whenRunning(() => {
@@ -218,22 +226,22 @@
     };
   }
 
-  /** Starts all nodes. */
+  /** Starts the controllers of all nodes. */
   startAll(): void {
     for (const name of this.nodes) this.start(name);
   }
 
-  /** Kills a node. */
+  /** Kills the controller process of a node; without effect if none runs. */
   crash(name: string): void {
-    const node = this.running.get(name);
-    if (!node) return;
-    node.clock.isAlive = false;
+    const controller = this.running.get(name);
+    if (!controller) return;
+    controller.clock.isAlive = false;
     this.running.delete(name);
     this.peerNetwork.detach(name);
     this.trace(`${name}     crashes`);
   }
 
-  /** Pauses a process while its clock continues; it resumes after `seconds`. */
+  /** Pauses the controller process of a node for `seconds`, while the process's clock continues. */
   pause(name: string, seconds: number): void {
     const clock = this.running.get(name)?.clock;
     if (!clock) return;
@@ -245,11 +253,15 @@
     });
   }
 
+  /** The node that leads with the highest epoch, isolated nodes excluded; undefined if none leads. */
   get leader(): string | undefined {
     return this.leaderSeenFrom(null);
   }
 
-  /** Returns the leader with the highest epoch that a node can know of; `node` null: of all. */
+  /**
+   * Returns the leader with the highest epoch among `node` and the nodes that `node` can exchange messages with; with
+   * `node` null, among all nodes that are not isolated.
+   */
   protected leaderSeenFrom(node: string | null): string | undefined {
     const epoch = (name: string): number => this.running.get(name)?.leadership.leader?.epoch ?? 0;
     return this.nodes
@@ -265,7 +277,7 @@
     return this.running.get(node)?.leadership.leader != null;
   }
 
-  /** The number of machines in the leader's fleet. */
+  /** The number of machines in the leader's fleet; 0 without a leader. */
   get fleetSize(): number {
     const summary = this.running.get(this.leader ?? '')?.leadership.leader?.summary() as
       { workers: number } | undefined;
@@ -276,7 +288,7 @@
     return this.running.has(node);
   }
 
-  /** Delivers a copy of a machine's current heartbeat after a delay, to the leader of that time. */
+  /** Delivers a duplicate of a machine's current heartbeat after a delay, to the node that leads at that time. */
   duplicateHeartbeatLater(id: MachineId, delayS: number): void {
     const heartbeat = this.worker(id).repeatedHeartbeat();
     this.clock.after(delayS * 1000, () => {
@@ -309,19 +321,19 @@
       const clock = this.running.get(node)?.clock;
       this.clock.after(3, () =>
         clock?.whenRunning(() => {
-          // A follower forwards the heartbeat to the leader.
-          const own = this.running.get(node)?.leadership;
-          const leaderName = own?.leader ? node : this.leaderSeenFrom(node);
+          // A follower forwards the heartbeat to the leader that the follower can reach.
+          const receivingLeadership = this.running.get(node)?.leadership;
+          const leaderName = receivingLeadership?.leader ? node : this.leaderSeenFrom(node);
           const leader = this.running.get(leaderName ?? '');
-          const canAnswer = !this.inboundPartitioned.has(worker.machine.id);
+          const canReceiveAnswer = !this.inboundPartitioned.has(worker.machine.id);
           if (!leader) {
-            if (!canAnswer) return;
+            if (!canReceiveAnswer) return;
             resolve({ status: 503, token: 0 as HeartbeatAnswer['token'], orders: [] });
             return;
           }
           const handle = async (): Promise<void> => {
             const answer = await leader.leadership.handleHeartbeat(heartbeat, node as MemberId);
-            if (!canAnswer) return;
+            if (!canReceiveAnswer) return;
             this.clock.after(2, () =>
               resolve(
                 answer?.kind === 'commands'
--- a/test/simulation/simulated-machines.ts
+++ b/test/simulation/simulated-machines.ts
@@ -1,4 +1,4 @@
-/** The machines of a simulated site, and the network between them and the controllers. */
+/** The machines of a simulated site, and the simulated network between machines and controllers. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import type { WorkerClient } from '../../src/peer/worker-client.js';
@@ -20,7 +20,7 @@
 import { FakeKeyValueStore } from './fake-key-value-store.js';
 import { type HeartbeatAnswer, type JobBehavior, FakeWorker, type WorkerEnvironment } from './fake-worker.js';
 
-/** Key-value store, cloud, workers and rule checker on one virtual clock. */
+/** The fake key-value store, cloud and workers of a site and the rule checker, all on one virtual clock. */
 export abstract class SimulatedMachines implements WorkerEnvironment {
   readonly clock = new VirtualClock();
   readonly store = new FakeKeyValueStore(this.clock);
@@ -29,21 +29,22 @@
   readonly workers = new Map<MachineId, FakeWorker>();
   readonly rules = new RuleChecker((text) => this.trace(`BROKEN     ${text}`));
   protected readonly jobs = new Map<JobId, JobBehavior>();
-  protected readonly lines: string[] = [];
+  protected readonly traceLines: string[] = [];
   protected readonly random: () => number;
-  /** Pairs `node machine` between which no message passes. */
+  /** The links, as `node machine`, on which no message is delivered in either direction. */
   readonly cutLinks = new Set<string>();
-  /** Pairs `node machine` whose direct commands are held until released. */
+  /** The links, as `node machine`, on which direct calls to workers are delayed until `releaseCommands`. */
   readonly heldLinks = new Set<string>();
-  /** Machines that receive nothing: their heartbeats arrive, but no answer and no command reaches them. */
+  /** Machines with an inbound partition: their heartbeats arrive, but no answer and no command reaches them. */
   readonly inboundPartitioned = new Set<MachineId>();
-  /** Machines whose heartbeats reach no controller, while direct commands reach them. */
+  /** Machines with an outbound partition: their heartbeats reach no controller, but direct commands reach them. */
   readonly outboundPartitioned = new Set<MachineId>();
+  /** The delay after which every command is delivered a second time; null: commands are delivered once. */
   protected commandRepeatDelayS: number | null = null;
-  protected readonly heldCommands: { pair: string; run: () => void }[] = [];
-  /** The maximum of concurrent direct calls to workers so far. */
+  protected readonly heldCommands: { link: string; run: () => void }[] = [];
+  /** The highest number of concurrent direct calls to workers so far. */
   maxConcurrentCalls = 0;
-  protected openCalls = 0;
+  protected openCallCount = 0;
 
   constructor(protected readonly size = SMALL_SITE) {
     this.nodes = Array.from({ length: size.nodes }, (_, index) => `node-${index}`);
@@ -59,20 +60,20 @@
     );
   }
 
-  /** Delivers a worker's heartbeat to a node. */
+  /** Sends a worker's heartbeat to a node; resolves to null if no answer arrives. */
   abstract heartbeat(worker: FakeWorker, node: string, heartbeat: Heartbeat): Promise<HeartbeatAnswer | null>;
 
-  /** Adds a line to the trace, with the time. */
+  /** Appends a line with the virtual time in seconds to the trace. */
   trace(text: string): void {
-    this.lines.push(`${(this.clock.now() / 1000).toFixed(2).padStart(7)}  ${text}`);
+    this.traceLines.push(`${(this.clock.now() / 1000).toFixed(2).padStart(7)}  ${text}`);
   }
 
-  /** The trace as text. */
+  /** The whole trace as text, with a final newline. */
   get traceText(): string {
-    return `${this.lines.join('\n')}\n`;
+    return `${this.traceLines.join('\n')}\n`;
   }
 
-  /** Advances the time. */
+  /** Advances the virtual time by `seconds`. */
   async run(seconds: number): Promise<void> {
     await this.clock.advance(seconds * 1000);
   }
@@ -85,19 +86,19 @@
     ): Promise<T> =>
       new Promise((resolve, reject) => {
         const machine = workerAddress.slice(0, workerAddress.indexOf(':')) as MachineId;
-        const pair = `${node} ${machine}`;
+        const link = `${node} ${machine}`;
         const worker = this.workers.get(machine);
-        this.maxConcurrentCalls = Math.max(this.maxConcurrentCalls, ++this.openCalls);
+        this.maxConcurrentCalls = Math.max(this.maxConcurrentCalls, ++this.openCallCount);
         let isOpen = true;
         const close = (): void => {
-          if (isOpen) this.openCalls--;
+          if (isOpen) this.openCallCount--;
           isOpen = false;
         };
         clock.after(deadlineMs, () => {
           close();
-          reject(new NoAnswerError('deadline passed'));
+          reject(new NoAnswerError('worker did not answer before the deadline'));
         });
-        if (!worker || this.cutLinks.has(pair) || this.inboundPartitioned.has(machine)) return;
+        if (!worker || this.cutLinks.has(link) || this.inboundPartitioned.has(machine)) return;
         const deliver = (): void =>
           worker.runWhenResponsive(() => {
             const answer = operation(worker);
@@ -106,7 +107,7 @@
               resolve(answer);
             });
           });
-        if (this.heldLinks.has(pair)) this.heldCommands.push({ pair, run: deliver });
+        if (this.heldLinks.has(link)) this.heldCommands.push({ link, run: deliver });
         else this.clock.after(2, deliver);
       });
     return {
@@ -122,20 +123,20 @@
     };
   }
 
-  /** Holds the direct commands of a node to a machine until they are released. */
+  /** Delays the direct calls of a node to a machine until `releaseCommands`. */
   holdCommands(node: string, machine: MachineId): void {
     this.heldLinks.add(`${node} ${machine}`);
     this.trace(`network    holds orders from ${node} to ${machine}`);
   }
 
-  /** Delivers all held commands, in order. */
+  /** Ends the delay on all links, and delivers the delayed calls in the order in which they were sent. */
   releaseCommands(): void {
     this.trace(`network    delivers ${this.heldCommands.length} held`);
     this.heldLinks.clear();
     for (const { run } of this.heldCommands.splice(0)) run();
   }
 
-  /** Delivers every later command to a worker a second time after a delay. */
+  /** Makes the network deliver every later command to a worker a second time, after a delay. */
   repeatCommands(delayS: number): void {
     this.commandRepeatDelayS = delayS;
     this.trace(`network    delivers commands once more, ${delayS} s later`);
@@ -166,24 +167,24 @@
     this.workers.delete(id);
   }
 
-  /** Removes a machine without an interruption notice. */
+  /** Removes a machine from the cloud without an interruption notice, and ends its tasks. */
   killMachine(id: MachineId): void {
     this.trace(`${id} dies`);
     this.onMachineGone(id);
     this.cloud.machines.delete(id);
   }
 
-  /** Returns the machine on which a task runs; throws if it runs on none. */
+  /** Returns the machine on which a task runs; throws if the task does not run. */
   machineOf(task: string): MachineId {
     const machine = this.rules.machineOf(task as TaskId);
-    if (!machine) throw new Error(`${task} is on no machine`);
+    if (!machine) throw new Error(`task ${task} does not run on any machine`);
     return machine;
   }
 
-  /** Returns the worker of a machine; throws if it is not up. */
+  /** Returns the worker of a machine; throws if the machine has not booted or was removed. */
   worker(id: MachineId): FakeWorker {
     const worker = this.workers.get(id);
-    if (!worker) throw new Error(`${id} is not up`);
+    if (!worker) throw new Error(`machine ${id} has not booted or was removed`);
     return worker;
   }
 
--- a/test/simulation/simulated-site.ts
+++ b/test/simulation/simulated-site.ts
@@ -1,4 +1,4 @@
-/** A whole simulated site: controllers, machines, and users. */
+/** A complete simulated site: controllers, machines and users. */
 import { type UserService } from '../../src/api/user-service.js';
 import type {
   MachineId,
@@ -18,11 +18,12 @@
 import { CANCEL_S, type JobRequest, siteSettings, submissionBody } from './site-setup.js';
 import { SimulatedControllers } from './simulated-controllers.js';
 
-/** A site on a virtual clock: controllers, key-value store, cloud, workers, users, rule checker. */
+/** A site on a virtual clock, with controllers, key-value store, cloud, workers, users and rule checker. */
 export class SimulatedSite extends SimulatedControllers {
   /**
-   * Restores the records of another run, with the machines and the running tasks that they describe. `token`: the
-   * highest that the workers have seen. The leader's key is not among the records: its lease has expired.
+   * Restores the store records of another run, and starts the machines and the running tasks that the records describe.
+   * `token` is the highest fencing token that the workers have received. The records do not contain the leader's
+   * key, because the lease of that key has expired.
    */
   restore(records: readonly KeyValue[], requests: readonly JobRequest[], token: FencingToken): void {
     this.store.restore(records);
@@ -33,7 +34,7 @@
     for (const { key, value } of records) {
       const { s: state } = value as { s?: string };
       if (key.startsWith('job/') && state !== 'a')
-        this.rules.recordEarlierEnd(key.slice(4) as JobId, state === 'd');
+        this.rules.recordRestoredOutcome(key.slice(4) as JobId, state === 'd');
     }
     for (const { key, value } of records) {
       if (!key.startsWith('fleet/')) continue;
@@ -45,7 +46,7 @@
       if (job === undefined) continue;
       for (const [index, attemptNumber, host] of (value as { p?: [number, AttemptNumber, MachineId][] }).p ??
         []) {
-        // A record that a later one contradicts may name a machine that is gone.
+        // A progress record that a later record contradicts may name a machine that was removed.
         if (!this.workers.has(host)) continue;
         this.worker(host).command(token, 1 as AgentIncarnation, [
           { kind: 'start', task: `${job}/${index}` as TaskId, attemptNumber },
@@ -54,14 +55,17 @@
     }
   }
 
-  /** Submits a job and advances the time until the answer arrives; resolves to its status. */
+  /** Submits a job and advances the time until the answer arrives; resolves to the status of the answer. */
   async submit(request: JobRequest, node = 'node-0'): Promise<number> {
     const body = this.registerJob(request, node);
     const answer = await this.request(node, `submits ${request.ref}`, (users) => users.submit(body));
     return this.recordSubmitStatus(request, answer.status);
   }
 
-  /** Submits as one of many concurrent users: does not advance the time. */
+  /**
+   * Submits a job without advancing the time, so that requests can be concurrent; resolves to the status, 503 for no
+   * answer.
+   */
   async submitConcurrently(request: JobRequest, node: string): Promise<number> {
     const body = this.registerJob(request, node);
     const answer = await this.running
@@ -71,7 +75,11 @@
     return this.recordSubmitStatus(request, answer?.status ?? 503);
   }
 
-  /** Submits a job that must not be accepted: one that fits no machine, or missingField a field. */
+  /**
+   * Submits a job that must be rejected, and records any status other than the expected one or 503 as a violation. The
+   * body lacks `missingField`, and 400 is expected; without `missingField` the job must fit no machine, and 422 is
+   * expected.
+   */
   async expectRejected(request: JobRequest, node: string, missingField?: string): Promise<void> {
     const body: Record<string, unknown> = { ...submissionBody(request) };
     if (missingField !== undefined) delete body[missingField];
@@ -90,17 +98,23 @@
     return status;
   }
 
-  /** Queries a job as one of many concurrent users; resolves to null for no answer. Does not advance the time. */
+  /**
+   * Queries a job without advancing the time; resolves to the state or `404`, and to null for any other status or no
+   * answer.
+   */
   async queryConcurrently(ref: string, node: string): Promise<string | null> {
     const answer = await this.running
       .get(node)
       ?.users.query(ref)
       .catch(() => null);
     if (!answer || (answer.status !== 200 && answer.status !== 404)) return null;
-    return this.recordState(ref, answer);
+    return this.recordReportedState(ref, answer);
   }
 
-  /** Cancels a job as one of many concurrent users; resolves to null for no answer. Does not advance the time. */
+  /**
+   * Cancels a job without advancing the time; resolves to the state, and to null for a status other than 200 or no
+   * answer.
+   */
   async cancelConcurrently(ref: string, node: string): Promise<string | null> {
     this.rules.recordCancelRequest(ref);
     const answer = await this.running
@@ -111,24 +125,25 @@
     return this.recordCancelState(ref, answer);
   }
 
-  protected recordState(ref: string, answer: { status: number; body: object }): string {
+  protected recordReportedState(ref: string, answer: { status: number; body: object }): string {
     const state = answer.status === 404 ? '404' : (answer.body as { status: string }).status;
     this.rules.recordReportedState(ref as JobId, state, this.clock.now());
     return state;
   }
 
   protected recordCancelState(ref: string, answer: { status: number; body: object }): string {
-    const state = this.recordState(ref, answer);
+    const state = this.recordReportedState(ref, answer);
     if (state === 'cancelled')
       this.rules.recordCancellation(ref as JobId, this.clock.now() + CANCEL_S * 1000);
     return state;
   }
 
+  /** The number of jobs whose acceptance a user received. */
   get acceptedCount(): number {
     return [...this.rules.acceptedJobs()].length;
   }
 
-  /** Returns the body of a submission, and registers the job with the workers and the checker. */
+  /** Registers a job with the workers and the rule checker, and returns the body of the submission. */
   protected registerJob(request: JobRequest, node: string): Parameters<RuleChecker['recordSubmission']>[1] {
     const body = submissionBody(request);
     const id = request.ref as JobId;
@@ -145,27 +160,32 @@
     return body;
   }
 
-  /** Queries a job and advances the time until the answer arrives; resolves to the state or the status. */
+  /**
+   * Queries a job and advances the time until the answer arrives; resolves to the state, or to the status if not 200.
+   */
   async query(ref: string, node = 'node-0'): Promise<string> {
     const answer = await this.request(node, `asks for ${ref}`, (users) => users.query(ref));
-    if (answer.status === 200 || answer.status === 404) return this.recordState(ref, answer);
+    if (answer.status === 200 || answer.status === 404) return this.recordReportedState(ref, answer);
     return String(answer.status);
   }
 
-  /** Cancels a job and advances the time until the answer arrives; resolves to the state or the status. */
+  /**
+   * Cancels a job and advances the time until the answer arrives; resolves to the state, or to the status if not 200.
+   */
   async cancel(ref: string, node = 'node-0'): Promise<string> {
     this.rules.recordCancelRequest(ref);
     const answer = await this.request(node, `cancels ${ref}`, (users) => users.cancel(ref));
     return answer.status === 200 ? this.recordCancelState(ref, answer) : String(answer.status);
   }
 
+  /** Runs a user's request on a node, advances the time until the answer arrives, and adds the answer to the trace. */
   protected async request(
     node: string,
     description: string,
     operation: (users: UserService) => Promise<{ status: number; body: object }>,
   ): Promise<{ status: number; body: object }> {
     const users = this.running.get(node)?.users;
-    if (!users) throw new Error(`${node} is down`);
+    if (!users) throw new Error(`controller ${node} is not running`);
     let answer: { status: number; body: object } | null = null;
     void operation(users).then(
       (result) => {
@@ -182,14 +202,15 @@
     return received;
   }
 
-  /** Counts the running tasks of a job, as the checker has recorded them. */
+  /** Returns the number of a job's running tasks that the rule checker has recorded. */
   runningTaskCount(ref: string): number {
     return this.rules.countRunning((task) => parseTaskId(task)?.job === ref);
   }
 
   /**
-   * Checks the final state: a cancelled job that still has running tasks is a violation, and so is an accepted job that
-   * no node knows.
+   * Checks the final state: records a violation for every cancelled job with tasks that run after the deadline, for
+   * every accepted job that no node answers for or that a node answers 404 for, and for every state that contradicts
+   * an earlier answer.
    */
   async finish(): Promise<void> {
     this.rules.checkCancelled(this.clock.now());
