--- a/test/traces/failover.test.ts
+++ b/test/traces/failover.test.ts
@@ -6,8 +6,8 @@
 import { CANCEL_S } from '../simulation/site-setup.js';
 import { FAULTS } from '../simulation/faults.js';
 
-/** Whole sites with failure detection between their controllers, and leaders replaced before their grants end. */
-const FEATURE: FailoverFeature = {
+/** Failover settings with which controllers probe each other and replace a failed leader before its lease expires. */
+const FAILOVER: FailoverFeature = {
   earlyTakeover: true,
   probeInterval: seconds(0.5),
   probeTimeout: seconds(0.3),
@@ -15,11 +15,13 @@
   pauseThreshold: seconds(0.4),
   maxMessagesPerSecond: 100,
 };
-/** A grant's life: without failure detection nobody replaces a leader sooner. */
-const LEASE_S = 2.5;
-const STEP_S = 0.05;
+/** The time to live of a leader's lease. Without failure detection a leader is replaced only after its lease has expired. */
+const LEADER_LEASE_S = 2.5;
+/** The interval at which a test checks whether another node leads. */
+const CHECK_INTERVAL_S = 0.05;
 
-async function site(feature: FailoverFeature | null = FEATURE): Promise<SimulatedSite> {
+/** Returns a site with a leader and three arrays of three tasks each, which were submitted 40 s before. */
+async function siteWithJobs(feature: FailoverFeature | null = FAILOVER): Promise<SimulatedSite> {
   const started = new SimulatedSite();
   started.failover = feature;
   started.startAll();
@@ -32,16 +34,21 @@
   return started;
 }
 
-/** Seconds until another node leads. */
-async function replacedAfter(site: SimulatedSite, former: string, withinS = 20): Promise<number> {
-  for (let seconds = 0; seconds < withinS; seconds += STEP_S) {
-    await site.run(STEP_S);
-    if (site.nodes.some((name) => name !== former && site.isLeading(name))) return seconds;
+/** Returns the number of seconds until a node other than `formerLeader` leads, or `Infinity` if none does within `withinS`. */
+async function secondsUntilReplaced(
+  site: SimulatedSite,
+  formerLeader: string,
+  withinS = 20,
+): Promise<number> {
+  for (let seconds = 0; seconds < withinS; seconds += CHECK_INTERVAL_S) {
+    await site.run(CHECK_INTERVAL_S);
+    if (site.nodes.some((name) => name !== formerLeader && site.isLeading(name))) return seconds;
   }
   return Infinity;
 }
 
-async function finishes(site: SimulatedSite): Promise<void> {
+/** Runs the site for two minutes and expects that all jobs are done and no rule was violated. */
+async function expectJobsDone(site: SimulatedSite): Promise<void> {
   await site.run(120);
   expect(site.rules.violations).toEqual([]);
   expect(site.store.rejectedTransactions).toEqual([]);
@@ -50,107 +57,110 @@
   }
 }
 
-describe('a leader that is found failed by a majority', () => {
-  it('is replaced before its grant has ended, and its work goes on', async () => {
-    const running = await site();
-    const former = running.leader as string;
-    running.crash(former);
-    expect(await replacedAfter(running, former)).toBeLessThan(LEASE_S);
-    await finishes(running);
+describe('a leader that a majority of the controllers considers failed', () => {
+  it('is replaced before its lease expires, and its jobs continue', async () => {
+    const site = await siteWithJobs();
+    const formerLeader = site.leader as string;
+    site.crash(formerLeader);
+    expect(await secondsUntilReplaced(site, formerLeader)).toBeLessThan(LEADER_LEASE_S);
+    await expectJobsDone(site);
   });
 
-  it('is replaced when its grant has ended where early takeover is off', async () => {
-    const running = await site({ ...FEATURE, earlyTakeover: false });
-    const former = running.leader as string;
-    running.crash(former);
-    const replacedS = await replacedAfter(running, former);
-    expect(replacedS).toBeGreaterThan(LEASE_S * 0.7);
-    expect(replacedS).toBeLessThan(LEASE_S + 1);
-    await finishes(running);
+  it('is replaced only after its lease expires if early takeover is disabled', async () => {
+    const site = await siteWithJobs({ ...FAILOVER, earlyTakeover: false });
+    const formerLeader = site.leader as string;
+    site.crash(formerLeader);
+    const replacedS = await secondsUntilReplaced(site, formerLeader);
+    expect(replacedS).toBeGreaterThan(LEADER_LEASE_S * 0.7);
+    expect(replacedS).toBeLessThan(LEADER_LEASE_S + 1);
+    await expectJobsDone(site);
   });
 
-  // Its peers take it for dead; it lives, answers workers, rents and deletes machines. It must not be deposed.
-  it('keeps leading where only its peers are cut off and it reaches the state service', async () => {
-    const running = await site();
-    const leader = running.leader as string;
-    running.isolatedNodes.add(leader);
-    expect(await replacedAfter(running, leader, 30)).toBe(Infinity);
-    running.isolatedNodes.clear();
-    await running.run(5);
-    for (const name of running.nodes) {
-      expect(running.members(name).map(({ state }) => state)).toEqual(['alive', 'alive', 'alive']);
+  // A leader that only its peers cannot reach still answers workers and rents and deletes machines. Its peers consider it
+  // dead, but must not replace it.
+  it('keeps leading while it is isolated from its peers but reaches the key-value store', async () => {
+    const site = await siteWithJobs();
+    const leader = site.leader as string;
+    site.isolatedNodes.add(leader);
+    expect(await secondsUntilReplaced(site, leader, 30)).toBe(Infinity);
+    site.isolatedNodes.clear();
+    await site.run(5);
+    for (const name of site.nodes) {
+      expect(site.members(name).map(({ state }) => state)).toEqual(['alive', 'alive', 'alive']);
     }
-    await finishes(running);
+    await expectJobsDone(site);
   });
 
-  // By its own clock its grant still lives when it wakes: only the pause itself tells it to ask first.
-  it('ends as soon as it wakes, before it rents, deletes or starts anything', async () => {
-    const quick = {
-      ...FEATURE,
+  // When the paused leader resumes, its lease is still valid by its own clock. The detected pause makes the
+  // leader renew the lease before it acts as leader again.
+  it('resigns as soon as it resumes from a pause, before it rents, deletes or starts anything', async () => {
+    const quickDetection = {
+      ...FAILOVER,
       probeInterval: seconds(0.2),
       probeTimeout: seconds(0.1),
       suspicionTimeout: seconds(0.4),
       pauseThreshold: seconds(0.2),
     };
-    const running = await site(quick);
-    const former = running.leader as string;
-    const stillS = 1.7;
-    running.pause(former, stillS);
-    const replacedS = await replacedAfter(running, former, stillS - STEP_S);
-    expect(replacedS).toBeLessThan(stillS);
-    const lines = running.traceText.split('\n').length;
-    await running.run(stillS - replacedS + 0.2);
-    expect(running.isLeading(former)).toBe(false);
-    const acts = running.traceText
+    const site = await siteWithJobs(quickDetection);
+    const formerLeader = site.leader as string;
+    const pauseS = 1.7;
+    site.pause(formerLeader, pauseS);
+    const replacedS = await secondsUntilReplaced(site, formerLeader, pauseS - CHECK_INTERVAL_S);
+    expect(replacedS).toBeLessThan(pauseS);
+    const lineCount = site.traceText.split('\n').length;
+    await site.run(pauseS - replacedS + 0.2);
+    expect(site.isLeading(formerLeader)).toBe(false);
+    const actions = site.traceText
       .split('\n')
-      .slice(lines - 1)
-      .filter((line) => line.includes(former));
-    expect(acts.map((line) => line.trim().replace(/^\S+\s+\S+\s+/, ''))).toEqual(['goes on']);
-    await finishes(running);
+      .slice(lineCount - 1)
+      .filter((line) => line.includes(formerLeader));
+    expect(actions.map((line) => line.trim().replace(/^\S+\s+\S+\s+/, ''))).toEqual(['goes on']);
+    await expectJobsDone(site);
   });
 
-  it('hands over at once when it leaves, and nobody suspects it', async () => {
-    const running = await site();
-    const former = running.leader as string;
-    running.leave(former);
-    expect(await replacedAfter(running, former)).toBeLessThan(0.5);
-    await running.run(2);
-    const other = running.nodes.find((name) => name !== former) as string;
-    const states = running.members(other).map(({ member, state }) => [member, state]);
-    expect(Object.fromEntries(states)).toMatchObject({ [former]: 'left' });
-    await finishes(running);
+  it('hands over within half a second when it leaves the cluster, and no peer suspects it', async () => {
+    const site = await siteWithJobs();
+    const formerLeader = site.leader as string;
+    site.leave(formerLeader);
+    expect(await secondsUntilReplaced(site, formerLeader)).toBeLessThan(0.5);
+    await site.run(2);
+    const otherNode = site.nodes.find((name) => name !== formerLeader) as string;
+    const states = site.members(otherNode).map(({ member, state }) => [member, state]);
+    expect(Object.fromEntries(states)).toMatchObject({ [formerLeader]: 'left' });
+    await expectJobsDone(site);
   });
 
   it('is not replaced early while a controller runs an earlier version', async () => {
-    const running = await site();
-    const former = running.leader as string;
-    const other = running.nodes.find((name) => name !== former) as string;
-    running.earlierVersionNodes.add(other);
-    running.crash(former);
-    expect(await replacedAfter(running, former)).toBeGreaterThan(LEASE_S * 0.7);
-    await running.run(30);
-    expect(running.rules.violations).toEqual([]);
+    const site = await siteWithJobs();
+    const formerLeader = site.leader as string;
+    const otherNode = site.nodes.find((name) => name !== formerLeader) as string;
+    site.earlierVersionNodes.add(otherNode);
+    site.crash(formerLeader);
+    expect(await secondsUntilReplaced(site, formerLeader)).toBeGreaterThan(LEADER_LEASE_S * 0.7);
+    await site.run(30);
+    expect(site.rules.violations).toEqual([]);
   });
 });
 
-describe('a leader that was replaced while it lives, and still answers workers', () => {
-  // It may be sure of its grant for 2.5 s after the takeover and answers for some time more: the successor must reckon
-  // with leases that it renewed until then, and a cancellation through the successor must hold all the same.
-  it('renews no lease beyond what its successor reckons with', async () => {
-    const running = await site();
-    await running.submit({ ref: 'j-000009', kind: 'service', tasks: 2 });
-    await running.run(30);
-    const former = running.leader as string;
-    running.isolatedNodes.add(former);
-    running.store.refusedClients.add(former);
-    expect(await replacedAfter(running, former)).toBeLessThan(LEASE_S);
-    await running.run(3);
-    await running.cancel('j-000009');
-    await running.run(CANCEL_S + 10);
-    expect(running.rules.violations).toEqual([]);
-    running.isolatedNodes.clear();
-    running.store.refusedClients.clear();
-    await finishes(running);
+describe('a leader that was replaced while it is alive and still answers workers', () => {
+  // A replaced leader may consider its lease valid for 2.5 s after the takeover, and answers heartbeats for some time
+  // after that. The successor must assume that worker leases were renewed until then, and a cancellation that the successor
+  // confirms must still take effect within its limit.
+  it('renews no worker lease beyond the time that its successor assumes', async () => {
+    const site = await siteWithJobs();
+    await site.submit({ ref: 'j-000009', kind: 'service', tasks: 2 });
+    await site.run(30);
+    const formerLeader = site.leader as string;
+    site.isolatedNodes.add(formerLeader);
+    site.store.refusedClients.add(formerLeader);
+    expect(await secondsUntilReplaced(site, formerLeader)).toBeLessThan(LEADER_LEASE_S);
+    await site.run(3);
+    await site.cancel('j-000009');
+    await site.run(CANCEL_S + 10);
+    expect(site.rules.violations).toEqual([]);
+    site.isolatedNodes.clear();
+    site.store.refusedClients.clear();
+    await expectJobsDone(site);
   });
 });
 
@@ -158,11 +168,11 @@
   it.each(FAULTS.map((fault, index) => [fault.name, fault, index] as const))(
     '%s',
     async (_, fault, index) => {
-      const other = FAULTS[(index + 5) % FAULTS.length] as (typeof FAULTS)[number];
+      const otherFault = FAULTS[(index + 5) % FAULTS.length] as (typeof FAULTS)[number];
       const scenario = new Scenario(900 + index, new SimulatedSite());
-      scenario.site.failover = FEATURE;
-      await scenario.run([fault, other]);
-      expect(scenario.site.rules.violations, `${fault.name}; ${other.name}`).toEqual([]);
+      scenario.site.failover = FAILOVER;
+      await scenario.run([fault, otherFault]);
+      expect(scenario.site.rules.violations, `${fault.name}; ${otherFault.name}`).toEqual([]);
       expect(scenario.site.store.rejectedTransactions).toEqual([]);
       expect(scenario.acceptedCount).toBeGreaterThan(scenario.submittedCount / 2);
     },
--- a/test/traces/fault-combinations.test.ts
+++ b/test/traces/fault-combinations.test.ts
@@ -4,8 +4,9 @@
 import { type Fault, FAULTS } from '../simulation/faults.js';
 
 /**
- * Every combination of two faults (docs/safety.md has the table). The rule checker verifies the protocol's rules from
- * what the fakes observe, and that afterwards every accepted job is done, runs, or is cancelled without tasks.
+ * Runs a scenario with the given faults (docs/safety.md has the table of all combinations of two). The rule checker
+ * verifies the protocol's rules from what the fakes observe, and that every accepted job finally is done, is running, or is
+ * cancelled without running tasks.
  */
 async function runScenario(faults: readonly Fault[], seed: number): Promise<void> {
   const scenario = new Scenario(seed, new SimulatedSite());
@@ -24,22 +25,25 @@
   });
 });
 
-/** To look for more: `MEETING_SEEDS=10 npx vitest run test/traces/fault-combinations.test.ts` runs that many more scenarios of each. */
-const MORE = Number(process.env['MEETING_SEEDS'] ?? 0);
+/**
+ * The number of additional scenarios for each ordered pair of faults. A longer search sets the environment variable, as in
+ * `MEETING_SEEDS=10 npx vitest run test/traces/fault-combinations.test.ts`.
+ */
+const EXTRA_SCENARIO_COUNT = Number(process.env['MEETING_SEEDS'] ?? 0);
 
 describe('two faults at once', () => {
   for (const [firstIndex, first] of FAULTS.entries()) {
-    it(`${first.name}, and every other fault`, async () => {
+    it(`${first.name}, with every other fault`, async () => {
       for (const [secondIndex, second] of FAULTS.entries()) {
-        // Which of the two comes first is drawn by the pair, so that both orders occur.
+        // The parity of the sum of both indexes selects the fault that comes first, so that both orders occur.
         if (secondIndex < firstIndex)
           await runScenario(
             (firstIndex + secondIndex) % 2 === 0 ? [first, second] : [second, first],
             100 * firstIndex + secondIndex,
           );
         if (secondIndex !== firstIndex)
-          for (let more = 1; more <= MORE; more++)
-            await runScenario([first, second], 10_000 * more + 100 * firstIndex + secondIndex);
+          for (let extraScenario = 1; extraScenario <= EXTRA_SCENARIO_COUNT; extraScenario++)
+            await runScenario([first, second], 10_000 * extraScenario + 100 * firstIndex + secondIndex);
       }
     }, 600_000);
   }
--- a/test/traces/gap-cut-leader.test.ts
+++ b/test/traces/gap-cut-leader.test.ts
@@ -1,13 +1,12 @@
 /**
- * What happens: a machine hangs with a task whose cancellation was confirmed, and keeps it beyond the cancellation's limit;
- * if it goes on, so does the task (`ran_cancelled`).
+ * Guards against a hung machine that keeps a task beyond the time limit of the task's confirmed cancellation, so that the
+ * task continues when the machine resumes. The rule checker reported `ran_cancelled: j-000002 is still on a machine` 41 s
+ * after the confirmation, and no machine was deleted during the store outage.
  *
- * Why: the leader is cut off from the store and from the other controllers, so that nobody tells it of the cancellation; the
- * controller that confirmed it knows no placements; and while the store is out nobody can be elected who would. A worker
- * that runs ends its tasks when its lease expires. One that hangs doesn't, and nobody who may delete it knows that it should.
- *
- * What showed it: `ran_cancelled: j-000002 is still on a machine` 41 s after the confirmation; in the trace no machine is
- * deleted between "state is out" and then.
+ * The leader is isolated from the store and from the other controllers, so the leader does not learn of the cancellation.
+ * The controller that confirmed the cancellation knows no placements, and no other leader can be elected during the outage.
+ * A responsive worker ends its tasks when its lease expires, but a hung worker does not, and no controller that may delete
+ * the machine knows of the cancellation.
  */
 import { describe, expect, it } from 'vitest';
 import { CANCEL_S } from '../simulation/site-setup.js';
@@ -22,24 +21,24 @@
       site,
       () => site.runningTaskCount('j-000001') === 1 && site.runningTaskCount('j-000002') === 3,
     );
-    const old = site.leader as string;
-    const other = site.nodes.find((node) => node !== old) as string;
-    const machine = site.machineOf('j-000002/0');
-    site.isolatedNodes.add(old);
-    site.store.refusedClients.add(old);
-    site.worker(machine).hang();
+    const oldLeader = site.leader as string;
+    const otherNode = site.nodes.find((node) => node !== oldLeader) as string;
+    const hungMachine = site.machineOf('j-000002/0');
+    site.isolatedNodes.add(oldLeader);
+    site.store.refusedClients.add(oldLeader);
+    site.worker(hungMachine).hang();
     await site.run(1);
-    expect(await site.cancel('j-000002', other)).toBe('cancelled');
+    expect(await site.cancel('j-000002', otherNode)).toBe('cancelled');
     site.store.isUnavailable = true;
     site.trace('state      is out');
     await site.run(CANCEL_S + 1);
     site.rules.checkCancelled(site.clock.now());
     expect(site.rules.violations).toEqual([]);
-    // Everything is back: what is not cancelled is served.
+    // After the store and the network have recovered, the job that was not cancelled keeps running.
     site.store.isUnavailable = false;
     site.store.refusedClients.clear();
     site.isolatedNodes.clear();
-    site.workers.get(machine)?.resume();
+    site.workers.get(hungMachine)?.resume();
     await site.run(60);
     expect(site.runningTaskCount('j-000001')).toBe(1);
     await site.finish();
