--- a/test/traces/placement-guard.test.ts
+++ b/test/traces/placement-guard.test.ts
@@ -1,64 +1,71 @@
 import { beforeEach, describe, expect, it, vi } from 'vitest';
-import type * as views from '../../src/leader/placement-views.js';
-import type * as rule from '../../src/scheduler/placement-rule.js';
+import type * as placementViews from '../../src/leader/placement-views.js';
+import type * as placementRule from '../../src/scheduler/placement-rule.js';
 import { Scenario, PLACEMENT_PLAN } from '../simulation/scenario.js';
 import { MIXED_SITE } from '../simulation/site-setup.js';
 import { SimulatedSite } from '../simulation/simulated-site.js';
 
-type Views = typeof views;
-type Rule = typeof rule;
+type PlacementViews = typeof placementViews;
+type PlacementRule = typeof placementRule;
 
-/** Each part of the rule, and a description that lacks it. */
-const PARTS = {
-  type: (spec: rule.PlacementSpec) => ({ ...spec, allowedTypes: null }),
-  zone: (spec: rule.PlacementSpec) => ({ ...spec, zone: null }),
-  spot: (spec: rule.PlacementSpec) => ({ ...spec, allowsSpot: true }),
-  zoneAffinity: (spec: rule.PlacementSpec) => ({ ...spec, zoneAffinity: false }),
-  zoneAntiAffinity: (spec: rule.PlacementSpec) => ({ ...spec, zoneAntiAffinity: false }),
+/** For each placement constraint, a function that removes the constraint from a placement specification. */
+const CONSTRAINT_REMOVERS = {
+  type: (spec: placementRule.PlacementSpec) => ({ ...spec, allowedTypes: null }),
+  zone: (spec: placementRule.PlacementSpec) => ({ ...spec, zone: null }),
+  spot: (spec: placementRule.PlacementSpec) => ({ ...spec, allowsSpot: true }),
+  zoneAffinity: (spec: placementRule.PlacementSpec) => ({ ...spec, zoneAffinity: false }),
+  zoneAntiAffinity: (spec: placementRule.PlacementSpec) => ({ ...spec, zoneAntiAffinity: false }),
 };
-type Part = keyof typeof PARTS;
+type Constraint = keyof typeof CONSTRAINT_REMOVERS;
 
-const fault = vi.hoisted(() => ({ part: null as string | null, guarded: true }));
+const fault = vi.hoisted(() => ({ constraint: null as string | null, guarded: true }));
 
-/** A scheduler that leaves one part of the rule out where it chooses machines. */
+/** Makes the scheduler ignore one placement constraint when it selects machines. */
 vi.mock('../../src/leader/placement-views.js', async (importOriginal) => {
-  const original = await importOriginal<Views>();
-  const jobView: Views['jobView'] = (...given) => {
-    const view = original.jobView(...given);
-    if (fault.part === null) return view;
-    return { ...view, spec: { ...view.spec, ...PARTS[fault.part as Part](view.spec) } };
+  const original = await importOriginal<PlacementViews>();
+  const jobView: PlacementViews['jobView'] = (...args) => {
+    const view = original.jobView(...args);
+    if (fault.constraint === null) return view;
+    return {
+      ...view,
+      spec: { ...view.spec, ...CONSTRAINT_REMOVERS[fault.constraint as Constraint](view.spec) },
+    };
   };
   return { ...original, jobView };
 });
 
-/** The check of orders that leave asks for the whole rule at once: it can be left out alone. */
+/** Makes it possible to disable only the check of all placement constraints before a start command is sent. */
 vi.mock('../../src/scheduler/placement-rule.js', async (importOriginal) => {
-  const original = await importOriginal<Rule>();
-  const placementRefusal: Rule['placementRefusal'] = (...given) =>
-    fault.guarded ? original.placementRefusal(...given) : null;
+  const original = await importOriginal<PlacementRule>();
+  const placementRefusal: PlacementRule['placementRefusal'] = (...args) =>
+    fault.guarded ? original.placementRefusal(...args) : null;
   return { ...original, placementRefusal };
 });
 
-async function brokenOn(part: Part, guarded: boolean): Promise<readonly string[]> {
-  Object.assign(fault, { part, guarded });
+/** Runs a scenario with a scheduler that ignores one constraint, and returns the violations of the rules. */
+async function violationsWithout(constraint: Constraint, guarded: boolean): Promise<readonly string[]> {
+  Object.assign(fault, { constraint, guarded });
   const scenario = new Scenario(5, new SimulatedSite(MIXED_SITE), PLACEMENT_PLAN);
   scenario.site.cloud.bootMs = 1200;
   await scenario.run([]);
   return scenario.site.rules.violations;
 }
 
-beforeEach(() => Object.assign(fault, { part: null, guarded: true }));
+beforeEach(() => Object.assign(fault, { constraint: null, guarded: true }));
 
-describe.each(Object.keys(PARTS) as Part[])('a scheduler that forgets the part "%s"', (part) => {
-  it('is detected by the rule checker', async () => {
-    const broken = await brokenOn(part, false);
-    expect(broken.some((text) => text.startsWith('wrong_place'))).toBe(true);
-  });
+describe.each(Object.keys(CONSTRAINT_REMOVERS) as Constraint[])(
+  'a scheduler that ignores the placement constraint "%s"',
+  (constraint) => {
+    it('is detected by the rule checker', async () => {
+      const violations = await violationsWithout(constraint, false);
+      expect(violations.some((text) => text.startsWith('wrong_place'))).toBe(true);
+    });
 
-  it('starts nothing where it is forbidden: the commands are withheld, and no other rule is violated', async () => {
-    const broken = await brokenOn(part, true);
-    expect(broken.some((text) => text.startsWith('withheld'))).toBe(true);
-    // Jobs that it never places anywhere else wait; none is forgotten, stopped or run twice.
-    expect(broken.filter((text) => !/^(withheld|waits)/.test(text))).toEqual([]);
-  });
-});
+    it('starts no task on a forbidden machine: the start commands are withheld, and no other rule is violated', async () => {
+      const violations = await violationsWithout(constraint, true);
+      expect(violations.some((text) => text.startsWith('withheld'))).toBe(true);
+      // Jobs for which the scheduler selects no allowed machine wait; no job is lost, stopped or run twice.
+      expect(violations.filter((text) => !/^(withheld|waits)/.test(text))).toEqual([]);
+    });
+  },
+);
--- a/test/traces/placement-scenarios.test.ts
+++ b/test/traces/placement-scenarios.test.ts
@@ -5,16 +5,25 @@
 import { type Fault, FAULTS } from '../simulation/faults.js';
 
 const [LEADER_CHANGE] = FAULTS;
-/** To look for more: `PLACEMENT_SEEDS=10 npx vitest run test/traces/placement-scenarios.test.ts`. */
-const SEEDS = Number(process.env['PLACEMENT_SEEDS'] ?? 1);
-const QUICK_BOOT_MS = 1200;
-/** Above the time that three takeovers take: only reports and records tell of a new machine. */
+/**
+ * The number of scenarios for each fault. A longer search sets the environment variable, as in
+ * `PLACEMENT_SEEDS=10 npx vitest run test/traces/placement-scenarios.test.ts`.
+ */
+const SEED_COUNT = Number(process.env['PLACEMENT_SEEDS'] ?? 1);
+/** The boot time of new machines. */
+const BOOT_MS = 1200;
+/**
+ * The age from which a new machine appears in the cloud’s list. The lag exceeds the duration of three takeovers, so that a
+ * leader learns of a new machine only from heartbeats and records.
+ */
 const LIST_LAG_MS = 16_000;
 
-/** Jobs of all placement kinds, new machines up within a second, leaders that change, and another fault. */
+/**
+ * Runs a scenario with jobs of all placement constraints, machines that boot in 1.2 s, changes of leader and another fault.
+ */
 async function runScenario(fault: Fault, seed: number): Promise<void> {
   const scenario = new Scenario(seed, new SimulatedSite(MIXED_SITE), PLACEMENT_PLAN);
-  scenario.site.cloud.bootMs = QUICK_BOOT_MS;
+  scenario.site.cloud.bootMs = BOOT_MS;
   scenario.site.cloud.listLagMs = LIST_LAG_MS;
   await scenario.run([fault, LEADER_CHANGE as Fault]);
   if (scenario.site.rules.violations.length > 0 && process.env['SHOW_DAY'])
@@ -23,9 +32,9 @@
   expect(scenario.acceptedCount).toBeGreaterThan(scenario.submittedCount / 2);
 }
 
-// Guards against issue 30: tasks where their placement rules forbid it, after changes of leader.
-describe('jobs of all placement kinds while leaders change', () => {
+// Guards against issue 30: after a change of leader, tasks were started on machines that their constraints forbid.
+describe('jobs of all placement constraints while leaders change', () => {
   it.each(FAULTS.map((fault) => [fault.name, fault] as const))('and: %s', async (_name, fault) => {
-    for (let seed = 1; seed <= SEEDS; seed++) await runScenario(fault, seed);
+    for (let seed = 1; seed <= SEED_COUNT; seed++) await runScenario(fault, seed);
   });
 });
