--- a/test/traces/overflow-records.test.ts
+++ b/test/traces/overflow-records.test.ts
@@ -1,7 +1,8 @@
 /**
- * Guards against overflow records of an accepted job that mix the parts of two different splits. Such a job never started,
- * and after the next takeover no controller could lead: the restore failed every 200 ms with "Unterminated string in JSON at
- * position 1152". The job's record counted 3 parts of 2,032 characters, but the store held 3 parts of 1,008 characters.
+ * Guards against overflow records of an accepted job that mix the parts of two different splits. Such a job never
+ * started, and after the next takeover no controller could lead: the restore failed every 200 ms with "Unterminated
+ * string in JSON at position 1152". The job's record counted 3 parts of 2,032 characters, but the store held 3
+ * parts of 1,008 characters.
  *
  * The mix arises if two controllers with different limits, as during a change of settings, accept the same submission
  * concurrently. Both write `desc/<job>/0000` and the following keys, split at different lengths; nothing tied the job's
