--- a/test/traces/upgrade.test.ts
+++ b/test/traces/upgrade.test.ts
@@ -28,20 +28,21 @@
 import type { JobRequest } from '../simulation/site-setup.js';
 import { startedSite, runUntil } from './steps.js';
 
-/** Made by the production version itself, on its own fakes (docs/upgrade.md says how). */
+/** Records and frames that the production version wrote on its own fakes (docs/upgrade.md describes how). */
 const production = JSON.parse(
   readFileSync(new URL('../fixtures/production.json', import.meta.url), 'utf8'),
 ) as {
   records: { key: string; value: unknown; stamp: Revision }[];
   frames: Record<'ping' | 'progress' | 'user' | 'call', string>;
 };
-const records: KeyValue[] = production.records.map(({ key, value, stamp }) => ({
+const productionRecords: KeyValue[] = production.records.map(({ key, value, stamp }) => ({
   key,
   value,
   revision: stamp,
 }));
 
-const WISHES: JobRequest[] = [
+/** The jobs in the records of the production version. */
+const PRODUCTION_JOBS: JobRequest[] = [
   { ref: 'j-000001', tasks: 310, runS: 60 },
   { ref: 'j-000002', kind: 'service', tasks: 2, team: 'blue' },
   { ref: 'j-000003', runS: 2, team: 'blue' },
@@ -49,8 +50,11 @@
   { ref: 'j-000005', tasks: 3, runS: 30, team: 'blue', apart: true },
 ];
 
-/** A site that the production version has left in the middle of its work. */
-function left(old: boolean, next?: object): SimulatedSite {
+/**
+ * Returns a site with the records, machines and running tasks of the production version. If `hasOldControllers` is
+ * true, all controllers but the first run an earlier version; `next` contains the announced store limits.
+ */
+function productionSite(hasOldControllers: boolean, next?: object): SimulatedSite {
   const site = new SimulatedSite({
     limit: { red: 700, blue: 60 },
     reportS: 3,
@@ -58,46 +62,47 @@
     ...(next ? { next } : {}),
   });
   site.restore(
-    records.filter((record) => record.key !== 'leader'),
-    WISHES,
+    productionRecords.filter((record) => record.key !== 'leader'),
+    PRODUCTION_JOBS,
     fencingTokenOf(1 as Epoch, 0 as FenceGeneration),
   );
-  if (old) for (const name of site.nodes.slice(1)) site.earlierVersionNodes.add(name);
+  if (hasOldControllers) for (const name of site.nodes.slice(1)) site.earlierVersionNodes.add(name);
   return site;
 }
 
-async function readRow(site: SimulatedSite, key: string): Promise<KeyValue> {
-  const reading = site.store.clientFor('node-9', site.clock).get(key);
+/** Reads a record through a client of the key-value store; throws an error if the key does not exist. */
+async function readRecord(site: SimulatedSite, key: string): Promise<KeyValue> {
+  const pendingRow = site.store.clientFor('node-9', site.clock).get(key);
   await site.run(0.1);
-  const row = await reading;
-  if (!row) throw new Error(`${key} is missing`);
-  return row;
+  const record = await pendingRow;
+  if (!record) throw new Error(`key ${key} does not exist in the key-value store`);
+  return record;
 }
 
 describe('records of the production version', () => {
   it.each([
-    ['while others of it are about, and are written as it reads them', true, undefined],
+    ['while other controllers run it, and are written in a format that it can read', true, undefined],
     [
-      'once all are new, and are split for the limits to come',
+      'after all controllers have been upgraded, and are split for the announced limits',
       false,
       { value_kb: 2, txn_ops: 5, write_rps: 30 },
     ],
-  ])('are taken over %s', async (_name, old, next) => {
-    const site = left(old, next);
+  ])('are taken over %s', async (_name, hasOldControllers, next) => {
+    const site = productionSite(hasOldControllers, next);
     site.startAll();
     await site.run(3);
-    // Everything is where it was; nothing was stopped or started again.
+    // All tasks are still on their machines; none was stopped or started again.
     expect(site.runningTaskCount('j-000001')).toBe(310);
     expect(site.rules.startCount).toBe(315);
     expect(await site.query('j-000003')).toBe('done');
     expect(await site.query('j-000004', 'node-1')).toBe('cancelled');
     if (next) site.store.sizeLimits = { txnOps: 5, valueBytes: 2048 };
-    // One machine dies: its tasks start elsewhere, and their records are written.
+    // A machine dies, so that its tasks start on other machines and their progress records are written.
     site.killMachine(site.machineOf('j-000001/0'));
     await runUntil(site, () => site.runningTaskCount('j-000001') === 310, 40);
     await site.run(1);
     const split = [...site.store.keys.keys()].some((key) => /^open\/j-\d+\/\d+-/.test(key));
-    expect(split).toBe(!old);
+    expect(split).toBe(!hasOldControllers);
     await runUntil(site, () => site.store.value('open/j-000001') === undefined, 120);
     await site.run(5);
     expect(await site.query('j-000001')).toBe('done');
@@ -108,46 +113,53 @@
     expect(site.store.rejectedTransactions.length).toBeLessThanOrEqual(1);
   });
 
-  it('stay as a new leader has them when a late write of the old leader arrives, and an old one’s cancellation counts', async () => {
-    const site = left(false);
-    const epochBefore = records.find((row) => row.key === 'epoch')?.revision as Revision;
+  it('are not changed by a late write of the old leader, and a cancellation by an old controller takes effect', async () => {
+    const site = productionSite(false);
+    const epochBefore = productionRecords.find((record) => record.key === 'epoch')?.revision as Revision;
     site.startAll();
     await site.run(3);
-    const old = site.store.clientFor('node-9', site.clock);
-    const late = old.txn(
+    const oldClient = site.store.clientFor('node-9', site.clock);
+    const lateTransaction = oldClient.txn(
       [{ key: 'epoch', revision: epochBefore }],
       [{ set: 'open/j-000001/0000', value: { d: [[0, 299]] } }],
     );
     await site.run(1);
-    expect(await late).toEqual({ ok: false, failed: ['epoch'] });
+    expect(await lateTransaction).toEqual({ ok: false, failed: ['epoch'] });
     expect(site.runningTaskCount('j-000001')).toBe(310);
-    // As the production version cancels: the record's state alone, on the record's revision.
-    const row = await readRow(site, 'job/j-000001');
-    const cancelled = old.txn(
-      [{ key: row.key, revision: row.revision }],
-      [{ set: row.key, value: { ...(row.value as object), s: 'c' } }],
+    // The production version cancels a job by writing only its state, on condition that the record still has the
+    // revision that was read.
+    const record = await readRecord(site, 'job/j-000001');
+    const pendingCancellation = oldClient.txn(
+      [{ key: record.key, revision: record.revision }],
+      [{ set: record.key, value: { ...(record.value as object), s: 'c' } }],
     );
     await site.run(10);
-    expect(await cancelled).toMatchObject({ ok: true });
+    expect(await pendingCancellation).toMatchObject({ ok: true });
     expect(site.runningTaskCount('j-000001')).toBe(0);
     expect(site.store.value('open/j-000001')).toBe(undefined);
     expect(site.rules.violations).toEqual([]);
   });
 
-  it('name no leader that could serve what is new', () => {
-    const row = records.find((record) => record.key === 'leader');
-    expect(decodeLeader(row?.value)).toMatchObject({ version: 0, member: 'node-0' });
+  it('contain a leader record without a protocol version (version 0)', () => {
+    const leaderRecord = productionRecords.find((record) => record.key === 'leader');
+    expect(decodeLeader(leaderRecord?.value)).toMatchObject({ version: 0, member: 'node-0' });
   });
 });
 
-/** Made in the same way by the version that first served dependent jobs (protocol version 1). */
-const landed = JSON.parse(readFileSync(new URL('../fixtures/landed.json', import.meta.url), 'utf8')) as {
+/**
+ * Records and frames of the version that introduced dependent jobs (protocol version 1), recorded in the same way
+ * as those of the production version.
+ */
+const dependenciesVersion = JSON.parse(
+  readFileSync(new URL('../fixtures/landed.json', import.meta.url), 'utf8'),
+) as {
   records: { key: string; value: unknown; stamp: Revision }[];
   frames: Record<'ping' | 'cancelled', string>;
   named: string[];
 };
 
-const LANDED_WISHES: JobRequest[] = [
+/** The jobs in the records of the version that introduced dependent jobs. */
+const DEPENDENCIES_VERSION_JOBS: JobRequest[] = [
   { ref: 'j-000001', tasks: 310, runS: 60 },
   { ref: 'j-000002', kind: 'service', tasks: 2, team: 'blue' },
   { ref: 'j-000003', runS: 2, team: 'blue' },
@@ -155,18 +167,22 @@
   { ref: 'j-000005', runS: 40, team: 'blue', awaits: ['j-000003'] },
   { ref: 'j-000006', runS: 5, team: 'blue', awaits: ['j-000005'], rank: 'urgent', dueS: 200 },
   { ref: 'j-000007', runS: 5, team: 'blue', awaits: ['j-000004'] },
-  { ref: 'j-000008', runS: 5, team: 'blue', awaits: landed.named },
-  ...landed.named.map((ref) => ({ ref, team: 'blue', cpus: 1, runS: 20 })),
+  { ref: 'j-000008', runS: 5, team: 'blue', awaits: dependenciesVersion.named },
+  ...dependenciesVersion.named.map((ref) => ({ ref, team: 'blue', cpus: 1, runS: 20 })),
 ];
 
-describe('records of the version landed last', () => {
-  it('are taken over: split progress, dependencies in lists of their own, what is over', async () => {
+describe('records of the version that introduced dependent jobs', () => {
+  it('are taken over: split progress records, dependency records, and records of ended jobs', async () => {
     const next = { value_kb: 1, txn_ops: 5, write_rps: 30 };
     const site = new SimulatedSite({ limit: { red: 700, blue: 60 }, reportS: 3, nodes: 3, next });
-    const rows = landed.records.map(({ key, value, stamp }) => ({ key, value, revision: stamp }));
+    const records = dependenciesVersion.records.map(({ key, value, stamp }) => ({
+      key,
+      value,
+      revision: stamp,
+    }));
     site.restore(
-      rows.filter((row) => row.key !== 'leader'),
-      LANDED_WISHES,
+      records.filter((record) => record.key !== 'leader'),
+      DEPENDENCIES_VERSION_JOBS,
       fencingTokenOf(1 as Epoch, 0 as FenceGeneration),
     );
     site.store.sizeLimits = { txnOps: 5, valueBytes: 1024 };
@@ -177,7 +193,7 @@
     expect(site.runningTaskCount('j-000006')).toBe(0);
     expect(await site.query('j-000003')).toBe('done');
     expect(await site.query('j-000007', 'node-1')).toBe('cancelled');
-    // Its list of dependencies has a record of its own; a machine's end splits nothing anew.
+    // The dependencies of j-000008 are in a record of their own. The death of a machine splits no record again.
     site.killMachine(site.machineOf('j-000001/0'));
     await runUntil(site, () => site.store.value('open/j-000008') === undefined, 200);
     await runUntil(site, () => site.store.value('open/j-000006') === undefined, 60);
@@ -190,8 +206,8 @@
     expect(site.store.rejectedTransactions).toEqual([]);
   });
 
-  it('and its frames are read; what is new since is kept from it', () => {
-    const bytes = Object.values(landed.frames).map((hex) => Buffer.from(hex, 'hex'));
+  it('and frames of that version can be decoded; its pings announce a version without split descriptions', () => {
+    const bytes = Object.values(dependenciesVersion.frames).map((hex) => Buffer.from(hex, 'hex'));
     const frames = new FrameReader().push(Buffer.concat(bytes));
     expect(frames.map((frame) => frame.kind)).toEqual([FrameKind.Ping, FrameKind.ConfirmedCancellations]);
     const ping = decodePing(frames[0]?.payload as Buffer);
@@ -205,62 +221,77 @@
   });
 });
 
-/** Made in the same way by the version of commit a2c346b: a leader with small records, then one with larger ones. */
-const grown = JSON.parse(readFileSync(new URL('../fixtures/grown.json', import.meta.url), 'utf8')) as {
+/**
+ * Records of the version of commit a2c346b, recorded in the same way as those of the production version: a leader
+ * wrote small progress records, and the next leader wrote larger ones.
+ */
+const mixedChunkVersion = JSON.parse(
+  readFileSync(new URL('../fixtures/grown.json', import.meta.url), 'utf8'),
+) as {
   records: { key: string; value: unknown; stamp: Revision }[];
 };
-const GROWN_REF = 'j-000001';
-const GROWN_TASKS = 70;
+const MIXED_CHUNK_REF = 'j-000001';
+const MIXED_CHUNK_TASK_COUNT = 70;
 
-/** Where the tasks are according to the records, as that version reads them: small records win, whatever their age. */
-function placesAsGrownVersionReads(site: SimulatedSite): Map<string, string> {
+/**
+ * Returns the machine of each task as the version of commit a2c346b reads the records: progress records with
+ * smaller chunks take precedence, whatever their revision.
+ */
+function machinesAsReadByMixedChunkVersion(site: SimulatedSite): Map<string, string> {
   const chunks = [...site.store.keys].flatMap(([key, { value }]) => {
     const openKey = parseOpenKey(key);
     return openKey?.chunk == null ? [] : [{ size: openKey.size, ...decodeChunk(value) }];
   });
-  const places = new Map<string, string>();
-  for (const { done, placed, usedAttempts } of chunks.sort((one, other) => other.size - one.size)) {
-    for (const index of [...done, ...usedAttempts.keys()]) places.delete(`${GROWN_REF}/${index}`);
-    for (const [index, { machine }] of placed) places.set(`${GROWN_REF}/${index}`, machine);
+  const machineOfTask = new Map<string, string>();
+  for (const { done, placed, usedAttempts } of chunks.sort(
+    (chunk, otherChunk) => otherChunk.size - chunk.size,
+  )) {
+    for (const index of [...done, ...usedAttempts.keys()])
+      machineOfTask.delete(`${MIXED_CHUNK_REF}/${index}`);
+    for (const [index, { machine }] of placed) machineOfTask.set(`${MIXED_CHUNK_REF}/${index}`, machine);
   }
-  return places;
+  return machineOfTask;
 }
 
-describe('records of a version that went back to larger chunks', () => {
-  it('are taken over as the later ones say, and that version reads what is written then', async () => {
+describe('records of a version that wrote larger chunks after smaller ones', () => {
+  it('are taken over according to the later records, and that version can read the rewritten records', async () => {
     const site = new SimulatedSite({ limit: { red: 140, blue: 0 }, reportS: 3, nodes: 3 });
-    const rows = grown.records.map(({ key, value, stamp }) => ({ key, value, revision: stamp }));
+    const records = mixedChunkVersion.records.map(({ key, value, stamp }) => ({
+      key,
+      value,
+      revision: stamp,
+    }));
     site.restore(
-      rows.filter((row) => row.key !== 'leader'),
-      [{ ref: GROWN_REF, tasks: GROWN_TASKS, runS: 100 }],
+      records.filter((record) => record.key !== 'leader'),
+      [{ ref: MIXED_CHUNK_REF, tasks: MIXED_CHUNK_TASK_COUNT, runS: 100 }],
       fencingTokenOf(2 as Epoch, 0 as FenceGeneration),
     );
-    const whereTheyRun = (): Map<string, string> =>
+    const actualMachines = (): Map<string, string> =>
       new Map(
-        Array.from({ length: GROWN_TASKS }, (_, index): [string, string] => {
-          const task = `${GROWN_REF}/${index}`;
+        Array.from({ length: MIXED_CHUNK_TASK_COUNT }, (_, index): [string, string] => {
+          const task = `${MIXED_CHUNK_REF}/${index}`;
           return [task, site.machineOf(task)];
         }),
       );
-    // That version itself would look for eight tasks on machines that are gone.
-    const misread = [...placesAsGrownVersionReads(site).values()].filter(
+    // The version of the records would expect eight tasks on machines that no longer exist.
+    const missingMachines = [...machinesAsReadByMixedChunkVersion(site).values()].filter(
       (machine) => !site.workers.has(machine as MachineId),
     );
-    expect(misread).toHaveLength(8);
+    expect(missingMachines).toHaveLength(8);
     site.startAll();
     await site.run(5);
-    expect(site.runningTaskCount(GROWN_REF)).toBe(GROWN_TASKS);
-    expect(site.rules.startCount).toBe(GROWN_TASKS);
-    expect(placesAsGrownVersionReads(site)).toEqual(whereTheyRun());
-    // Also after some were placed anew.
-    site.killMachine(site.machineOf(`${GROWN_REF}/0`));
-    site.killMachine(site.machineOf(`${GROWN_REF}/60`));
-    await runUntil(site, () => site.runningTaskCount(GROWN_REF) === GROWN_TASKS, 60);
+    expect(site.runningTaskCount(MIXED_CHUNK_REF)).toBe(MIXED_CHUNK_TASK_COUNT);
+    expect(site.rules.startCount).toBe(MIXED_CHUNK_TASK_COUNT);
+    expect(machinesAsReadByMixedChunkVersion(site)).toEqual(actualMachines());
+    // The records are also readable for that version after some tasks were placed again.
+    site.killMachine(site.machineOf(`${MIXED_CHUNK_REF}/0`));
+    site.killMachine(site.machineOf(`${MIXED_CHUNK_REF}/60`));
+    await runUntil(site, () => site.runningTaskCount(MIXED_CHUNK_REF) === MIXED_CHUNK_TASK_COUNT, 60);
     await site.run(1);
-    expect(placesAsGrownVersionReads(site)).toEqual(whereTheyRun());
-    await runUntil(site, () => site.store.value(`open/${GROWN_REF}`) === undefined, 200);
+    expect(machinesAsReadByMixedChunkVersion(site)).toEqual(actualMachines());
+    await runUntil(site, () => site.store.value(`open/${MIXED_CHUNK_REF}`) === undefined, 200);
     await site.run(5);
-    expect(await site.query(GROWN_REF)).toBe('done');
+    expect(await site.query(MIXED_CHUNK_REF)).toBe('done');
     expect([...site.store.keys.keys()].filter((key) => key.startsWith('open/'))).toEqual([]);
     await site.finish();
     expect(site.rules.violations).toEqual([]);
@@ -268,7 +299,7 @@
 });
 
 describe('frames of the production version', () => {
-  it('are read, and the same frames are still written', () => {
+  it('can be read, and the current version writes the same frames', () => {
     const bytes = Object.values(production.frames).map((hex) => Buffer.from(hex, 'hex'));
     const frames = new FrameReader().push(Buffer.concat(bytes));
     expect(frames.map((f) => f.kind)).toEqual([
@@ -298,8 +329,9 @@
     );
   });
 
-  // The last landing's pings end after the version: it leaves one byte unread, the production version two.
-  it('differ from ours in a ping by two bytes at its end, which it leaves unread', () => {
+  // Pings of protocol version 1 end after the version, so that version ignores one byte of a current ping; the
+  // production version ignores two bytes.
+  it('differ from current frames only in the last two bytes of a ping, which the production version ignores', () => {
     const member = 'node-0' as MemberId;
     const ping = {
       member,
@@ -308,23 +340,24 @@
       version: PROTOCOL_VERSION,
       load: 0.42,
     };
-    const ours = encodePing(ping);
-    const theirs = Buffer.from(production.frames.ping, 'hex').subarray(9);
-    expect(ours.subarray(0, theirs.length).equals(theirs)).toBe(true);
-    expect(ours.length).toBe(theirs.length + 2);
-    expect(decodePing(ours)).toEqual(ping);
-    expect(decodePing(ours.subarray(0, -1))).toEqual({ ...ping, load: 0 });
+    const currentPing = encodePing(ping);
+    const productionPing = Buffer.from(production.frames.ping, 'hex').subarray(9);
+    expect(currentPing.subarray(0, productionPing.length).equals(productionPing)).toBe(true);
+    expect(currentPing.length).toBe(productionPing.length + 2);
+    expect(decodePing(currentPing)).toEqual(ping);
+    expect(decodePing(currentPing.subarray(0, -1))).toEqual({ ...ping, load: 0 });
   });
 });
 
-describe('two versions side by side', () => {
-  it('tell an old controller nothing of what it does not know, and take nothing new beside it', async () => {
+describe('controllers of two versions', () => {
+  it('accept no job with dependencies while an old controller runs, and send that controller no unknown messages', async () => {
     const site = await startedSite();
     for (const name of site.nodes) if (name !== site.leader) site.earlierVersionNodes.add(name);
     await site.submit({ ref: 'j-000001', tasks: 3, runS: 20 });
     expect(await site.submit({ ref: 'j-000002', awaits: ['j-000001'] })).toBe(503);
     expect(await site.submit({ ref: 'j-000003', awaits: [] })).toBe(201);
-    // In an outage the old ones prove nothing, so the new leader answers no longer than the old one did.
+    // During a store outage the old controllers do not report their cancellations, so that the new leader stops
+    // renewing worker leases after the same time as an old leader.
     await runUntil(site, () => site.runningTaskCount('j-000001') === 3);
     site.store.isUnavailable = true;
     await site.run(50);
