--- a/test/traces/scenarios.test.ts
+++ b/test/traces/scenarios.test.ts
@@ -3,10 +3,10 @@
 import { startedSite, runUntil } from './steps.js';
 import { expectTrace } from './trace.js';
 
-describe('a quiet site', () => {
-  it('rents, runs an array within its team’s limit, and gives the machines back', async () => {
+describe('a site without faults', () => {
+  it('rents machines, runs an array within its team’s CPU limit, and deletes the machines', async () => {
     const site = await startedSite();
-    // 16 tasks of 2 CPUs are more than the 24 CPUs that the team may use.
+    // 16 tasks of 2 CPUs exceed the 24 CPUs that the team may use.
     expect(await site.submit({ ref: 'j-000001', tasks: 16, runS: 10 })).toBe(201);
     await site.run(60);
     expect(await site.query('j-000001', 'node-2')).toBe('done');
@@ -14,7 +14,7 @@
     await expectTrace('quiet-array', site);
   });
 
-  it('keeps samePlace and apart', async () => {
+  it('obeys zone affinity (samePlace) and zone anti-affinity (apart)', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', tasks: 6, samePlace: true, runS: 20 });
     await site.submit({ ref: 'j-000002', team: 'blue', tasks: 5, apart: true, runS: 20 });
@@ -24,7 +24,7 @@
     await expectTrace('places', site);
   });
 
-  it('refuses what can never run, and knows a job whatever its repeat says', async () => {
+  it('rejects jobs that can never run, and recognizes a repeated submission with different content', async () => {
     const site = await startedSite();
     expect(await site.submit({ ref: 'j-000001', cpus: 9 })).toBe(422);
     expect(await site.submit({ ref: 'j-000001', team: 'green' })).toBe(422);
@@ -34,14 +34,15 @@
   });
 });
 
-describe('controllers that fail', () => {
-  it('a successor takes the running work over without touching it', async () => {
+describe('controller failures', () => {
+  it('a successor takes over running tasks without stopping them', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 2 });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 2);
     site.crash(site.leader as string);
     await site.run(12);
-    // Guards against a new leader that took every machine it had not heard yet for one that never came up.
+    // The test guards against a new leader that treats each machine without a heartbeat so far as a machine that
+    // failed to boot.
     expect(site.runningTaskCount('j-000001')).toBe(2);
     await site.submit({ ref: 'j-000002', runS: 5 }, site.leader);
     await site.run(20);
@@ -49,7 +50,7 @@
     await expectTrace('takeover', site);
   });
 
-  it('all of them restart and nothing accepted is lost', async () => {
+  it('no accepted job is lost when all controllers restart', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', tasks: 3, runS: 15 });
     await site.submit({ ref: 'j-000002', kind: 'service' });
@@ -63,41 +64,41 @@
     await expectTrace('all-restart', site);
   });
 
-  it('a leader that the store refuses alone gives way; its late transaction changes nothing', async () => {
+  it('a leader that only the store refuses is replaced, and its delayed transaction has no effect', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service' });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
-    const old = site.leader as string;
-    const other = site.nodes.find((node) => node !== old) as string;
-    // The old leader's next decision is applied half a minute late, long after the takeover.
-    site.store.nextCommitDelayMs.set(old, 30_000);
-    await site.submit({ ref: 'j-000002', runS: 10 }, other);
-    site.store.refusedClients.add(old);
+    const oldLeader = site.leader as string;
+    const otherNode = site.nodes.find((node) => node !== oldLeader) as string;
+    // The old leader's next transaction is executed 30 s late, after the takeover.
+    site.store.nextCommitDelayMs.set(oldLeader, 30_000);
+    await site.submit({ ref: 'j-000002', runS: 10 }, otherNode);
+    site.store.refusedClients.add(oldLeader);
     await site.run(60);
-    expect(site.leader).not.toBe(old);
-    expect(await site.query('j-000002', other)).toBe('done');
+    expect(site.leader).not.toBe(oldLeader);
+    expect(await site.query('j-000002', otherNode)).toBe('done');
     await expectTrace('refused-leader', site);
   });
 });
 
-describe('cancelling', () => {
-  it('beats a start that was being committed', async () => {
+describe('a cancellation', () => {
+  it('prevents a start whose transaction is in progress', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service' });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
-    // The start of j-000002 is committed only after its cancellation: it must fail.
-    const other = site.nodes.find((node) => node !== site.leader) as string;
+    // The transaction that starts j-000002 is executed only after the cancellation of j-000002, and must fail.
+    const otherNode = site.nodes.find((node) => node !== site.leader) as string;
     site.store.nextCommitDelayMs.set(site.leader as string, 400);
-    await site.submit({ ref: 'j-000002', runS: 60 }, other);
+    await site.submit({ ref: 'j-000002', runS: 60 }, otherNode);
     await site.run(0.1);
-    expect(await site.cancel('j-000002', other)).toBe('cancelled');
+    expect(await site.cancel('j-000002', otherNode)).toBe('cancelled');
     await site.run(20);
     expect(site.runningTaskCount('j-000002')).toBe(0);
     expect(await site.query('j-000002')).toBe('cancelled');
     await expectTrace('cancel-against-start', site);
   });
 
-  it('comes too late for a job that is done', async () => {
+  it('has no effect on a job that is done', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', runS: 5 });
     await runUntil(site, () => site.store.value('open/j-000001') === undefined);
@@ -105,7 +106,7 @@
     expect(await site.query('j-000001', 'node-2')).toBe('done');
   });
 
-  it('neutralises a start command that the network delays', async () => {
+  it('prevents a delayed start command from starting the task', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service' });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
@@ -115,7 +116,8 @@
     await site.run(0.3);
     expect(await site.cancel('j-000002')).toBe('cancelled');
     await site.run(45);
-    // The order was sent and not answered. Its late arrival must find the attempt ended, not unknown.
+    // The start command was sent but not answered. When the command arrives late, the worker must recognize the
+    // attempt as ended.
     site.releaseCommands();
     await site.run(10);
     expect(site.runningTaskCount('j-000002')).toBe(0);
@@ -137,8 +139,8 @@
   });
 });
 
-describe('machines that fail', () => {
-  it('a dead machine is fenced and its replica starts elsewhere, once', async () => {
+describe('machine failures', () => {
+  it('a dead machine is fenced, and its replica starts once on another machine', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 6 });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 6);
@@ -155,7 +157,7 @@
     const worker = site.worker(host);
     site.cloud.isUnavailable = true;
     worker.hang();
-    // Neither the worker nor the cloud answers: only the lease can free the tasks.
+    // Neither the worker nor the cloud answers, so the tasks can restart only after the worker's lease has expired.
     await site.run(19);
     expect(site.rules.machineOf('j-000001/0' as never)).toBe(host);
     worker.resume();
@@ -169,8 +171,8 @@
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service' });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
-    const sick = site.worker(site.machineOf('j-000001/0'));
-    sick.failsTasks = true;
+    const failingWorker = site.worker(site.machineOf('j-000001/0'));
+    failingWorker.failsTasks = true;
     await site.submit({ ref: 'j-000002', tasks: 4, runS: 5 });
     await site.submit({ ref: 'j-000003', team: 'blue', broken: true });
     await site.run(90);
@@ -179,7 +181,7 @@
     await expectTrace('sick-machine', site);
   });
 
-  it('machines that never come up are replaced, and other pools are tried during a stockout', async () => {
+  it('machines that fail to boot are replaced, and machines are rented from other pools during a stockout', async () => {
     const site = await startedSite();
     site.cloud.failingBoots = 1;
     site.cloud.remainingCapacity.set('small|north|ordinary', 1);
@@ -191,7 +193,7 @@
 });
 
 describe('outages and partitions', () => {
-  it('a store outage stops decisions, not the work', async () => {
+  it('a store outage stops decisions, but no running tasks', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 2 });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 2);
@@ -208,13 +210,14 @@
     await expectTrace('state-outage', site);
   });
 
-  it('a start command delivered late, after its task has ended and moved, starts nothing', async () => {
+  it('a start command that is delivered after its task has ended starts nothing', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service' });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
     const host = site.machineOf('j-000001/0');
     site.holdCommands(site.leader as string, host);
-    // It reaches the worker in a report's answer, runs and ends; the direct order is still on its way.
+    // The worker receives the start in the answer to a heartbeat, and the task runs and ends; the direct command is
+    // still delayed.
     await site.submit({ ref: 'j-000002', tasks: 2, runS: 4 });
     await site.run(25);
     expect(await site.query('j-000002')).toBe('done');
@@ -228,18 +231,18 @@
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 6 });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 6);
-    const old = site.leader as string;
+    const oldLeader = site.leader as string;
     for (const host of site.workers.keys()) {
       for (const node of site.nodes) site.cutLinks.add(`${node} ${host}`);
     }
     await site.run(9);
     site.cutLinks.clear();
     await site.run(20);
-    expect(site.leader).not.toBe(old);
+    expect(site.leader).not.toBe(oldLeader);
     await expectTrace('deaf-leader', site);
   });
 
-  it('an unresponsive machine’s lease counts as expired only after the answers of a former leader', async () => {
+  it('an unresponsive machine’s lease counts as expired only after a former leader can no longer have renewed the lease', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 3, cpus: 4 });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 3);
@@ -247,7 +250,8 @@
     site.cloud.isUnavailable = true;
     for (const node of site.nodes) site.cutLinks.add(`${node} ${host}`);
     site.crash(site.leader as string);
-    // lease 20 s: gone from the machine; the successor counts from its takeover plus what an old leader may answer.
+    // The worker ends its tasks when its lease (20 s) expires. The successor counts the lease from the end of the
+    // time in which the old leader may still have answered heartbeats after the takeover.
     await site.run(70);
     site.trace('cloud      is back');
     site.cloud.isUnavailable = false;
--- a/test/traces/steps.ts
+++ b/test/traces/steps.ts
@@ -1,8 +1,8 @@
-/** Steps that scenarios share. */
+/** Steps that are shared by the tests of simulated sites. */
 import { expect } from 'vitest';
 import { SimulatedSite } from '../simulation/simulated-site.js';
 
-/** Returns a site with a leader and no jobs. */
+/** Starts a small site and runs it for 1 s; the returned site has a leader and no jobs. */
 export async function startedSite(): Promise<SimulatedSite> {
   const site = new SimulatedSite();
   site.startAll();
@@ -10,7 +10,7 @@
   return site;
 }
 
-/** Runs the site until the condition holds; fails if it does not within `maxSeconds`. */
+/** Runs the site until the condition holds; fails the test if the condition does not hold within `maxSeconds`. */
 export async function runUntil(
   site: SimulatedSite,
   condition: () => boolean,
