--- a/test/traces/failover.test.ts
+++ b/test/traces/failover.test.ts
@@ -15,7 +15,10 @@
   pauseThreshold: seconds(0.4),
   maxMessagesPerSecond: 100,
 };
-/** The time to live of a leader's lease. Without failure detection a leader is replaced only after its lease has expired. */
+/**
+ * The time to live of a leader's lease. Without failure detection a leader is replaced only after its lease has
+ * expired.
+ */
 const LEADER_LEASE_S = 2.5;
 /** The interval at which a test checks whether another node leads. */
 const CHECK_INTERVAL_S = 0.05;
@@ -34,7 +37,10 @@
   return started;
 }
 
-/** Returns the number of seconds until a node other than `formerLeader` leads, or `Infinity` if none does within `withinS`. */
+/**
+ * Returns the number of seconds until a node other than `formerLeader` leads, or `Infinity` if none does within
+ * `withinS`.
+ */
 async function secondsUntilReplaced(
   site: SimulatedSite,
   formerLeader: string,
@@ -76,8 +82,8 @@
     await expectJobsDone(site);
   });
 
-  // A leader that only its peers cannot reach still answers workers and rents and deletes machines. Its peers consider it
-  // dead, but must not replace it.
+  // A leader that only its peers cannot reach still answers workers and rents and deletes machines. Its peers
+  // consider it dead, but must not replace it.
   it('keeps leading while it is isolated from its peers but reaches the key-value store', async () => {
     const site = await siteWithJobs();
     const leader = site.leader as string;
@@ -143,9 +149,9 @@
 });
 
 describe('a leader that was replaced while it is alive and still answers workers', () => {
-  // A replaced leader may consider its lease valid for 2.5 s after the takeover, and answers heartbeats for some time
-  // after that. The successor must assume that worker leases were renewed until then, and a cancellation that the successor
-  // confirms must still take effect within its limit.
+  // A replaced leader may consider its lease valid for 2.5 s after the takeover, and answers heartbeats for some
+  // time after that. The successor must assume that worker leases were renewed until then, and a cancellation that
+  // the successor confirms must still take effect within its limit.
   it('renews no worker lease beyond the time that its successor assumes', async () => {
     const site = await siteWithJobs();
     await site.submit({ ref: 'j-000009', kind: 'service', tasks: 2 });
--- a/test/traces/fault-combinations.test.ts
+++ b/test/traces/fault-combinations.test.ts
@@ -5,8 +5,8 @@
 
 /**
  * Runs a scenario with the given faults (docs/safety.md has the table of all combinations of two). The rule checker
- * verifies the protocol's rules from what the fakes observe, and that every accepted job finally is done, is running, or is
- * cancelled without running tasks.
+ * verifies the protocol's rules from what the fakes observe, and that at the end every accepted job is done, is
+ * running, or is cancelled without running tasks.
  */
 async function runScenario(faults: readonly Fault[], seed: number): Promise<void> {
   const scenario = new Scenario(seed, new SimulatedSite());
@@ -26,8 +26,8 @@
 });
 
 /**
- * The number of additional scenarios for each ordered pair of faults. A longer search sets the environment variable, as in
- * `MEETING_SEEDS=10 npx vitest run test/traces/fault-combinations.test.ts`.
+ * The number of additional scenarios for each ordered pair of faults. A longer search sets the environment
+ * variable, as in `MEETING_SEEDS=10 npx vitest run test/traces/fault-combinations.test.ts`.
  */
 const EXTRA_SCENARIO_COUNT = Number(process.env['MEETING_SEEDS'] ?? 0);
 
--- a/test/traces/faults.test.ts
+++ b/test/traces/faults.test.ts
@@ -17,7 +17,8 @@
       site,
       () => site.runningTaskCount('j-000001') === 2 && site.machineOf('j-000001/0') !== host,
     );
-    // The machine's lease lasts 20 s. The machine still sends heartbeats, but they acknowledge no answer from a controller.
+    // The machine's lease lasts 20 s. The machine still sends heartbeats, but they acknowledge no answer from a
+    // controller.
     expect(site.clock.now() - startedAt).toBeLessThan(60_000);
     await runUntil(site, () => site.store.value('open/j-000002') === undefined);
     await expectTrace('one-way-replicas', site);
@@ -103,7 +104,8 @@
       site,
       () => site.runningTaskCount('j-000001') === 2 && site.runningTaskCount('j-000002') === 4,
     );
-    // These tasks are preempted by production tasks and start again on other machines, after forget commands have cleared their first attempts.
+    // These tasks are preempted by production tasks and start again on other machines, after forget commands have
+    // cleared their first attempts.
     const failingWorker = site.worker(site.machineOf('j-000001/0'));
     failingWorker.failsTasks = true;
     await site.submit({ ref: 'j-000003', tasks: 3, runS: 12, team: 'blue' });
@@ -195,7 +197,8 @@
     await runUntil(site, () => site.runningTaskCount('j-000001') === 6);
     const oldLeader = site.leader as string;
     const host = site.machineOf('j-000001/0');
-    // No controller can take over because the key-value store is unavailable to all; the leader cannot reach one machine.
+    // No controller can take over because the key-value store is unavailable to all; the leader cannot reach one
+    // machine.
     site.store.isUnavailable = true;
     site.trace('state      is out');
     site.cutLinks.add(`${oldLeader} ${host}`);
@@ -268,7 +271,8 @@
     site.crash(oldLeader);
     await site.run(0.2);
     site.start(oldLeader);
-    // The takeover transaction is delayed when the process ends again, and is applied after the next start of the process.
+    // The takeover transaction is delayed when the process ends again, and is applied after the next start of the
+    // process.
     site.store.nextCommitDelayMs.set(oldLeader, 300);
     await site.run(0.05);
     site.crash(oldLeader);
--- a/test/traces/gap-cut-leader.test.ts
+++ b/test/traces/gap-cut-leader.test.ts
@@ -1,12 +1,12 @@
 /**
- * Guards against a hung machine that keeps a task beyond the time limit of the task's confirmed cancellation, so that the
- * task continues when the machine resumes. The rule checker reported `ran_cancelled: j-000002 is still on a machine` 41 s
- * after the confirmation, and no machine was deleted during the store outage.
+ * Guards against a hung machine that keeps a task beyond the time limit of the task's confirmed cancellation, so
+ * that the task continues when the machine resumes. 41 s after the confirmation the rule checker reports
+ * `ran_cancelled: j-000002 is still on a machine`, and no machine is deleted during the store outage.
  *
- * The leader is isolated from the store and from the other controllers, so the leader does not learn of the cancellation.
- * The controller that confirmed the cancellation knows no placements, and no other leader can be elected during the outage.
- * A responsive worker ends its tasks when its lease expires, but a hung worker does not, and no controller that may delete
- * the machine knows of the cancellation.
+ * The leader is isolated from the store and from the other controllers, so the leader does not learn of the
+ * cancellation. The controller that confirmed the cancellation knows no placements, and no other leader can be
+ * elected during the outage. A responsive worker ends its tasks when its lease expires, but a hung worker does not,
+ * and no controller that may delete the machine knows of the cancellation.
  */
 import { describe, expect, it } from 'vitest';
 import { CANCEL_S } from '../simulation/site-setup.js';
--- a/test/traces/gap.test.ts
+++ b/test/traces/gap.test.ts
@@ -127,14 +127,16 @@
     await runUntil(site, () => site.runningTaskCount('j-000004') === 1);
     await site.cancel('j-000004');
     await site.run(5);
-    // The start command is sent but delayed, and no answer to a heartbeat can deliver the start while starts are allowed.
+    // The start command is sent but delayed, and no answer to a heartbeat can deliver the start while starts are
+    // allowed.
     for (const host of site.workers.keys()) {
       site.holdCommands(oldLeader, host);
       site.outboundPartitioned.add(host);
     }
     await site.submit({ ref: 'j-000003', kind: 'service', team: 'blue' }, otherNode);
     await site.run(0.2);
-    // No controller has a valid leader lease any more; then the store serves the other controllers for a moment, but not the leader.
+    // No controller has a valid leader lease any more; then the store serves the other controllers for a moment,
+    // but not the leader.
     site.store.isUnavailable = true;
     await site.run(4);
     site.outboundPartitioned.clear();
--- a/test/traces/pipeline-faults.test.ts
+++ b/test/traces/pipeline-faults.test.ts
@@ -9,8 +9,8 @@
   site.store.value(`open/${ref(n)}`) === undefined;
 
 /**
- * Returns a site that runs a job of one task, on which a second job depends. The leader's next write is the end of the first
- * job.
+ * Returns a site that runs a job of one task, on which a second job depends. The leader's next write is the end of
+ * the first job.
  */
 async function siteWithEndingDependency(): Promise<{ site: SimulatedSite; leader: string }> {
   const site = await startedSite();
@@ -67,7 +67,10 @@
 });
 
 describe('a graph of dependent jobs whose first job is cancelled', () => {
-  /** Returns a site with a running job, two jobs that depend on it, a job that depends on both, and a chain of 30 more jobs. */
+  /**
+   * Returns a site with a running job, two jobs that depend on it, a job that depends on both, and a chain of 30
+   * more jobs.
+   */
   async function siteWithDependencyGraph(): Promise<{ site: SimulatedSite; allRefs: string[] }> {
     const site = await startedSite();
     await site.submit({ ref: ref(1), runS: 300 });
--- a/test/traces/pipelines.test.ts
+++ b/test/traces/pipelines.test.ts
@@ -70,7 +70,8 @@
     const site = await startedSite();
     await submitChain(site, 200);
     await runUntil(site, () => site.runningTaskCount(ref(1)) === 2);
-    // The leader is isolated before the cancellation, and the store is unavailable for longer than the limit of a cancellation.
+    // The leader is isolated before the cancellation, and the store is unavailable for longer than the limit of a
+    // cancellation.
     const oldLeader = site.leader as string;
     const otherNode = site.nodes.find((node) => node !== oldLeader) as string;
     site.store.refusedClients.add(oldLeader);
@@ -103,7 +104,8 @@
     expect(await site.cancel(ref(1), 'node-1')).toBe('cancelled');
     expect(await site.submit({ ref: ref(2), awaits: [ref(1)] }, 'node-2')).toBe(201);
     expect(await site.submit({ ref: ref(3), awaits: [ref(2)] }, 'node-2')).toBe(201);
-    // No user queries the jobs: the leader records their cancellation within 3 s, before the limit of a cancellation (40 s).
+    // No user queries the jobs: the leader records their cancellation within 3 s, before the limit of a
+    // cancellation (40 s).
     await site.run(3);
     for (const n of [2, 3]) expect(site.store.value(`job/${ref(n)}`)).toMatchObject({ s: 'c' });
     expect(site.runningTaskCount(ref(1))).toBe(1);
@@ -130,7 +132,8 @@
 
   it('gives each stage the priority and the deadline of the jobs that depend on it', async () => {
     const site = await startedSite();
-    // Standard tasks fill the team’s limit. An idle job on which an urgent job depends starts before the remaining tasks.
+    // Standard tasks fill the team’s limit. An idle job on which an urgent job depends starts before the remaining
+    // tasks.
     await site.submit({ ref: ref(1), tasks: 40, runS: 20 });
     await site.submit({ ref: ref(2), tasks: 2, runS: 5, rank: 'idle' });
     await site.submit({ ref: ref(3), runS: 5, rank: 'urgent', awaits: [ref(2)], dueS: 60 });
--- a/test/traces/placement-scenarios.test.ts
+++ b/test/traces/placement-scenarios.test.ts
@@ -13,13 +13,14 @@
 /** The boot time of new machines. */
 const BOOT_MS = 1200;
 /**
- * The age from which a new machine appears in the cloud’s list. The lag exceeds the duration of three takeovers, so that a
- * leader learns of a new machine only from heartbeats and records.
+ * The age from which a new machine appears in the cloud’s list. The lag exceeds the duration of three takeovers, so
+ * that a leader learns of a new machine only from heartbeats and records.
  */
 const LIST_LAG_MS = 16_000;
 
 /**
- * Runs a scenario with jobs of all placement constraints, machines that boot in 1.2 s, changes of leader and another fault.
+ * Runs a scenario with jobs of all placement constraints, machines that boot in 1.2 s, changes of leader and
+ * another fault.
  */
 async function runScenario(fault: Fault, seed: number): Promise<void> {
   const scenario = new Scenario(seed, new SimulatedSite(MIXED_SITE), PLACEMENT_PLAN);
--- a/test/traces/placement.test.ts
+++ b/test/traces/placement.test.ts
@@ -5,8 +5,8 @@
 import { runUntil } from './steps.js';
 
 /**
- * Returns a site whose machines boot in 1 s but appear in the cloud’s list only after 60 s, so that controllers learn of
- * new machines only from heartbeats and records.
+ * Returns a site whose machines boot in 1 s but appear in the cloud’s list only after 60 s, so that controllers
+ * learn of new machines only from heartbeats and records.
  */
 async function siteWithLateList(): Promise<SimulatedSite> {
   const site = new SimulatedSite(MIXED_SITE);
@@ -26,8 +26,8 @@
 }
 
 /**
- * Kills the leader and removes the machine from the fleet records, as if the leader had had no write budget left for the
- * records; resolves once another controller leads.
+ * Kills the leader and removes the machine from the fleet records, as if the leader had had no write budget left
+ * for the records; resolves once another controller leads.
  */
 async function crashLeaderBeforeRecording(site: SimulatedSite, host: MachineId): Promise<void> {
   site.crash(site.leader as string);
@@ -54,7 +54,8 @@
   if (process.env['SHOW_DAY']) process.stderr.write(site.traceText);
 };
 
-// Guards against issue 30: properties that a new leader guesses for a machine without a record must not affect placement.
+// Guards against issue 30: properties that a new leader guesses for a machine without a record must not affect
+// placement.
 describe('a machine that is known only from the records of its tasks', () => {
   it('does not count with its guessed zone for zone affinity: tasks wait until the zone is known', async () => {
     const site = await siteWithLateList();
