--- a/test/soak/controller-process.ts
+++ b/test/soak/controller-process.ts
@@ -1,57 +1,59 @@
-/** A controller as a child process: started, killed and paused by its id, with its log stored and parsed. */
+/** Runs a controller as a child process that tests kill and pause, and stores and parses its log. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { appendFileSync, readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 
-/** Returns the runtime flags with which production runs the program. */
+/** Returns the Node.js flags of the production command line in `deploy/service.toml`. */
 function productionFlags(): string[] {
   const { run } = parse(readFileSync('deploy/service.toml', 'utf8')) as { run: string };
-  return run.split(' ').filter((word) => word.startsWith('--max') || word === '--single-threaded');
+  return run
+    .split(' ')
+    .filter((argument) => argument.startsWith('--max') || argument === '--single-threaded');
 }
 
-const FLAGS = productionFlags();
+const RUNTIME_FLAGS = productionFlags();
 
-function parseLine(line: string): LogLine | null {
+function parseLogLine(line: string): LogLine | null {
   try {
     return JSON.parse(line) as LogLine;
   } catch {
-    // Output of the runtime itself is only stored in the log file.
+    // The Node.js runtime writes lines that are not JSON. Such lines appear in the log file, but not in `onLine`.
     return null;
   }
 }
 
-/** One line of a controller's log. */
+/** A parsed line of a controller's log. */
 export type LogLine = Readonly<Record<string, unknown>> & { readonly msg: string };
 
-/** The files and callbacks of a controller. */
+/** The files of a controller process and the callbacks for its log lines and its exit. */
 export interface ControllerOptions {
   readonly program: string;
   readonly settings: string;
   readonly log: string;
   readonly onLine: (line: LogLine) => void;
-  /** `isExpected`: it was killed by `kill`. */
+  /** Called when the process has exited. `isExpected`: `kill` was called before the exit. */
   readonly onExit: (isExpected: boolean) => void;
 }
 
-/** One run of a controller's program. */
+/** A controller process from its start to its exit. */
 export class ControllerProcess {
   private readonly child: ChildProcess;
-  private readonly ended: Promise<void>;
+  private readonly exitPromise: Promise<void>;
   private isKilled = false;
-  private buffer = '';
+  private incompleteLine = '';
 
   constructor(private readonly options: ControllerOptions) {
-    const args = [...FLAGS, options.program, 'serve', '--config', options.settings];
+    const args = [...RUNTIME_FLAGS, options.program, 'serve', '--config', options.settings];
     this.child = spawn(process.execPath, args, {
       stdio: ['ignore', 'ignore', 'pipe'],
       env: { ...process.env, LOG_LEVEL: 'info' },
     });
     this.child.stderr?.setEncoding('utf8');
     this.child.stderr?.on('data', (text: string) => this.receive(text));
-    // No child may outlive this process, not even a paused one.
+    // SIGKILL also ends a paused child, so that no child outlives this process.
     const killChild = (): void => void this.child.kill('SIGKILL');
     process.on('exit', killChild);
-    this.ended = new Promise((resolve) => {
+    this.exitPromise = new Promise((resolve) => {
       this.child.on('exit', () => {
         process.off('exit', killChild);
         options.onExit(this.isKilled);
@@ -62,27 +64,27 @@
 
   private receive(text: string): void {
     appendFileSync(this.options.log, text);
-    const lines = (this.buffer + text).split('\n');
-    this.buffer = lines.pop() ?? '';
+    const lines = (this.incompleteLine + text).split('\n');
+    this.incompleteLine = lines.pop() ?? '';
     for (const line of lines) {
-      const logLine = parseLine(line);
+      const logLine = parseLogLine(line);
       if (logLine) this.options.onLine(logLine);
     }
   }
 
-  /** Kills the process; resolves once it has ended. */
+  /** Kills the process. Resolves once the process has exited. */
   kill(): Promise<void> {
     this.isKilled = true;
     this.child.kill('SIGKILL');
-    return this.ended;
+    return this.exitPromise;
   }
 
-  /** Stops the process without ending it. */
+  /** Suspends the process with SIGSTOP. */
   pause(): void {
     if (!this.isKilled) this.child.kill('SIGSTOP');
   }
 
-  /** Continues a paused process. */
+  /** Resumes a suspended process. */
   resume(): void {
     if (!this.isKilled) this.child.kill('SIGCONT');
   }
--- a/test/soak/loopback-controllers.ts
+++ b/test/soak/loopback-controllers.ts
@@ -1,4 +1,6 @@
-/** The controllers of a site on loopback: real processes, the relays between them, and their leaderships. */
+/**
+ * Controllers of a site on loopback: the child processes, the relays between the controllers, and the elected leaders.
+ */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { Relay } from '@plumyoke/simulation';
@@ -12,52 +14,52 @@
 const FRONT_PORT = 21_010;
 const PEER_PORT = 21_020;
 
-/** Callbacks for the trace and for violations. */
+/** Receives trace lines and rule violations. */
 interface ControllerListener {
   trace(text: string): void;
   recordViolation(text: string): void;
 }
 
-/** The name, zone and address of a controller. */
-export interface ControllerPlace {
+/** The member name, the zone and the IP address of a controller. */
+export interface ControllerLocation {
   readonly member: string;
   readonly zone: string;
   readonly host: string;
 }
 
-/** The options of all controllers. */
+/** The options of `LoopbackControllers`. */
 export interface ControllersOptions {
-  readonly places: readonly ControllerPlace[];
+  readonly locations: readonly ControllerLocation[];
   readonly program: string;
   readonly folder: string;
-  /** The settings of a controller other than its own addresses and peers. */
-  readonly common: (
-    place: ControllerPlace,
+  /** Returns the settings of a controller except its member name, zone, addresses and peers. */
+  readonly sharedSettings: (
+    location: ControllerLocation,
   ) => Omit<ControllerSettings, 'member' | 'zone' | 'front' | 'listen' | 'siblings'>;
   readonly listener: ControllerListener;
 }
 
-/** Starts, kills and pauses controllers, each a child of this process. */
+/** Starts, kills and pauses the controllers. Each controller is a child process. */
 export class LoopbackControllers {
-  /** Members that cannot reach other controllers. */
+  /** Members whose links to and from all other controllers are cut. */
   readonly isolatedMembers = new ObservedSet<string>();
-  /** The number of machines that new leaders knew only from a task's record. */
+  /** The number of machines that newly elected leaders knew only from a task record. */
   machinesKnownByTask = 0;
-  /** The number of jobs whose progress new leaders read from records of several chunk sizes. */
+  /** The number of jobs whose progress newly elected leaders read from records of several chunk sizes. */
   mixedChunkJobs = 0;
   private readonly relay = new Relay();
   private readonly running = new Map<string, ControllerProcess>();
-  private readonly ending = new Map<string, Promise<void>>();
+  private readonly exitByMember = new Map<string, Promise<void>>();
   private readonly epochByLeader = new Map<string, number>();
   private readonly leaderByEpoch = new Map<number, string>();
-  private readonly siblingsOf = new Map<string, ControllerSettings['siblings']>();
+  private readonly siblingsByMember = new Map<string, ControllerSettings['siblings']>();
 
   constructor(private readonly options: ControllersOptions) {
     this.isolatedMembers.onChange = (member, present) => this.setIsolated(member, present);
   }
 
   private setIsolated(member: string, isIsolated: boolean): void {
-    for (const { member: other } of this.options.places) {
+    for (const { member: other } of this.options.locations) {
       if (other === member) continue;
       for (const [from, to] of [
         [member, other],
@@ -69,58 +71,67 @@
     }
   }
 
-  /** Cuts the link from one controller to another in this direction only; the result restores it. */
+  /** Cuts the link from one controller to another in this direction only. Returns a function that restores the link. */
   cutOneWay(from: string, to: string): () => void {
     this.relay.cut(from, to);
     return () => this.relay.heal(from, to);
   }
 
-  /** Writes all settings files and opens the relays between the controllers. */
+  /** Opens the relays between the controllers and writes the settings files. */
   async prepare(): Promise<void> {
-    const { places, folder } = this.options;
+    const { locations, folder } = this.options;
     mkdirSync(folder, { recursive: true });
-    for (const place of places) {
+    for (const location of locations) {
       const siblings: ControllerSettings['siblings'][number][] = [];
-      for (const other of places) {
-        if (other === place) continue;
-        const port = await this.relay.open(place.member, other.member, () => PEER_PORT, other.host);
-        siblings.push({ member: other.member, zone: other.zone, address: `127.0.0.1:${port}` });
+      for (const other of locations) {
+        if (other === location) continue;
+        const relayPort = await this.relay.open(location.member, other.member, () => PEER_PORT, other.host);
+        siblings.push({ member: other.member, zone: other.zone, address: `127.0.0.1:${relayPort}` });
       }
-      this.siblingsOf.set(place.member, siblings);
+      this.siblingsByMember.set(location.member, siblings);
     }
     this.writeSettings();
   }
 
-  /** Writes all settings files as they are now; a controller reads its own when it starts. */
+  /** Writes the current settings of each controller to its file. A controller reads the file only at startup. */
   writeSettings(): void {
-    const { places, folder, common } = this.options;
-    for (const place of places) {
-      const { member, zone, host } = place;
-      const siblings = this.siblingsOf.get(member) ?? [];
-      const own = { member, zone, front: frontOf(place), listen: `${host}:${PEER_PORT}`, siblings };
-      writeFileSync(join(folder, `${member}.toml`), settingsFile({ ...common(place), ...own }));
+    const { locations, folder, sharedSettings } = this.options;
+    for (const location of locations) {
+      const { member, zone, host } = location;
+      const siblings = this.siblingsByMember.get(member) ?? [];
+      const ownSettings = {
+        member,
+        zone,
+        front: frontAddressOf(location),
+        listen: `${host}:${PEER_PORT}`,
+        siblings,
+      };
+      writeFileSync(
+        join(folder, `${member}.toml`),
+        settingsFile({ ...sharedSettings(location), ...ownSettings }),
+      );
     }
   }
 
-  /** Starts a controller once its former process has ended. */
+  /** Starts a controller once its previous child process has exited. */
   start(member: string): void {
-    void (this.ending.get(member) ?? Promise.resolve()).then(() => this.spawn(member));
+    void (this.exitByMember.get(member) ?? Promise.resolve()).then(() => this.spawn(member));
   }
 
   private spawn(member: string): void {
     if (this.running.has(member)) return;
     const { folder, listener, program } = this.options;
     listener.trace(`${member}     starts`);
-    const process = new ControllerProcess({
+    const controller = new ControllerProcess({
       program,
       settings: join(folder, `${member}.toml`),
       log: join(folder, `${member}.log`),
       onLine: (line) => this.handleLogLine(member, line),
       onExit: (isExpected) => {
-        if (!isExpected) listener.recordViolation(`ended: ${member} ended by itself`);
+        if (!isExpected) listener.recordViolation(`ended: ${member} exited without being killed`);
       },
     });
-    this.running.set(member, process);
+    this.running.set(member, controller);
   }
 
   private handleLogLine(member: string, { msg, ...line }: LogLine): void {
@@ -142,52 +153,52 @@
       listener.recordViolation(`exception: ${member}: ${String(line['error'])}`);
   }
 
-  /** Kills a controller. */
+  /** Kills a controller; `start` starts the controller again. */
   crash(member: string): void {
-    const process = this.running.get(member);
-    if (!process) return;
+    const controller = this.running.get(member);
+    if (!controller) return;
     this.running.delete(member);
     this.epochByLeader.delete(member);
     this.options.listener.trace(`${member}     crashes`);
-    this.ending.set(member, process.kill());
+    this.exitByMember.set(member, controller.kill());
   }
 
-  /** Pauses a controller; the result resumes it. */
+  /** Suspends a controller. Returns a function that resumes the controller. */
   pause(member: string): () => void {
-    const process = this.running.get(member);
-    process?.pause();
-    return () => process?.resume();
+    const controller = this.running.get(member);
+    controller?.pause();
+    return () => controller?.resume();
   }
 
   isRunning(member: string): boolean {
     return this.running.has(member);
   }
 
-  /** The leader; of several the one with the highest epoch. */
+  /** The elected leader; if several controllers lead, the controller with the highest epoch. */
   get leader(): string | undefined {
     return [...this.epochByLeader].sort(([, first], [, second]) => second - first)[0]?.[0];
   }
 
-  /** Returns the leader of an epoch. */
+  /** Returns the member that was elected for an epoch. */
   leaderOf(epoch: number): string | undefined {
     return this.leaderByEpoch.get(epoch);
   }
 
-  /** The number of leaderships so far. */
+  /** The number of epochs for which a leader has been elected. */
   get leadershipCount(): number {
     return this.leaderByEpoch.size;
   }
 
   /** Kills all controllers and closes the relays. */
   async close(): Promise<void> {
-    const all = [...this.running.values()];
+    const processes = [...this.running.values()];
     this.running.clear();
-    await Promise.all([...all.map((process) => process.kill()), ...this.ending.values()]);
+    await Promise.all([...processes.map((controller) => controller.kill()), ...this.exitByMember.values()]);
     this.relay.close();
   }
 }
 
-/** Returns the address at which a controller serves users and workers. */
-export function frontOf({ host }: ControllerPlace): string {
+/** Returns the address on which a controller serves users and workers. */
+export function frontAddressOf({ host }: ControllerLocation): string {
   return `${host}:${FRONT_PORT}`;
 }
--- a/test/soak/loopback-site.ts
+++ b/test/soak/loopback-site.ts
@@ -1,4 +1,7 @@
-/** A whole site on loopback: controllers as processes, and fakes of their environment over HTTP. */
+/**
+ * A site on loopback: controllers run as child processes against HTTP fakes of the key-value store, the cloud and the
+ * workers.
+ */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import type { MachineId, ImageId, JobId, MachineTypeId } from '../../src/model/ids.js';
@@ -18,48 +21,56 @@
 } from '../simulation/site-setup.js';
 import { FakeKeyValueStore } from '../simulation/fake-key-value-store.js';
 import type { JobBehavior, FakeWorker } from '../simulation/fake-worker.js';
-import { frontOf, LoopbackControllers, type ControllerPlace } from './loopback-controllers.js';
+import { frontAddressOf, LoopbackControllers, type ControllerLocation } from './loopback-controllers.js';
 import { LoopbackMachines } from './loopback-workers.js';
 import { ScaledClock } from './scaled-clock.js';
 
-/** Users, faults, leases and limits run twice as fast as on a simulated site. */
-const SCALE = 0.5;
-const STATE_PORT = 21_001;
+/**
+ * The real milliseconds for each millisecond of the scenario clock. At 0.5, users, faults, leases and deadlines run
+ * twice as fast as on a simulated site.
+ */
+const CLOCK_SCALE = 0.5;
+const STORE_PORT = 21_001;
 const CLOUD_PORT = 21_002;
-const NETWORKS = { first: 10, count: 200 };
-const LEASE_REAL_S = LEASE_S * SCALE;
-const CANCEL_REAL_S = CANCEL_S * SCALE;
-const FETCH_MS = 500;
-const BOOT_MS = 700;
+/** The candidates for the second octet of a site's IP addresses `127.x`. */
+const NETWORK_OCTETS = { first: 10, count: 200 };
+const LEASE_REAL_S = LEASE_S * CLOCK_SCALE;
+const CANCEL_REAL_S = CANCEL_S * CLOCK_SCALE;
+const IMAGE_FETCH_MS = 500;
+const MACHINE_BOOT_MS = 700;
+/** Size limits of the key-value store that are low enough to split progress records into several chunks. */
 const LOW_LIMITS = { valueKb: 1, txnOps: 5 };
-const USUAL_LIMITS = { txnOps: 16, valueBytes: 16 * 1024 };
+const DEFAULT_LIMITS = { txnOps: 16, valueBytes: 16 * 1024 };
 const LIST_LAG_S = 4;
 const MAX_USER_SOCKETS = 100;
 const SUBMIT_TIMEOUT_MS = 5000;
 const QUERY_TIMEOUT_MS = 2000;
-/** After all faults, a job about which no query is answered for this time is forgotten (PROTOCOL). */
+/**
+ * The time from the final check, which follows the last fault, within which each node must answer a query for each
+ * accepted job. A job without an answer counts as forgotten (PROTOCOL).
+ */
 const MAX_UNANSWERED_MS = 75_000;
-const QUERY_RETRY_MS = 1000;
+const QUERY_RETRY_DELAY_MS = 1000;
 
-/** The options of a site. */
+/** The options of `LoopbackSite`. */
 export interface LoopbackOptions {
   readonly seed: number;
   readonly controllers: number;
-  /** The number of machines at the beginning. */
+  /** The number of machines that exist before the controllers start. */
   readonly machines: number;
-  /** The CPU limit of each team. */
-  readonly limit: number;
-  /** The number of digits in a machine's name. */
+  /** The maximum number of CPUs that each team may use. */
+  readonly teamCpuLimit: number;
+  /** The minimum number of digits in a machine ID; shorter numbers are padded with zeros. */
   readonly idDigits: number;
-  /** Whether the store's limits on sizes are low from the beginning, and the settings say so. */
+  /** Whether the key-value store and the controllers' settings have low size limits from the start. */
   readonly hasLowLimits: boolean;
   readonly program: string;
   readonly folder: string;
 }
 
-/** Has the same interface as a simulated site, so that the same scenarios and faults run on it. */
+/** Runs scenarios and faults on real processes through the same interface as a simulated site. */
 export class LoopbackSite implements ScenarioSite {
-  readonly clock = new ScaledClock(SCALE);
+  readonly clock = new ScaledClock(CLOCK_SCALE);
   readonly nodes: readonly string[];
   readonly rules = new RuleChecker((text) => this.trace(`BROKEN     ${text}`));
   readonly store = new FakeKeyValueStore(systemClock);
@@ -69,9 +80,9 @@
   private readonly cloud: FakeCloud;
   private hasLowLimits = false;
   private readonly jobs = new Map<JobId, JobBehavior>();
-  private readonly lines: string[] = [];
-  private readonly users: ReadonlyMap<string, HttpTarget>;
-  private readonly places: readonly ControllerPlace[];
+  private readonly traceLines: string[] = [];
+  private readonly userTargets: ReadonlyMap<string, HttpTarget>;
+  private readonly locations: readonly ControllerLocation[];
   private readonly startedAt = systemClock.now();
 
   private constructor(
@@ -82,13 +93,16 @@
     this.random = () => uniformFloat64(generator);
     this.store.random = this.random;
     this.nodes = Array.from({ length: options.controllers }, (_, index) => `node-${index}`);
-    this.places = this.nodes.map((member, index) => ({
+    this.locations = this.nodes.map((member, index) => ({
       member,
       zone: MIXED_ZONES[index % MIXED_ZONES.length] as string,
       host: `${network}.0.${10 + index}`,
     }));
-    this.users = new Map(
-      this.places.map((place) => [place.member, new HttpTarget(frontOf(place), MAX_USER_SOCKETS)]),
+    this.userTargets = new Map(
+      this.locations.map((location) => [
+        location.member,
+        new HttpTarget(frontAddressOf(location), MAX_USER_SOCKETS),
+      ]),
     );
     this.machines = this.createMachines();
     this.controllers = this.createControllers();
@@ -99,7 +113,7 @@
     return new LoopbackMachines({
       network: this.network,
       nodes: this.nodes,
-      fronts: this.places.map(frontOf),
+      frontAddresses: this.locations.map(frontAddressOf),
       leaseMs: LEASE_REAL_S * 1000,
       heartbeatIntervalMs: 1500,
       random: this.random,
@@ -119,20 +133,20 @@
   }
 
   private createControllers(): LoopbackControllers {
-    const { program, folder, limit } = this.options;
+    const { program, folder, teamCpuLimit } = this.options;
     return new LoopbackControllers({
-      places: this.places,
+      locations: this.locations,
       program,
       folder,
       listener: {
         trace: (text) => this.trace(text),
         recordViolation: (text) => this.rules.recordViolation(text),
       },
-      common: ({ host }) => ({
+      sharedSettings: ({ host }) => ({
         cloud: `${host}:${CLOUD_PORT}`,
-        state: `${host}:${STATE_PORT}`,
+        state: `${host}:${STORE_PORT}`,
         zones: MIXED_ZONES,
-        teams: ['red', 'blue'].map((name) => ({ name, cpus: limit / 3, cpusMax: limit })),
+        teams: ['red', 'blue'].map((name) => ({ name, cpus: teamCpuLimit / 3, cpusMax: teamCpuLimit })),
         finishWithinS: 60,
         reportS: 1.5,
         leaseS: LEASE_REAL_S,
@@ -153,31 +167,34 @@
       (id) => this.machines.remove(id),
       (text) => this.trace(text),
     );
-    cloud.bootMs = BOOT_MS;
+    cloud.bootMs = MACHINE_BOOT_MS;
     cloud.idDigits = this.options.idDigits;
     cloud.listLagMs = LIST_LAG_S * 1000;
     return cloud;
   }
 
-  /** Opens a site on a network whose addresses are free on this machine. */
+  /** Opens a site on the first loopback network whose addresses are free on this machine. */
   static async open(options: LoopbackOptions): Promise<LoopbackSite> {
-    for (let attempt = 0; attempt < NETWORKS.count; attempt++) {
-      const part = NETWORKS.first + ((process.pid + attempt) % NETWORKS.count);
-      const site = new LoopbackSite(options, `127.${part}`);
+    for (let attempt = 0; attempt < NETWORK_OCTETS.count; attempt++) {
+      const networkOctet = NETWORK_OCTETS.first + ((process.pid + attempt) % NETWORK_OCTETS.count);
+      const site = new LoopbackSite(options, `127.${networkOctet}`);
       if (!(await site.listen())) continue;
       await site.controllers.prepare();
       if (options.hasLowLimits) site.setLowLimits(true);
       site.adoptMachines();
       return site;
     }
-    throw new Error('no addresses are free');
+    throw new Error('no loopback network has free addresses for a site');
   }
 
-  /** Listens on all addresses; resolves to false if one of them is in use. */
+  /**
+   * Starts the fakes of the store and the cloud on the address of each controller. Resolves to false if listening
+   * fails.
+   */
   private async listen(): Promise<boolean> {
     try {
-      for (const { member, host } of this.places) {
-        await serve(STATE_PORT, host, storeHandler(this.store.clientFor(member, systemClock)));
+      for (const { member, host } of this.locations) {
+        await serve(STORE_PORT, host, storeHandler(this.store.clientFor(member, systemClock)));
         const cloud = cloudHandler(this.cloud.clientFor(systemClock), MIXED_MACHINE_TYPES, (id) =>
           this.machines.addressOf(id),
         );
@@ -200,25 +217,28 @@
     }
   }
 
-  /** Changes the store's limits, and the settings of controllers that start from now on. */
+  /**
+   * Sets the size limits of the key-value store, and writes them to the settings files for controllers that start
+   * later.
+   */
   setLowLimits(areLow: boolean): void {
     this.trace(`store      takes ${areLow ? 'less' : 'more'}`);
     this.hasLowLimits = areLow;
     this.store.sizeLimits = areLow
       ? { txnOps: LOW_LIMITS.txnOps, valueBytes: LOW_LIMITS.valueKb * 1024 }
-      : USUAL_LIMITS;
+      : DEFAULT_LIMITS;
     this.controllers.writeSettings();
   }
 
   trace(text: string): void {
-    this.lines.push(`${((systemClock.now() - this.startedAt) / 1000).toFixed(3).padStart(8)}  ${text}`);
+    this.traceLines.push(`${((systemClock.now() - this.startedAt) / 1000).toFixed(3).padStart(8)}  ${text}`);
   }
 
   get traceText(): string {
-    return `${this.lines.join('\n')}\n`;
+    return `${this.traceLines.join('\n')}\n`;
   }
 
-  /** Waits for seconds of the scenario's clock. */
+  /** Waits for a duration in seconds of the scenario clock. */
   run(seconds: number): Promise<void> {
     return this.clock.sleep(seconds * 1000);
   }
@@ -247,7 +267,7 @@
   }
 
   zoneOf(node: string): string | undefined {
-    return this.places.find(({ member }) => member === node)?.zone;
+    return this.locations.find(({ member }) => member === node)?.zone;
   }
 
   isRunning(node: string): boolean {
@@ -270,7 +290,7 @@
 
   worker(id: MachineId): FakeWorker {
     const worker = this.workers.get(id);
-    if (!worker) throw new Error(`${id} is not up`);
+    if (!worker) throw new Error(`machine ${id} has no running worker`);
     return worker;
   }
 
@@ -318,23 +338,23 @@
     timeoutMs: number,
   ): Promise<HttpReply | null> {
     try {
-      return (await this.users.get(node)?.call(method, path, body, timeoutMs)) ?? null;
+      return (await this.userTargets.get(node)?.call(method, path, body, timeoutMs)) ?? null;
     } catch {
       return null;
     }
   }
 
-  /** Returns the body of a submission, and registers the job with the workers and the checker. */
+  /** Registers a job with the fake workers and the rule checker, and returns the body of its submission request. */
   private registerJob(request: JobRequest): ReturnType<typeof submissionBody> {
     const body = submissionBody(request);
     const id = request.ref as JobId;
     this.jobs.set(id, {
       image: 'img-1' as ImageId,
-      fetchMs: FETCH_MS,
-      runMs: body.shape === 'array' ? (request.runS ?? 5) * 1000 * SCALE : null,
+      fetchMs: IMAGE_FETCH_MS,
+      runMs: body.shape === 'array' ? (request.runS ?? 5) * 1000 * CLOCK_SCALE : null,
       failsAlways: false,
     });
-    this.rules.recordSubmission(id, body, this.options.limit);
+    this.rules.recordSubmission(id, body, this.options.teamCpuLimit);
     return body;
   }
 
@@ -356,26 +376,26 @@
   }
 
   async queryConcurrently(ref: string, node: string): Promise<string | null> {
-    const askedAt = this.clock.now();
+    const requestedAt = this.clock.now();
     const reply = await this.request(node, 'GET', `/v2/runs/${ref}`, undefined, QUERY_TIMEOUT_MS);
     if (!reply || (reply.status !== 200 && reply.status !== 404)) return null;
-    return this.recordState(ref, reply, askedAt);
+    return this.recordState(ref, reply, requestedAt);
   }
 
   async cancelConcurrently(ref: string, node: string): Promise<string | null> {
-    const askedAt = this.clock.now();
+    const requestedAt = this.clock.now();
     this.rules.recordCancelRequest(ref);
     const reply = await this.request(node, 'POST', `/v2/runs/${ref}/cancel`, {}, SUBMIT_TIMEOUT_MS);
     if (reply?.status !== 200) return null;
-    const state = this.recordState(ref, reply, askedAt);
+    const state = this.recordState(ref, reply, requestedAt);
     if (state === 'cancelled')
       this.rules.recordCancellation(ref as JobId, this.clock.now() + CANCEL_S * 1000);
     return state;
   }
 
-  private recordState(ref: string, reply: HttpReply, askedAt: number): string {
+  private recordState(ref: string, reply: HttpReply, requestedAt: number): string {
     const state = reply.status === 404 ? '404' : (reply.body as { status: string }).status;
-    this.rules.recordReportedState(ref as JobId, state, this.clock.now(), askedAt);
+    this.rules.recordReportedState(ref as JobId, state, this.clock.now(), requestedAt);
     return state;
   }
 
@@ -383,7 +403,7 @@
     return this.rules.countRunning((task) => task.startsWith(`${ref}/`));
   }
 
-  /** Checks that cancelled jobs have no running task, and that every node answers for every accepted job. */
+  /** Checks that cancelled jobs have no running task, and that every node answers queries for every accepted job. */
   async finish(): Promise<void> {
     this.rules.checkCancelled(this.clock.now());
     const deadline = systemClock.now() + MAX_UNANSWERED_MS;
@@ -395,12 +415,13 @@
         const [ref, node] = query.split(' ') as [string, string];
         if ((await this.queryConcurrently(ref, node)) !== null) unanswered.delete(query);
       }
-      if (unanswered.size > 0) await this.clock.sleep(QUERY_RETRY_MS);
+      if (unanswered.size > 0) await this.clock.sleep(QUERY_RETRY_DELAY_MS);
     }
-    for (const query of unanswered) this.rules.recordViolation(`forgotten: no answer for ${query}`);
+    for (const query of unanswered)
+      this.rules.recordViolation(`forgotten: no answer to a query for ${query}`);
   }
 
-  /** Kills all controllers. */
+  /** Kills all controllers and closes the relays between the controllers. */
   async close(): Promise<void> {
     await this.controllers.close();
   }
--- a/test/soak/loopback-workers.ts
+++ b/test/soak/loopback-workers.ts
@@ -1,4 +1,4 @@
-/** The machines of a site on loopback: each worker serves its own address and sends heartbeats over real sockets. */
+/** Machines of a site on loopback. Each worker listens on its own address and sends heartbeats over real sockets. */
 import type { Server } from 'node:http';
 import type { MachineId, JobId, TaskId, FencingToken, AttemptNumber } from '../../src/model/ids.js';
 import { epochOfFencingToken } from '../../src/model/ids.js';
@@ -26,12 +26,12 @@
 const MIN_DUPLICATE_DELAY_MS = 1000;
 const DUPLICATE_DELAY_SPREAD_MS = 19_000;
 
-/** The options of the machines, and callbacks into the site. */
+/** The options of `LoopbackMachines` and its callbacks into the site. */
 export interface MachinesOptions {
-  /** The first two bytes of all addresses of this site. */
+  /** The first two octets of all IP addresses of this site, such as `127.10`. */
   readonly network: string;
   readonly nodes: readonly string[];
-  readonly fronts: readonly string[];
+  readonly frontAddresses: readonly string[];
   readonly leaseMs: number;
   readonly heartbeatIntervalMs: number;
   readonly random: () => number;
@@ -49,24 +49,28 @@
   readonly links: readonly HttpTarget[];
 }
 
-/** Workers, and the faults of their network. */
+/** Runs the workers of a site and injects network faults between the workers and the controllers. */
 export class LoopbackMachines implements WorkerEnvironment {
   readonly workers = new Map<MachineId, FakeWorker>();
-  /** Pairs `node machine` between which no message passes. */
+  /** Pairs `node machine` whose messages are dropped in both directions. */
   readonly cutLinks = new Set<string>();
-  /** Machines that receive nothing: their heartbeats arrive, but no answer and no command reaches them. */
+  /** Machines whose heartbeats reach the controllers, while no answer and no command reaches the machine. */
   readonly inboundPartitioned = new Set<MachineId>();
-  /** Machines whose heartbeats reach no controller, while direct commands reach them. */
+  /** Machines whose heartbeats reach no controller, while direct commands reach the machine. */
   readonly outboundPartitioned = new Set<MachineId>();
-  /** The fraction of heartbeats of which a duplicate arrives later. */
+  /** The fraction of heartbeats, from 0 to 1, that are delivered again later. */
   duplicateRate = 0;
-  /** The fraction of heartbeats that are lost, or whose answer is lost. */
+  /**
+   * The fraction of heartbeats, from 0 to 1, that fail: for one half the heartbeat is lost, for the other the answer.
+   */
   lossRate = 0;
-  /** Commands are delivered a second time after this delay; null: they are not. */
+  /**
+   * The delay in milliseconds after which each command is delivered a second time; null disables the second delivery.
+   */
   commandRepeatDelayMs: number | null = null;
-  /** Called when the first command to start a task arrives at a machine. */
+  /** Called when a machine receives its first command to start a task. */
   onFirstStart: (id: MachineId) => void = () => {};
-  private readonly startedMachines = new Set<MachineId>();
+  private readonly machinesWithFirstStart = new Set<MachineId>();
   private readonly heldMachines = new Set<MachineId>();
   private heldRequests: (() => void)[] = [];
   private readonly runningMachines = new Map<MachineId, RunningMachine>();
@@ -88,7 +92,7 @@
 
   /** Starts the worker of a machine that has booted. */
   start(machine: Machine): void {
-    const { leaseMs, heartbeatIntervalMs, fronts, trace } = this.options;
+    const { leaseMs, heartbeatIntervalMs, frontAddresses, trace } = this.options;
     trace(`${machine.id} is up (${machine.type}, ${machine.zone}${machine.spot ? ', spot' : ''})`);
     const worker = new FakeWorker(machine, systemClock, this, leaseMs, heartbeatIntervalMs);
     const server = serve(WORKER_PORT, this.ipOf(machine.id), this.handlerOf(worker)).catch(() => null);
@@ -96,11 +100,11 @@
     this.runningMachines.set(machine.id, {
       worker,
       server,
-      links: fronts.map((front) => new HttpTarget(front, 1)),
+      links: frontAddresses.map((front) => new HttpTarget(front, 1)),
     });
   }
 
-  /** Removes a machine with its tasks, and closes its address. */
+  /** Terminates a machine and its tasks, and closes its listening socket and connections. */
   remove(id: MachineId): void {
     this.workers.get(id)?.terminate();
     this.workers.delete(id);
@@ -124,30 +128,33 @@
       const { epoch } = (request.body ?? {}) as { epoch?: FencingToken };
       if (this.inboundPartitioned.has(id) || this.isCutFrom(id, epoch)) throw new AnswerLostError();
       if (this.heldMachines.has(id)) await new Promise<void>((resolve) => this.heldRequests.push(resolve));
-      // A hanging machine handles the request once it resumes.
+      // A hung machine handles the request once the machine resumes.
       await new Promise<void>((resolve) => worker.runWhenResponsive(resolve));
       const { orders } = (request.body ?? {}) as { orders?: readonly { verb: string }[] };
       this.recordStart(id, orders?.some(({ verb }) => verb === 'run') ?? false);
-      const after = this.commandRepeatDelayMs;
-      if (after !== null)
-        systemClock.after(after, () => worker.runWhenResponsive(() => void handle(request)));
+      const repeatDelayMs = this.commandRepeatDelayMs;
+      if (repeatDelayMs !== null)
+        systemClock.after(repeatDelayMs, () => worker.runWhenResponsive(() => void handle(request)));
       return handle(request);
     };
   }
 
-  /** Only leaders call workers: the epoch of a command names the caller, a query is attributed to the current leader. */
+  /**
+   * Returns whether the link between a machine and the calling controller is cut. Only leaders call workers: the epoch
+   * of a command identifies the calling leader, and a query, which has no epoch, is attributed to the current leader.
+   */
   private isCutFrom(id: MachineId, token: FencingToken | undefined): boolean {
     const { leader, leaderOf } = this.options;
     const caller = token === undefined ? leader() : leaderOf(epochOfFencingToken(token));
     return caller !== undefined && this.cutLinks.has(`${caller} ${id}`);
   }
 
-  /** Holds the commands to a machine until they are released. */
+  /** Delays the commands to a machine until `releaseCommands` is called. */
   holdCommands(machine: MachineId): void {
     this.heldMachines.add(machine);
   }
 
-  /** Delivers all held commands. */
+  /** Delivers all commands that `holdCommands` has delayed. */
   releaseCommands(): void {
     this.heldMachines.clear();
     const held = this.heldRequests;
@@ -174,8 +181,8 @@
   }
 
   private recordStart(id: MachineId, hasStart: boolean): void {
-    if (this.startedMachines.has(id) || !hasStart) return;
-    this.startedMachines.add(id);
+    if (this.machinesWithFirstStart.has(id) || !hasStart) return;
+    this.machinesWithFirstStart.add(id);
     this.onFirstStart(id);
   }
 
@@ -193,11 +200,11 @@
     }
   }
 
-  /** Delivers a duplicate later, to the leader of that time. */
+  /** Sends a heartbeat again after a random delay, to the controller that is the leader at that time. */
   private scheduleDuplicate(body: object): void {
-    const { fronts, random, leader } = this.options;
+    const { frontAddresses, random, leader } = this.options;
     systemClock.after(MIN_DUPLICATE_DELAY_MS + DUPLICATE_DELAY_SPREAD_MS * random(), () => {
-      const front = fronts[Math.max(0, this.nodes.indexOf(leader() ?? ''))];
+      const front = frontAddresses[Math.max(0, this.nodes.indexOf(leader() ?? ''))];
       if (front) void this.call(new HttpTarget(front, 1), body);
     });
   }
--- a/test/soak/main.ts
+++ b/test/soak/main.ts
@@ -1,7 +1,9 @@
 /**
- * The soak test: random faults on real processes over loopback, `npm run soak -- --seeds 1-50`. Each seed runs in a child
- * process, several at once. `--broken type|zone|spot|zoneAffinity|zoneAntiAffinity` runs controllers that lack this part
- * of the placement rule, and passes if every seed detects that. Exit codes: 0 passed, 1 failed, 2 invalid arguments.
+ * Runs the soak test, which injects random faults into controller processes on loopback:
+ * `npm run soak -- --seeds 1-50`. Each seed runs in a child process of its own; `--parallel` sets how many seeds run
+ * concurrently. `--broken type|zone|spot|zoneAffinity|zoneAntiAffinity` runs controllers that lack the
+ * named part of the placement rule, and passes if the rule checker detects a wrong placement for every seed. Exit codes:
+ * 0 passed, 1 failed, 2 invalid arguments.
  */
 import { spawn } from 'node:child_process';
 import { join } from 'node:path';
@@ -14,7 +16,7 @@
 const SEED_TIMEOUT_MS = 400_000;
 const MAX_PRINTED_VIOLATIONS = 5;
 
-/** Thrown for invalid arguments. The message is one line. */
+/** Thrown for invalid command-line arguments. The message is a single line. */
 class InvalidArgumentsError extends Error {
   override readonly name = 'InvalidArgumentsError';
 }
@@ -24,28 +26,30 @@
   readonly parallel: number;
   readonly folder: string;
   readonly missingPart: RulePart | null;
-  /** The controllers' program; set in the child process of one seed. */
+  /** The path of the controller program; set only in the child process that runs a single seed. */
   readonly program: string | null;
 }
 
 function parseInteger(name: string, text: string, min: number, max: number): number {
   const value = Number(text);
   if (/^\d+$/.test(text) && value >= min && value <= max) return value;
-  throw new InvalidArgumentsError(`--${name}: a whole number from ${min} to ${max}`);
+  throw new InvalidArgumentsError(`--${name} must be a whole number from ${min} to ${max}`);
 }
 
 function parseSeeds(text: string): number[] {
-  const [from = '', to = from, ...rest] = text.split('-');
-  if (rest.length > 0) throw new InvalidArgumentsError('--seeds: a number, or a range as 1-50');
+  const [from = '', to = from, ...extraBounds] = text.split('-');
+  if (extraBounds.length > 0)
+    throw new InvalidArgumentsError('--seeds must be a whole number or a range such as 1-50');
   const [first, last] = [parseInteger('seeds', from, 1, 1_000_000), parseInteger('seeds', to, 1, 1_000_000)];
-  if (last < first) throw new InvalidArgumentsError('--seeds: the range ends before it begins');
+  if (last < first)
+    throw new InvalidArgumentsError('--seeds must be a range whose end is not below its start');
   return Array.from({ length: last - first + 1 }, (_, index) => first + index);
 }
 
-function parsePart(text: string | undefined): RulePart | null {
+function parseRulePart(text: string | undefined): RulePart | null {
   if (text === undefined) return null;
   const part = RULE_PARTS.find((name) => name === text);
-  if (part === undefined) throw new InvalidArgumentsError(`--broken: one of ${RULE_PARTS.join(', ')}`);
+  if (part === undefined) throw new InvalidArgumentsError(`--broken must be one of ${RULE_PARTS.join(', ')}`);
   return part;
 }
 
@@ -63,12 +67,12 @@
     seeds: parseSeeds(values.seeds),
     parallel: parseInteger('parallel', values.parallel, 1, 16),
     folder: values.out,
-    missingPart: parsePart(values.broken),
+    missingPart: parseRulePart(values.broken),
     program: values.program ?? null,
   };
 }
 
-/** Runs one seed in a child process. Resolves to null if it gave no result. */
+/** Runs a seed in a child process. Resolves to null if the child process exits without printing a valid result. */
 function runInChildProcess(
   seed: number,
   program: string,
@@ -84,7 +88,7 @@
     const killChild = (): void => void child.kill('SIGTERM');
     process.on('exit', killChild);
     child.stdout.setEncoding('utf8');
-    child.stdout.on('data', (part: string) => (text += part));
+    child.stdout.on('data', (chunk: string) => (text += chunk));
     child.on('close', () => {
       clearTimeout(timeout);
       process.off('exit', killChild);
@@ -106,7 +110,7 @@
 function printResult(seed: number, result: SeedResult | null, { folder, missingPart }: Arguments): void {
   const verdict = hasPassed(result, missingPart) ? 'passed' : 'FAILED';
   if (result === null) {
-    console.log(`seed ${seed}: FAILED: it came to no end`);
+    console.log(`seed ${seed}: FAILED: the child process exited without a valid result`);
     return;
   }
   const {
@@ -118,11 +122,11 @@
     mixedChunkJobs,
     faults,
   } = result;
-  const met =
+  const leadershipSummary =
     `${leadershipCount} leaderships, ${machinesKnownByTask} machines known by a task alone, ` +
     `${mixedChunkJobs} jobs read from several chunk sizes`;
-  const size = `${machines} machines, ${acceptedCount} jobs, ${startCount} starts, ${met}`;
-  console.log(`seed ${seed}: ${verdict}: ${size}${faults.length > 0 ? `; ${faults.join('; ')}` : ''}`);
+  const runSummary = `${machines} machines, ${acceptedCount} jobs, ${startCount} starts, ${leadershipSummary}`;
+  console.log(`seed ${seed}: ${verdict}: ${runSummary}${faults.length > 0 ? `; ${faults.join('; ')}` : ''}`);
   if (hasPassed(result, missingPart)) return;
   for (const text of result.violations.slice(0, MAX_PRINTED_VIOLATIONS)) console.log(`  ${text}`);
   if (result.violations.length > MAX_PRINTED_VIOLATIONS)
@@ -132,25 +136,26 @@
   console.log(`  again (the processes' timing differs): npm run soak -- --seeds ${seed}`);
 }
 
-async function runAll(options: Arguments): Promise<void> {
+async function runAllSeeds(options: Arguments): Promise<void> {
   const program = join(options.folder, `controller-${options.missingPart ?? 'whole'}.cjs`);
   await buildProgram(program, options.missingPart);
   const pendingSeeds = [...options.seeds];
   const failed: number[] = [];
-  const runWorker = async (): Promise<void> => {
+  const runPendingSeeds = async (): Promise<void> => {
     for (let seed = pendingSeeds.shift(); seed !== undefined; seed = pendingSeeds.shift()) {
       const result = await runInChildProcess(seed, program, options);
       printResult(seed, result, options);
       if (!hasPassed(result, options.missingPart)) failed.push(seed);
     }
   };
-  await Promise.all(Array.from({ length: options.parallel }, runWorker));
-  const list = failed.length > 0 ? `: ${failed.sort((first, second) => first - second).join(', ')}` : '';
-  console.log(`${options.seeds.length} seeds run, ${failed.length} failed${list}`);
+  await Promise.all(Array.from({ length: options.parallel }, runPendingSeeds));
+  const failedSeedList =
+    failed.length > 0 ? `: ${failed.sort((first, second) => first - second).join(', ')}` : '';
+  console.log(`${options.seeds.length} seeds run, ${failed.length} failed${failedSeedList}`);
   if (failed.length > 0) process.exitCode = EXIT_FAILED;
 }
 
-async function runOne({ seeds, folder, missingPart }: Arguments, program: string): Promise<void> {
+async function runSingleSeed({ seeds, folder, missingPart }: Arguments, program: string): Promise<void> {
   const seed = seeds[0] as number;
   const result = await runSeed({
     seed,
@@ -164,9 +169,10 @@
 async function main(): Promise<void> {
   try {
     const options = parseArguments();
-    // The handlers of 'exit' kill the children.
+    // A signal does not emit 'exit' by default; calling process.exit runs the 'exit' handlers, which kill the child
+    // processes.
     for (const signal of ['SIGINT', 'SIGTERM'] as const) process.on(signal, () => process.exit(EXIT_FAILED));
-    await (options.program === null ? runAll(options) : runOne(options, options.program));
+    await (options.program === null ? runAllSeeds(options) : runSingleSeed(options, options.program));
   } catch (error) {
     console.error(`soak: ${error instanceof Error ? error.message : String(error)}`);
     const isUsageError =
--- a/test/soak/observed-set.ts
+++ b/test/soak/observed-set.ts
@@ -1,6 +1,6 @@
-/** A set that reports every change. */
+/** A set that notifies a callback of every added and deleted value. */
 export class ObservedSet<T> extends Set<T> {
-  /** Called after a value was added (`isPresent`) or deleted. */
+  /** Called after a value was added (`isPresent` is true) or deleted (`isPresent` is false). */
   onChange: (value: T, isPresent: boolean) => void = () => {};
 
   override add(value: T): this {
--- a/test/soak/scaled-clock.ts
+++ b/test/soak/scaled-clock.ts
@@ -1,12 +1,12 @@
-/** The clock of scenarios on real processes. */
+/** The clock of scenarios that run on real processes. */
 import { type Clock, systemClock, type MonotonicTime } from '../../src/model/time.js';
 
 /**
- * The time of users and faults: faster than real time, since leases and limits in the controllers' settings are shorter
- * than those of a simulated site.
+ * The clock of simulated users and faults. With a scale below 1, this clock runs faster than real time, to match the
+ * controllers' settings, whose leases and deadlines are shorter than on a simulated site by the same factor.
  */
 export class ScaledClock implements Pick<Clock, 'now' | 'after'> {
-  /** `scale`: the real duration of one millisecond of this clock. */
+  /** `scale` is the number of real milliseconds for each millisecond of this clock. */
   constructor(readonly scale: number) {}
 
   now(): MonotonicTime {
--- a/test/soak/seed.ts
+++ b/test/soak/seed.ts
@@ -1,4 +1,4 @@
-/** One seed of the soak test: a scenario on real processes with overlapping faults. */
+/** Runs the soak test for a seed: a scenario on real processes with concurrent faults. */
 import { mkdirSync, rmSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { PLACEMENT_PLAN, Scenario, type ScenarioPlan } from '../simulation/scenario.js';
@@ -7,16 +7,19 @@
 import { LoopbackSite } from './loopback-site.js';
 import { soakFaults, storeLimitChanges } from './soak-faults.js';
 
-/** The options of a run. */
+/** The options of `runSeed`. */
 export interface SeedOptions {
   readonly seed: number;
   readonly program: string;
   readonly folder: string;
-  /** The part of the placement rule that the program lacks: the run ends once the checker detects it; null: none. */
+  /**
+   * The part of the placement rule that the program lacks, or null for the full program. If set, the run injects no
+   * faults and ends once the rule checker detects a wrong placement.
+   */
   readonly missingPart: RulePart | null;
 }
 
-/** The result of a run. */
+/** The result of a seed's run, which the child process writes to stdout as JSON. */
 export interface SeedResult {
   readonly seed: number;
   readonly faults: readonly string[];
@@ -24,60 +27,64 @@
   readonly acceptedCount: number;
   readonly startCount: number;
   readonly leadershipCount: number;
-  /** The number of machines that new leaders knew only from a task's record (issue 30). */
+  /** The number of machines that newly elected leaders knew only from a task record (issue 30). */
   readonly machinesKnownByTask: number;
-  /** The number of jobs whose progress new leaders read from records of several chunk sizes. */
+  /** The number of jobs whose progress newly elected leaders read from records of several chunk sizes. */
   readonly mixedChunkJobs: number;
   readonly violations: readonly string[];
 }
 
-/** Every tenth seed has a large site. */
+/** Seeds that are multiples of 10 run on a large site. */
 const LARGE_SITE_INTERVAL = 10;
-const LARGE = { machines: 300, limit: 1200, maxTasks: 40 };
-const SMALL = { machines: 3, limit: 96, maxTasks: 6 };
-/** Every fifth seed, from the third on, has low limits of the store and names too long for them. */
+const LARGE_SITE = { machines: 300, teamCpuLimit: 1200, maxTasks: 40 };
+const SMALL_SITE = { machines: 3, teamCpuLimit: 96, maxTasks: 6 };
+/**
+ * Every fifth seed, from seed 3 on, runs with low size limits of the key-value store and machine IDs of 120 digits, so
+ * that records of full size would exceed the limits.
+ */
 const LOW_LIMITS_INTERVAL = 5;
-const FIRST_WITH_LOW_LIMITS = 3;
-const WITH_LOW_LIMITS = { machines: 12, limit: 480, maxTasks: 40 };
-const USUAL_ID_DIGITS = 6;
+const FIRST_LOW_LIMITS_SEED = 3;
+const LOW_LIMITS_SITE = { machines: 12, teamCpuLimit: 480, maxTasks: 40 };
+const DEFAULT_ID_DIGITS = 6;
 const LONG_ID_DIGITS = 120;
-const CONTROLLERS = 3;
-const MANY_CONTROLLERS_INTERVAL = 7;
-const MANY_CONTROLLERS = 5;
-const FAULTS_AT_ONCE = 3;
+const DEFAULT_CONTROLLER_COUNT = 3;
+const LARGE_CONTROLLER_COUNT_INTERVAL = 7;
+const LARGE_CONTROLLER_COUNT = 5;
+const CONCURRENT_FAULT_COUNT = 3;
 const LEADER_CHANGE_PROBABILITY = 0.7;
-const QUIET_S = 14;
-/** Longer than the limit of a cancellation and a lease. */
-const MIN_AFTER_S = 46;
-const MAX_DETECTION_S = 240;
+const QUIET_BEFORE_FAULTS_S = 14;
+/** Longer than the cancellation deadline, and longer than a lease, in seconds of the scenario clock. */
+const MIN_AFTER_FAULTS_S = 46;
+const MAX_VIOLATION_DETECTION_S = 240;
 
 function hasLowLimits(seed: number): boolean {
-  return seed % LOW_LIMITS_INTERVAL === FIRST_WITH_LOW_LIMITS;
+  return seed % LOW_LIMITS_INTERVAL === FIRST_LOW_LIMITS_SEED;
 }
 
-function sizeOf(seed: number, isLow: boolean): typeof SMALL {
-  if (seed % LARGE_SITE_INTERVAL === 0) return LARGE;
-  return isLow ? WITH_LOW_LIMITS : SMALL;
+function sizeOf(seed: number, usesLowLimits: boolean): typeof SMALL_SITE {
+  if (seed % LARGE_SITE_INTERVAL === 0) return LARGE_SITE;
+  return usesLowLimits ? LOW_LIMITS_SITE : SMALL_SITE;
 }
 
 function drawFaults(seed: number, site: LoopbackSite): Fault[] {
   const { random } = site;
-  const all = [...FAULTS, ...soakFaults(site)];
+  const candidates = [...FAULTS, ...soakFaults(site)];
   const [leaderChange] = FAULTS;
-  const drawn: Fault[] = random() < LEADER_CHANGE_PROBABILITY && leaderChange ? [leaderChange] : [];
-  if (hasLowLimits(seed)) drawn.push(storeLimitChanges(site));
-  while (drawn.length < FAULTS_AT_ONCE) {
-    const fault = all[Math.floor(random() * all.length)] as Fault;
-    if (!drawn.includes(fault)) drawn.push(fault);
+  const drawnFaults: Fault[] = random() < LEADER_CHANGE_PROBABILITY && leaderChange ? [leaderChange] : [];
+  if (hasLowLimits(seed)) drawnFaults.push(storeLimitChanges(site));
+  while (drawnFaults.length < CONCURRENT_FAULT_COUNT) {
+    const fault = candidates[Math.floor(random() * candidates.length)] as Fault;
+    if (!drawnFaults.includes(fault)) drawnFaults.push(fault);
   }
-  return drawn;
+  return drawnFaults;
 }
 
-/** Runs one seed to its end. The random choices repeat exactly, the timing of the processes does not. */
+/** Runs the scenario of a seed. A seed repeats the same random choices, but the timing of the processes varies. */
 export async function runSeed({ seed, program, folder, missingPart }: SeedOptions): Promise<SeedResult> {
-  const isLow = missingPart === null && hasLowLimits(seed);
-  const size = sizeOf(seed, isLow);
-  const controllers = seed % MANY_CONTROLLERS_INTERVAL === 0 ? MANY_CONTROLLERS : CONTROLLERS;
+  const usesLowLimits = missingPart === null && hasLowLimits(seed);
+  const size = sizeOf(seed, usesLowLimits);
+  const controllers =
+    seed % LARGE_CONTROLLER_COUNT_INTERVAL === 0 ? LARGE_CONTROLLER_COUNT : DEFAULT_CONTROLLER_COUNT;
   rmSync(folder, { recursive: true, force: true });
   mkdirSync(folder, { recursive: true });
   const site = await LoopbackSite.open({
@@ -86,20 +93,20 @@
     program,
     folder,
     ...size,
-    idDigits: isLow ? LONG_ID_DIGITS : USUAL_ID_DIGITS,
-    hasLowLimits: isLow,
+    idDigits: usesLowLimits ? LONG_ID_DIGITS : DEFAULT_ID_DIGITS,
+    hasLowLimits: usesLowLimits,
   });
   const faults = missingPart === null ? drawFaults(seed, site) : [];
   const plan: ScenarioPlan = {
     ...PLACEMENT_PLAN,
     maxTasks: size.maxTasks,
-    quietBeforeS: QUIET_S,
-    minAfterS: MIN_AFTER_S,
+    quietBeforeS: QUIET_BEFORE_FAULTS_S,
+    minAfterS: MIN_AFTER_FAULTS_S,
   };
   const scenario = new Scenario(
     seed,
     site,
-    missingPart === null ? plan : { ...plan, quietBeforeS: MAX_DETECTION_S },
+    missingPart === null ? plan : { ...plan, quietBeforeS: MAX_VIOLATION_DETECTION_S },
   );
   const detected = new Promise<void>((resolve) => {
     if (missingPart === null) return;
--- a/test/soak/soak-faults.ts
+++ b/test/soak/soak-faults.ts
@@ -1,30 +1,31 @@
-/** Faults of real processes and sockets, in addition to those of simulated sites. */
+/** Faults for sites of real processes and sockets. They complement the faults of simulated sites. */
 import { isolateNode, type Fault } from '../simulation/faults.js';
 import type { LoopbackSite } from './loopback-site.js';
 
-const LOSS_RATE = 0.15;
+const HEARTBEAT_LOSS_RATIO = 0.15;
 const COMMAND_REPEAT_DELAY_MS = 2500;
-const PARTITION_MS = 9000;
-const MIN_CRASH_INTERVAL_MS = 3000;
-const CRASH_DELAY_MS = 150;
+const NEW_MACHINE_PARTITION_MS = 9000;
+const MIN_LEADER_CRASH_INTERVAL_MS = 3000;
+const LEADER_CRASH_DELAY_MS = 150;
 const RESTART_DELAY_MS = 300;
-const LIMIT_CHANGES = 9;
+const LIMIT_CHANGE_COUNT = 9;
 const LIMIT_CHANGE_INTERVAL_MS = 9000;
 
-function pick(nodes: readonly string[], random: () => number): string {
+function pickNode(nodes: readonly string[], random: () => number): string {
   return nodes[Math.floor(random() * nodes.length)] as string;
 }
 
 /**
- * The store's limits rise and fall, and the controllers learn of it by their settings alone: each change replaces them all,
- * so that leaders in series write progress in chunks of several sizes.
+ * Returns a fault that alternately raises and lowers the size limits of the key-value store. Controllers read the
+ * limits from their settings file at startup, so each change restarts all controllers. Consecutive leaders therefore
+ * write progress records with different chunk sizes.
  */
 export function storeLimitChanges(site: LoopbackSite): Fault {
   return {
     name: 'limits of the key-value store rise and fall while leaders change',
     durationS: 85,
     inject() {
-      for (let change = 0; change < LIMIT_CHANGES; change++)
+      for (let change = 0; change < LIMIT_CHANGE_COUNT; change++)
         site.clock.after(change * LIMIT_CHANGE_INTERVAL_MS, () => {
           for (const node of site.nodes) site.crash(node);
           site.setLowLimits(change % 2 === 1);
@@ -35,23 +36,23 @@
   };
 }
 
-/** Returns the faults of a site. */
+/** Returns the faults of links, heartbeats, commands and processes that the soak test injects into a site. */
 export function soakFaults(site: LoopbackSite): readonly Fault[] {
   return [
     {
       name: 'a link between controllers is cut in one direction',
       durationS: 30,
       inject(_site, _users, random) {
-        const from = pick(site.nodes, random);
+        const from = pickNode(site.nodes, random);
         const others = site.nodes.filter((node) => node !== from);
-        return site.controllers.cutOneWay(from, pick(others, random));
+        return site.controllers.cutOneWay(from, pickNode(others, random));
       },
     },
     {
       name: 'heartbeats and answers are lost',
       durationS: 40,
       inject() {
-        site.machines.lossRate = LOSS_RATE;
+        site.machines.lossRate = HEARTBEAT_LOSS_RATIO;
         return () => {
           site.machines.lossRate = 0;
         };
@@ -68,19 +69,20 @@
       },
     },
     {
-      // The machines' records may not be written yet, and until their heartbeats arrive nothing else names them.
+      // The leader may crash before it has written the records of the new machines. Until the machines' heartbeats
+      // arrive, only task records name the machines.
       name: 'leaders crash as new machines get their first tasks',
       durationS: 40,
       inject() {
         let nextCrashAt = 0;
         site.machines.onFirstStart = (id) => {
           site.outboundPartitioned.add(id);
-          site.clock.after(PARTITION_MS, () => site.outboundPartitioned.delete(id));
+          site.clock.after(NEW_MACHINE_PARTITION_MS, () => site.outboundPartitioned.delete(id));
           const { leader } = site;
           if (leader === undefined || site.clock.now() < nextCrashAt) return;
-          nextCrashAt = site.clock.now() + MIN_CRASH_INTERVAL_MS;
-          site.clock.after(CRASH_DELAY_MS, () => site.crash(leader));
-          site.clock.after(CRASH_DELAY_MS + RESTART_DELAY_MS, () => site.start(leader));
+          nextCrashAt = site.clock.now() + MIN_LEADER_CRASH_INTERVAL_MS;
+          site.clock.after(LEADER_CRASH_DELAY_MS, () => site.crash(leader));
+          site.clock.after(LEADER_CRASH_DELAY_MS + RESTART_DELAY_MS, () => site.start(leader));
         };
         return () => {
           site.machines.onFirstStart = () => {};
@@ -91,7 +93,7 @@
       name: 'a zone is partitioned together with its controller',
       durationS: 28,
       inject(_site, _users, random) {
-        const node = pick(site.nodes, random);
+        const node = pickNode(site.nodes, random);
         const zone = site.zoneOf(node);
         return isolateNode(site, node, (machine) => site.worker(machine).machine.zone === zone);
       },
--- a/test/soak/soak.test.ts
+++ b/test/soak/soak.test.ts
@@ -6,20 +6,20 @@
 import { RULE_PARTS } from './broken-controller.js';
 
 mkdirSync('target', { recursive: true });
-// Below the project's folder, so that its libraries are found.
-const folder = mkdtempSync('target/soak-test-');
-const script = join(folder, 'soak.mjs');
-const TIMEOUT_MS = 400_000;
+// The folder is inside the project so that Node.js resolves `esbuild` from the project's `node_modules`.
+const outputFolder = mkdtempSync('target/soak-test-');
+const script = join(outputFolder, 'soak.mjs');
+const RUN_TIMEOUT_MS = 400_000;
 
-interface Outcome {
+interface SoakOutcome {
   readonly status: number;
-  readonly text: string;
+  readonly output: string;
 }
 
-function soak(...args: string[]): Promise<Outcome> {
+function runSoak(...args: string[]): Promise<SoakOutcome> {
   return new Promise((resolve) => {
-    execFile(process.execPath, [script, '--out', folder, ...args], (error, stdout, stderr) => {
-      resolve({ status: error ? Number(error.code ?? -1) : 0, text: `${stdout}${stderr}` });
+    execFile(process.execPath, [script, '--out', outputFolder, ...args], (error, stdout, stderr) => {
+      resolve({ status: error ? Number(error.code ?? -1) : 0, output: `${stdout}${stderr}` });
     });
   });
 }
@@ -37,39 +37,39 @@
   });
 });
 
-afterAll(() => rmSync(folder, { recursive: true, force: true }));
+afterAll(() => rmSync(outputFolder, { recursive: true, force: true }));
 
-// Asserts rules, not times: how long processes take depends on the load of the machine.
-describe('real controllers over loopback with overlapping faults', () => {
+// The tests assert rules but no durations, because durations depend on the load of the test machine.
+describe('controller processes on loopback with concurrent faults', () => {
   it(
-    'break no rule, and whatever was accepted is served',
+    'break no rule, and serve every accepted job',
     async () => {
-      const { status, text } = await soak('--seeds', '1-3', '--parallel', '3');
-      expect(text).toContain('3 seeds run, 0 failed');
+      const { status, output } = await runSoak('--seeds', '1-3', '--parallel', '3');
+      expect(output).toContain('3 seeds run, 0 failed');
       expect(status).toBe(0);
     },
-    TIMEOUT_MS,
+    RUN_TIMEOUT_MS,
   );
 
   it.each(RULE_PARTS)(
-    'are detected when they lack the part "%s" of the placement rule',
+    'are detected by the rule checker if they lack the part "%s" of the placement rule',
     async (part) => {
-      const { status, text } = await soak('--seeds', '1', '--broken', part);
-      expect(text).toContain('1 seeds run, 0 failed');
+      const { status, output } = await runSoak('--seeds', '1', '--broken', part);
+      expect(output).toContain('1 seeds run, 0 failed');
       expect(status).toBe(0);
     },
-    TIMEOUT_MS,
+    RUN_TIMEOUT_MS,
   );
 
   it.each([
     ['a range that ends before it begins', ['--seeds', '9-3']],
-    ['no number', ['--seeds', 'many']],
-    ['an unknown part', ['--broken', 'colour']],
+    ['a seed that is not a number', ['--seeds', 'many']],
+    ['an unknown rule part', ['--broken', 'colour']],
     ['an unknown option', ['--speed', '3']],
-    ['too many at once', ['--parallel', '99']],
+    ['too many parallel seeds', ['--parallel', '99']],
   ])('report invalid arguments in one line: %s', async (_name, args) => {
-    const { status, text } = await soak(...args);
+    const { status, output } = await runSoak(...args);
     expect(status).toBe(2);
-    expect(text.trim().split('\n')).toHaveLength(1);
+    expect(output.trim().split('\n')).toHaveLength(1);
   });
 });
