--- a/test/profile/main.ts
+++ b/test/profile/main.ts
@@ -1,7 +1,8 @@
 /**
- * Profiles the processor time and memory of controllers: real processes on loopback against fakes of key-value store,
- * cloud and workers. `npm run profile -- --machines 400 --seconds 60` prints what each controller used, and the share of
- * each function by V8's profiler. Real sites have other figures: this shows what an event costs.
+ * Profiles the CPU time and memory of controllers, which run as processes on loopback against fakes of the key-value
+ * store, the cloud and the workers. `npm run profile -- --machines 400 --seconds 60` prints the last summary log line
+ * of each controller, and the CPU time of each function according to V8's profiler. The figures show the cost of an
+ * event; the load of a production site differs.
  */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { mkdirSync, readdirSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -30,10 +31,11 @@
   options: {
     machines: { type: 'string', default: '400' },
     seconds: { type: 'string', default: '60' },
-    /** If above 0, all controllers restart after this time, and the measurement begins then. */
+    /** The time in seconds after which all controllers restart and the measurement begins; 0 disables the restart. */
     'restart-after': { type: 'string', default: '0' },
-    /** Jobs per second. */
+    /** The mean arrival rate of service jobs, per second. */
     services: { type: 'string', default: '1.2' },
+    /** The mean arrival rate of array jobs, per second. */
     arrays: { type: 'string', default: '0.3' },
     tasks: { type: 'string', default: '70' },
     'report-s': { type: 'string', default: '6' },
@@ -44,7 +46,7 @@
   allowNegative: true,
 });
 const OUTPUT_FOLDER = 'target/profile';
-/** Seeded, so that every run has the same arrivals. */
+/** Generates the random choices. A constant seed gives every run the same job arrivals. */
 const generator = xoroshiro128plus(7);
 const random = (): number => uniformFloat64(generator);
 const STORE_PORT = 21_001;
@@ -52,36 +54,37 @@
 const WORKER_PORT = 21_003;
 const FRONT_PORT = 21_010;
 const PEER_PORT = 21_020;
-const NODES = [0, 1, 2];
+const NODE_INDEXES = [0, 1, 2];
 const HEARTBEAT_INTERVAL_MS = Number(values['report-s']) * 1000;
 const QUERY_INTERVAL_MS = 5000;
-const RUN_S = 35;
+const JOB_RUN_S = 35;
 
 const addressOf = (id: MachineId): string => {
   const number = Number(id.slice('host-'.length));
   return `127.1.${number >> 8}.${number & 255}:${WORKER_PORT}`;
 };
-const machineAt = (ip: string): MachineId => {
+const machineIdOf = (ip: string): MachineId => {
   const [, , high, low] = ip.split('.').map(Number);
   return `host-${String(((high ?? 0) << 8) + (low ?? 0)).padStart(6, '0')}` as MachineId;
 };
 
 const workers = new Map<MachineId, FakeWorker>();
-const links = new Map<MachineId, HttpTarget[]>();
-const jobs = new Map<JobId, JobBehavior>();
-const fronts = NODES.map((node) => new HttpTarget(`127.0.0.1:${FRONT_PORT + node}`, 200));
+const targetsByMachine = new Map<MachineId, HttpTarget[]>();
+const behaviorByJob = new Map<JobId, JobBehavior>();
+const frontTargets = NODE_INDEXES.map((node) => new HttpTarget(`127.0.0.1:${FRONT_PORT + node}`, 200));
 let startCount = 0;
 
 const environment: WorkerEnvironment = {
-  nodes: NODES.map(String),
-  behaviorOf: (id) => jobs.get(id),
+  nodes: NODE_INDEXES.map(String),
+  behaviorOf: (id) => behaviorByJob.get(id),
   onTaskStarted: () => startCount++,
   onTaskEnded: () => {},
   async heartbeat(worker, node, heartbeat) {
     const { id } = worker.machine;
     const targets =
-      links.get(id) ?? NODES.map((index) => new HttpTarget(`127.0.0.1:${FRONT_PORT + index}`, 1));
-    links.set(id, targets);
+      targetsByMachine.get(id) ??
+      NODE_INDEXES.map((index) => new HttpTarget(`127.0.0.1:${FRONT_PORT + index}`, 1));
+    targetsByMachine.set(id, targets);
     try {
       const reply = await (targets[Number(node)] as HttpTarget).call(
         'POST',
@@ -118,7 +121,7 @@
     zone: 'north',
     front: `127.0.0.1:${FRONT_PORT + node}`,
     listen: `127.0.0.1:${PEER_PORT + node}`,
-    siblings: NODES.filter((other) => other !== node).map((other) => ({
+    siblings: NODE_INDEXES.filter((other) => other !== node).map((other) => ({
       member: `node-${other}`,
       zone: 'north',
       address: `127.0.0.1:${PEER_PORT + other}`,
@@ -144,10 +147,10 @@
     ? ['--cpu-prof', `--cpu-prof-dir=${OUTPUT_FOLDER}`, `--cpu-prof-name=node-${node}.cpuprofile`]
     : [];
   const flags = values.flags.split(' ').filter((flag) => flag !== '');
-  const exit = ['-r', `./${OUTPUT_FOLDER}/exit.cjs`];
+  const preloadArgs = ['-r', `./${OUTPUT_FOLDER}/exit.cjs`];
   const child = spawn(
     process.execPath,
-    [...flags, ...profiling, ...exit, values.program, 'serve', '--config', path],
+    [...flags, ...profiling, ...preloadArgs, values.program, 'serve', '--config', path],
     {
       stdio: ['ignore', 'ignore', 'pipe'],
       env: { ...process.env, LOG_LEVEL: 'info' },
@@ -168,34 +171,34 @@
     try {
       lastSummaries.set(node, JSON.parse(line) as Record<string, unknown>);
     } catch {
-      // The pipe has split the line; the next summary says the same.
+      // The line was split between two reads from the pipe. The next summary replaces the lost summary.
     }
   }
 }
 
-let nextJob = 0;
+let submittedJobCount = 0;
 
-/** Submits a job and queries it until it is done; cancels it if it takes too long. */
+/** Submits a job and queries its state until the job is done. Cancels a job that is not done after 90 s. */
 async function runUser(kind: 'array' | 'service'): Promise<void> {
-  const ref = `j-${String(nextJob++).padStart(6, '0')}`;
+  const ref = `j-${String(submittedJobCount++).padStart(6, '0')}`;
   const request: JobRequest = {
     ref,
     kind,
-    team: nextJob % 2 ? 'red' : 'blue',
+    team: submittedJobCount % 2 ? 'red' : 'blue',
     tasks: kind === 'array' ? Number(values.tasks) : 2,
     cpus: kind === 'array' ? 4 : 2,
     spot: kind === 'array',
-    runS: RUN_S,
-    image: `img-${nextJob % 10}`,
+    runS: JOB_RUN_S,
+    image: `img-${submittedJobCount % 10}`,
   };
-  jobs.set(ref as JobId, {
+  behaviorByJob.set(ref as JobId, {
     image: request.image as ImageId,
     fetchMs: 1500,
-    runMs: kind === 'array' ? RUN_S * 1000 : null,
+    runMs: kind === 'array' ? JOB_RUN_S * 1000 : null,
     failsAlways: false,
   });
   const deadline = performance.now() + 90_000;
-  const front = (): HttpTarget => fronts[Math.floor(random() * fronts.length)] as HttpTarget;
+  const front = (): HttpTarget => frontTargets[Math.floor(random() * frontTargets.length)] as HttpTarget;
   let isAccepted = false;
   while (performance.now() < deadline) {
     try {
@@ -225,9 +228,9 @@
 }
 
 async function stopNodes(nodes: readonly ChildProcess[]): Promise<void> {
-  const ended = nodes.map((node) => new Promise((resolve) => node.on('exit', resolve)));
+  const exits = nodes.map((node) => new Promise((resolve) => node.on('exit', resolve)));
   for (const node of nodes) node.kill('SIGTERM');
-  await Promise.all(ended);
+  await Promise.all(exits);
 }
 
 async function run(): Promise<void> {
@@ -239,7 +242,7 @@
   await serve(
     WORKER_PORT,
     '0.0.0.0',
-    workersHandler((ip) => workers.get(machineAt(ip)), addressOf),
+    workersHandler((ip) => workers.get(machineIdOf(ip)), addressOf),
   );
   for (let number = 0; number < Number(values.machines); number++) {
     cloud.adopt({
@@ -249,7 +252,7 @@
       spot: number % 3 === 0,
     });
   }
-  let nodes = NODES.map(startNode);
+  let nodes = NODE_INDEXES.map(startNode);
   await sleep(systemClock, 3000);
   for (let count = 0; count < 150 * Number(values.services); count++) void runUser('service');
   scheduleArrivals('service', Number(values.services));
@@ -257,14 +260,14 @@
   if (Number(values['restart-after']) > 0) {
     await sleep(systemClock, Number(values['restart-after']) * 1000);
     await stopNodes(nodes);
-    nodes = NODES.map(startNode);
+    nodes = NODE_INDEXES.map(startNode);
   }
   await sleep(systemClock, Number(values.seconds) * 1000);
   await stopNodes(nodes);
   console.log(
-    `${workers.size} machines, ${startCount} starts, ${nextJob} jobs, ${store.requestCount} state requests`,
+    `${workers.size} machines, ${startCount} starts, ${submittedJobCount} jobs, ${store.requestCount} state requests`,
   );
-  for (const node of NODES) console.log(`node-${node}: ${JSON.stringify(lastSummaries.get(node))}`);
+  for (const node of NODE_INDEXES) console.log(`node-${node}: ${JSON.stringify(lastSummaries.get(node))}`);
   if (!values.profile) process.exit(0);
   for (const name of readdirSync(OUTPUT_FOLDER).filter((file) => file.endsWith('.cpuprofile'))) {
     console.log(`\n${name}`);
@@ -275,7 +278,7 @@
   process.exit(0);
 }
 
-// The handlers of 'exit' kill the controllers.
+// Signals end the process through process.exit, whose 'exit' handlers kill the controllers.
 process.once('SIGINT', () => process.exit(130));
 process.once('SIGTERM', () => process.exit(143));
 
--- a/test/profile/placement-main.ts
+++ b/test/profile/placement-main.ts
@@ -1,7 +1,7 @@
 /**
- * Measures the cost of checking start commands against the placement rule: commands for every machine of a fleet, with
- * and without the check.
- * `npm run measure:placement -- --machines 4000 --tasks 8`
+ * Measures the time that the check of start commands against the placement rule takes. The benchmark creates the
+ * commands for every machine of a fleet with and without the check: `npm run measure:placement -- --machines 4000
+ * --tasks 8`.
  */
 import { parseArgs } from 'node:util';
 import { DecisionLog } from '../../src/log/decision-log.js';
@@ -19,16 +19,16 @@
 
 const EPOCH = 1 as Epoch;
 const TASKS_PER_JOB = 70;
-const MAX_COMMANDS = 250;
-const ROUNDS = 9;
+const MAX_COMMAND_COUNT = 250;
+const ROUND_COUNT = 9;
 const NANOSECONDS_PER_MS = 1e6;
 
 const { values } = parseArgs({
   options: { machines: { type: 'string', default: '4000' }, tasks: { type: 'string', default: '8' } },
 });
 
-/** Returns a job. Every third one has zone anti-affinity: for it, the check looks at its other tasks as well. */
-function jobAt(index: number): ActiveJob {
+/** Creates a job. Every third job has zone anti-affinity, for which the check also reads the job's other tasks. */
+function createJob(index: number): ActiveJob {
   const spec: JobSpec = {
     ...submission({}),
     id: `j-${index}` as JobId,
@@ -42,7 +42,7 @@
 function fleet(machines: number, tasks: number): Worker[] {
   const now = systemClock.now();
   const workers: Worker[] = [];
-  let job = jobAt(0);
+  let job = createJob(0);
   let jobs = 1;
   for (let index = 0; index < machines; index++) {
     const zone = MIXED_ZONES[index % MIXED_ZONES.length] as (typeof MIXED_ZONES)[0];
@@ -51,7 +51,7 @@
       now,
     );
     for (let count = 0; count < tasks; count++) {
-      if (job.waitingCount === 0) job = jobAt(jobs++);
+      if (job.waitingCount === 0) job = createJob(jobs++);
       const task = job.beginAttempt(worker.id, zone, now);
       job.confirmPlacement(task);
       worker.assign(task);
@@ -61,11 +61,11 @@
   return workers;
 }
 
-/** Returns the milliseconds that the first commands of all machines take. */
-function measureRound(issue: (worker: Worker) => void): number {
+/** Returns the time in milliseconds for the first commands to all machines of a new fleet. */
+function measureRound(issueCommands: (worker: Worker) => void): number {
   const workers = fleet(Number(values.machines), Number(values.tasks));
   const startedAt = performance.now();
-  for (const worker of workers) issue(worker);
+  for (const worker of workers) issueCommands(worker);
   return performance.now() - startedAt;
 }
 
@@ -73,23 +73,23 @@
   return numbers.sort((first, second) => first - second)[Math.floor(numbers.length / 2)] ?? 0;
 }
 
-function medianOfRounds(issue: (worker: Worker) => void): number {
-  return median(Array.from({ length: ROUNDS }, () => measureRound(issue)));
+function medianOfRounds(issueCommands: (worker: Worker) => void): number {
+  return median(Array.from({ length: ROUND_COUNT }, () => measureRound(issueCommands)));
 }
 
 const issuer = new CommandIssuer(
   { epoch: EPOCH, log: silentLogger, clock: systemClock },
   new DecisionLog(silentLogger, systemClock),
 );
-const plainMs = medianOfRounds((worker) => {
+const withoutCheckMs = medianOfRounds((worker) => {
   const commands = commandsFor(worker, systemClock.now(), true);
   markStartsSent(worker, commands, worker.fencingToken(EPOCH));
 });
-const checkedMs = medianOfRounds((worker) => void issuer.issue(worker, true, [], MAX_COMMANDS));
+const withCheckMs = medianOfRounds((worker) => void issuer.issue(worker, true, [], MAX_COMMAND_COUNT));
 const commandCount = Number(values.machines) * Number(values.tasks);
-const perCommandNs = ((checkedMs - plainMs) * NANOSECONDS_PER_MS) / commandCount;
+const perCommandNs = ((withCheckMs - withoutCheckMs) * NANOSECONDS_PER_MS) / commandCount;
 console.log(
-  `${values.machines} machines, ${commandCount} start commands, median of ${ROUNDS} rounds on this machine`,
+  `${values.machines} machines, ${commandCount} start commands, median of ${ROUND_COUNT} rounds on this machine`,
 );
-console.log(`commands alone: ${plainMs.toFixed(1)} ms; with the check: ${checkedMs.toFixed(1)} ms`);
+console.log(`commands alone: ${withoutCheckMs.toFixed(1)} ms; with the check: ${withCheckMs.toFixed(1)} ms`);
 console.log(`the check: ${perCommandNs.toFixed(0)} ns per command; ${issuer.withheld} withheld`);
