--- a/test/soak/main.ts
+++ b/test/soak/main.ts
@@ -1,9 +1,9 @@
 /**
  * Runs the soak test, which injects random faults into controller processes on loopback:
  * `npm run soak -- --seeds 1-50`. Each seed runs in a child process of its own; `--parallel` sets how many seeds run
- * concurrently. `--broken type|zone|spot|zoneAffinity|zoneAntiAffinity` runs controllers that lack the
- * named part of the placement rule, and passes if the rule checker detects a wrong placement for every seed. Exit codes:
- * 0 passed, 1 failed, 2 invalid arguments.
+ * concurrently. `--broken type|zone|spot|zoneAffinity|zoneAntiAffinity` runs controllers that lack the named part of the
+ * placement rule, and passes if the rule checker detects a wrong placement for every seed. Exit codes: 0 passed,
+ * 1 failed, 2 invalid arguments.
  */
 import { spawn } from 'node:child_process';
 import { join } from 'node:path';
--- a/test/soak/seed.ts
+++ b/test/soak/seed.ts
@@ -39,8 +39,8 @@
 const LARGE_SITE = { machines: 300, teamCpuLimit: 1200, maxTasks: 40 };
 const SMALL_SITE = { machines: 3, teamCpuLimit: 96, maxTasks: 6 };
 /**
- * Every fifth seed, from seed 3 on, runs with low size limits of the key-value store and machine IDs of 120 digits, so
- * that records of full size would exceed the limits.
+ * Every fifth seed, from seed 3 on, runs with low size limits of the key-value store and machine IDs of 120 digits. Such
+ * IDs make the entries of a record larger than the controllers estimate, so that records exceed the limits.
  */
 const LOW_LIMITS_INTERVAL = 5;
 const FIRST_LOW_LIMITS_SEED = 3;
