--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -5,7 +5,7 @@
 import { Controller } from '../controller/controller.js';
 import { InvalidSettingsError, loadOperators, loadSettings } from '../config/operators.js';
 import { printMembers } from './members.js';
-import { findTooSmallSettings } from '../config/limits.js';
+import { findTooSmallSettings } from '../config/settings-minimums.js';
 import { type Features, loadFeatures } from '../config/features.js';
 import { openLogger, errorMessage } from '../log/logger.js';
 import type { Settings } from '../wire/settings.js';
--- a/src/config/limits.ts
+++ b/src/config/settings-minimums.ts
@@ -1,5 +1,5 @@
 /** Finds platform settings that are too small for reliable operation. */
-import { shareSockets } from '../net/socket-shares.js';
+import { shareSockets } from '../net/socket-allocation.js';
 import type { Settings } from '../wire/settings.js';
 
 /**
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -13,7 +13,7 @@
 import { runPeriodically, systemClock } from '../model/time.js';
 import { HttpTarget } from '../net/http-client.js';
 import { FrontServer } from '../net/front-server.js';
-import { shareSockets, type SocketShares } from '../net/socket-shares.js';
+import { shareSockets, type SocketShares } from '../net/socket-allocation.js';
 import { FrameKind } from '../peer/frames.js';
 import { encodeProgress } from '../peer/job-progress.js';
 import type { Ping } from '../peer/ping.js';
--- a/src/controller/heartbeat-router.ts
+++ b/src/controller/heartbeat-router.ts
@@ -4,7 +4,7 @@
 import type { MachineId, MemberId } from '../model/ids.js';
 import { type Clock, since } from '../model/time.js';
 import { parseJson } from '../net/http-client.js';
-import { YieldingWorkQueue } from '../net/work-queue.js';
+import { YieldingWorkQueue } from '../net/yielding-work-queue.js';
 import { FrameKind, type PeerResponse } from '../peer/frames.js';
 import type { Peer } from '../peer/peer.js';
 import { encodeCommands, encodeRedirect, parseHeartbeat } from '../wire/workers.js';
--- a/src/fleet/consolidator.ts
+++ b/src/fleet/consolidator.ts
@@ -13,7 +13,7 @@
   machinesToDrain,
   type MovableTask,
   type MovableTaskConstraint,
-} from './consolidation.js';
+} from './drain-selection.js';
 
 /** The interval between two consolidations; by then the tasks of the machines drained last have been placed again. */
 const CONSOLIDATION_INTERVAL_MS = 2000;
--- a/src/fleet/demand-forecast.ts
+++ b/src/fleet/demand-forecast.ts
@@ -1,6 +1,6 @@
 /** The paper's demand forecast: how many additional machines of each series the next slot will need. */
 import type { ControllerContext } from '../core/context.js';
-import { ArrivalDropDetector } from '../forecast/arrivals.js';
+import { ArrivalDropDetector } from '../forecast/arrival-drop-detector.js';
 import { Ensemble, type PredictionCost } from '../forecast/ensemble.js';
 import { autoregression, highQuantile, movingAverage } from '../forecast/predictors.js';
 import { type Millis } from '../model/time.js';
--- a/src/leader/leader-parts.ts
+++ b/src/leader/leader-parts.ts
@@ -27,7 +27,7 @@
 import { JobIntake } from './job-intake.js';
 import { JobOutcomes } from './job-outcomes.js';
 import { JobWatcher } from './job-watcher.js';
-import { LostTaskReleaser } from './lost-tasks.js';
+import { LostTaskReleaser } from './lost-task-releaser.js';
 import { StateRestorer } from './state-restorer.js';
 import type { TermLifetime } from './term-lifetime.js';
 import { maxRenewalWithoutQuorum, WorkerLeasePolicy } from './worker-lease-policy.js';
--- a/src/workers/state/worker.ts
+++ b/src/workers/state/worker.ts
@@ -16,7 +16,7 @@
 import type { DurableProgress, Task } from '../../scheduler/task.js';
 import { HeartbeatCursor } from './heartbeat-cursor.js';
 import { ImageCache } from './image-cache.js';
-import { CommandCallState } from './pending-commands.js';
+import { CommandCallState } from './command-call-state.js';
 import { ProbeState } from './probe-state.js';
 import { WorkerCapacity } from './worker-capacity.js';
 import { WorkerContact } from './worker-contact.js';
--- a/test/unit/consolidation.test.ts
+++ b/test/unit/drain-selection.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { type DrainCandidate, machinesToDrain } from '../../src/fleet/consolidation.js';
+import { type DrainCandidate, machinesToDrain } from '../../src/fleet/drain-selection.js';
 import type { MachineId } from '../../src/model/ids.js';
 
 describe('machinesToDrain', () => {
--- a/test/unit/forecast.test.ts
+++ b/test/unit/forecast.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { ArrivalDropDetector } from '../../src/forecast/arrivals.js';
+import { ArrivalDropDetector } from '../../src/forecast/arrival-drop-detector.js';
 import { seconds, type MonotonicTime } from '../../src/model/time.js';
 import { Ensemble, predictionCost } from '../../src/forecast/ensemble.js';
 import { Lifetimes } from '../../src/forecast/lifetimes.js';
--- a/test/unit/socket-shares.test.ts
+++ b/test/unit/socket-allocation.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { shareSockets } from '../../src/net/socket-shares.js';
+import { shareSockets } from '../../src/net/socket-allocation.js';
 
 describe('the allocation of sockets', () => {
   it.each([
--- a/test/unit/wire.test.ts
+++ b/test/unit/wire.test.ts
@@ -5,7 +5,7 @@
 import { encodeFrame, FrameKind, FrameReader, MalformedFrameError } from '../../src/peer/frames.js';
 import { decodeProgress, encodeProgress } from '../../src/peer/job-progress.js';
 import { decodeChunk, encodeChunk } from '../../src/store/progress-record.js';
-import { findTooSmallSettings } from '../../src/config/limits.js';
+import { findTooSmallSettings } from '../../src/config/settings-minimums.js';
 import { readSettings } from '../../src/wire/settings.js';
 import { VirtualClock } from '../simulation/clock.js';
 import { parseSubmission } from '../../src/wire/users.js';
--- a/test/unit/worker-state.test.ts
+++ b/test/unit/worker-state.test.ts
@@ -5,7 +5,7 @@
 import type { MonotonicTime } from '../../src/model/time.js';
 import { recordUpWorker, createFleetSnapshot, isLikelyPartitioned } from '../../src/workers/fleet-health.js';
 import { ImageCache } from '../../src/workers/state/image-cache.js';
-import { CommandCallState } from '../../src/workers/state/pending-commands.js';
+import { CommandCallState } from '../../src/workers/state/command-call-state.js';
 import { HeartbeatCursor } from '../../src/workers/state/heartbeat-cursor.js';
 import { WorkerContact } from '../../src/workers/state/worker-contact.js';
 import { WorkerFence } from '../../src/workers/state/worker-fence.js';
--- a/test/unit/work-queue.test.ts
+++ b/test/unit/yielding-work-queue.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { YieldingWorkQueue } from '../../src/net/work-queue.js';
+import { YieldingWorkQueue } from '../../src/net/yielding-work-queue.js';
 
 describe('YieldingWorkQueue', () => {
   // One socket may deliver hundreds of heartbeats at once. If all of them ran in one iteration of the event loop, the
