--- a/packages/membership/src/identity.ts
+++ b/packages/membership/src/identity.ts
@@ -42,8 +42,8 @@
 /**
  * Whether two identities are the same process in the same incarnation, so that evidence about one applies to the other.
  */
-export function isSameIdentity(first: Identity, second: Identity): boolean {
-  return first.process === second.process && first.incarnation === second.incarnation;
+export function isSameIdentity(left: Identity, right: Identity): boolean {
+  return left.process === right.process && left.incarnation === right.incarnation;
 }
 
 /** Returns the lowest incarnation that is higher than both arguments. */
--- a/packages/membership/src/peer-tracker.ts
+++ b/packages/membership/src/peer-tracker.ts
@@ -11,7 +11,8 @@
 const ageOrNull = (now: number, at: number | null): number | null =>
   at === null ? null : Math.max(0, Math.round(now - at));
 
-const laterTime = (a: number | null, b: number): number => (a === null ? b : Math.max(a, b));
+const laterTime = (left: number | null, right: number): number =>
+  left === null ? right : Math.max(left, right);
 
 /** The contact times and the suspicion of a peer. All times are on this process's monotonic clock. */
 export class PeerTracker {
--- a/packages/simulation/src/virtual-clock.ts
+++ b/packages/simulation/src/virtual-clock.ts
@@ -7,8 +7,8 @@
 }
 
 /** Returns whether the first timer runs before the second. Timers due at the same time run in the order of creation. */
-const isEarlier = (first: Timer, second: Timer): boolean =>
-  first.at < second.at || (first.at === second.at && first.order < second.order);
+const isEarlier = (left: Timer, right: Timer): boolean =>
+  left.at < right.at || (left.at === right.at && left.order < right.order);
 
 /** A clock for simulated processes: monotonic time, wall time and timers, in milliseconds. */
 export interface SimulatedClock {
--- a/src/fleet/drain-selection.ts
+++ b/src/fleet/drain-selection.ts
@@ -161,9 +161,7 @@
     (machine.price * machine.freeCpus) / machine.cpus;
   return machines
     .filter(({ tasks, cpus, freeCpus }) => tasks.length > 0 && cpus - freeCpus <= cpus * MAX_USED_CPU_RATIO)
-    .sort(
-      (first, second) => idleHourlyPrice(second) - idleHourlyPrice(first) || (first.id < second.id ? -1 : 1),
-    );
+    .sort((left, right) => idleHourlyPrice(right) - idleHourlyPrice(left) || (left.id < right.id ? -1 : 1));
 }
 
 function isWorthDraining({ tasks, price }: DrainCandidate, cpuPrice: number): boolean {
--- a/src/forecast/ensemble.ts
+++ b/src/forecast/ensemble.ts
@@ -106,7 +106,7 @@
    */
   private burstLimit(): number {
     if (this.series.length < MIN_SPREAD_SLOT_COUNT) return Infinity;
-    const sorted = [...this.series].sort((a, b) => a - b);
+    const sorted = [...this.series].sort((left, right) => left - right);
     const quantile = (share: number): number => sorted[Math.floor((sorted.length - 1) * share)] ?? 0;
     const spread = Math.max(quantile(0.75) - quantile(0.25), 0.25 * quantile(0.5));
     return Math.max(1, quantile(0.5) + 3 * spread);
--- a/src/forecast/predictors.ts
+++ b/src/forecast/predictors.ts
@@ -122,7 +122,7 @@
   return {
     name: `high-${window}`,
     predict(series) {
-      const last = series.slice(-window).sort((a, b) => a - b);
+      const last = series.slice(-window).sort((left, right) => left - right);
       if (last.length === 0) return 0;
       return last[Math.min(last.length - 1, Math.floor(last.length * (1 - exceedanceRatio)))] ?? 0;
     },
--- a/src/scheduler/candidate-index.ts
+++ b/src/scheduler/candidate-index.ts
@@ -9,23 +9,23 @@
   freeCpus: number;
 }
 
-type Comparator = (a: Candidate, b: Candidate) => number;
+type Comparator = (left: Candidate, right: Candidate) => number;
 
-const compareIds = (a: MachineView, b: MachineView): number => (a.id < b.id ? -1 : 1);
+const compareIds = (left: MachineView, right: MachineView): number => (left.id < right.id ? -1 : 1);
 const reachabilityRank = (machine: MachineView): number => (machine.isReachable ? 0 : 1);
 const spotRank = (machine: MachineView): number => (machine.spot ? 0 : 1);
 
-const SPOT_ORDER: Comparator = (a, b) =>
-  reachabilityRank(a.machine) - reachabilityRank(b.machine) ||
-  spotRank(a.machine) - spotRank(b.machine) ||
-  a.freeCpus - b.freeCpus ||
-  compareIds(a.machine, b.machine);
+const SPOT_ORDER: Comparator = (left, right) =>
+  reachabilityRank(left.machine) - reachabilityRank(right.machine) ||
+  spotRank(left.machine) - spotRank(right.machine) ||
+  left.freeCpus - right.freeCpus ||
+  compareIds(left.machine, right.machine);
 
-const ON_DEMAND_ORDER: Comparator = (a, b) =>
-  reachabilityRank(a.machine) - reachabilityRank(b.machine) ||
-  a.machine.cpus - b.machine.cpus ||
-  a.freeCpus - b.freeCpus ||
-  compareIds(a.machine, b.machine);
+const ON_DEMAND_ORDER: Comparator = (left, right) =>
+  reachabilityRank(left.machine) - reachabilityRank(right.machine) ||
+  left.machine.cpus - right.machine.cpus ||
+  left.freeCpus - right.freeCpus ||
+  compareIds(left.machine, right.machine);
 
 /**
  * Bounds the number of changed machines that are reinserted one by one before the next job is placed. If more machines
@@ -117,9 +117,9 @@
   *inOrder(image: ImageId): Generator<MachineView> {
     this.applyChanges();
     const { candidates } = this;
-    const haveEqualRank = (a: Candidate, b: Candidate): boolean =>
-      a.machine.isReachable === b.machine.isReachable &&
-      (!this.allowsSpot || (a.machine.spot === b.machine.spot && a.freeCpus === b.freeCpus));
+    const haveEqualRank = (left: Candidate, right: Candidate): boolean =>
+      left.machine.isReachable === right.machine.isReachable &&
+      (!this.allowsSpot || (left.machine.spot === right.machine.spot && left.freeCpus === right.freeCpus));
     for (let start = 0; start < candidates.length;) {
       const first = candidates[start] as Candidate;
       let end = start + 1;
--- a/src/scheduler/dependency-graph.ts
+++ b/src/scheduler/dependency-graph.ts
@@ -143,7 +143,7 @@
   }
 }
 
-function earlierDeadline(a: WallTime | null, b: WallTime | null): WallTime | null {
-  if (a === null || b === null) return a ?? b;
-  return a < b ? a : b;
+function earlierDeadline(left: WallTime | null, right: WallTime | null): WallTime | null {
+  if (left === null || right === null) return left ?? right;
+  return left < right ? left : right;
 }
--- a/src/scheduler/job-progress.ts
+++ b/src/scheduler/job-progress.ts
@@ -95,7 +95,7 @@
   mergeStored(): StoredProgress {
     const stored = this.storedChunks;
     this.storedChunks = [];
-    const chunkSizes = [...new Set(stored.map(({ size }) => size))].sort((a, b) => a - b);
+    const chunkSizes = [...new Set(stored.map(({ size }) => size))].sort((left, right) => left - right);
     this.chunkSize = Math.min(this.chunkSize, ...chunkSizes);
     for (const chunk of stored) this.adoptRevision(chunk);
     // With a single chunk size, each task is in one record only.
--- a/src/scheduler/progress-merge.ts
+++ b/src/scheduler/progress-merge.ts
@@ -52,19 +52,19 @@
   }
 }
 
-/** Compares two states of a task by their order in the task's lifecycle; positive: `a` comes after `b`. */
-function compareByLifecycle(a: TaskProgress, b: TaskProgress): number {
-  const attempts = attemptRank(a) - attemptRank(b);
+/** Compares two states of a task by their order in the task's lifecycle; positive: `left` comes after `right`. */
+function compareByLifecycle(left: TaskProgress, right: TaskProgress): number {
+  const attempts = attemptRank(left) - attemptRank(right);
   // The difference of two infinite ranks is NaN: the task is done in both states.
   if (Number.isNaN(attempts)) return 0;
-  return attempts || LIFECYCLE_ORDER[a.kind] - LIFECYCLE_ORDER[b.kind];
+  return attempts || LIFECYCLE_ORDER[left.kind] - LIFECYCLE_ORDER[right.kind];
 }
 
 /** Whether two states of a task are equal, including the machine of a placed task. */
-export function isSameProgress(a: TaskProgress, b: TaskProgress): boolean {
-  if (compareByLifecycle(a, b) !== 0) return false;
-  if (a.kind !== 'placed' || b.kind !== 'placed') return true;
-  return a.placement.machine === b.placement.machine;
+export function isSameProgress(left: TaskProgress, right: TaskProgress): boolean {
+  if (compareByLifecycle(left, right) !== 0) return false;
+  if (left.kind !== 'placed' || right.kind !== 'placed') return true;
+  return left.placement.machine === right.placement.machine;
 }
 
 /**
@@ -98,7 +98,7 @@
   const { progress } = mostAdvanced;
   // A done task is never started again, so no other placement has to be proven gone.
   if (progress.kind === 'done') return { progress, unproven: [] };
-  const latestFirst = [...claims].sort((a, b) => b.revision - a.revision);
+  const latestFirst = [...claims].sort((left, right) => right.revision - left.revision);
   const distinctProgress: TaskProgress[] = [progress];
   const unproven: TaskPlacement[] = [];
   for (const claim of latestFirst) {
--- a/src/scheduler/queue.ts
+++ b/src/scheduler/queue.ts
@@ -26,7 +26,7 @@
 ): Set<JobId> {
   const demandByTeam = new Map<TeamId, TeamUsage>();
   const guaranteed = new Set<JobId>();
-  for (const { spec } of [...jobs].sort((a, b) => a.readyAt - b.readyAt)) {
+  for (const { spec } of [...jobs].sort((left, right) => left.readyAt - right.readyAt)) {
     const team = teams.get(spec.team);
     if (!team) continue;
     const demand = demandByTeam.get(spec.team) ?? { cpus: 0, gpus: 0 };
@@ -51,10 +51,10 @@
   };
   return jobs
     .map((job) => ({ job, rank: rankOf(job), slackMs: job.slackMs ?? Infinity }))
-    .sort((a, b) => {
-      if (a.rank !== b.rank) return b.rank - a.rank;
-      if (a.slackMs !== b.slackMs) return a.slackMs - b.slackMs;
-      return a.job.readyAt - b.job.readyAt;
+    .sort((left, right) => {
+      if (left.rank !== right.rank) return right.rank - left.rank;
+      if (left.slackMs !== right.slackMs) return left.slackMs - right.slackMs;
+      return left.job.readyAt - right.job.readyAt;
     })
     .map(({ job }) => job);
 }
--- a/src/store/progress-record.ts
+++ b/src/store/progress-record.ts
@@ -69,7 +69,7 @@
 /** Encodes a chunk's progress. Fields without a task are left out. */
 export function encodeChunk({ done, placed, usedAttempts }: ChunkProgress): StoredChunk {
   const stored: StoredChunk = {};
-  if (done.size) stored.d = toRanges([...done].sort((a, b) => a - b));
+  if (done.size) stored.d = toRanges([...done].sort((left, right) => left - right));
   if (placed.size) {
     stored.p = [...placed].map(([index, { attemptNumber, machine }]) => [index, attemptNumber, machine]);
   }
--- a/test/profile/placement-main.ts
+++ b/test/profile/placement-main.ts
@@ -70,7 +70,7 @@
 }
 
 function median(numbers: number[]): number {
-  return numbers.sort((first, second) => first - second)[Math.floor(numbers.length / 2)] ?? 0;
+  return numbers.sort((left, right) => left - right)[Math.floor(numbers.length / 2)] ?? 0;
 }
 
 function medianOfRounds(issueCommands: (worker: Worker) => void): number {
--- a/test/unit/progress-merge.test.ts
+++ b/test/unit/progress-merge.test.ts
@@ -221,13 +221,13 @@
 
 /** Reads by revision: the latest record wins, whatever its size. */
 const readByRevision: ProgressReader = (records) => {
-  const oldestFirst = [...records].sort((a, b) => a.revision - b.revision);
+  const oldestFirst = [...records].sort((left, right) => left.revision - right.revision);
   return new Map(oldestFirst.flatMap(({ value }) => progressOf(decodeChunk(value))));
 };
 
 /** Reads like earlier versions: the records of smaller chunks win, whatever their age. */
 const readBySize: ProgressReader = (records) => {
-  const largestFirst = [...records].sort((a, b) => b.openKey.size - a.openKey.size);
+  const largestFirst = [...records].sort((left, right) => right.openKey.size - left.openKey.size);
   return new Map(largestFirst.flatMap(({ value }) => progressOf(decodeChunk(value))));
 };
 
@@ -356,7 +356,7 @@
     const records = [...this.records.values()];
     return records
       .map((record) => ({ record, rank: uniformInt(generator, 0, 1000) }))
-      .sort((a, b) => a.rank - b.rank)
+      .sort((left, right) => left.rank - right.rank)
       .map(({ record }) => record);
   }
 }
