--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -29,7 +29,7 @@
   readonly ready: boolean;
   readonly localHealth: number | null;
   /** The number of members that receive this member's messages. */
-  readonly reachedBy: number;
+  readonly receiverCount: number;
 }
 
 /** States in which a member is expected to have no working links. */
@@ -179,7 +179,7 @@
         load: row?.load ?? null,
         ready: row?.ready ?? false,
         localHealth: row?.localHealth ?? null,
-        reachedBy: graph.receiversOf(member).length,
+        receiverCount: graph.receiversOf(member).length,
       };
     });
   }
--- a/packages/simulation/src/history.ts
+++ b/packages/simulation/src/history.ts
@@ -79,7 +79,7 @@
   }
 
   /** Returns all violations that were recorded so far. */
-  check(): Violations {
+  getViolations(): Violations {
     return this.violations;
   }
 }
--- a/packages/simulation/src/measure/trial.ts
+++ b/packages/simulation/src/measure/trial.ts
@@ -63,7 +63,7 @@
     } finally {
       this.cluster.close();
     }
-    const violations = this.cluster.history.check();
+    const violations = this.cluster.history.getViolations();
     if (violations.length > 0) throw new Error(violations.join('\n'));
     return times;
   }
--- a/packages/takeover/src/effect-gate.ts
+++ b/packages/takeover/src/effect-gate.ts
@@ -25,7 +25,7 @@
   }
 
   /** Whether effects are allowed now. The getter checks for a pause first. */
-  get open(): boolean {
+  get isOpen(): boolean {
     this.pauseSource.checkPause();
     return !this.isClosed;
   }
--- a/packages/takeover/src/follower-role.ts
+++ b/packages/takeover/src/follower-role.ts
@@ -8,7 +8,13 @@
   OwnerStatus,
   ownerStatus,
 } from './owner-status.js';
-import { type ClaimableReading, Confirmation, isSameOwner, type Owned, type Ownership } from './ownership.js';
+import {
+  type ClaimableReading,
+  OwnershipConfirmation,
+  isSameOwner,
+  type OwnedReading,
+  type Ownership,
+} from './ownership.js';
 import type { TakeoverContext } from './takeover-context.js';
 import { minObservationMs } from './takeover-settings.js';
 import type { UnitState } from './unit-state.js';
@@ -117,13 +123,13 @@
   }
 
   /** Adopts a unit whose record already names this process: an earlier claim succeeded, but its response was lost. */
-  private async adoptEarlierClaim(state: UnitState<Prepared>, reading: Owned): Promise<void> {
+  private async adoptEarlierClaim(state: UnitState<Prepared>, reading: OwnedReading): Promise<void> {
     const { generation } = this.context.gate;
     const { owner, epoch, revisions } = reading;
     const ownership: Ownership = { unit: state.unit, owner, epoch, epochRevision: revisions.epoch };
     const confirmation = await this.context.environment.claims.confirm(ownership);
     state.readAtMs = -Infinity;
-    if (confirmation !== Confirmation.Held) return;
+    if (confirmation !== OwnershipConfirmation.Held) return;
     this.context.gate.reopen(generation);
     await this.adopt(state, ownership);
   }
--- a/packages/takeover/src/index.ts
+++ b/packages/takeover/src/index.ts
@@ -3,19 +3,19 @@
 export {
   type ClaimableReading,
   type ClaimResult,
-  Confirmation,
-  type Damaged,
+  OwnershipConfirmation,
+  type DamagedReading,
   type FencingEpoch,
-  type Owned,
+  type OwnedReading,
   type Owner,
   type Ownership,
   type OwnershipClaims,
   type OwnershipReading,
-  type Released,
+  type ReleasedReading,
   type StoreRevision,
   type UnitId,
   type UnitRevisions,
-  type Unowned,
+  type UnownedReading,
 } from './ownership.js';
 export type { Stage } from './stage.js';
 export { rankSuccessors } from './successor-ranking.js';
--- a/packages/takeover/src/operator-messages.ts
+++ b/packages/takeover/src/operator-messages.ts
@@ -1,8 +1,8 @@
 /** Messages for operators: each says what is wrong and what to do next. */
-import type { Damaged, UnitId } from './ownership.js';
+import type { DamagedReading, UnitId } from './ownership.js';
 
 /** Returns the message for an ownership record that cannot be decoded, with the steps to repair the record. */
-export function describeDamage(unit: UnitId, { key, problem }: Damaged): string {
+export function describeDamage(unit: UnitId, { key, problem }: DamagedReading): string {
   return (
     `No controller takes over ${unit}: its record ${key} ${problem}. ` +
     `Inspect the key in the state service. If no controller is serving ${unit}, delete the key; ` +
--- a/packages/takeover/src/owner-role.ts
+++ b/packages/takeover/src/owner-role.ts
@@ -1,6 +1,6 @@
 /** The owner's side of a takeover: confirms the ownership, and writes heartbeats to the store. */
 import { describeReplacement } from './operator-messages.js';
-import { Confirmation, type Ownership } from './ownership.js';
+import { OwnershipConfirmation, type Ownership } from './ownership.js';
 import { isOwnerStage } from './stage.js';
 import type { TakeoverContext } from './takeover-context.js';
 import type { UnitState } from './unit-state.js';
@@ -16,7 +16,7 @@
   async poll(state: UnitState<Prepared>, ownership: Ownership): Promise<void> {
     const { claims, settings, membership } = this.context.environment;
     const { now } = this.context;
-    const isConfirmationDue = !this.context.gate.open || now - state.readAtMs >= settings.maxReadingAgeMs;
+    const isConfirmationDue = !this.context.gate.isOpen || now - state.readAtMs >= settings.maxReadingAgeMs;
     if (isConfirmationDue) await this.confirm(state, ownership);
     if (!isOwnerStage(state.stage) || membership.hasMajority) return;
     if (now - state.lastHeartbeatAtMs < settings.heartbeatIntervalMs) return;
@@ -29,9 +29,9 @@
     const { generation } = gate;
     const confirmation = await environment.claims.confirm(ownership);
     state.readAtMs = this.context.now;
-    if (confirmation === Confirmation.Held) gate.reopen(generation);
-    if (confirmation !== Confirmation.Superseded) return;
-    const reason = describeReplacement(state.unit, gate.open ? null : this.context.lastPauseMs);
+    if (confirmation === OwnershipConfirmation.Held) gate.reopen(generation);
+    if (confirmation !== OwnershipConfirmation.Superseded) return;
+    const reason = describeReplacement(state.unit, gate.isOpen ? null : this.context.lastPauseMs);
     environment.log.warn({ unit: state.unit, epoch: ownership.epoch }, reason);
     this.context.endOwnership(state, reason);
     state.readAtMs = -Infinity;
--- a/packages/takeover/src/owner-status.ts
+++ b/packages/takeover/src/owner-status.ts
@@ -1,6 +1,6 @@
 /** Pure functions that derive the status of a unit's owner and decide when another member may claim the unit. */
 import { type MemberId, MemberState, type MemberView } from '@plumyoke/membership';
-import type { ClaimableReading, Owned, OwnershipReading } from './ownership.js';
+import type { ClaimableReading, OwnedReading, OwnershipReading } from './ownership.js';
 import type { Suspecting } from './stage.js';
 
 /** The status of a unit's owner, derived from the unit's records and this member's view of the membership. */
@@ -20,7 +20,7 @@
 }
 
 function memberStatus(
-  { owner }: Owned,
+  { owner }: OwnedReading,
   view: MemberView | undefined,
   unknownOwnerTimeoutMs: number,
 ): OwnerStatus {
--- a/packages/takeover/src/ownership.ts
+++ b/packages/takeover/src/ownership.ts
@@ -41,14 +41,14 @@
 }
 
 /** The unit never had an owner, or its last owner's record was deleted. */
-export interface Unowned {
+export interface UnownedReading {
   readonly kind: 'unowned';
   readonly epoch: FencingEpoch;
   readonly revisions: UnitRevisions;
 }
 
 /** A process owns the unit. */
-export interface Owned {
+export interface OwnedReading {
   readonly kind: 'owned';
   readonly owner: Owner;
   readonly epoch: FencingEpoch;
@@ -56,7 +56,7 @@
 }
 
 /** The last owner released the unit; `successor` may claim it without delay. */
-export interface Released {
+export interface ReleasedReading {
   readonly kind: 'released';
   readonly successor: MemberId | null;
   readonly epoch: FencingEpoch;
@@ -64,7 +64,7 @@
 }
 
 /** A record of the unit cannot be decoded. No member acts on the unit until an operator has repaired the record. */
-export interface Damaged {
+export interface DamagedReading {
   readonly kind: 'damaged';
   readonly key: string;
   /** A predicate of which the record is the subject, such as "is not a JSON object". */
@@ -72,10 +72,10 @@
 }
 
 /** A reading of a unit's records on which a claim can be based. */
-export type ClaimableReading = Unowned | Owned | Released;
+export type ClaimableReading = UnownedReading | OwnedReading | ReleasedReading;
 
 /** The result of reading a unit's records. */
-export type OwnershipReading = ClaimableReading | Damaged;
+export type OwnershipReading = ClaimableReading | DamagedReading;
 
 /** The result of a claim. */
 export type ClaimResult =
@@ -88,7 +88,7 @@
   | { readonly kind: 'uncertain' };
 
 /** The result of confirming an ownership. */
-export enum Confirmation {
+export enum OwnershipConfirmation {
   Held = 'held',
   Superseded = 'superseded',
   /** The store did not respond. */
@@ -102,7 +102,7 @@
   /** Claims a unit. Succeeds only if the unit's records have not changed since `reading`. */
   claim(unit: UnitId, claimant: Owner, reading: ClaimableReading): Promise<ClaimResult>;
   /** Checks that no other process has claimed the unit under a later epoch. */
-  confirm(ownership: Ownership): Promise<Confirmation>;
+  confirm(ownership: Ownership): Promise<OwnershipConfirmation>;
   /** Writes a heartbeat to the store, as evidence that the owner is alive. The epoch does not change. */
   writeHeartbeat(ownership: Ownership): Promise<void>;
   /** Releases the unit. `successor` may claim the unit without delay; null: no member is preferred. */
@@ -110,6 +110,6 @@
 }
 
 /** Returns whether both owners are the same process of the same member. */
-export function isSameOwner(first: Owner, second: Owner): boolean {
-  return first.member === second.member && first.process === second.process;
+export function isSameOwner(left: Owner, right: Owner): boolean {
+  return left.member === right.member && left.process === right.process;
 }
--- a/packages/takeover/src/reference/ownership-registry.ts
+++ b/packages/takeover/src/reference/ownership-registry.ts
@@ -7,7 +7,7 @@
 import {
   type ClaimableReading,
   type ClaimResult,
-  Confirmation,
+  OwnershipConfirmation,
   type FencingEpoch,
   NO_REVISION,
   type Owner,
@@ -94,12 +94,14 @@
   }
 
   // Claims are the only writes to the epoch's key, so an unchanged revision of that key confirms the ownership.
-  async confirm({ unit, epochRevision }: Ownership): Promise<Confirmation> {
+  async confirm({ unit, epochRevision }: Ownership): Promise<OwnershipConfirmation> {
     try {
       const epoch = await this.store.get(epochKey(unit));
-      return epoch?.revision === epochRevision ? Confirmation.Held : Confirmation.Superseded;
+      return epoch?.revision === epochRevision
+        ? OwnershipConfirmation.Held
+        : OwnershipConfirmation.Superseded;
     } catch (error) {
-      if (error instanceof StoreError) return Confirmation.Unknown;
+      if (error instanceof StoreError) return OwnershipConfirmation.Unknown;
       throw error;
     }
   }
--- a/packages/takeover/src/stage.ts
+++ b/packages/takeover/src/stage.ts
@@ -1,5 +1,5 @@
 /** The stages of a unit's takeover from the view of one member: a state machine without side effects. */
-import type { Damaged, Owned, Owner, Ownership, StoreRevision } from './ownership.js';
+import type { DamagedReading, OwnedReading, Owner, Ownership, StoreRevision } from './ownership.js';
 
 /** Another process owns the unit, or the unit has no owner, and this member has nothing to do. */
 export interface Watching {
@@ -40,7 +40,7 @@
 /** A record of the unit cannot be decoded, so no member acts on the unit. */
 interface Blocked {
   readonly kind: 'blocked';
-  readonly damage: Damaged;
+  readonly damage: DamagedReading;
 }
 
 /** The stage of a unit's takeover. The values of `kind` appear in the log. */
@@ -48,15 +48,15 @@
 
 /** An event that may change a unit's stage. */
 export type StageEvent =
-  | { readonly kind: 'owner-suspected'; readonly reading: Owned }
+  | { readonly kind: 'owner-suspected'; readonly reading: OwnedReading }
   | { readonly kind: 'owner-cleared' }
-  | { readonly kind: 'holder-read'; readonly reading: Owned }
+  | { readonly kind: 'holder-read'; readonly reading: OwnedReading }
   | { readonly kind: 'claim-began' }
   | { readonly kind: 'claim-won'; readonly ownership: Ownership }
   | { readonly kind: 'claim-lost' }
   | { readonly kind: 'adopted' }
   | { readonly kind: 'superseded' }
-  | { readonly kind: 'damaged'; readonly damage: Damaged }
+  | { readonly kind: 'damaged'; readonly damage: DamagedReading }
   | { readonly kind: 'repaired' };
 
 /** The initial stage. */
@@ -67,7 +67,7 @@
   return stage.kind === 'adopting' || stage.kind === 'serving';
 }
 
-function startSuspecting(stage: Stage, { owner, revisions }: Owned, nowMs: number): Stage {
+function startSuspecting(stage: Stage, { owner, revisions }: OwnedReading, nowMs: number): Stage {
   if (stage.kind !== 'watching') return stage;
   return {
     kind: 'suspecting',
@@ -79,7 +79,7 @@
 }
 
 /** Returns the stage after a new reading of the suspected owner's record. */
-function recordHolderRead(stage: Stage, { owner, revisions }: Owned, nowMs: number): Stage {
+function recordHolderRead(stage: Stage, { owner, revisions }: OwnedReading, nowMs: number): Stage {
   if (stage.kind !== 'suspecting') return stage;
   if (stage.owner.process !== owner.process) return WATCHING;
   if (stage.holderRevision === revisions.holder) return stage;
--- a/packages/takeover/src/successor-ranking.ts
+++ b/packages/takeover/src/successor-ranking.ts
@@ -22,14 +22,14 @@
   return state === MemberState.Alive && ready && load !== null;
 }
 
-/** Compares two candidates. Returns a negative number if `first` is the better candidate. */
-function compareCandidates(unit: UnitId, first: MemberView, second: MemberView): number {
+/** Compares two candidates. Returns a negative number if `left` is the better candidate. */
+function compareCandidates(unit: UnitId, left: MemberView, right: MemberView): number {
   const loadStep = (view: MemberView): number => Math.floor((view.load ?? 1) / LOAD_STEP_RATIO);
   return (
-    second.reachedBy - first.reachedBy ||
-    (first.localHealth ?? 0) - (second.localHealth ?? 0) ||
-    loadStep(first) - loadStep(second) ||
-    tieBreakHash(unit, first.member) - tieBreakHash(unit, second.member)
+    right.receiverCount - left.receiverCount ||
+    (left.localHealth ?? 0) - (right.localHealth ?? 0) ||
+    loadStep(left) - loadStep(right) ||
+    tieBreakHash(unit, left.member) - tieBreakHash(unit, right.member)
   );
 }
 
@@ -39,6 +39,6 @@
 export function rankSuccessors(unit: UnitId, members: readonly MemberView[]): MemberId[] {
   return members
     .filter(isEligible)
-    .sort((first, second) => compareCandidates(unit, first, second))
+    .sort((left, right) => compareCandidates(unit, left, right))
     .map(({ member }) => member);
 }
--- a/packages/takeover/src/takeover-coordinator.ts
+++ b/packages/takeover/src/takeover-coordinator.ts
@@ -54,7 +54,7 @@
   /** Returns the ownership under which this process may act on the unit now; null: the process must not act. */
   currentOwnership(unit: UnitId): Ownership | null {
     const stage = this.stage(unit);
-    return stage.kind === 'serving' && this.context.gate.open ? stage.ownership : null;
+    return stage.kind === 'serving' && this.context.gate.isOpen ? stage.ownership : null;
   }
 
   /** Returns the stage of the unit's takeover from the view of this process; `watching` for an unknown unit. */
--- a/packages/takeover/test/loopback.test.ts
+++ b/packages/takeover/test/loopback.test.ts
@@ -75,7 +75,7 @@
     if (!viewsAgree(cluster)) agreedSince = performance.now();
     return performance.now() - agreedSince > STABLE_MS;
   });
-  expect(cluster.history.check()).toEqual([]);
+  expect(cluster.history.getViolations()).toEqual([]);
 }
 
 describe('controllers as processes on loopback', () => {
--- a/packages/takeover/test/random-schedules.test.ts
+++ b/packages/takeover/test/random-schedules.test.ts
@@ -96,7 +96,7 @@
 
 /** Expects that the invariants hold, every unit has exactly one owner, and all members see each other as alive. */
 function expectSettled(cluster: SimulatedCluster): void {
-  expect(cluster.history.check()).toEqual([]);
+  expect(cluster.history.getViolations()).toEqual([]);
   expect(cluster.unfoundedVerdicts).toEqual([]);
   for (const unit of cluster.units) expect(cluster.ownersOf(unit), unit).toHaveLength(1);
   for (const observer of cluster.members) {
@@ -161,7 +161,7 @@
 
   it('no fencing: effects of a replaced owner are accepted', async () => {
     const cluster = await pauseAndResumeOwner({ noFencing: true });
-    expect(cluster.history.check().length).toBeGreaterThan(0);
+    expect(cluster.history.getViolations().length).toBeGreaterThan(0);
   });
 
   it('no refutation: a healthy member stays failed', async () => {
--- a/packages/takeover/test/takeover.test.ts
+++ b/packages/takeover/test/takeover.test.ts
@@ -9,7 +9,7 @@
 import { SharedStore, SimulatedCluster, VirtualClock } from '@plumyoke/simulation';
 import {
   checkTakeoverSettings,
-  Confirmation,
+  OwnershipConfirmation,
   DEFAULT_TAKEOVER_SETTINGS,
   EffectGate,
   type FencingEpoch,
@@ -78,9 +78,9 @@
       registryA.claim(UNIT, owner('a'), claimable(await runUntilSettled(registryA.read(UNIT)))),
     );
     if (firstClaim.kind !== 'won') throw new Error('the first claim was not won');
-    expect(await runUntilSettled(registryA.confirm(firstClaim.ownership))).toBe(Confirmation.Held);
+    expect(await runUntilSettled(registryA.confirm(firstClaim.ownership))).toBe(OwnershipConfirmation.Held);
     await runUntilSettled(registryA.writeHeartbeat(firstClaim.ownership));
-    expect(await runUntilSettled(registryA.confirm(firstClaim.ownership))).toBe(Confirmation.Held);
+    expect(await runUntilSettled(registryA.confirm(firstClaim.ownership))).toBe(OwnershipConfirmation.Held);
     const registryB = registry('b');
     const secondClaim = await runUntilSettled(
       registryB.claim(UNIT, owner('b'), claimable(await runUntilSettled(registryB.read(UNIT)))),
@@ -99,7 +99,9 @@
       owner: owner('b'),
       epoch: 2,
     });
-    expect(await runUntilSettled(registryA.confirm(firstClaim.ownership))).toBe(Confirmation.Superseded);
+    expect(await runUntilSettled(registryA.confirm(firstClaim.ownership))).toBe(
+      OwnershipConfirmation.Superseded,
+    );
   });
 
   it('reports a claim without a response as uncertain, and a later read shows its result', async () => {
@@ -177,16 +179,16 @@
     const gate = new EffectGate(membership, (pausedMs) => pauses.push(pausedMs));
     membership.start();
     await clock.advance(5000);
-    expect(gate.open).toBe(true);
+    expect(gate.isOpen).toBe(true);
     const before = gate.generation;
     skippedMs = 3000;
-    expect(gate.open).toBe(false);
+    expect(gate.isOpen).toBe(false);
     expect(pauses).toHaveLength(1);
     // A confirmation that was requested before the pause must not open the gate after the pause.
     gate.reopen(before);
-    expect(gate.open).toBe(false);
+    expect(gate.isOpen).toBe(false);
     gate.reopen(gate.generation);
-    expect(gate.open).toBe(true);
+    expect(gate.isOpen).toBe(true);
   });
 });
 
@@ -296,7 +298,7 @@
       if (successor) simulated.kill(successor);
       await simulated.run(12_000);
       expect([previousOwner, successor]).not.toContain(soleOwner(simulated));
-      expect(simulated.history.check()).toEqual([]);
+      expect(simulated.history.getViolations()).toEqual([]);
     }
   });
 
--- a/src/leadership/failover/leader-claims.ts
+++ b/src/leadership/failover/leader-claims.ts
@@ -4,18 +4,18 @@
  */
 import {
   type ClaimResult,
-  Confirmation,
+  OwnershipConfirmation,
   type FencingEpoch,
-  type Owned,
+  type OwnedReading,
   type Owner,
   type Ownership,
   type OwnershipClaims,
   type OwnershipReading,
-  type Released,
+  type ReleasedReading,
   type StoreRevision,
   type UnitId,
   type UnitRevisions,
-  type Unowned,
+  type UnownedReading,
 } from '@plumyoke/takeover';
 import type { MemberId, ProcessId } from '@plumyoke/membership';
 import { type Epoch, NO_REVISION, type Revision } from '../../model/ids.js';
@@ -92,7 +92,11 @@
     }
   }
 
-  async claim(_unit: UnitId, claimant: Owner, reading: Unowned | Owned | Released): Promise<ClaimResult> {
+  async claim(
+    _unit: UnitId,
+    claimant: Owner,
+    reading: UnownedReading | OwnedReading | ReleasedReading,
+  ): Promise<ClaimResult> {
     // A vacant leadership is claimed by the election, not by the takeover coordinator.
     if (reading.kind !== 'owned' || !this.dependencies.mayReplaceEarly()) return { kind: 'superseded' };
     try {
@@ -111,7 +115,7 @@
    * allow for a predecessor that still considers its lease valid. Then the previous leader's lease is revoked, which
    * removes the leader record. Resolves with whether the previous leader was fenced.
    */
-  private async fencePreviousLeader({ epoch, revisions }: Owned): Promise<boolean> {
+  private async fencePreviousLeader({ epoch, revisions }: OwnedReading): Promise<boolean> {
     const { store } = this.dependencies;
     const leader = await store.get(keys.leader);
     const holder = revisions.holder as number as Revision;
@@ -152,13 +156,13 @@
     };
   }
 
-  async confirm({ epochRevision }: Ownership): Promise<Confirmation> {
+  async confirm({ epochRevision }: Ownership): Promise<OwnershipConfirmation> {
     try {
       const epoch = await this.dependencies.store.get(keys.epoch);
       const isHeld = epoch?.revision === (epochRevision as number as Revision);
-      return isHeld ? Confirmation.Held : Confirmation.Superseded;
+      return isHeld ? OwnershipConfirmation.Held : OwnershipConfirmation.Superseded;
     } catch (error) {
-      if (isStoreFailure(error)) return Confirmation.Unknown;
+      if (isStoreFailure(error)) return OwnershipConfirmation.Unknown;
       throw error;
     }
   }
--- a/src/leadership/lease.ts
+++ b/src/leadership/lease.ts
@@ -14,7 +14,7 @@
 import { StoreRefusedError } from '../store/errors.js';
 
 /** The delay before a renewal is retried that the store refused, or that a pause of the process left unconfirmed. */
-const RENEWAL_RETRY_MS = 100;
+const RENEWAL_RETRY_DELAY_MS = 100;
 /** How many renewals fall within one time to live, so that single renewals can fail without losing the lease. */
 const RENEWALS_PER_TTL = 4;
 
@@ -34,7 +34,7 @@
 /** Tracks whether this process has run without a pause since its lease was last confirmed. */
 export interface PauseGuard {
   /** Whether there was no pause since the last confirmation. */
-  readonly open: boolean;
+  readonly isOpen: boolean;
   /** A counter that changes with every pause of the process. */
   readonly generation: number;
   /** Records that a request which was sent in this generation confirmed the lease. */
@@ -97,7 +97,7 @@
    */
   isLeaseValid(): boolean {
     if (this.held === null || this.ctx.clock.now() >= this.held.validUntil) return false;
-    return this.pauseGuard?.open ?? true;
+    return this.pauseGuard?.isOpen ?? true;
   }
 
   timeSinceLeaseExpiry(): Millis {
@@ -168,11 +168,11 @@
       const durationMs = since(clock.now(), request.sentAt);
       log.info({ error: errorMessage(error), durationMs }, 'lease renewal failed');
       // Users' requests can exhaust the store's rate limit; an early retry keeps the leadership in that case.
-      if (error instanceof StoreRefusedError) return RENEWAL_RETRY_MS;
+      if (error instanceof StoreRefusedError) return RENEWAL_RETRY_DELAY_MS;
     }
     // The process was paused while the renewal was in flight, so the renewal's response does not confirm the lease.
-    const isUnconfirmed = this.held !== null && this.pauseGuard?.open === false;
-    return isUnconfirmed ? RENEWAL_RETRY_MS : this.renewalIntervalMs;
+    const isUnconfirmed = this.held !== null && this.pauseGuard?.isOpen === false;
+    return isUnconfirmed ? RENEWAL_RETRY_DELAY_MS : this.renewalIntervalMs;
   }
 
   private expire(): void {
--- a/test/unit/lease.test.ts
+++ b/test/unit/lease.test.ts
@@ -66,17 +66,17 @@
 
   it('is invalid after a pause of the process until a later request confirms the lease', async () => {
     const { clock, lease } = await createHeldLease();
-    const guard: PauseGuard & { open: boolean; generation: number } = {
-      open: true,
+    const guard: PauseGuard & { isOpen: boolean; generation: number } = {
+      isOpen: true,
       generation: 0,
       reopen(generation) {
-        this.open ||= generation === this.generation;
+        this.isOpen ||= generation === this.generation;
       },
     };
     lease.usePauseGuard(guard);
     lease.startRenewal();
     expect(lease.isLeaseValid()).toBe(true);
-    guard.open = false;
+    guard.isOpen = false;
     guard.generation = 1;
     expect(lease.isLeaseValid()).toBe(false);
     lease.renewNow();
