--- a/packages/membership/src/codec.ts
+++ b/packages/membership/src/codec.ts
@@ -9,7 +9,7 @@
 export const MAX_MESSAGE_BYTES = 64 * 1024;
 const MAX_NAME_LENGTH = 200;
 /** The maximum number of rows and of missing members in a message, and of peers in a row. */
-const MAX_ROWS = 64;
+const MAX_ROW_COUNT = 64;
 
 /** Why a message could not be decoded. */
 export enum DecodeErrorCode {
@@ -49,7 +49,7 @@
   load: z.number().check(z.gte(0), z.lte(1)),
   ready: z.boolean(),
   localHealth: countSchema,
-  peers: z.array(observationSchema).check(z.maxLength(MAX_ROWS)),
+  peers: z.array(observationSchema).check(z.maxLength(MAX_ROW_COUNT)),
 });
 const envelope = {
   from: identitySchema,
@@ -60,12 +60,12 @@
   z.object({
     kind: z.literal(MessageKind.Probe),
     ...envelope,
-    missing: z.array(nameSchema).check(z.maxLength(MAX_ROWS)),
+    missing: z.array(nameSchema).check(z.maxLength(MAX_ROW_COUNT)),
   }),
   z.object({
     kind: z.literal(MessageKind.Answer),
     ...envelope,
-    rows: z.array(rowSchema).check(z.maxLength(MAX_ROWS)),
+    rows: z.array(rowSchema).check(z.maxLength(MAX_ROW_COUNT)),
   }),
   z.object({ kind: z.literal(MessageKind.IndirectProbe), ...envelope, target: nameSchema }),
   z.object({
--- a/packages/membership/src/settings.ts
+++ b/packages/membership/src/settings.ts
@@ -53,10 +53,10 @@
   }
 }
 
-const MAX_MEMBERS = 64;
+const MAX_MEMBER_COUNT = 64;
 const MAX_PERIOD_MS = 600_000;
 const MIN_PERIOD_MS = 10;
-const MAX_INDIRECT_PROBES = 8;
+const MAX_INDIRECT_PROBE_COUNT = 8;
 const MAX_LOCAL_HEALTH_SCORE = 16;
 const MAX_MESSAGES_PER_SECOND = 10_000;
 
@@ -72,8 +72,8 @@
 }
 
 function checkMembers({ self, members }: MembershipSettings): void {
-  if (members.length > MAX_MEMBERS) {
-    throw new MembershipSettingsError('members', `must contain at most ${MAX_MEMBERS} controllers`);
+  if (members.length > MAX_MEMBER_COUNT) {
+    throw new MembershipSettingsError('members', `must contain at most ${MAX_MEMBER_COUNT} controllers`);
   }
   const names = new Set<MemberId>();
   for (const member of members) {
@@ -108,7 +108,7 @@
   requireWithin('probeIntervalMs', settings.probeIntervalMs, MIN_PERIOD_MS, MAX_PERIOD_MS);
   requireWithin('probeTimeoutMs', settings.probeTimeoutMs, MIN_PERIOD_MS, settings.probeIntervalMs);
   requireWithin('suspicionMs', settings.suspicionMs, MIN_PERIOD_MS, MAX_PERIOD_MS);
-  requireWithin('indirectProbes', settings.indirectProbes, 0, MAX_INDIRECT_PROBES);
+  requireWithin('indirectProbes', settings.indirectProbes, 0, MAX_INDIRECT_PROBE_COUNT);
   requireWithin('maxLocalHealth', settings.maxLocalHealth, 0, MAX_LOCAL_HEALTH_SCORE);
   requireWithin('pauseThresholdMs', settings.pauseThresholdMs, MIN_PERIOD_MS, MAX_PERIOD_MS);
   const peers = settings.members.length - 1;
--- a/src/api/revision-confirmations.ts
+++ b/src/api/revision-confirmations.ts
@@ -5,7 +5,7 @@
 import { isRateLimitedError } from '../store/errors.js';
 import type { Compare } from '../wire/key-value-store.js';
 
-const RATE_LIMIT_RETRY_MS = 100;
+const RATE_LIMIT_RETRY_DELAY_MS = 100;
 
 interface PendingComparison {
   readonly key: string;
@@ -56,7 +56,7 @@
       return await this.store.txn(compares, []);
     } catch (error) {
       if (!isRateLimitedError(error)) throw error;
-      await sleep(this.clock, RATE_LIMIT_RETRY_MS);
+      await sleep(this.clock, RATE_LIMIT_RETRY_DELAY_MS);
       return this.store.txn(compares, []);
     }
   }
--- a/src/controller/machine-type-catalog.ts
+++ b/src/controller/machine-type-catalog.ts
@@ -13,7 +13,7 @@
 /** How often the machine types are read from the store until they are available. */
 const STORE_READ_INTERVAL_MS = 500;
 /** The delay before a failed refresh is retried; a random jitter of up to the same time is added. */
-const CLOUD_RETRY_MS = 600;
+const CLOUD_RETRY_DELAY_MS = 600;
 
 /**
  * Reads the machine types from the cloud API or, while that API is unavailable, from their last copy in the store. The
@@ -71,7 +71,7 @@
         await sleep(this.ctx.clock, REFRESH_INTERVAL_MS * (0.8 + 0.4 * this.ctx.random()));
       } catch (error) {
         this.ctx.log.debug({ error: errorMessage(error) }, 'machine type refresh failed');
-        await sleep(this.ctx.clock, CLOUD_RETRY_MS + this.ctx.random() * CLOUD_RETRY_MS);
+        await sleep(this.ctx.clock, CLOUD_RETRY_DELAY_MS + this.ctx.random() * CLOUD_RETRY_DELAY_MS);
       }
     }
   }
--- a/src/fleet/backlog-scaler.ts
+++ b/src/fleet/backlog-scaler.ts
@@ -11,7 +11,7 @@
  * The maximum number of pending scale-out requests; later requests then take sold-out pools of earlier ones into
  * account.
  */
-const MAX_PENDING_REQUESTS = 2;
+const MAX_PENDING_REQUEST_COUNT = 2;
 /** The minimum pause between two rounds of planning. */
 const MIN_PLANNING_PAUSE_MS = 150;
 /** The minimum ratio of the pause after a round of planning to the time that the round took. */
@@ -52,12 +52,12 @@
 
   /**
    * Requests machines for the queue, now or as soon as the cloud's rate limit and the planning pause allow. Does
-   * nothing while `MAX_PENDING_REQUESTS` requests are pending.
+   * nothing while `MAX_PENDING_REQUEST_COUNT` requests are pending.
    */
   requestUnmet(): void {
     const { scaleOut, cloudCalls } = this.options;
     const { pending } = scaleOut;
-    if (this.backlog.length === 0 || pending.size >= MAX_PENDING_REQUESTS) return;
+    if (this.backlog.length === 0 || pending.size >= MAX_PENDING_REQUEST_COUNT) return;
     const startedAt = this.ctx.clock.now();
     const waitMs = Math.max(cloudCalls.waitMs, (this.nextPlanAt ?? startedAt) - startedAt);
     if (waitMs > 0) {
@@ -66,7 +66,7 @@
     }
     const maxMachines = this.ctx.operators.fleet.maxMachines - this.ctx.workers.size - pending.size;
     const requests = this.planRequests(maxMachines);
-    for (const request of requests.slice(0, MAX_PENDING_REQUESTS - pending.size))
+    for (const request of requests.slice(0, MAX_PENDING_REQUEST_COUNT - pending.size))
       scaleOut.request(request, 'queue');
     const now = this.ctx.clock.now();
     this.nextPlanAt = plus(
--- a/src/leader/commit-conflicts.ts
+++ b/src/leader/commit-conflicts.ts
@@ -10,7 +10,7 @@
 import { fetchRevision, stepDownIfDeposed } from './write-conflicts.js';
 
 /** Delay after a conflicting key could not be read. */
-const CONFLICT_RETRY_MS = 100;
+const CONFLICT_RETRY_DELAY_MS = 100;
 
 /** Resolves the failed compares of a batch. A later batch writes the changes again from the updated state. */
 export class CommitConflictResolver {
@@ -27,7 +27,7 @@
         await this.resolveKey(key, batch);
       } catch (error) {
         this.ctx.log.debug({ key, error: errorMessage(error) }, 'commit conflict not resolved');
-        await sleep(this.ctx.clock, CONFLICT_RETRY_MS);
+        await sleep(this.ctx.clock, CONFLICT_RETRY_DELAY_MS);
       }
     }
   }
--- a/src/leader/committer.ts
+++ b/src/leader/committer.ts
@@ -13,11 +13,11 @@
 import type { WriteCounts } from './write-counts.js';
 
 /** Delay before the retry of a batch that the store certainly did not apply. */
-const REFUSED_COMMIT_RETRY_MS = 100;
+const REFUSED_COMMIT_RETRY_DELAY_MS = 100;
 /** Delay before the retry of a batch whose outcome is unknown. */
-const UNKNOWN_OUTCOME_RETRY_MS = 30;
+const UNKNOWN_OUTCOME_RETRY_DELAY_MS = 30;
 const RETRY_JITTER_MS = 100;
-const COMMIT_LOOP_RETRY_MS = 200;
+const COMMIT_LOOP_RETRY_DELAY_MS = 200;
 const STALE_KEY_DELETE_DELAY_MS = 2000;
 
 /** Receives notifications of state that has become durable. */
@@ -90,7 +90,7 @@
       }
     } catch (error) {
       this.ctx.log.error({ error: errorMessage(error) }, 'commit loop failed');
-      this.scheduleAfter(COMMIT_LOOP_RETRY_MS);
+      this.scheduleAfter(COMMIT_LOOP_RETRY_DELAY_MS);
     } finally {
       this.isRunning = false;
     }
@@ -119,7 +119,8 @@
     storeLimits.recordWriteFailure(error);
     const level = error instanceof StoreRequestTooLargeError ? 'error' : 'debug';
     log[level]({ error: errorMessage(error), writes: batch.writes.length }, 'commit failed');
-    const delayMs = error instanceof StoreRefusedError ? REFUSED_COMMIT_RETRY_MS : UNKNOWN_OUTCOME_RETRY_MS;
+    const delayMs =
+      error instanceof StoreRefusedError ? REFUSED_COMMIT_RETRY_DELAY_MS : UNKNOWN_OUTCOME_RETRY_DELAY_MS;
     await sleep(clock, delayMs + random() * RETRY_JITTER_MS);
   }
 
--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -45,7 +45,7 @@
 /** The longest time that a single watch request on the leader record waits for a change. */
 const WATCH_TIMEOUT_MS = 15_000;
 /** The delay before the campaign continues after an error; a random jitter is added. */
-const CAMPAIGN_RETRY_MS = 100;
+const CAMPAIGN_RETRY_DELAY_MS = 100;
 /** The upper bound of the random jitter added to the campaign's retry delay. */
 const CAMPAIGN_RETRY_JITTER_MS = 150;
 /** The upper bound of the random delay after a takeover whose transaction another controller has won. */
@@ -151,7 +151,7 @@
         await this.campaignOnce();
       } catch (error) {
         log.debug({ error: errorMessage(error) }, 'campaign interrupted');
-        await sleep(clock, CAMPAIGN_RETRY_MS + random() * CAMPAIGN_RETRY_JITTER_MS);
+        await sleep(clock, CAMPAIGN_RETRY_DELAY_MS + random() * CAMPAIGN_RETRY_JITTER_MS);
       }
     }
   }
--- a/src/leadership/failover/peer-transport.ts
+++ b/src/leadership/failover/peer-transport.ts
@@ -11,7 +11,7 @@
  * How long a peer's answer that its failure detection is disabled counts; the peer may since have been restarted with
  * it enabled.
  */
-const UNSUPPORTED_RETRY_MS = 5000;
+const UNSUPPORTED_RETRY_DELAY_MS = 5000;
 
 /**
  * Implements the membership transport on the peer links; a response arrives over the connection that carried the
@@ -44,7 +44,7 @@
     if (!peer.supports(MEMBERSHIP_VERSION)) return PeerSupport.Unsupported;
     const offStatusAt = this.lastDisabledAt.get(member);
     const isDetectionDisabled =
-      offStatusAt !== undefined && since(this.clock.now(), offStatusAt) < UNSUPPORTED_RETRY_MS;
+      offStatusAt !== undefined && since(this.clock.now(), offStatusAt) < UNSUPPORTED_RETRY_DELAY_MS;
     return isDetectionDisabled ? PeerSupport.Unsupported : PeerSupport.Supported;
   }
 }
--- a/test/profile/shares.ts
+++ b/test/profile/shares.ts
@@ -13,7 +13,7 @@
   readonly timeDeltas: readonly number[];
 }
 
-const MAX_LISTED_FUNCTIONS = 45;
+const MAX_LISTED_FUNCTION_COUNT = 45;
 const IDLE_FUNCTION_NAMES = new Set(['(idle)', '(root)']);
 
 function labelOf({ callFrame: { functionName, url, lineNumber } }: ProfileNode): string {
@@ -23,7 +23,7 @@
 
 function printTable(title: string, times: ReadonlyMap<string, number>, totalUs: number): void {
   console.log(title);
-  const listed = [...times].sort(([, first], [, second]) => second - first).slice(0, MAX_LISTED_FUNCTIONS);
+  const listed = [...times].sort(([, left], [, right]) => right - left).slice(0, MAX_LISTED_FUNCTION_COUNT);
   for (const [name, time] of listed) {
     const share = ((100 * time) / totalUs).toFixed(1).padStart(5);
     console.log(`${(time / 1000).toFixed(0).padStart(8)} ms ${share}% ${name}`);
--- a/test/soak/main.ts
+++ b/test/soak/main.ts
@@ -14,7 +14,7 @@
 const EXIT_FAILED = 1;
 const EXIT_USAGE = 2;
 const SEED_TIMEOUT_MS = 400_000;
-const MAX_PRINTED_VIOLATIONS = 5;
+const MAX_PRINTED_VIOLATION_COUNT = 5;
 
 /** Thrown for invalid command-line arguments. The message is a single line. */
 class InvalidArgumentsError extends Error {
@@ -128,9 +128,9 @@
   const runSummary = `${machines} machines, ${acceptedCount} jobs, ${startCount} starts, ${leadershipSummary}`;
   console.log(`seed ${seed}: ${verdict}: ${runSummary}${faults.length > 0 ? `; ${faults.join('; ')}` : ''}`);
   if (hasPassed(result, missingPart)) return;
-  for (const text of result.violations.slice(0, MAX_PRINTED_VIOLATIONS)) console.log(`  ${text}`);
-  if (result.violations.length > MAX_PRINTED_VIOLATIONS)
-    console.log(`  and ${result.violations.length - MAX_PRINTED_VIOLATIONS} more`);
+  for (const text of result.violations.slice(0, MAX_PRINTED_VIOLATION_COUNT)) console.log(`  ${text}`);
+  if (result.violations.length > MAX_PRINTED_VIOLATION_COUNT)
+    console.log(`  and ${result.violations.length - MAX_PRINTED_VIOLATION_COUNT} more`);
   if (missingPart !== null) return;
   console.log(`  logs and history: ${join(folder, `seed-${seed}-whole`)}`);
   console.log(`  again (the processes' timing differs): npm run soak -- --seeds ${seed}`);
@@ -150,7 +150,7 @@
   };
   await Promise.all(Array.from({ length: options.parallel }, runPendingSeeds));
   const failedSeedList =
-    failed.length > 0 ? `: ${failed.sort((first, second) => first - second).join(', ')}` : '';
+    failed.length > 0 ? `: ${failed.sort((left, right) => left - right).join(', ')}` : '';
   console.log(`${options.seeds.length} seeds run, ${failed.length} failed${failedSeedList}`);
   if (failed.length > 0) process.exitCode = EXIT_FAILED;
 }
