--- a/test/profile/main.ts
+++ b/test/profile/main.ts
@@ -18,9 +18,9 @@
 import { type JobBehavior, FakeWorker, type WorkerEnvironment } from '../simulation/fake-worker.js';
 import {
   cloudHandler,
-  heartbeatAnswer,
-  heartbeatBody,
-  serve,
+  decodeHeartbeatAnswer,
+  encodeHeartbeat,
+  startHttpServer,
   storeHandler,
   workersHandler,
 } from '../simulation/fake-servers.js';
@@ -89,10 +89,10 @@
       const reply = await (targets[Number(node)] as HttpTarget).call(
         'POST',
         '/agent/beat',
-        heartbeatBody(heartbeat, addressOf),
+        encodeHeartbeat(heartbeat, addressOf),
         4000,
       );
-      return heartbeatAnswer(reply.status, reply.body);
+      return decodeHeartbeatAnswer(reply.status, reply.body);
     } catch {
       return null;
     }
@@ -130,8 +130,8 @@
     state: `127.0.0.1:${STORE_PORT}`,
     zones: ['north', 'south'],
     teams: ['red', 'blue'].map((name) => ({ name, cpus: 1500, cpusMax: 60_000 })),
-    finishWithinS: 150,
-    reportS: Number(values['report-s']),
+    finishObjectiveS: 150,
+    heartbeatIntervalS: Number(values['report-s']),
     leaseS: LEASE_S,
     cancelS: 59,
     listLagS: 2,
@@ -195,7 +195,7 @@
     image: request.image as ImageId,
     fetchMs: 1500,
     runMs: kind === 'array' ? JOB_RUN_S * 1000 : null,
-    failsAlways: false,
+    alwaysFails: false,
   });
   const deadline = performance.now() + 90_000;
   const front = (): HttpTarget => frontTargets[Math.floor(random() * frontTargets.length)] as HttpTarget;
@@ -237,15 +237,19 @@
   rmSync(OUTPUT_FOLDER, { recursive: true, force: true });
   mkdirSync(OUTPUT_FOLDER, { recursive: true });
   writeFileSync(`${OUTPUT_FOLDER}/exit.cjs`, "process.on('SIGTERM', () => process.exit(0));\n");
-  await serve(STORE_PORT, '127.0.0.1', storeHandler(store.clientFor('all', systemClock)));
-  await serve(CLOUD_PORT, '127.0.0.1', cloudHandler(cloud.clientFor(systemClock), MACHINE_TYPES, addressOf));
-  await serve(
+  await startHttpServer(STORE_PORT, '127.0.0.1', storeHandler(store.clientFor('all', systemClock)));
+  await startHttpServer(
+    CLOUD_PORT,
+    '127.0.0.1',
+    cloudHandler(cloud.clientFor(systemClock), MACHINE_TYPES, addressOf),
+  );
+  await startHttpServer(
     WORKER_PORT,
     '0.0.0.0',
     workersHandler((ip) => workers.get(machineIdOf(ip)), addressOf),
   );
   for (let number = 0; number < Number(values.machines); number++) {
-    cloud.adopt({
+    cloud.addRunningMachine({
       id: `host-${String(number).padStart(6, '0')}` as MachineId,
       type: MACHINE_TYPES[0]?.id as MachineTypeId,
       zone: (number % 2 ? 'north' : 'south') as ZoneId,
--- a/test/simulation/fake-cloud.ts
+++ b/test/simulation/fake-cloud.ts
@@ -41,7 +41,7 @@
   /** The age from which a new machine appears in the machine list. */
   listLagMs = 0;
   /** The number of machines to be created next whose boot never completes. */
-  failingBoots = 0;
+  failingBootCount = 0;
   /** The number of machines that each pool can still provide, by pool name. A pool without an entry has no limit. */
   readonly remainingCapacity = new Map<string, number>();
 
@@ -57,8 +57,8 @@
     const id = `host-${String(this.nextNumber++).padStart(this.idDigits, '0')}` as MachineId;
     const machine: FakeMachine = { id, type, zone, spot, createdAt: this.clock.now(), isUp: false };
     this.machines.set(id, machine);
-    if (this.failingBoots > 0) {
-      this.failingBoots--;
+    if (this.failingBootCount > 0) {
+      this.failingBootCount--;
       return id;
     }
     const bootTimeMs =
@@ -72,7 +72,7 @@
   }
 
   /** Adds a machine that has already booted. */
-  adopt(machine: Machine): void {
+  addRunningMachine(machine: Machine): void {
     this.machines.set(machine.id, { ...machine, createdAt: this.clock.now(), isUp: true });
     this.nextNumber = Math.max(this.nextNumber, Number(machine.id.slice('host-'.length)) + 1);
     this.onMachineUp(machine);
--- a/test/simulation/fake-servers.ts
+++ b/test/simulation/fake-servers.ts
@@ -43,7 +43,7 @@
 }
 
 /** Handles one HTTP request; rejects with an error that `serve` maps to a status or to no answer. */
-export type Handler = (request: HttpRequest) => Promise<HttpResponse>;
+export type RequestHandler = (request: HttpRequest) => Promise<HttpResponse>;
 
 async function readJson(request: IncomingMessage): Promise<never> {
   const chunks: Buffer[] = [];
@@ -68,7 +68,7 @@
  * answered 503 (429 over the store's rate limit), any other error 400. For `AnswerLostError` and
  * `StoreOutcomeUnknownError` the server sends no answer.
  */
-export function serve(port: number, host: string, handler: Handler): Promise<Server> {
+export function startHttpServer(port: number, host: string, handler: RequestHandler): Promise<Server> {
   const server = createServer((request, response) => {
     void readJson(request)
       .then((body) => {
@@ -156,7 +156,7 @@
 }
 
 /** Returns the handler for the key-value store's HTTP API. */
-export function storeHandler(store: KeyValueStore): Handler {
+export function storeHandler(store: KeyValueStore): RequestHandler {
   return async (request) => {
     const { pathname, searchParams } = request.url;
     if (pathname === '/commit') return handleTransaction(store, request.body);
@@ -173,7 +173,7 @@
   cloud: Cloud,
   types: readonly MachineType[],
   addressOf: (id: MachineId) => string,
-): Handler {
+): RequestHandler {
   return async ({ method, url, body }) => {
     if (url.pathname === '/machine_types') {
       const flavours = types.map((type) => ({
@@ -236,7 +236,7 @@
 };
 
 /** Encodes a heartbeat as its body on the wire. */
-export function heartbeatBody(heartbeat: Heartbeat, addressOf: (id: MachineId) => string): object {
+export function encodeHeartbeat(heartbeat: Heartbeat, addressOf: (id: MachineId) => string): object {
   return {
     host: heartbeat.machine,
     address: addressOf(heartbeat.machine),
@@ -282,7 +282,7 @@
 }
 
 /** Decodes a controller's answer to a heartbeat. */
-export function heartbeatAnswer(status: number, body: unknown): HeartbeatAnswer {
+export function decodeHeartbeatAnswer(status: number, body: unknown): HeartbeatAnswer {
   const { epoch = 0, orders = [], foreman } = (body ?? {}) as WireHeartbeatAnswer;
   const answer = { status, token: epoch as FencingToken, orders: orders.map(decodeCommand) };
   return foreman === undefined ? answer : { ...answer, foreman };
@@ -294,18 +294,18 @@
 export function workersHandler(
   workerAt: (address: string) => FakeWorker | undefined,
   addressOf: (id: MachineId) => string,
-): Handler {
+): RequestHandler {
   return ({ url, body, localAddress }) => {
     const worker = workerAt(localAddress);
     if (!worker) return Promise.resolve({ status: 404, body: {} });
     if (url.pathname === '/show')
-      return Promise.resolve({ status: 200, body: heartbeatBody(worker.currentHeartbeat(), addressOf) });
+      return Promise.resolve({ status: 200, body: encodeHeartbeat(worker.nextHeartbeat(), addressOf) });
     const { epoch, tenure, orders } = body as {
       epoch: FencingToken;
       tenure: AgentIncarnation;
       orders: WireCommand[];
     };
-    const { executed, heartbeat } = worker.command(epoch, tenure, orders.map(decodeCommand));
-    return Promise.resolve({ status: executed ? 200 : 409, body: heartbeatBody(heartbeat, addressOf) });
+    const { executed, heartbeat } = worker.handleCommands(epoch, tenure, orders.map(decodeCommand));
+    return Promise.resolve({ status: executed ? 200 : 409, body: encodeHeartbeat(heartbeat, addressOf) });
   };
 }
--- a/test/simulation/fake-worker.ts
+++ b/test/simulation/fake-worker.ts
@@ -22,7 +22,7 @@
   /** The run time of a task; null: a task runs until it is stopped. */
   readonly runMs: number | null;
   /** Whether every attempt of every task fails. */
-  readonly failsAlways: boolean;
+  readonly alwaysFails: boolean;
 }
 
 /** A controller's answer to a heartbeat. */
@@ -182,7 +182,7 @@
    * Handles POST /commands. Commands with an older fencing token or for another incarnation of the worker are not
    * executed. Callers defer the call with `runWhenResponsive` while the machine hangs.
    */
-  command(
+  handleCommands(
     token: FencingToken,
     incarnation: AgentIncarnation,
     commands: readonly WorkerCommand[],
@@ -205,14 +205,14 @@
   }
 
   /** Returns the current heartbeat with the next sequence number, which a later heartbeat uses again. */
-  repeatedHeartbeat(): Heartbeat {
+  peekHeartbeat(): Heartbeat {
     const heartbeat = this.snapshot();
     this.sequence--;
     return heartbeat;
   }
 
   /** Returns the current heartbeat with a new sequence number. */
-  currentHeartbeat(): Heartbeat {
+  nextHeartbeat(): Heartbeat {
     return this.snapshot();
   }
 
@@ -259,7 +259,7 @@
     attempt.state = 'running';
     this.hasUnreportedChanges = true;
     this.environment.onTaskStarted(this, task, attempt.attemptNumber);
-    if (this.failsTasks || job.failsAlways) this.finishAfter(task, attempt, 800, 'error');
+    if (this.failsTasks || job.alwaysFails) this.finishAfter(task, attempt, 800, 'error');
     else if (job.runMs !== null) this.finishAfter(task, attempt, job.runMs, 'done');
   }
 
--- a/test/simulation/rule-checker.ts
+++ b/test/simulation/rule-checker.ts
@@ -167,7 +167,7 @@
   }
 
   /** Records that a user received the confirmation of a cancellation: no task of the job may run after `deadline`. */
-  recordCancellation(id: JobId, deadline: number): void {
+  recordConfirmedCancellation(id: JobId, deadline: number): void {
     if (!this.cancelDeadlines.has(id)) this.cancelDeadlines.set(id, deadline);
   }
 
--- a/test/simulation/settings-file.ts
+++ b/test/simulation/settings-file.ts
@@ -23,8 +23,8 @@
   readonly state: string;
   readonly zones: readonly string[];
   readonly teams: readonly { readonly name: string; readonly cpus: number; readonly cpusMax: number }[];
-  readonly finishWithinS: number;
-  readonly reportS: number;
+  readonly finishObjectiveS: number;
+  readonly heartbeatIntervalS: number;
   readonly leaseS: number;
   readonly cancelS: number;
   readonly listLagS: number;
@@ -74,10 +74,10 @@
 [[facts.objectives]]
 kind = "finished"
 class = "batch"
-within_s = ${formatFloat(settings.finishWithinS)}
+within_s = ${formatFloat(settings.finishObjectiveS)}
 share = 0.9
 [facts.workers]
-report_s = ${settings.reportS}
+report_s = ${settings.heartbeatIntervalS}
 lease_s = ${settings.leaseS}
 gang_wait_s = 45.0
 gang_peer_s = 4.0
--- a/test/simulation/simulated-controllers.ts
+++ b/test/simulation/simulated-controllers.ts
@@ -290,7 +290,7 @@
 
   /** Delivers a duplicate of a machine's current heartbeat after a delay, to the node that leads at that time. */
   duplicateHeartbeatLater(id: MachineId, delayS: number): void {
-    const heartbeat = this.worker(id).repeatedHeartbeat();
+    const heartbeat = this.worker(id).peekHeartbeat();
     this.clock.after(delayS * 1000, () => {
       this.trace(`network    delivers a copy of what ${id} said ${delayS} s ago`);
       this.deliverDuplicate(heartbeat);
--- a/test/simulation/simulated-machines.ts
+++ b/test/simulation/simulated-machines.ts
@@ -116,10 +116,10 @@
           const delayS = this.commandRepeatDelayS;
           if (delayS !== null && commands.length > 0)
             this.clock.after(delayS * 1000, () => this.repeatCommand(worker, token, incarnation, commands));
-          return worker.command(token, incarnation, commands);
+          return worker.handleCommands(token, incarnation, commands);
         }),
       fetchHeartbeat: (workerAddress, deadlineMs) =>
-        call(workerAddress, deadlineMs, (worker) => worker.currentHeartbeat()),
+        call(workerAddress, deadlineMs, (worker) => worker.nextHeartbeat()),
     };
   }
 
@@ -149,7 +149,7 @@
     commands: readonly WorkerCommand[],
   ): void {
     worker.runWhenResponsive(() => {
-      const { executed } = worker.command(token, incarnation, commands);
+      const { executed } = worker.handleCommands(token, incarnation, commands);
       this.trace(`${worker.machine.id} ${executed ? 'carries out' : 'refuses'} a copy of ${commands.length}`);
     });
   }
@@ -158,7 +158,7 @@
     this.trace(`${machine.id} is up (${machine.zone}${machine.spot ? ', spot' : ''})`);
     this.workers.set(
       machine.id,
-      new FakeWorker(machine, this.clock, this, LEASE_S * 1000, this.size.reportS * 1000),
+      new FakeWorker(machine, this.clock, this, LEASE_S * 1000, this.size.heartbeatIntervalS * 1000),
     );
   }
 
--- a/test/simulation/simulated-site.ts
+++ b/test/simulation/simulated-site.ts
@@ -39,7 +39,7 @@
     for (const { key, value } of records) {
       if (!key.startsWith('fleet/')) continue;
       for (const [id, type, zone, spot] of (value as { m: [MachineId, MachineTypeId, ZoneId, number][] }).m)
-        this.cloud.adopt({ id, type, zone, spot: spot === 1 });
+        this.cloud.addRunningMachine({ id, type, zone, spot: spot === 1 });
     }
     for (const { key, value } of records) {
       const job = /^open\/(j-\d+)\/(?:\d+-)?\d+$/.exec(key)?.[1];
@@ -48,7 +48,7 @@
         []) {
         // A progress record that a later record contradicts may name a machine that was removed.
         if (!this.workers.has(host)) continue;
-        this.worker(host).command(token, 1 as AgentIncarnation, [
+        this.worker(host).handleCommands(token, 1 as AgentIncarnation, [
           { kind: 'start', task: `${job}/${index}` as TaskId, attemptNumber },
         ]);
       }
@@ -134,7 +134,7 @@
   protected recordCancelState(ref: string, answer: { status: number; body: object }): string {
     const state = this.recordReportedState(ref, answer);
     if (state === 'cancelled')
-      this.rules.recordCancellation(ref as JobId, this.clock.now() + CANCEL_S * 1000);
+      this.rules.recordConfirmedCancellation(ref as JobId, this.clock.now() + CANCEL_S * 1000);
     return state;
   }
 
@@ -151,7 +151,7 @@
       image: 'img-1' as ImageId,
       fetchMs: 1000,
       runMs: body.shape === 'array' ? (request.runS ?? 5) * 1000 : null,
-      failsAlways: request.broken ?? false,
+      alwaysFails: request.alwaysFails ?? false,
     });
     const team = siteSettings(node, this.size).teams.find(
       ({ id: teamId }) => teamId === (body.owner as TeamId),
--- a/test/simulation/site-setup.ts
+++ b/test/simulation/site-setup.ts
@@ -18,7 +18,7 @@
   apart?: boolean;
   runS?: number;
   /** Whether every attempt of every task fails. */
-  broken?: boolean;
+  alwaysFails?: boolean;
   awaits?: readonly string[];
   jobClass?: string;
   image?: string;
@@ -81,9 +81,9 @@
 /** The size of a site, and the announced limits of its key-value store. */
 export interface SiteSize {
   /** The maximum number of CPUs that the running tasks of each team may use. */
-  readonly limit: { red: number; blue: number };
+  readonly teamCpuLimits: { red: number; blue: number };
   /** The interval between heartbeats of a worker, in seconds. */
-  readonly reportS: number;
+  readonly heartbeatIntervalS: number;
   /** The number of controllers. */
   readonly nodes: number;
   /** The machine types that the cloud offers; `MACHINE_TYPES` by default. */
@@ -95,12 +95,12 @@
 }
 
 /** A site with three controllers whose two teams may use 24 and 40 CPUs. */
-export const SMALL_SITE: SiteSize = { limit: { red: 24, blue: 40 }, reportS: 3, nodes: 3 };
+export const SMALL_SITE: SiteSize = { teamCpuLimits: { red: 24, blue: 40 }, heartbeatIntervalS: 3, nodes: 3 };
 
 /** A site with three zones and two machine types for jobs with placement constraints of all kinds; 96 CPUs per team. */
 export const MIXED_SITE: SiteSize = {
   ...SMALL_SITE,
-  limit: { red: 96, blue: 96 },
+  teamCpuLimits: { red: 96, blue: 96 },
   types: MIXED_MACHINE_TYPES,
   zones: MIXED_ZONES,
 };
@@ -119,11 +119,11 @@
     endpoints: { cloud: '127.0.0.1:3', state: '127.0.0.1:4' },
     facts: {
       teams: [
-        { name: 'red', cpus: 8, cpus_max: size.limit.red },
-        { name: 'blue', cpus: 8, cpus_max: size.limit.blue },
+        { name: 'red', cpus: 8, cpus_max: size.teamCpuLimits.red },
+        { name: 'blue', cpus: 8, cpus_max: size.teamCpuLimits.blue },
       ],
       objectives: [{ kind: 'finished', class: 'batch', within_s: 60 }],
-      workers: { report_s: size.reportS, lease_s: LEASE_S, cancel_s: CANCEL_S },
+      workers: { report_s: size.heartbeatIntervalS, lease_s: LEASE_S, cancel_s: CANCEL_S },
       state: { rps: 200, write_rps: 60, value_kb: 16, txn_ops: 16, next: size.next },
       cloud: { rps: 4, list_lag_s: 4 },
     },
--- a/test/soak/loopback-site.ts
+++ b/test/soak/loopback-site.ts
@@ -10,7 +10,7 @@
 import { FakeCloud } from '../simulation/fake-cloud.js';
 import type { ScenarioSite } from '../simulation/scenario-site.js';
 import { RuleChecker } from '../simulation/rule-checker.js';
-import { cloudHandler, serve, storeHandler } from '../simulation/fake-servers.js';
+import { cloudHandler, startHttpServer, storeHandler } from '../simulation/fake-servers.js';
 import {
   CANCEL_S,
   type JobRequest,
@@ -147,8 +147,8 @@
         state: `${host}:${STORE_PORT}`,
         zones: MIXED_ZONES,
         teams: ['red', 'blue'].map((name) => ({ name, cpus: teamCpuLimit / 3, cpusMax: teamCpuLimit })),
-        finishWithinS: 60,
-        reportS: 1.5,
+        finishObjectiveS: 60,
+        heartbeatIntervalS: 1.5,
         leaseS: LEASE_REAL_S,
         cancelS: CANCEL_REAL_S,
         listLagS: LIST_LAG_S,
@@ -194,11 +194,11 @@
   private async listen(): Promise<boolean> {
     try {
       for (const { member, host } of this.locations) {
-        await serve(STORE_PORT, host, storeHandler(this.store.clientFor(member, systemClock)));
+        await startHttpServer(STORE_PORT, host, storeHandler(this.store.clientFor(member, systemClock)));
         const cloud = cloudHandler(this.cloud.clientFor(systemClock), MIXED_MACHINE_TYPES, (id) =>
           this.machines.addressOf(id),
         );
-        await serve(CLOUD_PORT, host, cloud);
+        await startHttpServer(CLOUD_PORT, host, cloud);
       }
       return true;
     } catch {
@@ -208,7 +208,7 @@
 
   private adoptMachines(): void {
     for (let number = 0; number < this.options.machines; number++) {
-      this.cloud.adopt({
+      this.cloud.addRunningMachine({
         id: `host-${String(number).padStart(this.options.idDigits, '0')}` as MachineId,
         type: MIXED_MACHINE_TYPES[number % 4 === 0 ? 1 : 0]?.id as MachineTypeId,
         zone: MIXED_ZONES[number % MIXED_ZONES.length] as (typeof MIXED_ZONES)[0],
@@ -352,7 +352,7 @@
       image: 'img-1' as ImageId,
       fetchMs: IMAGE_FETCH_MS,
       runMs: body.shape === 'array' ? (request.runS ?? 5) * 1000 * CLOCK_SCALE : null,
-      failsAlways: false,
+      alwaysFails: false,
     });
     this.rules.recordSubmission(id, body, this.options.teamCpuLimit);
     return body;
@@ -389,7 +389,7 @@
     if (reply?.status !== 200) return null;
     const state = this.recordState(ref, reply, requestedAt);
     if (state === 'cancelled')
-      this.rules.recordCancellation(ref as JobId, this.clock.now() + CANCEL_S * 1000);
+      this.rules.recordConfirmedCancellation(ref as JobId, this.clock.now() + CANCEL_S * 1000);
     return state;
   }
 
--- a/test/soak/loopback-workers.ts
+++ b/test/soak/loopback-workers.ts
@@ -8,10 +8,10 @@
 import { HttpTarget } from '../../src/net/http-client.js';
 import {
   AnswerLostError,
-  type Handler,
-  heartbeatAnswer,
-  heartbeatBody,
-  serve,
+  type RequestHandler,
+  decodeHeartbeatAnswer,
+  encodeHeartbeat,
+  startHttpServer,
   workersHandler,
 } from '../simulation/fake-servers.js';
 import {
@@ -95,7 +95,9 @@
     const { leaseMs, heartbeatIntervalMs, frontAddresses, trace } = this.options;
     trace(`${machine.id} is up (${machine.type}, ${machine.zone}${machine.spot ? ', spot' : ''})`);
     const worker = new FakeWorker(machine, systemClock, this, leaseMs, heartbeatIntervalMs);
-    const server = serve(WORKER_PORT, this.ipOf(machine.id), this.handlerOf(worker)).catch(() => null);
+    const server = startHttpServer(WORKER_PORT, this.ipOf(machine.id), this.handlerOf(worker)).catch(
+      () => null,
+    );
     this.workers.set(machine.id, worker);
     this.runningMachines.set(machine.id, {
       worker,
@@ -118,7 +120,7 @@
 
   // Commands
 
-  private handlerOf(worker: FakeWorker): Handler {
+  private handlerOf(worker: FakeWorker): RequestHandler {
     const handle = workersHandler(
       () => worker,
       (id) => this.addressOf(id),
@@ -170,7 +172,7 @@
       await sleep(systemClock, 2);
       return null;
     }
-    const body = heartbeatBody(heartbeat, (host) => this.addressOf(host));
+    const body = encodeHeartbeat(heartbeat, (host) => this.addressOf(host));
     if (this.options.random() < this.duplicateRate) this.scheduleDuplicate(body);
     if (this.options.random() < this.lossRate / 2) return this.loseAnswer();
     const answer = await this.call(this.runningMachines.get(id)?.links[this.nodes.indexOf(node)], body);
@@ -194,7 +196,7 @@
   private async call(link: HttpTarget | undefined, body: object): Promise<HeartbeatAnswer | null> {
     try {
       const reply = await link?.call('POST', '/agent/beat', body, ANSWER_TIMEOUT_MS);
-      return reply ? heartbeatAnswer(reply.status, reply.body) : null;
+      return reply ? decodeHeartbeatAnswer(reply.status, reply.body) : null;
     } catch {
       return null;
     }
--- a/test/traces/overflow-records.test.ts
+++ b/test/traces/overflow-records.test.ts
@@ -34,8 +34,8 @@
 /** Returns a site with a leader whose controllers have different size limits. */
 async function siteWithDifferentLimits(): Promise<SimulatedSite> {
   const siteSize: { -readonly [Field in keyof SiteSize]: SiteSize[Field] } = {
-    limit: { red: 24, blue: 40 },
-    reportS: 3,
+    teamCpuLimits: { red: 24, blue: 40 },
+    heartbeatIntervalS: 3,
     nodes: 2,
   };
   const site = new SimulatedSite(siteSize);
--- a/test/traces/pipelines.test.ts
+++ b/test/traces/pipelines.test.ts
@@ -144,8 +144,8 @@
 
   it('may contain a job with more dependencies than fit into one record', async () => {
     const site = new SimulatedSite({
-      limit: { red: 4000, blue: 4000 },
-      reportS: 3,
+      teamCpuLimits: { red: 4000, blue: 4000 },
+      heartbeatIntervalS: 3,
       nodes: 3,
       next: { value_kb: 1 },
     });
@@ -172,7 +172,11 @@
   });
 
   it('causes store load in proportion to the affected dependencies: a fan-out of 800 and a chain of 200', async () => {
-    const site = new SimulatedSite({ limit: { red: 4000, blue: 4000 }, reportS: 6, nodes: 3 });
+    const site = new SimulatedSite({
+      teamCpuLimits: { red: 4000, blue: 4000 },
+      heartbeatIntervalS: 6,
+      nodes: 3,
+    });
     site.startAll();
     await site.run(1);
     const submitUntilAccepted = async (request: Parameters<SimulatedSite['submit']>[0]): Promise<void> => {
--- a/test/traces/progress-chunks.test.ts
+++ b/test/traces/progress-chunks.test.ts
@@ -32,7 +32,7 @@
 
 /** Returns the size of a site whose team `red` may run `taskCount` tasks of 2 CPUs at once. */
 function siteSizeFor(taskCount: number, next: object): MutableSiteSize {
-  return { limit: { red: taskCount * 2, blue: 0 }, reportS: 3, nodes: 3, next };
+  return { teamCpuLimits: { red: taskCount * 2, blue: 0 }, heartbeatIntervalS: 3, nodes: 3, next };
 }
 
 /** Restarts all controllers at once, so that the next leader knows only the stored records. */
--- a/test/traces/scenarios.test.ts
+++ b/test/traces/scenarios.test.ts
@@ -174,7 +174,7 @@
     const failingWorker = site.worker(site.machineOf('j-000001/0'));
     failingWorker.failsTasks = true;
     await site.submit({ ref: 'j-000002', tasks: 4, runS: 5 });
-    await site.submit({ ref: 'j-000003', team: 'blue', broken: true });
+    await site.submit({ ref: 'j-000003', team: 'blue', alwaysFails: true });
     await site.run(90);
     expect(await site.query('j-000002')).toBe('done');
     expect(await site.query('j-000003')).toBe('pending');
@@ -183,7 +183,7 @@
 
   it('machines that fail to boot are replaced, and machines are rented from other pools during a stockout', async () => {
     const site = await startedSite();
-    site.cloud.failingBoots = 1;
+    site.cloud.failingBootCount = 1;
     site.cloud.remainingCapacity.set('small|north|ordinary', 1);
     await site.submit({ ref: 'j-000001', runS: 5, cpus: 8 });
     await site.run(120);
--- a/test/traces/size-4500.test.ts
+++ b/test/traces/size-4500.test.ts
@@ -17,13 +17,17 @@
  */
 describe('a site of 4,500 machines', () => {
   it('is filled with tasks, taken over from its records alone, and scaled in', async () => {
-    const site = new SimulatedSite({ limit: { red: 30_000, blue: 30_000 }, reportS: 6, nodes: 3 });
+    const site = new SimulatedSite({
+      teamCpuLimits: { red: 30_000, blue: 30_000 },
+      heartbeatIntervalS: 6,
+      nodes: 3,
+    });
     site.startAll();
     // Machines start, and send heartbeats, at different times.
     for (let n = 0; n < MACHINE_COUNT; n++) {
       const id = `host-${String(n).padStart(6, '0')}` as MachineId;
       const zone = (n % 2 === 0 ? 'north' : 'south') as ZoneId;
-      site.cloud.adopt({ id, type: 'small' as MachineTypeId, zone, spot: n % 3 === 0 });
+      site.cloud.addRunningMachine({ id, type: 'small' as MachineTypeId, zone, spot: n % 3 === 0 });
       if (n % START_BATCH_SIZE === 0) await site.run(0.1);
     }
     const refs = Array.from({ length: JOB_COUNT }, (_, n) => `j-${String(n).padStart(6, '0')}`);
--- a/test/traces/size.test.ts
+++ b/test/traces/size.test.ts
@@ -7,7 +7,11 @@
  */
 describe('a site of 2,000 machines and five controllers', () => {
   it('scales out, runs 335 jobs, and is taken over by a successor', async () => {
-    const site = new SimulatedSite({ limit: { red: 9000, blue: 9000 }, reportS: 6, nodes: 5 });
+    const site = new SimulatedSite({
+      teamCpuLimits: { red: 9000, blue: 9000 },
+      heartbeatIntervalS: 6,
+      nodes: 5,
+    });
     site.startAll();
     await site.run(1);
     let jobCount = 0;
--- a/test/traces/state-limits.test.ts
+++ b/test/traces/state-limits.test.ts
@@ -17,8 +17,8 @@
 /** Returns a site with two teams that may each use 600 CPUs, and with the given announced limits. */
 function largeSite(next?: object): SimulatedSite {
   return new SimulatedSite({
-    limit: { red: 600, blue: 600 },
-    reportS: 3,
+    teamCpuLimits: { red: 600, blue: 600 },
+    heartbeatIntervalS: 3,
     nodes: 3,
     ...(next ? { next } : {}),
   });
--- a/test/traces/upgrade.test.ts
+++ b/test/traces/upgrade.test.ts
@@ -56,8 +56,8 @@
  */
 function productionSite(hasOldControllers: boolean, next?: object): SimulatedSite {
   const site = new SimulatedSite({
-    limit: { red: 700, blue: 60 },
-    reportS: 3,
+    teamCpuLimits: { red: 700, blue: 60 },
+    heartbeatIntervalS: 3,
     nodes: 3,
     ...(next ? { next } : {}),
   });
@@ -174,7 +174,12 @@
 describe('records of the version that introduced dependent jobs', () => {
   it('are taken over: split progress records, dependency records, and records of ended jobs', async () => {
     const next = { value_kb: 1, txn_ops: 5, write_rps: 30 };
-    const site = new SimulatedSite({ limit: { red: 700, blue: 60 }, reportS: 3, nodes: 3, next });
+    const site = new SimulatedSite({
+      teamCpuLimits: { red: 700, blue: 60 },
+      heartbeatIntervalS: 3,
+      nodes: 3,
+      next,
+    });
     const records = dependenciesVersion.records.map(({ key, value, stamp }) => ({
       key,
       value,
@@ -255,7 +260,7 @@
 
 describe('records of a version that wrote larger chunks after smaller ones', () => {
   it('are taken over according to the later records, and that version can read the rewritten records', async () => {
-    const site = new SimulatedSite({ limit: { red: 140, blue: 0 }, reportS: 3, nodes: 3 });
+    const site = new SimulatedSite({ teamCpuLimits: { red: 140, blue: 0 }, heartbeatIntervalS: 3, nodes: 3 });
     const records = mixedChunkVersion.records.map(({ key, value, stamp }) => ({
       key,
       value,
