--- a/src/api/admission.ts
+++ b/src/api/admission.ts
@@ -42,7 +42,7 @@
    * Tries to admit a request; false: the caller must refuse the request. Each admitted request must be released once it
    * has been answered.
    */
-  enter(requestClass: RequestClass): boolean {
+  tryAcquire(requestClass: RequestClass): boolean {
     if (this.active[requestClass] >= this.maxActive[requestClass]) return false;
     if (
       requestClass === 'submission' &&
@@ -54,7 +54,7 @@
   }
 
   /** Releases the place of an admitted request once the request has been answered. */
-  leave(requestClass: RequestClass): void {
+  release(requestClass: RequestClass): void {
     this.active[requestClass]--;
   }
 
--- a/src/api/http-router.ts
+++ b/src/api/http-router.ts
@@ -128,7 +128,7 @@
  * adapter are not used: they are built on the runtime's fetch objects, and loading these takes as long as starting the
  * rest of the program.
  */
-export function requestListener(handler: RequestHandler): RequestListener {
+export function createRequestListener(handler: RequestHandler): RequestListener {
   const router = createRouter(handler);
   return (request, response) =>
     void dispatch(router, request).then((answer) => writeAnswer(response, answer));
--- a/src/api/job-reader.ts
+++ b/src/api/job-reader.ts
@@ -9,16 +9,16 @@
 import { decodeJob } from '../store/job-record.js';
 import { keys } from '../store/keys.js';
 import type { WatchEvent } from '../wire/key-value-store.js';
-import { jobStatus, type Progress } from '../wire/users.js';
+import { jobStatus, type TaskCounts } from '../wire/users.js';
 import type { JobCache } from './job-cache.js';
-import { backOff, isRetryable, MAX_ATTEMPTS } from './store-retry.js';
+import { backOff, isRetryable, MAX_ATTEMPT_COUNT } from './store-retry.js';
 import type { UserAnswer } from './user-answer.js';
 
 const WATCH_TIMEOUT_MS = 20_000;
-const WATCH_RETRY_MS = 300;
-const READ_RETRY_MS = 40;
+const WATCH_RETRY_DELAY_MS = 300;
+const READ_RETRY_DELAY_MS = 40;
 
-const NO_PROGRESS: Progress = { done: 0, running: 0 };
+const NO_PROGRESS: TaskCounts = { done: 0, running: 0 };
 
 /** A job record and the revision at which the record was read. */
 export interface ReadJob {
@@ -31,7 +31,7 @@
   constructor(
     private readonly ctx: ControllerContext,
     private readonly cache: JobCache,
-    private readonly progressOf: (id: JobId) => Progress | null,
+    private readonly progressOf: (id: JobId) => TaskCounts | null,
   ) {}
 
   /**
@@ -48,7 +48,7 @@
         if (watched) this.observe(watched.changes);
       } catch (error) {
         this.ctx.log.debug({ error: errorMessage(error) }, 'job cache watch interrupted');
-        await sleep(this.ctx.clock, WATCH_RETRY_MS + this.ctx.random() * WATCH_RETRY_MS);
+        await sleep(this.ctx.clock, WATCH_RETRY_DELAY_MS + this.ctx.random() * WATCH_RETRY_DELAY_MS);
       }
     }
   }
@@ -71,8 +71,8 @@
         const row = await this.ctx.store.get(keys.job(id));
         return row ? { record: decodeJob(id, row.value), revision: row.revision } : null;
       } catch (error) {
-        if (!isRetryable(error) || attempts >= MAX_ATTEMPTS) throw error;
-        await backOff(this.ctx, attempts, READ_RETRY_MS);
+        if (!isRetryable(error) || attempts >= MAX_ATTEMPT_COUNT) throw error;
+        await backOff(this.ctx, attempts, READ_RETRY_DELAY_MS);
       }
     }
   }
@@ -93,7 +93,7 @@
   }
 
   /** Returns the job's task counts as last published by the leader; zeros if no recent counts exist. */
-  progress(id: JobId): Progress {
+  progress(id: JobId): TaskCounts {
     return this.progressOf(id) ?? NO_PROGRESS;
   }
 
--- a/src/api/store-retry.ts
+++ b/src/api/store-retry.ts
@@ -4,7 +4,7 @@
 import { isRateLimitedError, StoreOutcomeUnknownError } from '../store/errors.js';
 
 /** The maximum number of attempts of a store request, the first one included. */
-export const MAX_ATTEMPTS = 3;
+export const MAX_ATTEMPT_COUNT = 3;
 
 /**
  * Reports whether a failed store request should be retried. A 503 response means an outage of the store, or that the
--- a/src/api/submissions.ts
+++ b/src/api/submissions.ts
@@ -13,11 +13,11 @@
 import type { JobCache } from './job-cache.js';
 import type { JobReader } from './job-reader.js';
 import { OverflowRecords } from './overflow-records.js';
-import { backOff, isRetryable, MAX_ATTEMPTS } from './store-retry.js';
+import { backOff, isRetryable, MAX_ATTEMPT_COUNT } from './store-retry.js';
 import { BusyError, unavailable, unprocessable, type UserAnswer } from './user-answer.js';
 import type { UserBudgets } from './user-budgets.js';
 
-const WRITE_RETRY_MS = 60;
+const WRITE_RETRY_DELAY_MS = 60;
 /** The `retry-after` of a request that waits until controllers of an earlier version have been upgraded. */
 const UPGRADE_RETRY_S = 5;
 
@@ -137,11 +137,11 @@
       } catch (error) {
         this.ctx.storeLimits.recordFailure(error);
         // A retry is safe: both attempts compare the absence of the job's record, so at most one of them is committed.
-        if (!isRetryable(error) || attempts >= MAX_ATTEMPTS) throw error;
+        if (!isRetryable(error) || attempts >= MAX_ATTEMPT_COUNT) throw error;
       }
-      if (attempts >= MAX_ATTEMPTS)
+      if (attempts >= MAX_ATTEMPT_COUNT)
         return unavailable('submission not confirmed by the key-value store; retry later');
-      await backOff(this.ctx, attempts, WRITE_RETRY_MS);
+      await backOff(this.ctx, attempts, WRITE_RETRY_DELAY_MS);
     }
   }
 
--- a/src/api/user-service.ts
+++ b/src/api/user-service.ts
@@ -8,12 +8,12 @@
 import { ms, since } from '../model/time.js';
 import { encodeEndedJob } from '../store/job-record.js';
 import { keys } from '../store/keys.js';
-import { jobStatus, type Progress } from '../wire/users.js';
+import { jobStatus, type TaskCounts } from '../wire/users.js';
 import { DependencyChecker } from './dependency-checker.js';
 import { JobCache } from './job-cache.js';
 import { JobReader, type ReadJob } from './job-reader.js';
 import { RevisionConfirmations } from './revision-confirmations.js';
-import { backOff, isRetryable, MAX_ATTEMPTS } from './store-retry.js';
+import { backOff, isRetryable, MAX_ATTEMPT_COUNT } from './store-retry.js';
 import { Submissions } from './submissions.js';
 import { NO_SUCH_JOB, stateAnswer, unavailable, type UserAnswer } from './user-answer.js';
 import { UserBudgets } from './user-budgets.js';
@@ -23,11 +23,11 @@
 /** The comparisons that a transaction may contain for each write that it may contain (PROTOCOL). */
 const COMPARES_PER_WRITE = 4;
 const CANCEL_WRITES = 1;
-const CANCEL_RETRY_MS = 60;
+const CANCEL_RETRY_DELAY_MS = 60;
 /**
  * The attempts of a cancellation: two more than for a store request, since concurrent writes may invalidate the read.
  */
-const MAX_CANCEL_ATTEMPTS = MAX_ATTEMPTS + 2;
+const MAX_CANCEL_ATTEMPT_COUNT = MAX_ATTEMPT_COUNT + 2;
 const BUSY_RETRY_S = 2;
 /**
  * The maximum time from the arrival of a query to its answer. An older answer is replaced by a 503: the process may
@@ -47,7 +47,7 @@
 
   constructor(
     private readonly ctx: ControllerContext,
-    progressOf: (id: JobId) => Progress | null,
+    progressOf: (id: JobId) => TaskCounts | null,
     /** Returns the number of controllers that share the store's limits, this controller included. */
     controllerCount: () => number = () => 1,
   ) {
@@ -63,7 +63,7 @@
   }
 
   /** Clears the job cache to free memory; later requests read the records from the store again. */
-  dropCaches(): void {
+  clearCaches(): void {
     this.cache.clear();
   }
 
@@ -132,7 +132,7 @@
    */
   async cancel(id: string): Promise<UserAnswer> {
     if (!isJobId(id)) return NO_SUCH_JOB;
-    for (let attempts = 1; attempts <= MAX_CANCEL_ATTEMPTS; attempts++) {
+    for (let attempts = 1; attempts <= MAX_CANCEL_ATTEMPT_COUNT; attempts++) {
       const job = await this.reader.read(id);
       if (!job) return NO_SUCH_JOB;
       const { state } = job.record;
@@ -143,8 +143,8 @@
       try {
         if (await this.writeCancelled(id, job)) return this.confirmCancelled(id);
       } catch (error) {
-        if (!isRetryable(error) || attempts > MAX_ATTEMPTS) throw error;
-        await backOff(this.ctx, attempts, CANCEL_RETRY_MS);
+        if (!isRetryable(error) || attempts > MAX_ATTEMPT_COUNT) throw error;
+        await backOff(this.ctx, attempts, CANCEL_RETRY_DELAY_MS);
       }
     }
     return unavailable('cancellation not confirmed by the key-value store; retry later');
--- a/src/cli/members.ts
+++ b/src/cli/members.ts
@@ -4,7 +4,7 @@
 import { loadSettings } from '../config/operators.js';
 import { FrameKind } from '../peer/frames.js';
 import { sendSingleRequest, SingleRequestError } from '../peer/single-request.js';
-import { type MemberLine, type MembersReport, readMembersReport } from '../wire/members.js';
+import { type MemberEntry, type MembersReport, readMembersReport } from '../wire/members.js';
 import { renderTable } from './table.js';
 
 const REQUEST_TIMEOUT_MS = 5000;
@@ -27,7 +27,7 @@
 };
 
 /** Returns the advice for operators on one controller, by its state and connection. */
-export function adviceFor({ state, connection }: MemberLine): string {
+export function adviceFor({ state, connection }: MemberEntry): string {
   if (state === 'alive' && connection === 'partly-cut')
     return 'it serves; check the network between the controllers named below';
   if (state === 'suspect' && connection === 'deaf')
--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -5,7 +5,7 @@
 import { Controller } from '../controller/controller.js';
 import { InvalidSettingsError, loadOperators, loadSettings } from '../config/operators.js';
 import { printMembers } from './members.js';
-import { findTooSmallSettings } from '../config/settings-minimums.js';
+import { findSettingsBelowMinimum } from '../config/settings-minimums.js';
 import { type Features, loadFeatures } from '../config/features.js';
 import { openLogger, errorMessage } from '../log/logger.js';
 import type { Settings } from '../wire/settings.js';
@@ -79,7 +79,7 @@
   const operators = loadOperators(options.operators);
   const features = await loadCheckedFeatures(options, settings);
   const log = openLogger(settings.member);
-  for (const line of findTooSmallSettings(settings)) log.error({ field: line }, 'setting too small');
+  for (const line of findSettingsBelowMinimum(settings)) log.error({ field: line }, 'setting too small');
   const generator = xoroshiro128plus(Date.now() ^ (process.pid << 12));
   const random = (): number => uniformFloat64(generator);
   // Unexpected errors are logged only: an unexpected answer of another service must never end the process.
@@ -111,7 +111,7 @@
   const settings = loadSettings(requireConfig(options.config));
   loadOperators(options.operators);
   await loadCheckedFeatures(options, settings);
-  for (const line of findTooSmallSettings(settings)) process.stderr.write(`plumyoke: warning: ${line}\n`);
+  for (const line of findSettingsBelowMinimum(settings)) process.stderr.write(`plumyoke: warning: ${line}\n`);
   process.stdout.write(`${settings.member}: settings are valid\n`);
 }
 
--- a/src/cloud/client.ts
+++ b/src/cloud/client.ts
@@ -44,7 +44,7 @@
  * The cloud API as used by the controllers. Calls reject with `CloudRequestRefusedError` if the cloud refuses the
  * request.
  */
-export interface Cloud {
+export interface CloudApi {
   listMachineTypes(): Promise<MachineType[]>;
   /**
    * Creates machines. The call is idempotent by request name; the cloud may still carry out a request whose call
@@ -58,7 +58,7 @@
 }
 
 /** Calls the cloud's HTTP API with a deadline on every call. */
-export class CloudClient implements Cloud {
+export class CloudClient implements CloudApi {
   constructor(
     private readonly http: HttpCaller,
     private readonly deadlineMs: number,
--- a/src/config/features.ts
+++ b/src/config/features.ts
@@ -5,7 +5,7 @@
 import { join } from 'node:path';
 import * as z from 'zod/mini';
 import { type Millis, seconds } from '../model/time.js';
-import { firstIssue } from '../wire/common.js';
+import { formatFirstIssue } from '../wire/common.js';
 import { readToml } from './operators.js';
 
 const positive = z.number().check(z.positive());
@@ -63,7 +63,7 @@
 
 function readFailover(raw: unknown): FailoverFeature | null {
   const parsed = failoverFile.safeParse(raw);
-  if (!parsed.success) throw new Error(firstIssue(parsed.error));
+  if (!parsed.success) throw new Error(formatFirstIssue(parsed.error));
   const file = parsed.data;
   checkFailoverFile(file);
   if (!file.enabled) return null;
--- a/src/config/operators.ts
+++ b/src/config/operators.ts
@@ -4,7 +4,7 @@
 import * as z from 'zod/mini';
 import { errorMessage } from '../log/logger.js';
 import { type Millis, seconds } from '../model/time.js';
-import { firstIssue } from '../wire/common.js';
+import { formatFirstIssue } from '../wire/common.js';
 import { type Settings, readSettings } from '../wire/settings.js';
 
 const positive = z.number().check(z.positive());
@@ -109,7 +109,7 @@
 export function readOperators(raw: unknown): OperatorSettings {
   const withSections = { cluster: {}, forecast: {}, fleet: {}, workers: {}, log: {}, ...(raw as object) };
   const parsed = operatorsFile.safeParse(withSections);
-  if (!parsed.success) throw new Error(firstIssue(parsed.error));
+  if (!parsed.success) throw new Error(formatFirstIssue(parsed.error));
   return toSettings(parsed.data);
 }
 
--- a/src/config/settings-minimums.ts
+++ b/src/config/settings-minimums.ts
@@ -1,5 +1,5 @@
 /** Finds platform settings that are too small for reliable operation. */
-import { shareSockets } from '../net/socket-allocation.js';
+import { allocateSockets } from '../net/socket-allocation.js';
 import type { Settings } from '../wire/settings.js';
 
 /**
@@ -20,7 +20,7 @@
  * Returns a one-line warning, which names the field, for each setting that is too small for reliable operation. The
  * findings are not errors, since a controller that refuses to start would be of no use.
  */
-export function findTooSmallSettings(settings: Settings): string[] {
+export function findSettingsBelowMinimum(settings: Settings): string[] {
   const warnings: string[] = [];
   const requireMin = (field: string, value: number, min: number, purpose: string): void => {
     if (value < min) warnings.push(`${field}: ${value} is below ${min}, the minimum ${purpose}`);
@@ -30,7 +30,7 @@
     warnings.push(
       `facts.resources.cpu: ${cpuShare} is not a share of a core (above 0, at most 1); a whole core is assumed`,
     );
-  const otherSockets = Math.ceil(maxSockets - shareSockets(maxSockets, settings.peers.length).front);
+  const otherSockets = Math.ceil(maxSockets - allocateSockets(maxSockets, settings.peers.length).front);
   const minSockets = otherSockets + MIN_FRONT_SOCKET_COUNT;
   requireMin('facts.resources.sockets', maxSockets, minSockets, 'that leaves sockets for workers and users');
   if (memoryMb !== null)
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,6 +1,6 @@
 /** A controller process: serves users and workers, forwards requests to the leader, and leads when elected. */
 import { Admission } from '../api/admission.js';
-import { requestListener } from '../api/http-router.js';
+import { createRequestListener } from '../api/http-router.js';
 import { UserService } from '../api/user-service.js';
 import { CloudClient } from '../cloud/client.js';
 import type { Features } from '../config/features.js';
@@ -11,16 +11,16 @@
 import type { Logger } from '../log/logger.js';
 import { PROTOCOL_VERSION } from '../model/protocol.js';
 import { runPeriodically, systemClock } from '../model/time.js';
-import { HttpTarget } from '../net/http-client.js';
+import { HttpConnectionPool } from '../net/http-client.js';
 import { FrontServer } from '../net/front-server.js';
-import { shareSockets, type SocketShares } from '../net/socket-allocation.js';
+import { allocateSockets, type SocketAllocation } from '../net/socket-allocation.js';
 import { FrameKind } from '../peer/frames.js';
 import { encodeProgress } from '../peer/job-progress.js';
 import type { Ping } from '../peer/ping.js';
 import { type DirectWorkerCaller, RoutedCaller } from '../peer/routed-caller.js';
 import { PeerServer } from '../peer/server.js';
 import { KeyValueStoreClient } from '../store/client.js';
-import { limitProbe } from '../store/limit-probe.js';
+import { createLimitProbe } from '../store/limit-probe.js';
 import { StoreLimits } from '../store/store-limits.js';
 import type { Settings } from '../wire/settings.js';
 import { readCommandReply } from '../wire/workers.js';
@@ -44,9 +44,9 @@
 /** How often a leader publishes its task counts to the other controllers. */
 const PROGRESS_INTERVAL_MS = 1000;
 /** The number of submissions from users that are processed concurrently. */
-const MAX_CONCURRENT_SUBMISSIONS = 48;
+const MAX_CONCURRENT_SUBMISSION_COUNT = 48;
 /** The number of queries and cancellations from users that are processed concurrently. */
-const MAX_CONCURRENT_QUERIES = 96;
+const MAX_CONCURRENT_QUERY_COUNT = 96;
 /** The time within which a client of the front server must send a request's headers. */
 const HEADERS_TIMEOUT_MS = 10_000;
 /** The time within which a client of the front server must send a complete request. */
@@ -88,13 +88,13 @@
     const { settings } = options;
     const clock = systemClock;
     const loadMonitor = new LoadMonitor(clock);
-    const sockets = shareSockets(settings.maxSockets, settings.peers.length);
+    const sockets = allocateSockets(settings.maxSockets, settings.peers.length);
     this.workerConnections = new WorkerConnections(sockets.workers);
     this.connectivity = new StoreConnectivityMonitor(clock);
     this.progress = new ProgressCache(clock);
     const cancellations = new ConfirmedCancellations(clock, settings.cancellationLimit);
     const store = this.createStoreClient(sockets);
-    const storeLimits = new StoreLimits(settings, clock, limitProbe(store, settings));
+    const storeLimits = new StoreLimits(settings, clock, createLimitProbe(store, settings));
     if (settings.peers.length === 0) storeLimits.allowSmallChunks();
     this.peers = this.createPeerGroup(cancellations, storeLimits);
     this.ctx = this.createContext({ sockets, loadMonitor, cancellations, store, storeLimits });
@@ -166,7 +166,7 @@
   }
 
   private createContext(components: {
-    readonly sockets: SocketShares;
+    readonly sockets: SocketAllocation;
     readonly loadMonitor: LoadMonitor;
     readonly cancellations: ConfirmedCancellations;
     readonly store: KeyValueStoreClient;
@@ -183,7 +183,7 @@
       settings,
       operators,
       store,
-      cloud: new CloudClient(new HttpTarget(settings.cloudAddress, sockets.cloud), CLOUD_TIMEOUT_MS),
+      cloud: new CloudClient(new HttpConnectionPool(settings.cloudAddress, sockets.cloud), CLOUD_TIMEOUT_MS),
       workerClient: new RoutedCaller(this.createDirectCaller(), this.peers.links, clock, load),
       random,
       machineTypes: new Map(),
@@ -193,17 +193,18 @@
       cancellations,
       allPeersSupport: (version) => this.peers.allCandidatesSupport(version),
       peers: this.peers,
-      prefetchedRecords: (prefix) => this.failover?.takePrefetchedRecords(prefix) ?? Promise.resolve(null),
+      takePrefetchedRecords: (prefix) =>
+        this.failover?.takePrefetchedRecords(prefix) ?? Promise.resolve(null),
     };
   }
 
-  private createStoreClient(sockets: SocketShares): KeyValueStoreClient {
+  private createStoreClient(sockets: SocketAllocation): KeyValueStoreClient {
     const { storeAddress } = this.options.settings;
     return new KeyValueStoreClient({
-      http: new HttpTarget(storeAddress, sockets.store),
-      watchHttp: new HttpTarget(storeAddress, sockets.storeWatches),
+      http: new HttpConnectionPool(storeAddress, sockets.store),
+      watchHttp: new HttpConnectionPool(storeAddress, sockets.storeWatches),
       timeoutMs: STORE_TIMEOUT_MS,
-      onCall: (isAnswered) => this.connectivity.recordCall(isAnswered),
+      onCallCompleted: (isAnswered) => this.connectivity.recordCall(isAnswered),
     });
   }
 
@@ -237,8 +238,8 @@
 
   private createAdmission(): Admission {
     const { clock } = this.ctx;
-    const memory = new MemoryMonitor(clock, () => this.userService.dropCaches());
-    const limits = { submission: MAX_CONCURRENT_SUBMISSIONS, query: MAX_CONCURRENT_QUERIES };
+    const memory = new MemoryMonitor(clock, () => this.userService.clearCaches());
+    const limits = { submission: MAX_CONCURRENT_SUBMISSION_COUNT, query: MAX_CONCURRENT_QUERY_COUNT };
     return new Admission(clock, limits, () => memory.isScarce);
   }
 
@@ -247,8 +248,8 @@
     return new UserRouter({ userService, admission, connectivity, peers, random: this.options.random });
   }
 
-  private createFrontServer(sockets: SocketShares): FrontServer {
-    const listener = requestListener({
+  private createFrontServer(sockets: SocketAllocation): FrontServer {
+    const listener = createRequestListener({
       up: () => this.ctx.machineTypes.size > 0 && !this.connectivity.isPartitioned(this.peers.links),
       heartbeat: (body) => this.heartbeatRouter.handle(body),
       user: (verb, body) => this.userRouter.handle(verb, body, true),
@@ -262,7 +263,7 @@
     return new FrontServer(listener, limits, this.options.log);
   }
 
-  private createPeerServer(sockets: SocketShares): PeerServer {
+  private createPeerServer(sockets: SocketAllocation): PeerServer {
     const { peers, progress, userRouter, heartbeatRouter, workerConnections } = this;
     const { member, log, cancellations } = this.ctx;
     const handler = new PeerRequestHandler({
--- a/src/controller/heartbeat-router.ts
+++ b/src/controller/heartbeat-router.ts
@@ -125,7 +125,7 @@
    */
   private async awaitTurn(): Promise<boolean> {
     const arrivedAt = this.clock.now();
-    await this.queue.turn();
+    await this.queue.awaitTurn();
     return since(this.clock.now(), arrivedAt) < RELAY_TIMEOUT_MS;
   }
 
--- a/src/controller/memory-monitor.ts
+++ b/src/controller/memory-monitor.ts
@@ -23,7 +23,7 @@
   constructor(
     clock: Clock,
     /** Drops cached data that can be read again; called at each sample while memory is scarce. */
-    private readonly dropCaches: () => void,
+    private readonly clearCaches: () => void,
     private readonly read: () => HeapReading = getHeapStatistics,
   ) {
     runPeriodically(clock, SAMPLE_INTERVAL_MS, () => this.sample());
@@ -37,6 +37,6 @@
   private sample(): void {
     const { used_heap_size: used, heap_size_limit: limit } = this.read();
     this.scarce = used > limit * SCARCE_MEMORY_RATIO;
-    if (this.scarce) this.dropCaches();
+    if (this.scarce) this.clearCaches();
   }
 }
--- a/src/controller/peer-group.ts
+++ b/src/controller/peer-group.ts
@@ -10,7 +10,7 @@
 import { decodePeerStatus, encodePeerStatus, type PeerStatus } from '../peer/peer-status.js';
 import type { Ping } from '../peer/ping.js';
 import type { LeaderRecord } from '../store/leader-record.js';
-import type { MemberLine } from '../wire/members.js';
+import type { MemberEntry } from '../wire/members.js';
 import type { PeerAddress } from '../wire/settings.js';
 
 /** The states shown to operators while failure detection is disabled: whether a link to the controller is connected. */
@@ -79,7 +79,7 @@
           onPing: ({ leadingEpoch }) => {
             if (leadingEpoch !== null) listener.onPeerLeading(leadingEpoch);
           },
-          onVersion: (link) => this.onVersion(link),
+          onPeerVersionReceived: (link) => this.onPeerVersionReceived(link),
         }),
     );
     cancellations.onLearned((ids) => this.broadcastCancellations(this.links, ids));
@@ -139,9 +139,9 @@
    * Returns the list of all controllers for operators while failure detection is disabled, when only link states are
    * known.
    */
-  memberLines(self: MemberId): MemberLine[] {
+  memberEntries(self: MemberId): MemberEntry[] {
     const leader = this.localState.observedLeader();
-    const createLine = (member: MemberId, state: string, load: number | null): MemberLine => ({
+    const createEntry = (member: MemberId, state: string, load: number | null): MemberEntry => ({
       member,
       state,
       forMs: 0,
@@ -151,10 +151,10 @@
       evidence: [],
       owns: leader?.member === member ? [`cluster (epoch ${leader.epoch})`] : [],
     });
-    const peerLines = this.links.map((link) =>
-      createLine(link.member, link.isConnected ? LINKED : NOT_LINKED, link.lastPing?.load ?? null),
+    const peerEntries = this.links.map((link) =>
+      createEntry(link.member, link.isConnected ? LINKED : NOT_LINKED, link.lastPing?.load ?? null),
     );
-    return [createLine(self, LINKED, this.localState.ping().load), ...peerLines];
+    return [createEntry(self, LINKED, this.localState.ping().load), ...peerEntries];
   }
 
   /**
@@ -171,7 +171,7 @@
     payload: Buffer,
     deadlineMs: number,
   ): Promise<PeerStatus | null> {
-    const response = link.supportsCancellations
+    const response = link.supportsConfirmedCancellations
       ? await link.request(FrameKind.ConfirmedCancellations, payload, deadlineMs)
       : null;
     if (response?.status !== OK_STATUS) return null;
@@ -184,9 +184,9 @@
   }
 
   /** Handles the version that a controller sends on a new connection. */
-  private onVersion(link: PeerLink): void {
+  private onPeerVersionReceived(link: PeerLink): void {
     this.lastVersions.set(link.member, link.lastPing?.version ?? UNVERSIONED);
-    if (!link.supportsCancellations) {
+    if (!link.supportsConfirmedCancellations) {
       this.warnIfDowngraded(link);
       return;
     }
@@ -210,7 +210,7 @@
   }
 
   private broadcastCancellations(links: readonly PeerLink[], jobs?: readonly JobId[]): void {
-    const receivers = links.filter((link) => link.supportsCancellations);
+    const receivers = links.filter((link) => link.supportsConfirmedCancellations);
     if (receivers.length === 0) return;
     const payload = encodePeerStatus(this.status(jobs));
     for (const link of receivers) link.send(FrameKind.ConfirmedCancellations, 0, payload);
--- a/src/controller/peer-request-handler.ts
+++ b/src/controller/peer-request-handler.ts
@@ -121,7 +121,7 @@
       observer: member,
       version: PROTOCOL_VERSION,
       failureDetection: failover !== null,
-      members: failover?.memberLines() ?? peers.memberLines(member),
+      members: failover?.memberEntries() ?? peers.memberEntries(member),
       dropped: failover?.droppedMessages() ?? {},
     };
   }
--- a/src/controller/progress-cache.ts
+++ b/src/controller/progress-cache.ts
@@ -2,13 +2,13 @@
 import type { JobId } from '../model/ids.js';
 import { type Clock, type MonotonicTime, since } from '../model/time.js';
 import { decodeProgress } from '../peer/job-progress.js';
-import type { Progress } from '../wire/users.js';
+import type { TaskCounts } from '../wire/users.js';
 
 /** The age above which task counts are not shown. */
 const MAX_PROGRESS_AGE_MS = 5000;
 
 interface CachedProgress {
-  readonly progress: Progress;
+  readonly progress: TaskCounts;
   readonly receivedAt: MonotonicTime;
 }
 
@@ -19,7 +19,7 @@
   constructor(private readonly clock: Clock) {}
 
   /** Returns the job's task counts; null: there are none, or the counts have expired. */
-  get(id: JobId): Progress | null {
+  get(id: JobId): TaskCounts | null {
     const cached = this.progress.get(id);
     return cached && since(this.clock.now(), cached.receivedAt) <= MAX_PROGRESS_AGE_MS
       ? cached.progress
--- a/src/controller/user-router.ts
+++ b/src/controller/user-router.ts
@@ -12,7 +12,7 @@
 /** How long another controller may take to answer a forwarded request. */
 const FORWARD_TIMEOUT_MS = 1500;
 /** The number of other controllers tried when this controller has exhausted its share of the store's write rate. */
-const MAX_BUSY_FORWARDS = 4;
+const MAX_BUSY_FORWARD_COUNT = 4;
 /** The `retryAfter` value of an answer that refuses a request because of load or rate limits. */
 const BUSY_RETRY_S = 2;
 const UNAVAILABLE_STATUS = 503;
@@ -55,7 +55,7 @@
   async handle(verb: UserVerb, body: Buffer, mayForward: boolean): Promise<UserAnswer> {
     const { admission, connectivity } = this.dependencies;
     const rank = verb === 'submit' ? 'submission' : 'query';
-    if (!admission.enter(rank)) return unavailable('overloaded', BUSY_RETRY_S);
+    if (!admission.tryAcquire(rank)) return unavailable('overloaded', BUSY_RETRY_S);
     try {
       const forwarded =
         mayForward && !connectivity.isStoreReachable ? await this.forward(verb, body, 1) : null;
@@ -63,7 +63,7 @@
     } catch (error) {
       return await this.handleRefusal(error, verb, body, mayForward);
     } finally {
-      admission.leave(rank);
+      admission.release(rank);
     }
   }
 
@@ -88,7 +88,7 @@
     if (error instanceof BusyError) {
       this.refusals.busy++;
       // Each controller has its own share of the write rate for users, so another controller often has capacity left.
-      const forwarded = mayForward ? await this.forward(verb, body, MAX_BUSY_FORWARDS) : null;
+      const forwarded = mayForward ? await this.forward(verb, body, MAX_BUSY_FORWARD_COUNT) : null;
       return forwarded ?? unavailable('too many requests; retry later', BUSY_RETRY_S);
     }
     if (!(error instanceof KeyValueStoreError)) throw error;
--- a/src/controller/worker-redirects.ts
+++ b/src/controller/worker-redirects.ts
@@ -1,6 +1,6 @@
 /** Selects the workers connected to a busy leader that should connect to another controller. */
 import type { MachineId, MemberId } from '../model/ids.js';
-import { DELEGATION_LOAD } from '../model/load.js';
+import { MIN_DELEGATION_LOAD_RATIO } from '../model/load.js';
 import { type Clock, type MonotonicTime, since } from '../model/time.js';
 
 /**
@@ -22,7 +22,7 @@
 
   /** Returns the controller to which the worker should connect; null: the worker stays with this controller. */
   targetFor(worker: MachineId, candidates: readonly MemberId[]): MemberId | null {
-    if (candidates.length === 0 || this.load() < DELEGATION_LOAD) return null;
+    if (candidates.length === 0 || this.load() < MIN_DELEGATION_LOAD_RATIO) return null;
     const now = this.clock.now();
     this.removeExpired(now);
     if (this.redirectedAtByWorker.has(worker)) return null;
--- a/src/core/context.ts
+++ b/src/core/context.ts
@@ -1,5 +1,5 @@
 /** The dependencies that the components of a controller and of a leader share. */
-import type { Cloud } from '../cloud/client.js';
+import type { CloudApi } from '../cloud/client.js';
 import type { OperatorSettings } from '../config/operators.js';
 import type { Logger } from '../log/logger.js';
 import type { Epoch, MachineId, JobId, MemberId, Revision, MachineTypeId } from '../model/ids.js';
@@ -38,7 +38,7 @@
   /** The settings configured by the operators. */
   readonly operators: OperatorSettings;
   readonly store: KeyValueStore;
-  readonly cloud: Cloud;
+  readonly cloud: CloudApi;
   readonly workerClient: WorkerClient;
   /** Returns a random number from 0 (inclusive) to 1 (exclusive). */
   readonly random: () => number;
@@ -54,7 +54,7 @@
   /** Whether the leader and every controller that may take over are known to support the protocol version. */
   readonly allPeersSupport: (version: number) => boolean;
   /** Returns the prefetched records under a prefix, brought up to date; null if the records must be read in full. */
-  readonly prefetchedRecords: (prefix: string) => Promise<RecordSet | null>;
+  readonly takePrefetchedRecords: (prefix: string) => Promise<RecordSet | null>;
 }
 
 /** The dependencies shared by the components of the leader during one term. */
--- a/src/fleet/capacity-plan.ts
+++ b/src/fleet/capacity-plan.ts
@@ -10,7 +10,7 @@
 } from '../scheduler/placement-rule.js';
 
 /** A pool of identical machines that the cloud offers: a machine type in one zone, either spot or on-demand. */
-export interface Pool {
+export interface MachinePool {
   readonly type: MachineType;
   readonly zone: ZoneId;
   readonly spot: boolean;
@@ -61,13 +61,13 @@
 
 /** A number of machines to request from one pool. */
 export interface CapacityRequest {
-  readonly pool: Pool;
+  readonly pool: MachinePool;
   readonly count: number;
 }
 
 /** Returns the pools of all machine types: spot and on-demand, in each zone of the type. */
-export function allPools(types: Iterable<MachineType>): Pool[] {
-  const pools: Pool[] = [];
+export function allPools(types: Iterable<MachineType>): MachinePool[] {
+  const pools: MachinePool[] = [];
   for (const type of types) {
     for (const zone of type.zones) {
       pools.push({ type, zone, spot: false });
@@ -106,8 +106,11 @@
  * Returns the pool with the lowest price per task, which is the machine's price divided by the number of these tasks
  * that fit on one machine. Null: no pool can run the tasks.
  */
-export function cheapestPool({ spec, tasks, zones }: CapacityDemand, pools: readonly Pool[]): Pool | null {
-  let cheapest: Pool | null = null;
+export function cheapestPool(
+  { spec, tasks, zones }: CapacityDemand,
+  pools: readonly MachinePool[],
+): MachinePool | null {
+  let cheapest: MachinePool | null = null;
   let lowestTaskPrice = Infinity;
   for (const pool of pools) {
     if (machineRefusal(spec, { type: pool.type.id, zone: pool.zone, spot: pool.spot }) !== null) continue;
@@ -158,7 +161,7 @@
 }
 
 /** Returns a pending machine of the pool, without tasks. */
-export function pendingMachineOf({ type, zone, spot }: Pool): PendingMachine {
+export function pendingMachineOf({ type, zone, spot }: MachinePool): PendingMachine {
   const { id, cpus, gpus, memoryGb } = type;
   return { type: id, zone, spot, free: { cpus, gpus, memoryGb } };
 }
@@ -167,11 +170,11 @@
 export function planScaleOut(
   demands: readonly CapacityDemand[],
   pending: readonly PendingMachine[],
-  pools: readonly Pool[],
+  pools: readonly MachinePool[],
   maxMachines: number,
 ): CapacityRequest[] {
   const machines: PendingMachine[] = pending.map((machine) => ({ ...machine, free: { ...machine.free } }));
-  const requests = new Map<string, { readonly pool: Pool; count: number }>();
+  const requests = new Map<string, { readonly pool: MachinePool; count: number }>();
   let allowedMachines = maxMachines;
   for (const demand of demands) {
     const packing = new BinPacking(demand);
--- a/src/fleet/capacity-projection.ts
+++ b/src/fleet/capacity-projection.ts
@@ -4,7 +4,7 @@
 import { type Millis, type MonotonicTime, since } from '../model/time.js';
 import type { Worker } from '../workers/state/worker.js';
 import type { QueuedWork } from './backlog.js';
-import { allPools, cheapestPool, type Pool, seriesKey, tasksPerMachine } from './capacity-plan.js';
+import { allPools, cheapestPool, type MachinePool, seriesKey, tasksPerMachine } from './capacity-plan.js';
 
 /** The idle capacity, and the capacity that is expected to be released within one forecast slot. */
 export interface CapacityProjection {
@@ -27,7 +27,7 @@
 /** The state of the fleet and of the queue from which capacity is projected. */
 export interface FleetSnapshot {
   readonly workers: Iterable<Worker>;
-  readonly pending: Iterable<{ readonly pool: Pool; readonly count: number }>;
+  readonly pending: Iterable<{ readonly pool: MachinePool; readonly count: number }>;
   readonly queue: readonly QueuedWork[];
   readonly types: Iterable<MachineType>;
 }
@@ -72,13 +72,13 @@
     addTo(this.reserves, series, Math.max(0, idleCpus) / type.cpus);
   }
 
-  addPending(pool: Pool, count: number): void {
+  addPending(pool: MachinePool, count: number): void {
     this.spotIdleCpus += count * pool.type.cpus;
     addTo(this.reserves, seriesKey(pool.type.id, pool.spot), count);
   }
 
   /** Subtracts queued tasks from the idle capacity, since they will be placed on the pending machines. */
-  subtractQueued(work: QueuedWork, pools: readonly Pool[]): void {
+  subtractQueued(work: QueuedWork, pools: readonly MachinePool[]): void {
     const { spec, tasks } = work;
     this.spotIdleCpus -= tasks * spec.cpus;
     const pool = spec.allowsSpot ? null : cheapestPool(work, pools);
--- a/src/fleet/demand-forecast.ts
+++ b/src/fleet/demand-forecast.ts
@@ -4,7 +4,7 @@
 import { Ensemble, type PredictionCost } from '../forecast/ensemble.js';
 import { autoregression, highQuantile, movingAverage } from '../forecast/predictors.js';
 import { type Millis } from '../model/time.js';
-import { NO_TASKS } from '../scheduler/placement-rule.js';
+import { EMPTY_ZONE_COUNTS } from '../scheduler/placement-rule.js';
 import type { ActiveJob } from '../scheduler/active-job.js';
 import type { CapacityProjection } from './capacity-projection.js';
 import { allPools, cheapestPool, parseSeriesKey, seriesKey, tasksPerMachine } from './capacity-plan.js';
@@ -19,9 +19,9 @@
  * machine is deleted even if the deletion leaves such a shortfall.
  */
 export const NEGLIGIBLE_MACHINE_RATIO = 0.3;
-const AUTOREGRESSION_SLOTS = 7;
+const AUTOREGRESSION_SLOT_COUNT = 7;
 /** The number of latest slots that the high-quantile predictor looks at. */
-const HIGH_QUANTILE_SLOTS = 8;
+const HIGH_QUANTILE_SLOT_COUNT = 8;
 /** The fraction of past slots whose demand may exceed the high-quantile prediction. */
 const HIGH_QUANTILE_EXCEEDANCE_RATIO = 0.15;
 
@@ -88,7 +88,7 @@
    */
   recordDemand({ spec }: ActiveJob): void {
     const pool = cheapestPool(
-      { spec, tasks: spec.taskCount, zones: NO_TASKS },
+      { spec, tasks: spec.taskCount, zones: EMPTY_ZONE_COUNTS },
       allPools(this.ctx.machineTypes.values()),
     );
     if (!pool) return;
@@ -200,8 +200,8 @@
     if (!ensemble) {
       const predictors = [
         movingAverage(this.ctx.operators.forecast.averageSlots),
-        autoregression(AUTOREGRESSION_SLOTS),
-        highQuantile(HIGH_QUANTILE_SLOTS, HIGH_QUANTILE_EXCEEDANCE_RATIO),
+        autoregression(AUTOREGRESSION_SLOT_COUNT),
+        highQuantile(HIGH_QUANTILE_SLOT_COUNT, HIGH_QUANTILE_EXCEEDANCE_RATIO),
       ];
       ensemble = new Ensemble(predictors, this.predictionCostOf(series));
       this.ensembles.set(series, ensemble);
--- a/src/fleet/fleet-manager.ts
+++ b/src/fleet/fleet-manager.ts
@@ -37,7 +37,7 @@
 /** Notified of changes to the fleet. */
 export interface FleetListener {
   /** Called for each deleted machine: the cloud has confirmed that the machine and its tasks no longer run. */
-  machineGone(worker: Worker): void;
+  machineDeleted(worker: Worker): void;
   /** Called after machines were created or deleted: the stored list of machines is out of date. */
   fleetChanged(): void;
 }
@@ -66,7 +66,7 @@
     const cloudCalls = new CloudCallQueue(ctx.clock, cloudRateLimit);
     this.forecast = new DemandForecast(ctx);
     this.scaleIn = new ScaleIn(ctx, cloudCalls, {
-      machineDeleted: (worker) => listener.machineGone(worker),
+      machineDeleted: (worker) => listener.machineDeleted(worker),
       machinesDeleted: () => listener.fleetChanged(),
     });
     this.inventory = new MachineInventory(ctx, cloudCalls, this.scaleIn);
@@ -135,7 +135,7 @@
   }
 
   /** Deletes a machine. `isLeaseOptional` allows the deletion while the leader's lease is not valid. */
-  remove(worker: Worker, reason: string, isLeaseOptional = false): void {
+  deleteMachine(worker: Worker, reason: string, isLeaseOptional = false): void {
     this.scaleIn.deleteMachine(worker, reason, isLeaseOptional);
   }
 
@@ -143,14 +143,14 @@
    * Reports whether a slot has ended since the last call, and resets the flag. The caller then stores the predictors'
    * weights and the machines.
    */
-  takeDirty(): boolean {
+  takeDirtyFlag(): boolean {
     const wasDirty = this.isDirty;
     this.isDirty = false;
     return wasDirty;
   }
 
   /** Returns the longest usual boot time of all machine types, in milliseconds. */
-  slowestBoot(): number {
+  slowestBootMs(): number {
     return slowestBootMs(this.ctx.machineTypes.values());
   }
 
--- a/src/fleet/inventory.ts
+++ b/src/fleet/inventory.ts
@@ -3,7 +3,7 @@
 import { errorMessage } from '../log/logger.js';
 import type { MachineId } from '../model/ids.js';
 import type { ListedMachine, Machine, MachineType } from '../model/machine.js';
-import { type ConfirmedFacts, FactSource, sameMachine, UNKNOWN_FACTS } from '../model/machine-facts.js';
+import { type ConfirmedFacts, FactSource, isSameMachine, UNKNOWN_FACTS } from '../model/machine-facts.js';
 import { type MonotonicTime, plus, since } from '../model/time.js';
 import { Worker } from '../workers/state/worker.js';
 import type { CloudCallQueue } from './cloud-call-queue.js';
@@ -14,7 +14,7 @@
 /** Added to the boot timeout, which is the configured multiple (`boot_patience`) of the type's usual boot time. */
 const BOOT_TIMEOUT_MARGIN_MS = 10_000;
 /** The log message for a machine of which only the id is known. */
-export const KNOWN_BY_TASK_ONLY = 'machine known only from a task record';
+export const MACHINE_KNOWN_BY_TASK_ONLY_MESSAGE = 'machine known only from a task record';
 /** The time after takeover within which a new leader expects the first heartbeat of every machine that is up. */
 const FIRST_HEARTBEAT_TIMEOUT_MS = 15_000;
 
@@ -67,7 +67,7 @@
     address = '',
   ): Worker | null {
     const existing = this.ctx.workers.get(machine.id);
-    if (existing?.confirmedFacts && sameMachine(existing.confirmedFacts.machine, machine))
+    if (existing?.confirmedFacts && isSameMachine(existing.confirmedFacts.machine, machine))
       return withAddress(existing, address);
     const type = this.ctx.machineTypes.get(machine.type);
     if (!type || this.ctx.workers.isGone(machine.id)) return null;
@@ -75,7 +75,7 @@
     const facts: ConfirmedFacts = { state: 'confirmed', machine, type, source, learnedAt };
     if (!existing) return this.addWorker(new Worker(machine.id, facts, rentedAt), address);
     this.logConfirmation(existing, facts);
-    existing.learn(facts);
+    existing.setConfirmedFacts(facts);
     return withAddress(existing, address);
   }
 
@@ -95,7 +95,7 @@
    * Registers a machine known only by its id, from the record of a task that an earlier leader placed on the machine.
    */
   registerUnknown(id: MachineId, rentedAt: MonotonicTime): Worker | null {
-    this.ctx.log.info({ machine: id }, KNOWN_BY_TASK_ONLY);
+    this.ctx.log.info({ machine: id }, MACHINE_KNOWN_BY_TASK_ONLY_MESSAGE);
     return this.addWorker(new Worker(id, UNKNOWN_FACTS, rentedAt), '');
   }
 
@@ -114,7 +114,7 @@
       source,
       termAgeMs: since(learnedAt, this.ctx.startedAt),
     };
-    if (presumed && !sameMachine(presumed, machine)) {
+    if (presumed && !isSameMachine(presumed, machine)) {
       this.contradictionCount++;
       this.ctx.log.warn(
         { ...fields, recorded: presumed, confirmed: machine },
--- a/src/fleet/scale-out.ts
+++ b/src/fleet/scale-out.ts
@@ -15,7 +15,7 @@
   hourlyPrice,
   type PendingMachine,
   pendingMachineOf,
-  type Pool,
+  type MachinePool,
   poolKey,
   parseSeriesKey,
   seriesKey,
@@ -26,7 +26,7 @@
 /** The time after which machines are requested again from a pool that was sold out. */
 const SOLD_OUT_BACKOFF_MS = 15_000;
 const MAX_MACHINES_PER_REQUEST = 50;
-const MAX_ATTEMPTS = 4;
+const MAX_ATTEMPT_COUNT = 4;
 /** The interval at which a waiting request checks whether the leader's lease is valid again. */
 const LEASE_CHECK_INTERVAL_MS = 250;
 /** The retry delay after a refused attempt, multiplied by the number of attempts so far. */
@@ -86,7 +86,7 @@
   }
 
   /** Returns the pools that were not sold out within the last `SOLD_OUT_BACKOFF_MS`. */
-  availablePools(): Pool[] {
+  availablePools(): MachinePool[] {
     const now = this.ctx.clock.now();
     return allPools(this.ctx.machineTypes.values()).filter(
       (pool) => !this.isSoldOut({ type: pool.type.id, zone: pool.zone, spot: pool.spot }, now),
@@ -112,8 +112,8 @@
 
   /** Requests machines, split into calls of at most `MAX_MACHINES_PER_REQUEST` machines. */
   request({ pool, count }: CapacityRequest, purpose: ScaleOutPurpose): void {
-    for (let left = count; left > 0; left -= MAX_MACHINES_PER_REQUEST) {
-      const batchCount = Math.min(left, MAX_MACHINES_PER_REQUEST);
+    for (let remainingCount = count; remainingCount > 0; remainingCount -= MAX_MACHINES_PER_REQUEST) {
+      const batchCount = Math.min(remainingCount, MAX_MACHINES_PER_REQUEST);
       const name = `p${this.ctx.epoch}-${++this.requestCount}` as ScaleOutRequestId;
       this.inProgress.set(name, { pool, count: batchCount });
       void this.executeRequest(
@@ -134,7 +134,7 @@
     const available = this.availablePools().filter((pool) => pool.spot === spot);
     const poolsOfType = available.filter((pool) => pool.type.id === type.id);
     if (poolsOfType.length > 0) {
-      const pool = poolsOfType[Math.floor(this.ctx.random() * poolsOfType.length)] as Pool;
+      const pool = poolsOfType[Math.floor(this.ctx.random() * poolsOfType.length)] as MachinePool;
       this.request({ pool, count }, 'forecast');
       return;
     }
@@ -210,7 +210,7 @@
       try {
         return await this.ctx.cloud.createMachines(request);
       } catch (error) {
-        if (attempt >= MAX_ATTEMPTS) throw error;
+        if (attempt >= MAX_ATTEMPT_COUNT) throw error;
         const retryDelayMs =
           error instanceof CloudRequestRefusedError ? REFUSED_RETRY_DELAY_MS : UNANSWERED_RETRY_DELAY_MS;
         await sleep(this.ctx.clock, retryDelayMs * attempt + this.ctx.random() * MAX_RETRY_JITTER_MS);
--- a/src/leader/commit-batch.ts
+++ b/src/leader/commit-batch.ts
@@ -170,7 +170,7 @@
       batch.compares.push({ key: keys.job(chunk.job.spec.id), revision: chunk.job.revision });
     batch.writes.push({ set: chunk.key, value: encodeChunk(progress) });
     batch.chunks.push({ chunk, version: chunk.version, starting });
-    chunk.wasSent = true;
+    chunk.wasWriteSent = true;
     if (starting.length > 0) this.writeCounts.starts++;
     else this.writeCounts.progress++;
     batch.estimatedBytes +=
--- a/src/leader/decision-loop.ts
+++ b/src/leader/decision-loop.ts
@@ -225,13 +225,13 @@
   /** Returns the job's slack to its next objective that a machine rented now can still meet after booting. */
   private slackAfterBoot(job: JobView, runMs: number): { slackMs: number | null; slackFactor: number } {
     const { fleet, sloTargets, slackFactors } = this.parts;
-    const ageAfterBootMs = this.msSinceReady(job) + fleet.slowestBoot();
-    const objective = sloTargets.nextTarget(job.spec, ageAfterBootMs, runMs);
+    const ageAfterBootMs = this.msSinceReady(job) + fleet.slowestBootMs();
+    const objective = sloTargets.nextCompletionTarget(job.spec, ageAfterBootMs, runMs);
     return {
       slackMs: sloTargets.slackMs(job.spec, ageAfterBootMs, runMs),
       slackFactor: slackFactors.factor(
         job.spec.jobClass,
-        objective?.allowedMissShare ?? DEFAULT_ALLOWED_MISS_RATIO,
+        objective?.allowedMissRatio ?? DEFAULT_ALLOWED_MISS_RATIO,
       ),
     };
   }
--- a/src/leader/dependency-tracker.ts
+++ b/src/leader/dependency-tracker.ts
@@ -13,11 +13,11 @@
 import { retryUntilTermEnds } from './retry.js';
 
 /** Delay before the retry after a failed read of a job's dependency records. */
-const DEPENDENCIES_RETRY_MS = 300;
+const DEPENDENCIES_RETRY_DELAY_MS = 300;
 /**
  * Minimum delay before the retry after a failed read of a dependency's job record; jitter adds up to the same again.
  */
-const LOOKUP_RETRY_MS = 100;
+const LOOKUP_RETRY_DELAY_MS = 100;
 
 /** Receives each job that has become ready to start. */
 export interface DemandListener {
@@ -106,7 +106,7 @@
   private async readFurtherDependencies(id: JobId, recordCount: number): Promise<void> {
     const onFailure = (error: unknown): void =>
       this.ctx.log.debug({ job: id, error: errorMessage(error) }, 'job dependencies read failed');
-    await retryUntilTermEnds(this.ctx, { retryMs: DEPENDENCIES_RETRY_MS, onFailure }, async () => {
+    await retryUntilTermEnds(this.ctx, { retryDelayMs: DEPENDENCIES_RETRY_DELAY_MS, onFailure }, async () => {
       const dependencies = await readDependencies(this.ctx, id, recordCount);
       await this.parts.lock.runExclusive(() => this.addFurtherDependencies(id, dependencies));
       await this.lookUpUnresolved();
@@ -148,7 +148,7 @@
       });
     } catch (error) {
       this.ctx.log.debug({ job: id, error: errorMessage(error) }, 'dependency lookup failed');
-      await sleep(this.ctx.clock, LOOKUP_RETRY_MS * (1 + this.ctx.random()));
+      await sleep(this.ctx.clock, LOOKUP_RETRY_DELAY_MS * (1 + this.ctx.random()));
     }
   }
 
--- a/src/leader/fleet-record-writer.ts
+++ b/src/leader/fleet-record-writer.ts
@@ -84,7 +84,7 @@
 
   /** Starts a save if the fleet has changed and a save is due. Never throws; a failed save is retried. */
   saveIfDue(now: MonotonicTime): void {
-    if (this.parts.fleet.takeDirty()) this.isChanged = true;
+    if (this.parts.fleet.takeDirtyFlag()) this.isChanged = true;
     if (this.isChanged && this.isDue(now)) void this.save();
   }
 
--- a/src/leader/job-canceller.ts
+++ b/src/leader/job-canceller.ts
@@ -59,7 +59,7 @@
       pendingStop?.reason === 'cancelled' && since(now, pendingStop.since) > maxAgeMs;
     for (const worker of this.ctx.workers.values()) {
       if ([...worker.tasks].some(isOverdue))
-        this.parts.fleet.remove(worker, 'cancelled task still present', true);
+        this.parts.fleet.deleteMachine(worker, 'cancelled task still present', true);
     }
   }
 
--- a/src/leader/job-outcomes.ts
+++ b/src/leader/job-outcomes.ts
@@ -54,13 +54,13 @@
   /** Records whether the job missed the first objective that a machine rented for the job could have met. */
   private recordObjective(job: ActiveJob): void {
     const { fleet, lifetimes, sloTargets, slackFactors } = this.parts;
-    const objective = sloTargets.nextTarget(
+    const objective = sloTargets.nextCompletionTarget(
       job.effectiveSpec,
-      fleet.slowestBoot(),
+      fleet.slowestBootMs(),
       lifetimes.expectedRunMs(job.spec),
     );
     if (!objective) return;
     const ageMs = this.ctx.clock.wall() - job.readyAt;
-    slackFactors.recordCompletion(job.spec.jobClass, ageMs > objective.withinMs, objective.allowedMissShare);
+    slackFactors.recordCompletion(job.spec.jobClass, ageMs > objective.withinMs, objective.allowedMissRatio);
   }
 }
--- a/src/leader/job-watcher.ts
+++ b/src/leader/job-watcher.ts
@@ -18,9 +18,9 @@
  * missed up to a known time (see `WorkerLeasePolicy`).
  */
 const WATCH_TIMEOUT_MS = 5000;
-const WATCH_RETRY_MS = 100;
+const WATCH_RETRY_DELAY_MS = 100;
 const WATCH_RETRY_JITTER_MS = 150;
-const DESCRIPTION_RETRY_MS = 300;
+const DESCRIPTION_RETRY_DELAY_MS = 300;
 
 /** The leader components that `JobWatcher` uses. */
 interface JobWatcherParts {
@@ -49,7 +49,7 @@
         after = await this.watchOnce(after);
       } catch (error) {
         this.ctx.log.debug({ error: errorMessage(error) }, 'job watch interrupted');
-        await sleep(this.ctx.clock, WATCH_RETRY_MS + this.ctx.random() * WATCH_RETRY_JITTER_MS);
+        await sleep(this.ctx.clock, WATCH_RETRY_DELAY_MS + this.ctx.random() * WATCH_RETRY_JITTER_MS);
       }
     }
   }
@@ -101,7 +101,7 @@
   private async readDescriptionAndAdd(record: JobRecord, revision: Revision): Promise<void> {
     const onFailure = (error: unknown): void =>
       this.ctx.log.debug({ job: record.spec.id, error: errorMessage(error) }, 'job description read failed');
-    await retryUntilTermEnds(this.ctx, { retryMs: DESCRIPTION_RETRY_MS, onFailure }, async () => {
+    await retryUntilTermEnds(this.ctx, { retryDelayMs: DESCRIPTION_RETRY_DELAY_MS, onFailure }, async () => {
       const complete = await readDescription(this.ctx, record);
       await this.parts.lock.runExclusive(() => this.add(complete, revision));
     });
--- a/src/leader/leader-parts.ts
+++ b/src/leader/leader-parts.ts
@@ -191,7 +191,7 @@
   const writeCounts = new WriteCounts();
   const writeBudget = createWriteBudget(ctx, lifetime);
   const fleetListener: FleetListener = {
-    machineGone: (worker) => getParts().lostTasks.onMachineGone(worker),
+    machineDeleted: (worker) => getParts().lostTasks.onMachineGone(worker),
     fleetChanged: () => getParts().fleetRecordWriter.markChanged(),
   };
   const fleet = new FleetManager(ctx, createCloudBudget(ctx), models, fleetListener);
@@ -248,7 +248,7 @@
   const failureDetector = new WorkerFailureDetector(ctx, {
     predecessorRenewalMs: term.previousLeaseRemaining + maxRenewalWithoutQuorum(controller),
     onHeartbeat,
-    fence: (worker, reason) => fleet.remove(worker, reason),
+    fence: (worker, reason) => fleet.deleteMachine(worker, reason),
     onLeaseExpired: (worker) => getParts().lostTasks.onLeaseExpired(worker),
   });
   return { decisionLog, issuer, dispatcher, failureDetector };
--- a/src/leader/leader-summary.ts
+++ b/src/leader/leader-summary.ts
@@ -26,7 +26,7 @@
   let heldBackJobs = 0;
   for (const job of jobs.values()) {
     if (job.hasMixedChunkSizes) mixedChunkJobs++;
-    if (job.isHeldBack) heldBackJobs++;
+    if (job.hasUnreadableProgress) heldBackJobs++;
     if (job.isBlocked) blocked += job.waitingCount;
     else waiting += job.waitingCount;
     assigned += job.assignedCount;
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -69,7 +69,7 @@
       decisions.start();
       return;
     }
-    const delayMs = Math.max(0, since(failureDetector.earlierLeasesEndAt, ctx.clock.now()));
+    const delayMs = Math.max(0, since(failureDetector.untrackedLeasesEndAt, ctx.clock.now()));
     ctx.log.info(
       { epoch: ctx.epoch, delayMs: Math.round(delayMs) },
       'unreadable records; task starts delayed',
--- a/src/leader/open-job-loader.ts
+++ b/src/leader/open-job-loader.ts
@@ -5,12 +5,18 @@
 import type { ActiveJob } from '../scheduler/active-job.js';
 import { InvalidRecordError } from '../store/errors.js';
 import { decodeJob } from '../store/job-record.js';
-import { DEFAULT_CHUNK_SIZE, jobOfUnknownOpenKey, keys, type OpenKey, parseOpenKey } from '../store/keys.js';
+import {
+  DEFAULT_CHUNK_SIZE,
+  jobIdOfInvalidOpenKey,
+  keys,
+  type OpenKey,
+  parseOpenKey,
+} from '../store/keys.js';
 import type { Compare, KeyValue } from '../wire/key-value-store.js';
 import { createActiveJob, loadRecords, readDescription, withRateLimitRetry } from './record-loader.js';
 
 /** Message logged for a job whose progress was read from records of several chunk sizes. */
-export const MIXED_CHUNK_SIZES = 'progress records of several chunk sizes merged';
+export const MIXED_CHUNK_SIZES_MESSAGE = 'progress records of several chunk sizes merged';
 /** Maximum number of compares in a transaction without writes, as a multiple of the store's operation limit. */
 const COMPARES_PER_TXN_OP = 4;
 
@@ -90,7 +96,7 @@
 
   /** Holds back the job of a key whose format no version writes, because the meaning of the record is unknown. */
   private addUnrecognizedKey(key: string): void {
-    const id = jobOfUnknownOpenKey(key);
+    const id = jobIdOfInvalidOpenKey(key);
     this.holdBackJob(
       id === null ? undefined : this.jobs.get(id),
       key,
@@ -101,7 +107,7 @@
   private holdBackJob(job: ActiveJob | undefined, key: string, error: unknown): void {
     this.ctx.log.error({ key, error: errorMessage(error) }, 'progress record unreadable, job held back');
     if (!job) return;
-    job.holdBack(key);
+    job.markProgressUnreadable(key);
     this.hasUnreadable = true;
   }
 }
@@ -111,7 +117,7 @@
   if (!job.hasMixedChunkSizes) return;
   job.rewriteOutdatedProgress(clock.now());
   const fields = { job: job.spec.id, chunkSizes, contradictedTasks, unprovenTasks: unproven.size };
-  log.info(fields, MIXED_CHUNK_SIZES);
+  log.info(fields, MIXED_CHUNK_SIZES_MESSAGE);
 }
 
 function isSplitProgress({ key }: KeyValue): boolean {
--- a/src/leader/placement-views.ts
+++ b/src/leader/placement-views.ts
@@ -32,7 +32,7 @@
     avoidedMachines: job.failures.avoidedMachines,
     slackMs,
     isStarving,
-    isHeldBack: hasUnknownZone || job.failures.isBackingOff(now),
+    isDeferred: hasUnknownZone || job.failures.isBackingOff(now),
   };
 }
 
--- a/src/leader/record-loader.ts
+++ b/src/leader/record-loader.ts
@@ -14,22 +14,22 @@
 import type { KeyValue } from '../wire/key-value-store.js';
 
 /** Minimum delay before the retry of a rate-limited request. */
-const RATE_LIMITED_RETRY_MS = 40;
+const RATE_LIMIT_RETRY_DELAY_MS = 40;
 /** Maximum random addition to the retry delay of a rate-limited request. */
-const RATE_LIMITED_RETRY_JITTER_MS = 60;
+const RATE_LIMIT_RETRY_JITTER_MS = 60;
 
 /** Retries a rate-limited request after a short delay, so that rate limiting does not restart the whole takeover. */
 export function withRateLimitRetry<T>(ctx: LeaderContext, request: () => Promise<T>): Promise<T> {
-  const retryDelayMs = (): number => RATE_LIMITED_RETRY_MS + ctx.random() * RATE_LIMITED_RETRY_JITTER_MS;
+  const retryDelayMs = (): number => RATE_LIMIT_RETRY_DELAY_MS + ctx.random() * RATE_LIMIT_RETRY_JITTER_MS;
   return retryWhileRateLimited(
-    { clock: ctx.clock, retryDelayMs, isStillWanted: () => !ctx.isEnded() },
+    { clock: ctx.clock, retryDelayMs, shouldRetry: () => !ctx.isEnded() },
     request,
   );
 }
 
 /** Returns the records under a prefix, either prefetched before the takeover or read from the store. */
 export async function loadRecords(ctx: LeaderContext, prefix: string): Promise<RecordSet> {
-  const prefetched = await withRateLimitRetry(ctx, () => ctx.prefetchedRecords(prefix));
+  const prefetched = await withRateLimitRetry(ctx, () => ctx.takePrefetchedRecords(prefix));
   return prefetched ?? readRecords(ctx.store, prefix, (request) => withRateLimitRetry(ctx, request));
 }
 
--- a/src/leader/state-restorer.ts
+++ b/src/leader/state-restorer.ts
@@ -15,7 +15,7 @@
 import { retryUntilTermEnds } from './retry.js';
 import type { WorkerLeasePolicy } from './worker-lease-policy.js';
 
-const RESTORE_RETRY_MS = 200;
+const RESTORE_RETRY_DELAY_MS = 200;
 
 /** The order in which a new leader contacts workers; lower values are contacted first. */
 const ContactRank = { ProductionWork: 0, FreeCapacity: 1, Full: 2 } as const;
@@ -44,7 +44,7 @@
   run(): Promise<Revision | null> {
     const onFailure = (error: unknown): void =>
       this.ctx.log.info({ error: errorMessage(error) }, 'state restore failed');
-    return retryUntilTermEnds(this.ctx, { retryMs: RESTORE_RETRY_MS, onFailure }, () =>
+    return retryUntilTermEnds(this.ctx, { retryDelayMs: RESTORE_RETRY_DELAY_MS, onFailure }, () =>
       this.loadAndRestore(),
     );
   }
@@ -73,7 +73,7 @@
     return [...this.ctx.workers.values()]
       .filter((worker) => worker.isUp || !worker.isEmpty)
       .map((worker) => ({ worker, rank: contactRank(worker) }))
-      .sort((one, other) => one.rank - other.rank)
+      .sort((left, right) => left.rank - right.rank)
       .map(({ worker }) => worker);
   }
 
--- a/src/leader/task-failure-policy.ts
+++ b/src/leader/task-failure-policy.ts
@@ -15,7 +15,7 @@
    */
   recordFailure(worker: Worker, job: TaskJob, now: MonotonicTime): void {
     job.failures.record(worker.id, now);
-    if (job.failures.machineCount <= 1 || worker.failures > 0) worker.failures++;
+    if (job.failures.machineCount <= 1 || worker.taskFailureCount > 0) worker.taskFailureCount++;
   }
 
   /**
@@ -24,8 +24,8 @@
    */
   cordonIfFailing(worker: Worker): void {
     const { log, operators } = this.ctx;
-    if (worker.cordon !== null || worker.failures < operators.workers.maxTaskFailures) return;
-    log.info({ machine: worker.id, failures: worker.failures }, 'failing machine cordoned');
+    if (worker.cordon !== null || worker.taskFailureCount < operators.workers.maxTaskFailures) return;
+    log.info({ machine: worker.id, failures: worker.taskFailureCount }, 'failing machine cordoned');
     worker.cordon = 'failing';
   }
 }
--- a/src/leadership/failover/failover.ts
+++ b/src/leadership/failover/failover.ts
@@ -20,7 +20,7 @@
 } from '@plumyoke/takeover';
 import type { FailoverFeature } from '../../config/features.js';
 import { MEMBERSHIP_VERSION } from '../../model/protocol.js';
-import type { MemberLine } from '../../wire/members.js';
+import type { MemberEntry } from '../../wire/members.js';
 import type { ControllerContext } from '../../core/context.js';
 import type { RecordSet } from '../../store/records.js';
 import type { ElectionFailureDetection } from '../election.js';
@@ -209,9 +209,9 @@
   // Reports for operators
 
   /** Returns the state of all controllers as this controller observes them. */
-  memberLines(): MemberLine[] {
+  memberEntries(): MemberEntry[] {
     const leader = this.dependencies.leadership.election.observedLeader;
-    return this.membership.members().map((view) => memberLine(view, leader));
+    return this.membership.members().map((view) => memberEntry(view, leader));
   }
 
   /** Returns the number of messages from other controllers that were dropped since the process started, by reason. */
@@ -229,7 +229,7 @@
   }
 }
 
-function memberLine(view: MemberView, leader: { member: string; epoch: number } | null): MemberLine {
+function memberEntry(view: MemberView, leader: { member: string; epoch: number } | null): MemberEntry {
   const { member, state, forMs, connection, load, ready, evidence } = view;
   const owns = leader?.member === member ? [`cluster (epoch ${leader.epoch})`] : [];
   const evidenceLines = evidence.map(describeEvidence);
--- a/src/leadership/failover/record-prefetcher.ts
+++ b/src/leadership/failover/record-prefetcher.ts
@@ -13,7 +13,7 @@
 /** How long prefetched records are held while the leader remains suspected and no controller takes over. */
 const PREFETCH_TTL_MS = 60_000;
 /** The delay before a rate-limited read is retried. */
-const RATE_LIMIT_RETRY_MS = 50;
+const RATE_LIMIT_RETRY_DELAY_MS = 50;
 
 /** Thrown when the prefetched records are no longer needed. */
 class PrefetchDiscardedError extends Error {
@@ -57,8 +57,8 @@
     const isCurrentGeneration = (): boolean => generation === this.generation;
     const policy = {
       clock: this.clock,
-      retryDelayMs: () => RATE_LIMIT_RETRY_MS,
-      isStillWanted: isCurrentGeneration,
+      retryDelayMs: () => RATE_LIMIT_RETRY_DELAY_MS,
+      shouldRetry: isCurrentGeneration,
     };
     const readPage = <Page>(request: () => Promise<Page>): Promise<Page> => {
       if (!isCurrentGeneration()) throw new PrefetchDiscardedError();
--- a/src/model/load.ts
+++ b/src/model/load.ts
@@ -5,6 +5,6 @@
  * frame from another controller costs the leader less than a heartbeat or a call, and a leader with a tenth of a core
  * would use up its processor time while the other controllers are idle.
  */
-export const DELEGATION_LOAD = 0.6;
+export const MIN_DELEGATION_LOAD_RATIO = 0.6;
 /** Load at and above which a controller receives no delegated work. */
-export const MAX_LOAD_FOR_DELEGATED_WORK = 0.7;
+export const MAX_LOAD_RATIO_FOR_DELEGATED_WORK = 0.7;
--- a/src/model/machine-facts.ts
+++ b/src/model/machine-facts.ts
@@ -46,6 +46,6 @@
 export const UNKNOWN_FACTS: UnknownFacts = { state: 'unknown' };
 
 /** Reports whether two descriptions of one machine agree. */
-export function sameMachine(first: Machine, second: Machine): boolean {
-  return first.type === second.type && first.zone === second.zone && first.spot === second.spot;
+export function isSameMachine(left: Machine, right: Machine): boolean {
+  return left.type === right.type && left.zone === right.zone && left.spot === right.spot;
 }
--- a/src/net/http-client.ts
+++ b/src/net/http-client.ts
@@ -172,7 +172,7 @@
  * deadline includes the time in the queue. The pool replaces the runtime's own HTTP client, with which the calls of a leader, most of them to workers, took
  * twice the time.
  */
-export class HttpTarget implements HttpCaller {
+export class HttpConnectionPool implements HttpCaller {
   private readonly host: string;
   private readonly port: number;
   private readonly hostHeader: string;
--- a/src/net/socket-allocation.ts
+++ b/src/net/socket-allocation.ts
@@ -4,7 +4,7 @@
  * The maximum number of sockets for each use. The sum stays within the platform's limit, unless the limit is below the
  * sum of the minimums.
  */
-export interface SocketShares {
+export interface SocketAllocation {
   /** Connections of users, worker heartbeats and health checks. */
   readonly front: number;
   /** Connections accepted from other controllers; the outgoing links to peers are counted separately. */
@@ -31,7 +31,7 @@
 const MIN_WORKER_SOCKET_COUNT = 8;
 
 /** Divides the platform's socket limit among the uses of sockets. */
-export function shareSockets(maxSockets: number, peerCount: number): SocketShares {
+export function allocateSockets(maxSockets: number, peerCount: number): SocketAllocation {
   const peers = Math.max(MIN_PEER_SOCKET_COUNT, peerCount * SOCKET_COUNT_PER_PEER);
   const workers = Math.max(MIN_WORKER_SOCKET_COUNT, Math.floor(maxSockets * WORKER_SOCKET_RATIO));
   // Adds this controller's outgoing links, one for each peer, to the sockets for incoming peer connections.
--- a/src/net/yielding-work-queue.ts
+++ b/src/net/yielding-work-queue.ts
@@ -19,7 +19,7 @@
   ) {}
 
   /** Resolves when the queue admits the caller. */
-  turn(): Promise<void> {
+  awaitTurn(): Promise<void> {
     return new Promise((resolve) => {
       this.waiters.push(resolve);
       this.schedule();
--- a/src/peer/link.ts
+++ b/src/peer/link.ts
@@ -2,7 +2,7 @@
 import { connect, type Socket } from 'node:net';
 import type { Logger } from '../log/logger.js';
 import type { MemberId } from '../model/ids.js';
-import { MAX_LOAD_FOR_DELEGATED_WORK } from '../model/load.js';
+import { MAX_LOAD_RATIO_FOR_DELEGATED_WORK } from '../model/load.js';
 import { DEPENDENCIES_VERSION, UNVERSIONED } from '../model/protocol.js';
 import { type Clock, type MonotonicTime, runPeriodically, since } from '../model/time.js';
 import { splitAddress } from '../net/address.js';
@@ -31,7 +31,7 @@
   readonly localPing: () => Ping;
   readonly onPing: (ping: Ping) => void;
   /** Called for the first ping on each connection, which announces the peer's protocol version. */
-  readonly onVersion?: (link: PeerLink) => void;
+  readonly onPeerVersionReceived?: (link: PeerLink) => void;
 }
 
 /** The client side of the connection to another controller: this controller sends requests, the peer responds. */
@@ -65,11 +65,11 @@
   }
 
   get hasSpareCapacity(): boolean {
-    return this.isConnected && (this.latestPing?.load ?? 0) < MAX_LOAD_FOR_DELEGATED_WORK;
+    return this.isConnected && (this.latestPing?.load ?? 0) < MAX_LOAD_RATIO_FOR_DELEGATED_WORK;
   }
 
   /** Whether the peer is connected and supports `FrameKind.ConfirmedCancellations`. */
-  get supportsCancellations(): boolean {
+  get supportsConfirmedCancellations(): boolean {
     return this.supports(DEPENDENCIES_VERSION);
   }
 
@@ -161,6 +161,6 @@
     const isFirst = this.latestPing === null;
     this.latestPing = ping;
     this.options.onPing(ping);
-    if (isFirst) this.options.onVersion?.(this);
+    if (isFirst) this.options.onPeerVersionReceived?.(this);
   }
 }
--- a/src/peer/routed-caller.ts
+++ b/src/peer/routed-caller.ts
@@ -4,13 +4,13 @@
  */
 import type { Heartbeat, WorkerCommand } from '../model/heartbeat.js';
 import type { AgentIncarnation, FencingToken } from '../model/ids.js';
-import { DELEGATION_LOAD } from '../model/load.js';
+import { MIN_DELEGATION_LOAD_RATIO } from '../model/load.js';
 import { type Clock, type MonotonicTime, plus } from '../model/time.js';
 import { NoAnswerError, NoSocketError } from '../net/http-client.js';
 import { type CommandReply, directCommandBody, readCommandReply } from '../wire/workers.js';
 import { FrameKind } from './frames.js';
 import type { Peer } from './peer.js';
-import { type CallVerb, encodeWorkerCall } from './worker-call.js';
+import { type WorkerCallVerb, encodeWorkerCall } from './worker-call.js';
 import type { WorkerClient } from './worker-client.js';
 
 /** How long a route to a worker is avoided after a call on that route failed. */
@@ -24,7 +24,7 @@
 
 /** Makes calls to workers directly from this process. */
 export interface DirectWorkerCaller {
-  call(verb: CallVerb, address: string, body: unknown, deadlineMs: number): Promise<CommandReply>;
+  call(verb: WorkerCallVerb, address: string, body: unknown, deadlineMs: number): Promise<CommandReply>;
 }
 
 /** Worker addresses for which a route is avoided until a deadline. */
@@ -138,7 +138,7 @@
 
   /** Returns the controller that a call is delegated to; undefined: this process makes the call itself. */
   private delegateFor(address: string): Peer | undefined {
-    if (this.load() < DELEGATION_LOAD || this.avoidedByDelegation.has(address)) return undefined;
+    if (this.load() < MIN_DELEGATION_LOAD_RATIO || this.avoidedByDelegation.has(address)) return undefined;
     return peerForAddress(
       address,
       this.peers.filter((peer) => peer.hasSpareCapacity),
@@ -147,7 +147,7 @@
 
   private async callThroughDelegate(
     delegate: Peer,
-    verb: CallVerb,
+    verb: WorkerCallVerb,
     address: string,
     body: unknown,
     deadlineMs: number,
--- a/src/peer/worker-call.ts
+++ b/src/peer/worker-call.ts
@@ -2,11 +2,11 @@
 import { MalformedFrameError } from './frames.js';
 
 /** The operation called on a worker: `show` returns the worker's heartbeat, `commands` executes commands. */
-export type CallVerb = 'show' | 'commands';
+export type WorkerCallVerb = 'show' | 'commands';
 
 /** A call to a worker that a controller makes on behalf of another controller. */
 export interface WorkerCall {
-  readonly verb: CallVerb;
+  readonly verb: WorkerCallVerb;
   readonly address: string;
   readonly deadlineMs: number;
   readonly body: unknown;
@@ -16,7 +16,12 @@
 const MAX_U16 = 65_535;
 
 /** Encodes a worker call: u8 verb, u16 deadline in ms, u8 address length, address, JSON body. */
-export function encodeWorkerCall(verb: CallVerb, address: string, deadlineMs: number, body: unknown): Buffer {
+export function encodeWorkerCall(
+  verb: WorkerCallVerb,
+  address: string,
+  deadlineMs: number,
+  body: unknown,
+): Buffer {
   const addressBytes = Buffer.from(address, 'ascii');
   const json = body === undefined ? Buffer.alloc(0) : Buffer.from(JSON.stringify(body));
   const payload = Buffer.allocUnsafe(HEADER_BYTES + addressBytes.length + json.length);
--- a/src/scheduler/active-job.ts
+++ b/src/scheduler/active-job.ts
@@ -304,13 +304,13 @@
    * Blocks the job because one of its progress records cannot be read. No task may start, since any of them may be
    * running on a machine that only the unreadable record names.
    */
-  holdBack(unreadableKey: string): void {
+  markProgressUnreadable(unreadableKey: string): void {
     this.isProgressUnreadable = true;
     this.progress.supersededKeys.push(unreadableKey);
   }
 
   /** Whether one of the job's progress records cannot be read. */
-  get isHeldBack(): boolean {
+  get hasUnreadableProgress(): boolean {
     return this.isProgressUnreadable;
   }
 
--- a/src/scheduler/job-store.ts
+++ b/src/scheduler/job-store.ts
@@ -24,10 +24,10 @@
   version = 0;
 
   /**
-   * @param assignToMachine Called when a released task counts as placed again, on the next machine on which an earlier
+   * @param restoreAssignment Called when a released task counts as placed again, on the next machine on which an earlier
    * leader may have started the task.
    */
-  constructor(private readonly assignToMachine: (task: Task) => void = () => {}) {}
+  constructor(private readonly restoreAssignment: (task: Task) => void = () => {}) {}
 
   get size(): number {
     return this.activeJobs.size;
@@ -80,7 +80,7 @@
   }
 
   onPlacementRestored(task: Task): void {
-    this.assignToMachine(task);
+    this.restoreAssignment(task);
   }
 
   /** Removes a job whose end is durable, and keeps the job's final state. */
--- a/src/scheduler/placement-rule.ts
+++ b/src/scheduler/placement-rule.ts
@@ -45,7 +45,7 @@
 }
 
 /** The zone counts of a job without tasks on machines. */
-export const NO_TASKS: ZoneCounts = new Map();
+export const EMPTY_ZONE_COUNTS: ZoneCounts = new Map();
 
 /** Returns the maximum number of tasks of a job with zone anti-affinity that may be in one zone: half, rounded up. */
 function maxTasksInZone(spec: PlacementSpec): number {
--- a/src/scheduler/placement.ts
+++ b/src/scheduler/placement.ts
@@ -39,7 +39,7 @@
   place(job: JobView): void {
     const { spec } = job;
     const team = this.snapshot.teams.get(spec.team);
-    if (!team || job.waitingCount === 0 || job.isHeldBack) return;
+    if (!team || job.waitingCount === 0 || job.isDeferred) return;
     const teamUsage = this.usageByTeam.get(spec.team) ?? { cpus: 0, gpus: 0 };
     this.usageByTeam.set(spec.team, teamUsage);
     let remaining = Math.min(job.waitingCount, remainingQuota(team, teamUsage, spec));
--- a/src/scheduler/progress-chunk.ts
+++ b/src/scheduler/progress-chunk.ts
@@ -18,7 +18,7 @@
   /** The revision of the chunk's record in the key-value store; `NO_REVISION`: no record is known. */
   revision: Revision = NO_REVISION;
   /** Whether a write of the chunk's record was ever sent, whatever its outcome. */
-  wasSent = false;
+  wasWriteSent = false;
   /** Incremented by each change. The change is durable once `durableVersion` has reached this version. */
   version = 0;
   durableVersion = 0;
@@ -48,7 +48,7 @@
    * be deleted when the job is closed.
    */
   get mayBeStored(): boolean {
-    return this.revision > NO_REVISION || this.wasSent;
+    return this.revision > NO_REVISION || this.wasWriteSent;
   }
 
   get isDirty(): boolean {
--- a/src/scheduler/slo-targets.ts
+++ b/src/scheduler/slo-targets.ts
@@ -13,7 +13,7 @@
   /** The time limit in milliseconds, counted from when the job became ready. */
   readonly withinMs: number;
   /** The share of the class's jobs that may miss the target. */
-  readonly allowedMissShare: number;
+  readonly allowedMissRatio: number;
 }
 
 /** The first of a job's targets that can still be met. */
@@ -39,15 +39,15 @@
   private readonly completionTargets: TargetsByClass = new Map();
   private readonly startTargets: TargetsByClass = new Map();
   /** The share of jobs that may miss their own deadline, by job class. */
-  private readonly deadlineMissShares = new Map<string, number>();
+  private readonly deadlineMissRatios = new Map<string, number>();
 
   constructor(objectives: readonly Objective[]) {
     for (const { kind, jobClass, target, share } of objectives) {
       if (jobClass === null) continue;
-      const allowedMissShare = 1 - (share ?? DEFAULT_TARGET_SHARE);
-      if (kind === 'deadline') this.deadlineMissShares.set(jobClass, allowedMissShare);
+      const allowedMissRatio = 1 - (share ?? DEFAULT_TARGET_SHARE);
+      if (kind === 'deadline') this.deadlineMissRatios.set(jobClass, allowedMissRatio);
       if (target === null) continue;
-      const classTarget = { withinMs: target, allowedMissShare };
+      const classTarget = { withinMs: target, allowedMissRatio };
       if (kind === 'finished') addTarget(this.completionTargets, jobClass, classTarget);
       if (kind === 'wait') addTarget(this.startTargets, jobClass, classTarget);
     }
@@ -57,10 +57,10 @@
   private completionTargetsOf(spec: JobSpec): Target[] {
     const targets = [...(this.completionTargets.get(spec.jobClass) ?? [])];
     if (spec.deadlineS !== null) {
-      const allowedMissShare = this.deadlineMissShares.get(spec.jobClass) ?? 1 - DEFAULT_TARGET_SHARE;
-      targets.push({ withinMs: spec.deadlineS * 1000, allowedMissShare });
+      const allowedMissRatio = this.deadlineMissRatios.get(spec.jobClass) ?? 1 - DEFAULT_TARGET_SHARE;
+      targets.push({ withinMs: spec.deadlineS * 1000, allowedMissRatio });
     }
-    return targets.sort((a, b) => a.withinMs - b.withinMs);
+    return targets.sort((left, right) => left.withinMs - right.withinMs);
   }
 
   /**
@@ -81,7 +81,7 @@
   }
 
   /** Returns the first target for the job's completion that can still be met; null: no target is left. */
-  nextTarget(spec: JobSpec, ageMs: number, expectedRunMs: number): NextTarget | null {
+  nextCompletionTarget(spec: JobSpec, ageMs: number, expectedRunMs: number): NextTarget | null {
     for (const target of this.completionTargetsOf(spec)) {
       const slackMs = target.withinMs - ageMs - this.estimatedDurationMs(expectedRunMs);
       if (slackMs > 0) return { ...target, slackMs };
@@ -95,7 +95,7 @@
    * the next one beyond the time by which all tasks of its class should have started. Null: no target is left.
    */
   slackMs(spec: JobSpec, ageMs: number, expectedRunMs: number): number | null {
-    let minSlackMs = this.nextTarget(spec, ageMs, expectedRunMs)?.slackMs ?? null;
+    let minSlackMs = this.nextCompletionTarget(spec, ageMs, expectedRunMs)?.slackMs ?? null;
     // Start targets do not apply to service replicas, which are placed before all other work, oldest first.
     const startTargets = spec.kind === 'array' ? this.startTargets.get(spec.jobClass) : undefined;
     for (const { withinMs } of startTargets ?? []) {
--- a/src/scheduler/snapshot.ts
+++ b/src/scheduler/snapshot.ts
@@ -48,7 +48,7 @@
    * Whether none of the job's tasks may start for now: zones that its placement rule depends on are unknown, or the job
    * backs off after failures.
    */
-  readonly isHeldBack: boolean;
+  readonly isDeferred: boolean;
   /** How long the job may still wait, in milliseconds (`SloTargets`); null: no target is left. */
   readonly slackMs: number | null;
   /**
--- a/src/scheduler/zone-tally.ts
+++ b/src/scheduler/zone-tally.ts
@@ -28,7 +28,7 @@
   }
 
   /** Returns a copy of the counts minus one task in the given zone. */
-  without(zone: ZoneId | null): ZoneCounts {
+  countsWithout(zone: ZoneId | null): ZoneCounts {
     const others = new Map(this.countByZone);
     if (zone === null) return others;
     others.set(zone, Math.max(0, (others.get(zone) ?? 0) - 1));
--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -13,7 +13,7 @@
   readLease,
   readRevision,
   readPage,
-  readRow,
+  readKeyValue,
   type KeyValue,
   type WriteOperation,
 } from '../wire/key-value-store.js';
@@ -53,7 +53,7 @@
   /** Timeout of every call except watches, in milliseconds. */
   readonly timeoutMs: number;
   /** Called after every call except watches; `isAnswered` is false if the store did not answer or answered 503. */
-  readonly onCall?: (isAnswered: boolean) => void;
+  readonly onCallCompleted?: (isAnswered: boolean) => void;
 }
 
 /** Maximum number of keys in one page of a range. */
@@ -78,10 +78,10 @@
   constructor(private readonly options: KeyValueStoreClientOptions) {}
 
   private async call(method: string, path: string, body?: unknown): Promise<HttpReply> {
-    const { http, timeoutMs, onCall } = this.options;
+    const { http, timeoutMs, onCallCompleted } = this.options;
     try {
       const reply = await http.call(method, path, body, timeoutMs);
-      onCall?.(reply.status !== 503);
+      onCallCompleted?.(reply.status !== 503);
       if (reply.status === 503 || reply.status === 429) {
         throw new StoreRefusedError(`key-value store answered ${reply.status}`, {
           isRateLimited: reply.status === 429,
@@ -90,7 +90,7 @@
       return reply;
     } catch (error) {
       if (!(error instanceof NoAnswerError)) throw error;
-      onCall?.(false);
+      onCallCompleted?.(false);
       throw new StoreOutcomeUnknownError(`key-value store: ${error.message}`, { cause: error });
     }
   }
@@ -98,7 +98,7 @@
   async get(key: string): Promise<KeyValue | null> {
     const reply = await this.call('GET', `/keys/${key}`);
     if (reply.status === 404) return null;
-    return decodeReply(reply, readRow);
+    return decodeReply(reply, readKeyValue);
   }
 
   async range(prefix: string, after?: string): Promise<KeyValuePage> {
--- a/src/store/keys.ts
+++ b/src/store/keys.ts
@@ -72,6 +72,6 @@
  * Returns the job named in a key under `open/` that `parseOpenKey` rejects, or null if the key names no job. The job's
  * progress is then partly unreadable.
  */
-export function jobOfUnknownOpenKey(key: string): JobId | null {
+export function jobIdOfInvalidOpenKey(key: string): JobId | null {
   return (/^open\/(j-\d+)\//.exec(key)?.[1] ?? null) as JobId | null;
 }
--- a/src/store/limit-probe.ts
+++ b/src/store/limit-probe.ts
@@ -15,7 +15,7 @@
  * once the announced limit is in force. Returns null if the announced limit is not below the current limit, since no
  * transaction can distinguish the two limits then.
  */
-export function limitProbe(
+export function createLimitProbe(
   store: KeyValueStore,
   { storeLimits, announcedStoreLimits }: Pick<Settings, 'storeLimits' | 'announcedStoreLimits'>,
 ): LimitProbe | null {
--- a/src/store/records.ts
+++ b/src/store/records.ts
@@ -15,22 +15,22 @@
 export interface RetryPolicy {
   readonly clock: Clock;
   readonly retryDelayMs: () => number;
-  readonly isStillWanted: () => boolean;
+  readonly shouldRetry: () => boolean;
 }
 
 /**
- * Retries a request while the store rate limits it and `isStillWanted` returns true. Throws any other error at once,
- * and the latest rate-limit error when `isStillWanted` returns false.
+ * Retries a request while the store rate limits it and `shouldRetry` returns true. Throws any other error at once,
+ * and the latest rate-limit error when `shouldRetry` returns false.
  */
 export async function retryWhileRateLimited<T>(
-  { clock, retryDelayMs, isStillWanted }: RetryPolicy,
+  { clock, retryDelayMs, shouldRetry }: RetryPolicy,
   request: () => Promise<T>,
 ): Promise<T> {
   for (;;) {
     try {
       return await request();
     } catch (error) {
-      if (!isRateLimitedError(error) || !isStillWanted()) throw error;
+      if (!isRateLimitedError(error) || !shouldRetry()) throw error;
       await sleep(clock, retryDelayMs());
     }
   }
--- a/src/wire/common.ts
+++ b/src/wire/common.ts
@@ -27,7 +27,7 @@
 }
 
 /** Formats the first issue of a validation error as one line that names the field. */
-export function firstIssue(error: z.core.$ZodError): string {
+export function formatFirstIssue(error: z.core.$ZodError): string {
   const issue = error.issues[0];
   if (!issue) return 'invalid value';
   const path = issue.path.map(String).join('.');
--- a/src/wire/key-value-store.ts
+++ b/src/wire/key-value-store.ts
@@ -79,7 +79,7 @@
 }
 
 /** Decodes the answer to a request for one key. Throws if the body has another form. */
-export const readRow = (body: unknown): KeyValue => toKeyValue(wireKeyValueSchema.parse(body));
+export const readKeyValue = (body: unknown): KeyValue => toKeyValue(wireKeyValueSchema.parse(body));
 
 /** Decodes one page of a range. Throws if the body has another form. */
 export function readPage(body: unknown): KeyValuePage {
--- a/src/wire/members.ts
+++ b/src/wire/members.ts
@@ -24,7 +24,7 @@
 });
 
 /** Entry of one controller in the list of controllers. */
-export type MemberLine = z.infer<typeof memberSchema>;
+export type MemberEntry = z.infer<typeof memberSchema>;
 /** The list of controllers as the observer sees it. */
 export type MembersReport = z.infer<typeof reportSchema>;
 
--- a/src/wire/settings.ts
+++ b/src/wire/settings.ts
@@ -3,7 +3,7 @@
 import type { MemberId, TeamId, ZoneId } from '../model/ids.js';
 import type { Team } from '../model/team.js';
 import { type Millis, ms, seconds } from '../model/time.js';
-import { nonNegativeNumber, nonNegativeInteger, firstIssue, shortName } from './common.js';
+import { nonNegativeNumber, nonNegativeInteger, formatFirstIssue, shortName } from './common.js';
 
 const addressSchema = z
   .string()
@@ -158,7 +158,7 @@
 }
 
 /** Returns the share of a processor core to plan with. Without a valid share in the settings, this is a whole core. */
-export function usableShare({ cpuShare }: Pick<Settings, 'cpuShare'>): number {
+export function usableCpuShare({ cpuShare }: Pick<Settings, 'cpuShare'>): number {
   return cpuShare !== null && cpuShare > 0 && cpuShare <= 1 ? cpuShare : 1;
 }
 
@@ -168,7 +168,7 @@
 /** Reads the platform's settings. Throws an error with a one-line message that names the invalid field. */
 export function readSettings(raw: unknown): Settings {
   const parsed = settingsFileSchema.safeParse(raw);
-  if (!parsed.success) throw new Error(firstIssue(parsed.error));
+  if (!parsed.success) throw new Error(formatFirstIssue(parsed.error));
   const file = parsed.data;
   const { facts } = file;
   const storeLimits = readStoreLimits('facts.state', facts.state, UNSET_STORE_LIMITS);
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -2,7 +2,7 @@
 import * as z from 'zod/mini';
 import type { ImageId, JobId, TeamId, MachineTypeId, ZoneId } from '../model/ids.js';
 import { type JobSpec, type JobState, Priority } from '../model/job.js';
-import { nonNegativeNumber, firstIssue, shortName } from './common.js';
+import { nonNegativeNumber, formatFirstIssue, shortName } from './common.js';
 
 /** Priorities by their names in the wire field `rank`. */
 const PRIORITIES_BY_RANK = {
@@ -44,7 +44,7 @@
 /** Decodes a submission and validates all its fields. */
 export function parseSubmission(body: unknown): ParseResult<JobSpec> {
   const parsed = submissionSchema.safeParse(body);
-  if (!parsed.success) return { ok: false, error: firstIssue(parsed.error) };
+  if (!parsed.success) return { ok: false, error: formatFirstIssue(parsed.error) };
   const wire = parsed.data;
   return {
     ok: true,
@@ -77,7 +77,7 @@
 }
 
 /** Task counts of a job, for display to users. */
-export interface Progress {
+export interface TaskCounts {
   readonly done: number;
   readonly running: number;
 }
@@ -88,7 +88,7 @@
 }
 
 /** Encodes the answer to a user's query for a job. For a done job, the number of done tasks is `taskCount`. */
-export function jobStatus(id: JobId, state: JobState, taskCount: number, progress: Progress): object {
+export function jobStatus(id: JobId, state: JobState, taskCount: number, progress: TaskCounts): object {
   switch (state) {
     case 'done':
       return { ref: id, status: 'done', done: taskCount, running: 0 };
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -13,7 +13,7 @@
 } from '../model/ids.js';
 import type { Attempt, AttemptState, WorkerCommand, Heartbeat } from '../model/heartbeat.js';
 import { seconds } from '../model/time.js';
-import { nonNegativeNumber, nonNegativeInteger, firstIssue, shortName } from './common.js';
+import { nonNegativeNumber, nonNegativeInteger, formatFirstIssue, shortName } from './common.js';
 import type { ParseResult } from './users.js';
 
 /** Attempt states by their names on the wire. */
@@ -96,7 +96,7 @@
 export function parseHeartbeat(body: unknown): ParseResult<Heartbeat> {
   if (!isWireHeartbeat(body)) {
     const { error } = heartbeatSchema.safeParse(body);
-    return { ok: false, error: error ? firstIssue(error) : 'heartbeat is malformed' };
+    return { ok: false, error: error ? formatFirstIssue(error) : 'heartbeat is malformed' };
   }
   const attempts: Attempt[] = [];
   for (const shard of body.shards ?? []) {
--- a/src/workers/command-issuer.ts
+++ b/src/workers/command-issuer.ts
@@ -14,7 +14,7 @@
 import { commandsFor, markStartsSent } from './worker-commands.js';
 
 /** The message of the log line for a withheld start command. */
-export const START_WITHHELD = 'start command withheld: placement rule violated';
+export const START_WITHHELD_MESSAGE = 'start command withheld: placement rule violated';
 
 /** Returns the part of the placement rule that forbids the task on this machine now, or null if the task may start. */
 function findPlacementRefusal(task: Task, worker: Worker): PlacementRefusal | null {
@@ -24,7 +24,7 @@
   if (!hasZoneConstraint(spec)) return placementRefusal(spec, machine, zoneTally.counts);
   // The tally counts this task in its own zone, which is known; any task of unknown zone must belong to another machine.
   if (zoneTally.unknownZoneCount > 0) return PlacementRefusal.ZoneUnknown;
-  return placementRefusal(spec, machine, zoneTally.without(task.zone));
+  return placementRefusal(spec, machine, zoneTally.countsWithout(task.zone));
 }
 
 /** Selects the commands to send to a worker now, and records which start commands were sent. */
@@ -85,7 +85,7 @@
 
   private withholdStart(task: Task, worker: Worker, refusal: PlacementRefusal, now: MonotonicTime): void {
     this.withheld++;
-    this.ctx.log.error({ refusal, ...this.decisionBasis(task, worker, now) }, START_WITHHELD);
+    this.ctx.log.error({ refusal, ...this.decisionBasis(task, worker, now) }, START_WITHHELD_MESSAGE);
     // A task whose start was never sent is gone once a heartbeat lacks it. A task whose start was sent is gone only
     // once the worker refuses that start command under a higher token.
     if (task.startSentIncarnation === null) task.pendingStop = { graceS: 0, reason: 'misplaced', since: now };
--- a/src/workers/failure-detector.ts
+++ b/src/workers/failure-detector.ts
@@ -78,7 +78,7 @@
   }
 
   /** The time after which no task runs that no heartbeat has reported to this leader (`LeaseExpiry`). */
-  get earlierLeasesEndAt(): MonotonicTime {
+  get untrackedLeasesEndAt(): MonotonicTime {
     return this.leaseExpiry.untrackedLeasesEndAt;
   }
 
--- a/src/workers/reconciliation.ts
+++ b/src/workers/reconciliation.ts
@@ -141,7 +141,7 @@
     this.changed = true;
     if (attempt.cause === 'done') {
       worker.cacheImage(task.job.spec.image, task.job.spec.imageGb);
-      worker.failures = 0;
+      worker.taskFailureCount = 0;
       task.job.finishTask(task, now);
       this.finished.push({ task, ranMs });
     } else {
--- a/src/workers/state/heartbeat-cursor.ts
+++ b/src/workers/state/heartbeat-cursor.ts
@@ -21,7 +21,7 @@
   }
 
   /** Whether the heartbeat was sent after every processed heartbeat. */
-  isBefore(heartbeat: Heartbeat): boolean {
+  isNewer(heartbeat: Heartbeat): boolean {
     return (
       heartbeat.incarnation > this.currentIncarnation ||
       (heartbeat.incarnation === this.currentIncarnation && heartbeat.sequence > this.lastSequence)
--- a/src/workers/state/worker.ts
+++ b/src/workers/state/worker.ts
@@ -62,7 +62,7 @@
   unassignedAttempts: Attempt[] = [];
   idleSince: MonotonicTime | null = null;
   /** The number of task failures on the machine since the last success. */
-  failures = 0;
+  taskFailureCount = 0;
   isRemoving = false;
   /** Whether the cloud's list shows the machine as running. */
   isListedRunning = false;
@@ -95,7 +95,7 @@
   }
 
   /** Sets the facts of the machine that the cloud, the worker or a leader's record has confirmed. */
-  learn(facts: ConfirmedFacts): void {
+  setConfirmedFacts(facts: ConfirmedFacts): void {
     this.knownFacts = facts;
     this.capacity.setTotal(facts.type);
     for (const task of this.tasks) task.job.setTaskZone(task, facts.machine.zone);
@@ -165,7 +165,7 @@
 
   /** Whether the heartbeat was sent after every processed heartbeat. */
   isNewer(heartbeat: Heartbeat): boolean {
-    return this.heartbeats.isBefore(heartbeat);
+    return this.heartbeats.isNewer(heartbeat);
   }
 
   /** Records the controller that received a new heartbeat, which may show that the last answer was delivered. */
--- a/src/workers/worker-connections.ts
+++ b/src/workers/worker-connections.ts
@@ -1,9 +1,9 @@
 /** A bounded pool of HTTP connections to the workers' own addresses. */
-import type { CallVerb } from '../peer/worker-call.js';
-import { HttpTarget, NoSocketError, type HttpReply, SocketCount } from '../net/http-client.js';
+import type { WorkerCallVerb } from '../peer/worker-call.js';
+import { HttpConnectionPool, NoSocketError, type HttpReply, SocketCount } from '../net/http-client.js';
 
 interface WorkerTarget {
-  readonly http: HttpTarget;
+  readonly http: HttpConnectionPool;
   inFlight: number;
 }
 
@@ -26,7 +26,7 @@
 
   private acquireTarget(address: string): WorkerTarget {
     const target = this.targets.get(address) ?? {
-      http: new HttpTarget(address, MAX_SOCKETS_PER_WORKER, this.openSockets),
+      http: new HttpConnectionPool(address, MAX_SOCKETS_PER_WORKER, this.openSockets),
       inFlight: 0,
     };
     while (!target.http.hasIdleConnection && this.openSockets.open >= this.maxSockets)
@@ -52,7 +52,7 @@
   }
 
   /** Calls a worker. Throws `NoSocketError` if nothing was sent because no socket is available. */
-  async call(verb: CallVerb, address: string, body: unknown, deadlineMs: number): Promise<HttpReply> {
+  async call(verb: WorkerCallVerb, address: string, body: unknown, deadlineMs: number): Promise<HttpReply> {
     const target = this.acquireTarget(address);
     target.inFlight++;
     try {
--- a/src/workers/worker-prober.ts
+++ b/src/workers/worker-prober.ts
@@ -1,7 +1,7 @@
 import type { Heartbeat } from '../model/heartbeat.js';
 import { type MonotonicTime, since } from '../model/time.js';
 import { NoSocketError } from '../net/http-client.js';
-import { usableShare } from '../wire/settings.js';
+import { usableCpuShare } from '../wire/settings.js';
 import type { FailureDetectionContext } from './failure-detection-context.js';
 import type { HeartbeatTimeouts } from './heartbeat-timeouts.js';
 import type { Worker } from './state/worker.js';
@@ -43,7 +43,7 @@
     private readonly ctx: FailureDetectionContext,
     private readonly options: WorkerProberOptions,
   ) {
-    const processorMs = TICK_INTERVAL_MS * usableShare(ctx.settings) * MAX_EARLY_PROBE_CPU_RATIO;
+    const processorMs = TICK_INTERVAL_MS * usableCpuShare(ctx.settings) * MAX_EARLY_PROBE_CPU_RATIO;
     this.maxEarlyPerTick = Math.max(1, Math.floor(processorMs / PROBE_CPU_MS));
   }
 
--- a/test/profile/main.ts
+++ b/test/profile/main.ts
@@ -11,7 +11,7 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 import type { MachineId, ImageId, JobId, MachineTypeId, ZoneId } from '../../src/model/ids.js';
 import { systemClock, sleep } from '../../src/model/time.js';
-import { HttpTarget, NoAnswerError } from '../../src/net/http-client.js';
+import { HttpConnectionPool, NoAnswerError } from '../../src/net/http-client.js';
 import { FakeCloud } from '../simulation/fake-cloud.js';
 import { type JobRequest, LEASE_S, submissionBody, MACHINE_TYPES } from '../simulation/site-setup.js';
 import { FakeKeyValueStore } from '../simulation/fake-key-value-store.js';
@@ -69,9 +69,11 @@
 };
 
 const workers = new Map<MachineId, FakeWorker>();
-const targetsByMachine = new Map<MachineId, HttpTarget[]>();
+const targetsByMachine = new Map<MachineId, HttpConnectionPool[]>();
 const behaviorByJob = new Map<JobId, JobBehavior>();
-const frontTargets = NODE_INDEXES.map((node) => new HttpTarget(`127.0.0.1:${FRONT_PORT + node}`, 200));
+const frontTargets = NODE_INDEXES.map(
+  (node) => new HttpConnectionPool(`127.0.0.1:${FRONT_PORT + node}`, 200),
+);
 let startCount = 0;
 
 const environment: WorkerEnvironment = {
@@ -83,10 +85,10 @@
     const { id } = worker.machine;
     const targets =
       targetsByMachine.get(id) ??
-      NODE_INDEXES.map((index) => new HttpTarget(`127.0.0.1:${FRONT_PORT + index}`, 1));
+      NODE_INDEXES.map((index) => new HttpConnectionPool(`127.0.0.1:${FRONT_PORT + index}`, 1));
     targetsByMachine.set(id, targets);
     try {
-      const reply = await (targets[Number(node)] as HttpTarget).call(
+      const reply = await (targets[Number(node)] as HttpConnectionPool).call(
         'POST',
         '/agent/beat',
         encodeHeartbeat(heartbeat, addressOf),
@@ -198,7 +200,8 @@
     alwaysFails: false,
   });
   const deadline = performance.now() + 90_000;
-  const front = (): HttpTarget => frontTargets[Math.floor(random() * frontTargets.length)] as HttpTarget;
+  const front = (): HttpConnectionPool =>
+    frontTargets[Math.floor(random() * frontTargets.length)] as HttpConnectionPool;
   let isAccepted = false;
   while (performance.now() < deadline) {
     try {
--- a/test/simulation/fake-cloud.ts
+++ b/test/simulation/fake-cloud.ts
@@ -1,5 +1,5 @@
 /** An in-memory fake of the cloud provider's machine API. */
-import { type Cloud, CloudRequestRefusedError, type ScaleOutResult } from '../../src/cloud/client.js';
+import { type CloudApi, CloudRequestRefusedError, type ScaleOutResult } from '../../src/cloud/client.js';
 import type { MachineId, MachineTypeId, ZoneId } from '../../src/model/ids.js';
 import type { ListedMachine, Machine, MachineType } from '../../src/model/machine.js';
 import { type Clock, ms } from '../../src/model/time.js';
@@ -79,7 +79,7 @@
   }
 
   /** Returns a client of the cloud for one process; the client's timers run on the process's `clock`. */
-  clientFor(clock: Clock): Cloud {
+  clientFor(clock: Clock): CloudApi {
     const request = <T>(operation: () => T): Promise<T> =>
       new Promise((resolve, reject) => {
         clock.after(REQUEST_LATENCY_MS, () => {
--- a/test/simulation/fake-servers.ts
+++ b/test/simulation/fake-servers.ts
@@ -3,7 +3,7 @@
  * published protocols.
  */
 import { createServer, type IncomingMessage, type Server } from 'node:http';
-import { type Cloud, CloudRequestRefusedError } from '../../src/cloud/client.js';
+import { type CloudApi, CloudRequestRefusedError } from '../../src/cloud/client.js';
 import type {
   LeaseId,
   MachineId,
@@ -170,7 +170,7 @@
 
 /** Returns the handler for the cloud's HTTP API. */
 export function cloudHandler(
-  cloud: Cloud,
+  cloud: CloudApi,
   types: readonly MachineType[],
   addressOf: (id: MachineId) => string,
 ): RequestHandler {
--- a/test/simulation/simulated-controllers.ts
+++ b/test/simulation/simulated-controllers.ts
@@ -14,10 +14,10 @@
 import { PROTOCOL_VERSION } from '../../src/model/protocol.js';
 import { seconds } from '../../src/model/time.js';
 import type { PeerStatus } from '../../src/peer/peer-status.js';
-import { limitProbe } from '../../src/store/limit-probe.js';
+import { createLimitProbe } from '../../src/store/limit-probe.js';
 import { StoreLimits } from '../../src/store/store-limits.js';
-import { START_WITHHELD } from '../../src/workers/command-issuer.js';
-import type { MemberLine } from '../../src/wire/members.js';
+import { START_WITHHELD_MESSAGE } from '../../src/workers/command-issuer.js';
+import type { MemberEntry } from '../../src/wire/members.js';
 import type { Settings } from '../../src/wire/settings.js';
 import { ProcessClock } from './clock.js';
 import { CANCEL_S, siteSettings, SMALL_SITE, MACHINE_TYPES } from './site-setup.js';
@@ -68,7 +68,7 @@
     ...silentLogger,
     error: (fields, text) => {
       this.onLogLine('error', text, fields);
-      if (text === START_WITHHELD) this.rules.recordViolation(`withheld: ${JSON.stringify(fields)}`);
+      if (text === START_WITHHELD_MESSAGE) this.rules.recordViolation(`withheld: ${JSON.stringify(fields)}`);
     },
     info: (fields, text) => this.onLogLine('info', text, fields),
   };
@@ -83,7 +83,7 @@
     const clock = new ProcessClock(this.clock);
     const settings = this.failover ? this.settingsWithPeers(name) : siteSettings(name, this.size);
     const store = this.store.clientFor(name, clock);
-    const limits = new StoreLimits(settings, clock, limitProbe(store, settings));
+    const limits = new StoreLimits(settings, clock, createLimitProbe(store, settings));
     if (this.earlierVersionNodes.size === 0) limits.allowSmallChunks();
     const cancellations = new ConfirmedCancellations(clock, seconds(CANCEL_S));
     const context: ControllerContext = {
@@ -106,7 +106,7 @@
       allPeersSupport: (version) =>
         version <= this.version && !this.nodes.some((other) => this.earlierVersionNodes.has(other)),
       peers: this.createPeerStatusSource(name, clock),
-      prefetchedRecords: (prefix) =>
+      takePrefetchedRecords: (prefix) =>
         this.running.get(name)?.failover?.takePrefetchedRecords(prefix) ?? Promise.resolve(null),
     };
     const leadership = new Leadership(context, () => Promise.resolve());
@@ -187,8 +187,8 @@
   }
 
   /** Returns the list of members as a node shows the list to operators; empty without failure detection. */
-  members(name: string): MemberLine[] {
-    return this.running.get(name)?.failover?.memberLines() ?? [];
+  members(name: string): MemberEntry[] {
+    return this.running.get(name)?.failover?.memberEntries() ?? [];
   }
 
   /**
@@ -270,7 +270,7 @@
         (name) =>
           name === node || !(this.isolatedNodes.has(name) || (node !== null && this.isolatedNodes.has(node))),
       )
-      .sort((first, second) => epoch(second) - epoch(first))[0];
+      .sort((left, right) => epoch(right) - epoch(left))[0];
   }
 
   isLeading(node: string): boolean {
--- a/test/soak/loopback-controllers.ts
+++ b/test/soak/loopback-controllers.ts
@@ -4,9 +4,9 @@
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { Relay } from '@plumyoke/simulation';
-import { START_WITHHELD } from '../../src/workers/command-issuer.js';
-import { KNOWN_BY_TASK_ONLY } from '../../src/fleet/inventory.js';
-import { MIXED_CHUNK_SIZES } from '../../src/leader/open-job-loader.js';
+import { START_WITHHELD_MESSAGE } from '../../src/workers/command-issuer.js';
+import { MACHINE_KNOWN_BY_TASK_ONLY_MESSAGE } from '../../src/fleet/inventory.js';
+import { MIXED_CHUNK_SIZES_MESSAGE } from '../../src/leader/open-job-loader.js';
 import { ControllerProcess, type LogLine } from './controller-process.js';
 import { ObservedSet } from './observed-set.js';
 import { type ControllerSettings, settingsFile } from '../simulation/settings-file.js';
@@ -146,9 +146,9 @@
       this.epochByLeader.delete(member);
       listener.trace(`${member}     leads no more: ${String(line['reason'])}`);
     }
-    if (msg === KNOWN_BY_TASK_ONLY) this.machinesKnownByTask++;
-    if (msg === MIXED_CHUNK_SIZES) this.mixedChunkJobs++;
-    if (msg === START_WITHHELD) listener.recordViolation(`withheld: ${JSON.stringify(line)}`);
+    if (msg === MACHINE_KNOWN_BY_TASK_ONLY_MESSAGE) this.machinesKnownByTask++;
+    if (msg === MIXED_CHUNK_SIZES_MESSAGE) this.mixedChunkJobs++;
+    if (msg === START_WITHHELD_MESSAGE) listener.recordViolation(`withheld: ${JSON.stringify(line)}`);
     if (msg === 'uncaught exception')
       listener.recordViolation(`exception: ${member}: ${String(line['error'])}`);
   }
--- a/test/soak/loopback-site.ts
+++ b/test/soak/loopback-site.ts
@@ -6,7 +6,7 @@
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import type { MachineId, ImageId, JobId, MachineTypeId } from '../../src/model/ids.js';
 import { systemClock } from '../../src/model/time.js';
-import { HttpTarget, type HttpReply } from '../../src/net/http-client.js';
+import { HttpConnectionPool, type HttpReply } from '../../src/net/http-client.js';
 import { FakeCloud } from '../simulation/fake-cloud.js';
 import type { ScenarioSite } from '../simulation/scenario-site.js';
 import { RuleChecker } from '../simulation/rule-checker.js';
@@ -42,7 +42,7 @@
 const LOW_LIMITS = { valueKb: 1, txnOps: 5 };
 const DEFAULT_LIMITS = { txnOps: 16, valueBytes: 16 * 1024 };
 const LIST_LAG_S = 4;
-const MAX_USER_SOCKETS = 100;
+const MAX_USER_SOCKET_COUNT = 100;
 const SUBMIT_TIMEOUT_MS = 5000;
 const QUERY_TIMEOUT_MS = 2000;
 /**
@@ -81,7 +81,7 @@
   private hasLowLimits = false;
   private readonly jobs = new Map<JobId, JobBehavior>();
   private readonly traceLines: string[] = [];
-  private readonly userTargets: ReadonlyMap<string, HttpTarget>;
+  private readonly userConnectionPools: ReadonlyMap<string, HttpConnectionPool>;
   private readonly locations: readonly ControllerLocation[];
   private readonly startedAt = systemClock.now();
 
@@ -98,10 +98,10 @@
       zone: MIXED_ZONES[index % MIXED_ZONES.length] as string,
       host: `${network}.0.${10 + index}`,
     }));
-    this.userTargets = new Map(
+    this.userConnectionPools = new Map(
       this.locations.map((location) => [
         location.member,
-        new HttpTarget(frontAddressOf(location), MAX_USER_SOCKETS),
+        new HttpConnectionPool(frontAddressOf(location), MAX_USER_SOCKET_COUNT),
       ]),
     );
     this.machines = this.createMachines();
@@ -338,7 +338,7 @@
     timeoutMs: number,
   ): Promise<HttpReply | null> {
     try {
-      return (await this.userTargets.get(node)?.call(method, path, body, timeoutMs)) ?? null;
+      return (await this.userConnectionPools.get(node)?.call(method, path, body, timeoutMs)) ?? null;
     } catch {
       return null;
     }
--- a/test/soak/loopback-workers.ts
+++ b/test/soak/loopback-workers.ts
@@ -5,7 +5,7 @@
 import type { Machine } from '../../src/model/machine.js';
 import type { Heartbeat } from '../../src/model/heartbeat.js';
 import { systemClock, sleep } from '../../src/model/time.js';
-import { HttpTarget } from '../../src/net/http-client.js';
+import { HttpConnectionPool } from '../../src/net/http-client.js';
 import {
   AnswerLostError,
   type RequestHandler,
@@ -46,7 +46,7 @@
 interface RunningMachine {
   readonly worker: FakeWorker;
   readonly server: Promise<Server | null>;
-  readonly links: readonly HttpTarget[];
+  readonly links: readonly HttpConnectionPool[];
 }
 
 /** Runs the workers of a site and injects network faults between the workers and the controllers. */
@@ -102,7 +102,7 @@
     this.runningMachines.set(machine.id, {
       worker,
       server,
-      links: frontAddresses.map((front) => new HttpTarget(front, 1)),
+      links: frontAddresses.map((front) => new HttpConnectionPool(front, 1)),
     });
   }
 
@@ -193,7 +193,7 @@
     return null;
   }
 
-  private async call(link: HttpTarget | undefined, body: object): Promise<HeartbeatAnswer | null> {
+  private async call(link: HttpConnectionPool | undefined, body: object): Promise<HeartbeatAnswer | null> {
     try {
       const reply = await link?.call('POST', '/agent/beat', body, ANSWER_TIMEOUT_MS);
       return reply ? decodeHeartbeatAnswer(reply.status, reply.body) : null;
@@ -207,7 +207,7 @@
     const { frontAddresses, random, leader } = this.options;
     systemClock.after(MIN_DUPLICATE_DELAY_MS + DUPLICATE_DELAY_SPREAD_MS * random(), () => {
       const front = frontAddresses[Math.max(0, this.nodes.indexOf(leader() ?? ''))];
-      if (front) void this.call(new HttpTarget(front, 1), body);
+      if (front) void this.call(new HttpConnectionPool(front, 1), body);
     });
   }
 
--- a/test/traces/progress-chunks.test.ts
+++ b/test/traces/progress-chunks.test.ts
@@ -9,7 +9,7 @@
  * host-000064 started attempt 2 of j-000001/0 while host-000062 was running the same attempt.
  */
 import { describe, expect, it } from 'vitest';
-import { MIXED_CHUNK_SIZES } from '../../src/leader/open-job-loader.js';
+import { MIXED_CHUNK_SIZES_MESSAGE } from '../../src/leader/open-job-loader.js';
 import { parseOpenKey } from '../../src/store/keys.js';
 import { maxTasksPerChunk } from '../../src/store/progress-record.js';
 import { SimulatedSite } from '../simulation/simulated-site.js';
@@ -154,7 +154,7 @@
     const site = new SimulatedSite(siteSize);
     const mergeLogFields: object[] = [];
     site.onLogLine = (_level, text, fields) => {
-      if (text === MIXED_CHUNK_SIZES) mergeLogFields.push(fields);
+      if (text === MIXED_CHUNK_SIZES_MESSAGE) mergeLogFields.push(fields);
     };
     site.startAll();
     await site.run(1);
--- a/test/traces/state-limits.test.ts
+++ b/test/traces/state-limits.test.ts
@@ -2,7 +2,7 @@
 import { TokenBucket } from '../../src/net/token-bucket.js';
 import { DEPENDENCIES_VERSION, PROTOCOL_VERSION } from '../../src/model/protocol.js';
 import { StoreRefusedError } from '../../src/store/errors.js';
-import { limitProbe } from '../../src/store/limit-probe.js';
+import { createLimitProbe } from '../../src/store/limit-probe.js';
 import { StoreLimits } from '../../src/store/store-limits.js';
 import { VirtualClock } from '../simulation/clock.js';
 import { FakeKeyValueStore } from '../simulation/fake-key-value-store.js';
@@ -146,7 +146,11 @@
     const clock = new VirtualClock();
     const settings = { storeLimits: limitsOf(60, 16), announcedStoreLimits: limitsOf(30, 5) };
     const store = new FakeKeyValueStore(clock);
-    const limits = new StoreLimits(settings, clock, limitProbe(store.clientFor('node-0', clock), settings));
+    const limits = new StoreLimits(
+      settings,
+      clock,
+      createLimitProbe(store.clientFor('node-0', clock), settings),
+    );
     const rateLimitedError = new StoreRefusedError('state answered 429', { isRateLimited: true });
     limits.recordFailure(rateLimitedError);
     // The announced rate applies immediately, until the key-value store has answered the probe.
--- a/test/unit/front-server.test.ts
+++ b/test/unit/front-server.test.ts
@@ -1,8 +1,8 @@
 import { connect } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
-import { type RequestHandler, requestListener, MAX_BODY_BYTES } from '../../src/api/http-router.js';
+import { type RequestHandler, createRequestListener, MAX_BODY_BYTES } from '../../src/api/http-router.js';
 import { silentLogger } from '../../src/log/logger.js';
-import { HttpTarget } from '../../src/net/http-client.js';
+import { HttpConnectionPool } from '../../src/net/http-client.js';
 import { FrontServer } from '../../src/net/front-server.js';
 import { freeAddress } from './free-address.js';
 
@@ -18,15 +18,15 @@
     ...handler,
   };
   const limits = { maxSockets: 10, headersTimeoutMs: 2000, requestTimeoutMs: 2000, idleTimeoutMs };
-  const server = new FrontServer(requestListener(completeHandler), limits, silentLogger);
+  const server = new FrontServer(createRequestListener(completeHandler), limits, silentLogger);
   const address = await freeAddress();
   await server.listen(address);
   closing.push(() => server.close());
   return address;
 }
 
-function target(address: string): HttpTarget {
-  const http = new HttpTarget(address, 2);
+function target(address: string): HttpConnectionPool {
+  const http = new HttpConnectionPool(address, 2);
   closing.push(() => http.close());
   return http;
 }
@@ -76,7 +76,7 @@
     };
     const address = await front({ heartbeat }, 60_000);
     // 10 sockets, and 40 workers with keep-alive connections that start concurrently and send three heartbeats each.
-    const sendHeartbeat = async (worker: HttpTarget): Promise<number> => {
+    const sendHeartbeat = async (worker: HttpConnectionPool): Promise<number> => {
       for (let attempts = 0; attempts < 500; attempts++) {
         const reply = await worker.call('POST', '/agent/beat', {}, 5000).catch(() => null);
         if (reply) return reply.status;
--- a/test/unit/http-client.test.ts
+++ b/test/unit/http-client.test.ts
@@ -1,9 +1,9 @@
 import { type AddressInfo, createServer, type Server, type Socket } from 'node:net';
 import { afterEach, describe, expect, it, vi } from 'vitest';
-import { HttpTarget, NoAnswerError, NoSocketError } from '../../src/net/http-client.js';
+import { HttpConnectionPool, NoAnswerError, NoSocketError } from '../../src/net/http-client.js';
 import { WorkerConnections } from '../../src/workers/worker-connections.js';
 
-const openResources: (Server | HttpTarget | Socket)[] = [];
+const openResources: (Server | HttpConnectionPool | Socket)[] = [];
 afterEach(() => {
   for (const resource of openResources.splice(0)) {
     if ('destroy' in resource) resource.destroy();
@@ -26,8 +26,8 @@
   return `127.0.0.1:${(listening.address() as AddressInfo).port}`;
 }
 
-function targetAt(address: string, sockets: number): HttpTarget {
-  const target = new HttpTarget(address, sockets);
+function targetAt(address: string, sockets: number): HttpConnectionPool {
+  const target = new HttpConnectionPool(address, sockets);
   openResources.push(target);
   return target;
 }
--- a/test/unit/memory-monitor.test.ts
+++ b/test/unit/memory-monitor.test.ts
@@ -17,8 +17,8 @@
     const admitAfterSample = async (): Promise<boolean[]> => {
       await clock.advance(1000);
       return (['submission', 'query'] as const).map((rank) => {
-        const isAdmitted = admission.enter(rank);
-        if (isAdmitted) admission.leave(rank);
+        const isAdmitted = admission.tryAcquire(rank);
+        if (isAdmitted) admission.release(rank);
         return isAdmitted;
       });
     };
--- a/test/unit/placement.test.ts
+++ b/test/unit/placement.test.ts
@@ -63,7 +63,7 @@
   waitingCount: specOverrides.taskCount ?? 1,
   zones: new Map(),
   avoidedMachines: new Set(),
-  isHeldBack: false,
+  isDeferred: false,
   slackMs: 10_000,
   isStarving: false,
   ...overrides,
@@ -173,7 +173,7 @@
   });
 
   it('starts no task of a job that is held back', () => {
-    const plan = place([job({ zoneAffinity: true }, { isHeldBack: true })], [machine('a')], TEAMS, new Map());
+    const plan = place([job({ zoneAffinity: true }, { isDeferred: true })], [machine('a')], TEAMS, new Map());
     expect(plan.starts).toEqual([]);
   });
 });
@@ -195,7 +195,7 @@
           job: `j-90000${randomBelow(4)}` as JobId,
           team: (randomBelow(2) ? 'red' : 'blue') as TeamId,
         }),
-      ).sort((a, b) => a.priority - b.priority || a.lostMs - b.lostMs);
+      ).sort((left, right) => left.priority - right.priority || left.lostMs - right.lostMs);
       return machine(`host-${String(randomBelow(900_000)).padStart(6, '0')}-${index}`, {
         cpus,
         zone: (randomBelow(2) ? 'north' : 'south') as ZoneId,
--- a/test/unit/reference-placement.ts
+++ b/test/unit/reference-placement.ts
@@ -36,7 +36,7 @@
   return machines
     .filter((machine) => machineRefusal(spec, machine) === null)
     .map((machine) => ({ machine, key: keyOf(machine) }))
-    .sort((a, b) => compareKeys(a.key, b.key))
+    .sort((left, right) => compareKeys(left.key, right.key))
     .map(({ machine }) => machine);
 }
 
@@ -77,7 +77,7 @@
   for (const job of queueOrder(snapshot.jobs, snapshot.guaranteed)) {
     const { spec } = job;
     const team = snapshot.teams.get(spec.team);
-    if (!team || job.waitingCount === 0 || job.isHeldBack) continue;
+    if (!team || job.waitingCount === 0 || job.isDeferred) continue;
     const teamUsage = usageByTeam.get(spec.team) ?? { cpus: 0, gpus: 0 };
     usageByTeam.set(spec.team, teamUsage);
     let remaining = Math.min(job.waitingCount, remainingQuota(team, teamUsage, spec));
--- a/test/unit/retry.test.ts
+++ b/test/unit/retry.test.ts
@@ -14,7 +14,7 @@
     return attempts > failures ? Promise.resolve('done') : Promise.reject(new Error(`attempt ${attempts}`));
   };
   const ctx = { clock, isEnded: () => clock.now() >= termMs };
-  const options = { retryMs: RETRY_MS, onFailure: (error: unknown) => failedWith.push(error) };
+  const options = { retryDelayMs: RETRY_MS, onFailure: (error: unknown) => failedWith.push(error) };
   const result = retryUntilTermEnds(ctx, options, attempt);
   await clock.advance(2000);
   return { result: await result, attempts, failedWith };
--- a/test/unit/slo-targets.test.ts
+++ b/test/unit/slo-targets.test.ts
@@ -15,9 +15,9 @@
 
   it('moves on to the next completion target once a target can no longer be met', () => {
     // 60 s − 30 s · 1.25 − 4 s for the image fetch
-    expect(targets.nextTarget(SPEC, 0, 30_000)?.slackMs).toBe(18_500);
-    expect(targets.nextTarget(SPEC, 20_000, 30_000)?.slackMs).toBe(58_500);
-    expect(targets.nextTarget(SPEC, 100_000, 30_000)).toBeNull();
+    expect(targets.nextCompletionTarget(SPEC, 0, 30_000)?.slackMs).toBe(18_500);
+    expect(targets.nextCompletionTarget(SPEC, 20_000, 30_000)?.slackMs).toBe(58_500);
+    expect(targets.nextCompletionTarget(SPEC, 100_000, 30_000)).toBeNull();
   });
 
   it('includes the start targets in the slack until these can no longer be met', () => {
--- a/test/unit/socket-allocation.test.ts
+++ b/test/unit/socket-allocation.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { shareSockets } from '../../src/net/socket-allocation.js';
+import { allocateSockets } from '../../src/net/socket-allocation.js';
 
 describe('the allocation of sockets', () => {
   it.each([
@@ -7,7 +7,7 @@
     [1200, 4],
     [300, 2],
   ])('allocates no more than %i sockets with %i peers', (maxSockets, peerCount) => {
-    const shares = shareSockets(maxSockets, peerCount);
+    const shares = allocateSockets(maxSockets, peerCount);
     const { front, store, storeWatches, cloud, workers } = shares;
     expect(front + shares.peers + peerCount + store + storeWatches + cloud + workers).toBeLessThanOrEqual(
       maxSockets,
--- a/test/unit/task-failure-policy.test.ts
+++ b/test/unit/task-failure-policy.test.ts
@@ -51,7 +51,7 @@
       policy.recordFailure(failedOn, faulty, NOW);
       return backoffMs(faulty);
     });
-    expect(workers.map(({ failures }) => failures)).toEqual([1, 0, 0, 0]);
+    expect(workers.map(({ taskFailureCount }) => taskFailureCount)).toEqual([1, 0, 0, 0]);
     expect(backoffs).toEqual([null, null, 2000, 4000]);
   });
 });
--- a/test/unit/wire.test.ts
+++ b/test/unit/wire.test.ts
@@ -5,7 +5,7 @@
 import { encodeFrame, FrameKind, FrameReader, MalformedFrameError } from '../../src/peer/frames.js';
 import { decodeProgress, encodeProgress } from '../../src/peer/job-progress.js';
 import { decodeChunk, encodeChunk } from '../../src/store/progress-record.js';
-import { findTooSmallSettings } from '../../src/config/settings-minimums.js';
+import { findSettingsBelowMinimum } from '../../src/config/settings-minimums.js';
 import { readSettings } from '../../src/wire/settings.js';
 import { VirtualClock } from '../simulation/clock.js';
 import { parseSubmission } from '../../src/wire/users.js';
@@ -190,7 +190,7 @@
 
   it('that are too small to run the service are listed by field', () => {
     const findTooSmall = (resources: object, workers: object): string[] =>
-      findTooSmallSettings(
+      findSettingsBelowMinimum(
         readSettings({
           member: 'a',
           site: 'north',
--- a/test/unit/worker-state.test.ts
+++ b/test/unit/worker-state.test.ts
@@ -61,10 +61,10 @@
     const cursor = new HeartbeatCursor();
     cursor.beginIncarnation(2 as AgentIncarnation);
     cursor.advance(5 as HeartbeatSequence);
-    expect(cursor.isBefore(heartbeat(9, 1))).toBe(false);
-    expect(cursor.isBefore(heartbeat(5, 2))).toBe(false);
-    expect(cursor.isBefore(heartbeat(6, 2))).toBe(true);
-    expect(cursor.isBefore(heartbeat(1, 3))).toBe(true);
+    expect(cursor.isNewer(heartbeat(9, 1))).toBe(false);
+    expect(cursor.isNewer(heartbeat(5, 2))).toBe(false);
+    expect(cursor.isNewer(heartbeat(6, 2))).toBe(true);
+    expect(cursor.isNewer(heartbeat(1, 3))).toBe(true);
   });
 });
 
--- a/test/unit/yielding-work-queue.test.ts
+++ b/test/unit/yielding-work-queue.test.ts
@@ -8,7 +8,7 @@
     const deferred: (() => void)[] = [];
     const queue = new YieldingWorkQueue((run) => deferred.push(run), 3);
     const admitted: number[] = [];
-    const all = Array.from({ length: 7 }, (_, index) => queue.turn().then(() => admitted.push(index)));
+    const all = Array.from({ length: 7 }, (_, index) => queue.awaitTurn().then(() => admitted.push(index)));
     const admittedCounts: number[] = [];
     for (let run = deferred.shift(); run; run = deferred.shift()) {
       run();
@@ -18,7 +18,7 @@
     await Promise.all(all);
     expect(admittedCounts).toEqual([3, 6, 7]);
     expect(admitted).toEqual([0, 1, 2, 3, 4, 5, 6]);
-    void queue.turn();
+    void queue.awaitTurn();
     expect(deferred).toHaveLength(1);
   });
 });
