--- a/src/scheduler/job-store.ts
+++ b/src/scheduler/job-store.ts
@@ -24,8 +24,8 @@
   version = 0;
 
   /**
-   * @param restoreAssignment Called when a released task counts as placed again, on the next machine on which an earlier
-   * leader may have started the task.
+   * @param restoreAssignment Called when a released task counts as placed again, on the next machine on which an
+   * earlier leader may have started the task.
    */
   constructor(private readonly restoreAssignment: (task: Task) => void = () => {}) {}
 
--- a/src/scheduler/slack-factors.ts
+++ b/src/scheduler/slack-factors.ts
@@ -10,7 +10,7 @@
 /** Lower bound of the miss ratio, which keeps the slack factor finite for a class that misses no target. */
 const MIN_MISS_RATIO = 0.005;
 
-const roundToThousandths = (share: number): number => Math.round(share * 1000) / 1000;
+const roundToThousandths = (ratio: number): number => Math.round(ratio * 1000) / 1000;
 
 /**
  * Computes, for each job class, the multiple of the estimated slack for which work may wait before on-demand machines
@@ -39,14 +39,14 @@
   /** Returns the record to be stored: the miss ratio of each class, rounded to thousandths. */
   record(): Record<string, number> {
     return Object.fromEntries(
-      [...this.missRatios].map(([jobClass, share]) => [jobClass, roundToThousandths(share)]),
+      [...this.missRatios].map(([jobClass, ratio]) => [jobClass, roundToThousandths(ratio)]),
     );
   }
 
   /** Restores the miss ratios from a stored record. Entries that are not numbers are ignored. */
   restore(stored: unknown): void {
-    for (const [jobClass, share] of Object.entries((stored ?? {}) as Record<string, unknown>)) {
-      if (typeof share === 'number') this.missRatios.set(jobClass, share);
+    for (const [jobClass, ratio] of Object.entries((stored ?? {}) as Record<string, unknown>)) {
+      if (typeof ratio === 'number') this.missRatios.set(jobClass, ratio);
     }
   }
 }
