--- a/src/leader/leader-parts.ts
+++ b/src/leader/leader-parts.ts
@@ -27,7 +27,7 @@
 import { JobIntake } from './job-intake.js';
 import { JobOutcomes } from './job-outcomes.js';
 import { JobWatcher } from './job-watcher.js';
-import { LostTaskReleaser } from './lost-tasks.js';
+import { LostTaskReleaser } from './lost-task-releaser.js';
 import { StateRestorer } from './state-restorer.js';
 import type { TermLifetime } from './term-lifetime.js';
 import { maxRenewalWithoutQuorum, WorkerLeasePolicy } from './worker-lease-policy.js';
@@ -191,7 +191,7 @@
   const writeCounts = new WriteCounts();
   const writeBudget = createWriteBudget(ctx, lifetime);
   const fleetListener: FleetListener = {
-    machineGone: (worker) => getParts().lostTasks.onMachineGone(worker),
+    machineDeleted: (worker) => getParts().lostTasks.onMachineGone(worker),
     fleetChanged: () => getParts().fleetRecordWriter.markChanged(),
   };
   const fleet = new FleetManager(ctx, createCloudBudget(ctx), models, fleetListener);
@@ -248,7 +248,7 @@
   const failureDetector = new WorkerFailureDetector(ctx, {
     predecessorRenewalMs: term.previousLeaseRemaining + maxRenewalWithoutQuorum(controller),
     onHeartbeat,
-    fence: (worker, reason) => fleet.remove(worker, reason),
+    fence: (worker, reason) => fleet.deleteMachine(worker, reason),
     onLeaseExpired: (worker) => getParts().lostTasks.onLeaseExpired(worker),
   });
   return { decisionLog, issuer, dispatcher, failureDetector };
--- a/test/soak/loopback-workers.ts
+++ b/test/soak/loopback-workers.ts
@@ -1,17 +1,17 @@
-/** The machines of a site on loopback: each worker serves its own address and sends heartbeats over real sockets. */
+/** Machines of a site on loopback. Each worker listens on its own address and sends heartbeats over real sockets. */
 import type { Server } from 'node:http';
 import type { MachineId, JobId, TaskId, FencingToken, AttemptNumber } from '../../src/model/ids.js';
 import { epochOfFencingToken } from '../../src/model/ids.js';
 import type { Machine } from '../../src/model/machine.js';
 import type { Heartbeat } from '../../src/model/heartbeat.js';
 import { systemClock, sleep } from '../../src/model/time.js';
-import { HttpTarget } from '../../src/net/http-client.js';
+import { HttpConnectionPool } from '../../src/net/http-client.js';
 import {
   AnswerLostError,
-  type Handler,
-  heartbeatAnswer,
-  heartbeatBody,
-  serve,
+  type RequestHandler,
+  decodeHeartbeatAnswer,
+  encodeHeartbeat,
+  startHttpServer,
   workersHandler,
 } from '../simulation/fake-servers.js';
 import {
@@ -26,12 +26,12 @@
 const MIN_DUPLICATE_DELAY_MS = 1000;
 const DUPLICATE_DELAY_SPREAD_MS = 19_000;
 
-/** The options of the machines, and callbacks into the site. */
+/** The options of `LoopbackMachines` and its callbacks into the site. */
 export interface MachinesOptions {
-  /** The first two bytes of all addresses of this site. */
+  /** The first two octets of all IP addresses of this site, such as `127.10`. */
   readonly network: string;
   readonly nodes: readonly string[];
-  readonly fronts: readonly string[];
+  readonly frontAddresses: readonly string[];
   readonly leaseMs: number;
   readonly heartbeatIntervalMs: number;
   readonly random: () => number;
@@ -46,27 +46,31 @@
 interface RunningMachine {
   readonly worker: FakeWorker;
   readonly server: Promise<Server | null>;
-  readonly links: readonly HttpTarget[];
+  readonly links: readonly HttpConnectionPool[];
 }
 
-/** Workers, and the faults of their network. */
+/** Runs the workers of a site and injects network faults between the workers and the controllers. */
 export class LoopbackMachines implements WorkerEnvironment {
   readonly workers = new Map<MachineId, FakeWorker>();
-  /** Pairs `node machine` between which no message passes. */
+  /** Pairs `node machine` whose messages are dropped in both directions. */
   readonly cutLinks = new Set<string>();
-  /** Machines that receive nothing: their heartbeats arrive, but no answer and no command reaches them. */
+  /** Machines whose heartbeats reach the controllers, while no answer and no command reaches the machine. */
   readonly inboundPartitioned = new Set<MachineId>();
-  /** Machines whose heartbeats reach no controller, while direct commands reach them. */
+  /** Machines whose heartbeats reach no controller, while direct commands reach the machine. */
   readonly outboundPartitioned = new Set<MachineId>();
-  /** The fraction of heartbeats of which a duplicate arrives later. */
+  /** The fraction of heartbeats, from 0 to 1, that are delivered again later. */
   duplicateRate = 0;
-  /** The fraction of heartbeats that are lost, or whose answer is lost. */
+  /**
+   * The fraction of heartbeats, from 0 to 1, that fail: for one half the heartbeat is lost, for the other the answer.
+   */
   lossRate = 0;
-  /** Commands are delivered a second time after this delay; null: they are not. */
+  /**
+   * The delay in milliseconds after which each command is delivered a second time; null disables the second delivery.
+   */
   commandRepeatDelayMs: number | null = null;
-  /** Called when the first command to start a task arrives at a machine. */
+  /** Called when a machine receives its first command to start a task. */
   onFirstStart: (id: MachineId) => void = () => {};
-  private readonly startedMachines = new Set<MachineId>();
+  private readonly machinesWithFirstStart = new Set<MachineId>();
   private readonly heldMachines = new Set<MachineId>();
   private heldRequests: (() => void)[] = [];
   private readonly runningMachines = new Map<MachineId, RunningMachine>();
@@ -88,19 +92,21 @@
 
   /** Starts the worker of a machine that has booted. */
   start(machine: Machine): void {
-    const { leaseMs, heartbeatIntervalMs, fronts, trace } = this.options;
+    const { leaseMs, heartbeatIntervalMs, frontAddresses, trace } = this.options;
     trace(`${machine.id} is up (${machine.type}, ${machine.zone}${machine.spot ? ', spot' : ''})`);
     const worker = new FakeWorker(machine, systemClock, this, leaseMs, heartbeatIntervalMs);
-    const server = serve(WORKER_PORT, this.ipOf(machine.id), this.handlerOf(worker)).catch(() => null);
+    const server = startHttpServer(WORKER_PORT, this.ipOf(machine.id), this.handlerOf(worker)).catch(
+      () => null,
+    );
     this.workers.set(machine.id, worker);
     this.runningMachines.set(machine.id, {
       worker,
       server,
-      links: fronts.map((front) => new HttpTarget(front, 1)),
+      links: frontAddresses.map((front) => new HttpConnectionPool(front, 1)),
     });
   }
 
-  /** Removes a machine with its tasks, and closes its address. */
+  /** Terminates a machine and its tasks, and closes its listening socket and connections. */
   remove(id: MachineId): void {
     this.workers.get(id)?.terminate();
     this.workers.delete(id);
@@ -114,7 +120,7 @@
 
   // Commands
 
-  private handlerOf(worker: FakeWorker): Handler {
+  private handlerOf(worker: FakeWorker): RequestHandler {
     const handle = workersHandler(
       () => worker,
       (id) => this.addressOf(id),
@@ -124,30 +130,33 @@
       const { epoch } = (request.body ?? {}) as { epoch?: FencingToken };
       if (this.inboundPartitioned.has(id) || this.isCutFrom(id, epoch)) throw new AnswerLostError();
       if (this.heldMachines.has(id)) await new Promise<void>((resolve) => this.heldRequests.push(resolve));
-      // A hanging machine handles the request once it resumes.
+      // A hung machine handles the request once the machine resumes.
       await new Promise<void>((resolve) => worker.runWhenResponsive(resolve));
       const { orders } = (request.body ?? {}) as { orders?: readonly { verb: string }[] };
       this.recordStart(id, orders?.some(({ verb }) => verb === 'run') ?? false);
-      const after = this.commandRepeatDelayMs;
-      if (after !== null)
-        systemClock.after(after, () => worker.runWhenResponsive(() => void handle(request)));
+      const repeatDelayMs = this.commandRepeatDelayMs;
+      if (repeatDelayMs !== null)
+        systemClock.after(repeatDelayMs, () => worker.runWhenResponsive(() => void handle(request)));
       return handle(request);
     };
   }
 
-  /** Only leaders call workers: the epoch of a command names the caller, a query is attributed to the current leader. */
+  /**
+   * Returns whether the link between a machine and the calling controller is cut. Only leaders call workers: the epoch
+   * of a command identifies the calling leader, and a query, which has no epoch, is attributed to the current leader.
+   */
   private isCutFrom(id: MachineId, token: FencingToken | undefined): boolean {
     const { leader, leaderOf } = this.options;
     const caller = token === undefined ? leader() : leaderOf(epochOfFencingToken(token));
     return caller !== undefined && this.cutLinks.has(`${caller} ${id}`);
   }
 
-  /** Holds the commands to a machine until they are released. */
+  /** Delays the commands to a machine until `releaseCommands` is called. */
   holdCommands(machine: MachineId): void {
     this.heldMachines.add(machine);
   }
 
-  /** Delivers all held commands. */
+  /** Delivers all commands that `holdCommands` has delayed. */
   releaseCommands(): void {
     this.heldMachines.clear();
     const held = this.heldRequests;
@@ -163,7 +172,7 @@
       await sleep(systemClock, 2);
       return null;
     }
-    const body = heartbeatBody(heartbeat, (host) => this.addressOf(host));
+    const body = encodeHeartbeat(heartbeat, (host) => this.addressOf(host));
     if (this.options.random() < this.duplicateRate) this.scheduleDuplicate(body);
     if (this.options.random() < this.lossRate / 2) return this.loseAnswer();
     const answer = await this.call(this.runningMachines.get(id)?.links[this.nodes.indexOf(node)], body);
@@ -174,8 +183,8 @@
   }
 
   private recordStart(id: MachineId, hasStart: boolean): void {
-    if (this.startedMachines.has(id) || !hasStart) return;
-    this.startedMachines.add(id);
+    if (this.machinesWithFirstStart.has(id) || !hasStart) return;
+    this.machinesWithFirstStart.add(id);
     this.onFirstStart(id);
   }
 
@@ -184,21 +193,21 @@
     return null;
   }
 
-  private async call(link: HttpTarget | undefined, body: object): Promise<HeartbeatAnswer | null> {
+  private async call(link: HttpConnectionPool | undefined, body: object): Promise<HeartbeatAnswer | null> {
     try {
       const reply = await link?.call('POST', '/agent/beat', body, ANSWER_TIMEOUT_MS);
-      return reply ? heartbeatAnswer(reply.status, reply.body) : null;
+      return reply ? decodeHeartbeatAnswer(reply.status, reply.body) : null;
     } catch {
       return null;
     }
   }
 
-  /** Delivers a duplicate later, to the leader of that time. */
+  /** Sends a heartbeat again after a random delay, to the controller that is the leader at that time. */
   private scheduleDuplicate(body: object): void {
-    const { fronts, random, leader } = this.options;
+    const { frontAddresses, random, leader } = this.options;
     systemClock.after(MIN_DUPLICATE_DELAY_MS + DUPLICATE_DELAY_SPREAD_MS * random(), () => {
-      const front = fronts[Math.max(0, this.nodes.indexOf(leader() ?? ''))];
-      if (front) void this.call(new HttpTarget(front, 1), body);
+      const front = frontAddresses[Math.max(0, this.nodes.indexOf(leader() ?? ''))];
+      if (front) void this.call(new HttpConnectionPool(front, 1), body);
     });
   }
 
--- a/test/unit/worker-state.test.ts
+++ b/test/unit/worker-state.test.ts
@@ -5,7 +5,7 @@
 import type { MonotonicTime } from '../../src/model/time.js';
 import { recordUpWorker, createFleetSnapshot, isLikelyPartitioned } from '../../src/workers/fleet-health.js';
 import { ImageCache } from '../../src/workers/state/image-cache.js';
-import { CommandCallState } from '../../src/workers/state/pending-commands.js';
+import { CommandCallState } from '../../src/workers/state/command-call-state.js';
 import { HeartbeatCursor } from '../../src/workers/state/heartbeat-cursor.js';
 import { WorkerContact } from '../../src/workers/state/worker-contact.js';
 import { WorkerFence } from '../../src/workers/state/worker-fence.js';
@@ -61,10 +61,10 @@
     const cursor = new HeartbeatCursor();
     cursor.beginIncarnation(2 as AgentIncarnation);
     cursor.advance(5 as HeartbeatSequence);
-    expect(cursor.isBefore(heartbeat(9, 1))).toBe(false);
-    expect(cursor.isBefore(heartbeat(5, 2))).toBe(false);
-    expect(cursor.isBefore(heartbeat(6, 2))).toBe(true);
-    expect(cursor.isBefore(heartbeat(1, 3))).toBe(true);
+    expect(cursor.isNewer(heartbeat(9, 1))).toBe(false);
+    expect(cursor.isNewer(heartbeat(5, 2))).toBe(false);
+    expect(cursor.isNewer(heartbeat(6, 2))).toBe(true);
+    expect(cursor.isNewer(heartbeat(1, 3))).toBe(true);
   });
 });
 
