--- a/src/leadership/election.ts
+++ b/src/leadership/election.ts
@@ -25,13 +25,16 @@
   readonly processId: string;
   readonly pauseGuard: PauseGuard;
   /**
-   * Returns how long this controller waits before it claims a vacant leadership, so that better prepared controllers go
-   * first.
+   * Returns how long this controller waits before it claims a vacant leadership, so that higher-ranked successors can
+   * claim it first.
    */
   candidacyDelayMs(): number;
-  /** Is called when the leader record that this controller reads appears, disappears, or changes to another epoch. */
+  /**
+   * Is called when the leader record, as last read or written by this controller, appears, disappears, or changes to
+   * another epoch.
+   */
   onLeaderChanged(): void;
-  /** Is called when this controller stops leading. */
+  /** Is called when this controller stops leading; called twice for a term that ends because the lease expired. */
   onLeadershipEnded(): void;
 }
 
@@ -80,7 +83,10 @@
     return this.term;
   }
 
-  /** The leader record as this controller last read it; null: there is no leader, or the record was not read yet. */
+  /**
+   * The leader record as this controller last read or wrote it; null: there is no leader record, the record was not
+   * read yet, or it cannot be decoded.
+   */
   get observedLeader(): LeaderRecord | null {
     return this.lastObservedLeader;
   }
@@ -101,7 +107,10 @@
     this.lease.startRenewal();
   }
 
-  /** Ends this controller's candidacy for good, because its process is about to exit. */
+  /**
+   * Ends this controller's candidacy for good, because its process is about to exit; a takeover in progress still
+   * completes.
+   */
   stopCampaigning(): void {
     this.isCampaignStopped = true;
   }
@@ -125,7 +134,8 @@
 
   /**
    * Rewrites the leader record under the same lease, which changes the record's revision. A leader whose messages do
-   * not reach its peers shows in this way, through the key-value store, that it is alive.
+   * not reach its peers shows in this way, through the key-value store, that it is alive. Does nothing unless this
+   * controller leads and the stored record is bound to its lease.
    */
   async refreshLeaderRecord(): Promise<void> {
     const { term } = this;
@@ -156,7 +166,10 @@
     }
   }
 
-  /** Reads the leader record, then either takes over or waits for the record to change. */
+  /**
+   * Reads the leader record, then takes over, waits for the record to change, or, while this controller's candidacy is
+   * paused and there is no record, sleeps. Does nothing after the read if the campaign was stopped.
+   */
   private async campaignOnce(): Promise<void> {
     const { clock, store, member } = this.ctx;
     const page = await store.range(keys.leader);
@@ -164,7 +177,8 @@
     this.observeLeader(row ? decodeLeader(row.value) : null);
     if (this.isCampaignStopped) return;
     const isCandidate = this.candidacyResumesAt === null || clock.now() >= this.candidacyResumesAt;
-    // A record that names this controller is from an earlier term or an earlier process instance of this controller.
+    // While this controller holds no term, a record that names this controller is from an earlier term or an earlier
+    // process instance of this controller.
     const isVacant = !row || this.observedLeader?.member === member;
     if (!this.term && isCandidate && isVacant) await this.takeOver(row?.revision ?? NO_REVISION);
     else if (!isCandidate && !row) await sleep(clock, CANDIDACY_CHECK_INTERVAL_MS);
@@ -178,8 +192,8 @@
   }
 
   /**
-   * Takes over the leadership. If the leadership is vacant, a controller that is not the preferred successor waits
-   * for its candidacy delay first and abandons the attempt if another controller has taken over meanwhile.
+   * Takes over the leadership. If there is no leader record, a controller whose candidacy delay is above 0 waits for
+   * that delay first and abandons the attempt if another controller has taken over meanwhile.
    */
   private async takeOver(leaderRevision: Revision): Promise<void> {
     const isLeaderRecordAbsent = leaderRevision === NO_REVISION;
--- a/src/leadership/failover/failover.ts
+++ b/src/leadership/failover/failover.ts
@@ -137,8 +137,8 @@
   }
 
   /**
-   * Resolves with the prefetched records under a prefix, updated to the present; null: none. Each prefix is returned
-   * once.
+   * Resolves with the prefetched records under a prefix, updated to the present; null: none were prefetched, or they
+   * could not be updated. Each prefix is returned once.
    */
   takePrefetchedRecords(prefix: string): Promise<RecordSet | null> {
     return this.prefetcher.take(prefix);
@@ -160,8 +160,8 @@
   }
 
   /**
-   * Returns the delay by this controller's rank among the possible successors; the first-ranked successor does not
-   * wait.
+   * Returns the delay by this controller's rank among the possible successors; neither the first-ranked successor nor a
+   * controller that is not among the possible successors waits.
    */
   candidacyDelayMs(): number {
     const ranking = rankSuccessors(CLUSTER_UNIT, this.membership.members());
@@ -180,7 +180,10 @@
     leadership.election.lease.renewNow();
   }
 
-  /** Ends this controller's term after another controller has taken over; the coordinator has logged the evidence. */
+  /**
+   * Ends this controller's term of `epoch`, unless that term has already ended, after another controller has taken
+   * over; the coordinator has logged the evidence.
+   */
   private onReplaced(epoch: number): void {
     const { leadership } = this.dependencies;
     if (leadership.leadingEpoch === epoch) leadership.endTerm('replaced by another controller');
--- a/src/leadership/failover/leader-claims.ts
+++ b/src/leadership/failover/leader-claims.ts
@@ -97,7 +97,8 @@
     claimant: Owner,
     reading: UnownedReading | OwnedReading | ReleasedReading,
   ): Promise<ClaimResult> {
-    // A vacant leadership is claimed by the election, not by the takeover coordinator.
+    // Only an owned leadership may be claimed here, and only if replacing a leader early is allowed. The election, not
+    // the takeover coordinator, claims a leadership without an owner.
     if (reading.kind !== 'owned' || !this.dependencies.mayReplaceEarly()) return { kind: 'superseded' };
     try {
       if (!(await this.fencePreviousLeader(reading))) return { kind: 'superseded' };
@@ -110,10 +111,10 @@
   }
 
   /**
-   * Fences the previous leader in two steps. First, unless the leader has refreshed its own record, the epoch record is
-   * marked: its revision changes, so that every write of the previous leader fails, and the mark lets the next leader
-   * allow for a predecessor that still considers its lease valid. Then the previous leader's lease is revoked, which
-   * removes the leader record. Resolves with whether the previous leader was fenced.
+   * Fences the previous leader in two steps. First, unless the leader record or the epoch record has changed since the
+   * reading, the epoch record is marked: its revision changes, so that every write of the previous leader fails, and
+   * the mark lets the next leader allow for a predecessor that still considers its lease valid. Then the previous
+   * leader's lease is revoked, which removes the leader record. Resolves with whether the previous leader was fenced.
    */
   private async fencePreviousLeader({ epoch, revisions }: OwnedReading): Promise<boolean> {
     const { store } = this.dependencies;
@@ -167,7 +168,10 @@
     }
   }
 
-  /** Refreshes the leader record, which shows peers that receive no messages from this controller that it is alive. */
+  /**
+   * Refreshes the leader record, which shows peers that receive no messages from this controller that it is alive. A
+   * failure of the key-value store is ignored.
+   */
   async writeHeartbeat(): Promise<void> {
     try {
       await this.dependencies.election.refreshLeaderRecord();
--- a/src/leadership/failover/peer-transport.ts
+++ b/src/leadership/failover/peer-transport.ts
@@ -8,8 +8,8 @@
 
 const OK_STATUS = 200;
 /**
- * How long a peer's answer that its failure detection is disabled counts; the peer may since have been restarted with
- * it enabled.
+ * How long a peer's answer that its failure detection is disabled or not started yet counts; the peer may since have
+ * started failure detection.
  */
 const UNSUPPORTED_RETRY_DELAY_MS = 5000;
 
@@ -19,7 +19,7 @@
  */
 export class PeerTransport implements Transport {
   private readonly peers: ReadonlyMap<string, Peer>;
-  /** When each peer last answered that its failure detection is disabled. */
+  /** When each peer last answered that its failure detection is disabled or not started yet. */
   private readonly lastDisabledAt = new Map<MemberId, MonotonicTime>();
 
   constructor(
--- a/src/leadership/failover/record-prefetcher.ts
+++ b/src/leadership/failover/record-prefetcher.ts
@@ -45,7 +45,10 @@
     await Promise.all(this.records.values());
   }
 
-  /** Drops the prefetched records and ends reads in progress; called when the leader proves to be alive. */
+  /**
+   * Drops the prefetched records and ends reads in progress; called when the leader is no longer suspected, when the
+   * records expire, and before a new prefetch.
+   */
   discard(): void {
     this.generation++;
     this.cancelExpiry?.();
@@ -74,7 +77,7 @@
 
   /**
    * Resolves with the present rows under a prefix: the prefetched rows with all later changes applied. Null: nothing
-   * was prefetched, or the later changes are not available. Each prefix is returned once.
+   * was prefetched, the prefetch failed, or the later changes are not available. Each prefix is returned once.
    */
   async take(prefix: string): Promise<RecordSet | null> {
     const pending = this.records.get(prefix);
--- a/src/leadership/lease.ts
+++ b/src/leadership/lease.ts
@@ -22,11 +22,14 @@
 
 /** The validity of a leader's lease. */
 export interface LeaseValidity {
-  /** Returns whether the lease is certainly valid by this process's clock. */
+  /**
+   * Returns whether the lease is certainly valid by this process's clock and, if a pause guard is set, was confirmed
+   * after the last pause of this process.
+   */
   isLeaseValid(): boolean;
   /**
-   * Returns how long ago the lease stopped being certainly valid, 0 while the lease is valid, and infinity without a
-   * lease.
+   * Returns the time since the end of the confirmed lease's certain validity by this process's clock: 0 before that
+   * end, even if a pause of this process has made the lease invalid, and infinity without a lease.
    */
   timeSinceLeaseExpiry(): Millis;
 }
@@ -37,7 +40,10 @@
   readonly isOpen: boolean;
   /** A counter that changes with every pause of the process. */
   readonly generation: number;
-  /** Records that a request which was sent in this generation confirmed the lease. */
+  /**
+   * Records that a request which was sent in this generation confirmed the lease; has no effect if a pause has followed
+   * the sending.
+   */
   reopen(generation: number): void;
 }
 
@@ -130,8 +136,8 @@
   }
 
   /**
-   * Renews the lease at once; called after a pause of this process, during which another controller may have taken
-   * over.
+   * Renews the held lease at once unless a renewal is already in flight; called after a pause of this process, during
+   * which another controller may have taken over.
    */
   renewNow(): void {
     const { scheduledRenewal } = this;
@@ -153,7 +159,7 @@
     this.scheduledRenewal = { cancel: this.ctx.clock.after(delayMs, run), run };
   }
 
-  /** Renews the lease and resolves with the delay until the next renewal, in milliseconds. */
+  /** Renews the lease, if one is held, and resolves with the delay until the next renewal, in milliseconds. */
   private async renew(): Promise<number> {
     const { clock, store, log } = this.ctx;
     const { id } = this;
@@ -170,7 +176,8 @@
       // Users' requests can exhaust the store's rate limit; an early retry keeps the leadership in that case.
       if (error instanceof StoreRefusedError) return RENEWAL_RETRY_DELAY_MS;
     }
-    // The process was paused while the renewal was in flight, so the renewal's response does not confirm the lease.
+    // The lease stays unconfirmed after a pause if the renewal failed or if the process was paused again while the
+    // renewal was in flight.
     const isUnconfirmed = this.held !== null && this.pauseGuard?.isOpen === false;
     return isUnconfirmed ? RENEWAL_RETRY_DELAY_MS : this.renewalIntervalMs;
   }
--- a/src/leadership/term.ts
+++ b/src/leadership/term.ts
@@ -9,6 +9,9 @@
   readonly epoch: Epoch;
   /** The revision of the epoch record; every write of this term is conditional on this revision. */
   readonly epochRevision: Revision;
-  /** The longest time after this takeover for which the previous leader may still consider its lease valid. */
+  /**
+   * The longest time after this takeover for which the previous leader may still consider its lease valid; 0 unless the
+   * epoch record is marked because a leader was replaced early (the mark stays).
+   */
   readonly previousLeaseRemaining: Millis;
 }
