--- a/src/controller/controller-summary.ts
+++ b/src/controller/controller-summary.ts
@@ -9,7 +9,7 @@
 /** The components from which the summary is read. */
 export interface ControllerSummarySources {
   readonly leadership: Leadership;
-  /** Null: failure detection is off. */
+  /** Null: failure detection is disabled or not started yet. */
   readonly failover: Failover | null;
   readonly connectivity: StoreConnectivityMonitor;
   readonly peers: PeerGroup;
@@ -19,7 +19,10 @@
   readonly load: number;
 }
 
-/** Returns the fields of the summary. Each call resets the counts of refused requests. */
+/**
+ * Returns the fields of the summary. Each call resets the counts of refused requests and, while this controller leads,
+ * the leader's counts of writes and decisions.
+ */
 export function controllerSummary(sources: ControllerSummarySources): object {
   const { leadership, failover, connectivity, peers, admission, userRouter, load } = sources;
   const cpu = process.cpuUsage();
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -43,9 +43,9 @@
 const CLOUD_TIMEOUT_MS = 4000;
 /** How often a leader publishes its task counts to the other controllers. */
 const PROGRESS_INTERVAL_MS = 1000;
-/** The number of submissions from users that are processed concurrently. */
+/** The maximum number of submissions from users that are processed concurrently. */
 const MAX_CONCURRENT_SUBMISSION_COUNT = 48;
-/** The number of queries and cancellations from users that are processed concurrently. */
+/** The maximum number of queries and cancellations from users that are processed concurrently. */
 const MAX_CONCURRENT_QUERY_COUNT = 96;
 /** The time within which a client of the front server must send a request's headers. */
 const HEADERS_TIMEOUT_MS = 10_000;
--- a/src/controller/heartbeat-router.ts
+++ b/src/controller/heartbeat-router.ts
@@ -36,7 +36,7 @@
 /** The links to the other controllers, as the heartbeat router uses them. */
 export interface HeartbeatPeers {
   readonly connected: readonly Peer[];
-  /** Returns the link to the leader; undefined: no connected controller leads. */
+  /** Returns the link to the leader; undefined: no connected controller is known to lead. */
   leaderLink(): Peer | undefined;
 }
 
@@ -67,7 +67,10 @@
  */
 const indirectRouteThrough = (member: MemberId): MemberId => `${member} and another` as MemberId;
 
-/** Answers heartbeats while this controller leads, and otherwise forwards heartbeats to the leader. */
+/**
+ * Answers heartbeats while this controller leads. Forwards a worker's heartbeat to the leader otherwise, and if this
+ * controller's own leader refuses the heartbeat.
+ */
 export class HeartbeatRouter {
   private readonly member: MemberId;
   private readonly clock: Clock;
@@ -130,8 +133,8 @@
   }
 
   /**
-   * Returns the controller to which this worker should connect instead, which reaches the key-value store and this
-   * leader; null: the worker stays connected to this controller.
+   * Returns the controller to which this worker should connect instead: a connected controller that has spare capacity
+   * and reaches the key-value store; null: the worker stays connected to this controller.
    */
   private redirectFor(worker: MachineId): MemberId | null {
     const candidates = this.peers.connected.filter(
--- a/src/controller/leadership.ts
+++ b/src/controller/leadership.ts
@@ -17,7 +17,10 @@
 /** Creates the leader when this controller is elected and discards the leader when the term ends. */
 export class Leadership implements LeadershipHandle {
   readonly election: Election;
-  /** How long a leader that lost its lease may continue to answer heartbeats, without sending commands. */
+  /**
+   * How long a leader may continue to answer heartbeats after its lease has expired or, if later, after the last poll
+   * in which every peer answered. Such a leader sends no commands except stops of cancelled tasks.
+   */
   readonly maxRenewalWithoutQuorum: Millis;
   private currentLeader: Leader | null = null;
 
--- a/src/controller/machine-type-catalog.ts
+++ b/src/controller/machine-type-catalog.ts
@@ -16,8 +16,8 @@
 const CLOUD_RETRY_DELAY_MS = 600;
 
 /**
- * Reads the machine types from the cloud API or, while that API is unavailable, from their last copy in the store. The
- * types are refreshed periodically, because their prices change.
+ * Reads the machine types from the cloud API and, until the first types are available, also from their last copy in the
+ * store. The types are refreshed periodically, because their prices change.
  */
 export class MachineTypeCatalog {
   private readonly waiters: (() => void)[] = [];
--- a/src/controller/memory-monitor.ts
+++ b/src/controller/memory-monitor.ts
@@ -4,7 +4,7 @@
 
 /** How often the heap usage is sampled. */
 const SAMPLE_INTERVAL_MS = 1000;
-/** The fraction of the heap limit above which caches are dropped and new work is refused. */
+/** The fraction of the heap limit above which caches are dropped and submissions are refused. */
 const SCARCE_MEMORY_RATIO = 0.9;
 
 /** Heap statistics in bytes, as V8 reports them. */
@@ -15,7 +15,7 @@
 
 /**
  * Samples the heap usage. A process that reaches its heap limit crashes and loses all requests in progress; to prevent
- * this, caches are dropped first and submissions are refused next.
+ * this, caches are dropped and submissions are refused while a sample shows scarce memory.
  */
 export class MemoryMonitor {
   private scarce = false;
@@ -29,7 +29,7 @@
     runPeriodically(clock, SAMPLE_INTERVAL_MS, () => this.sample());
   }
 
-  /** Whether heap usage is so near the limit that new work must be refused. */
+  /** Whether the heap usage at the last sample was so near the limit that submissions must be refused. */
   get isScarce(): boolean {
     return this.scarce;
   }
--- a/src/controller/peer-group.ts
+++ b/src/controller/peer-group.ts
@@ -25,8 +25,8 @@
   /** Returns the epoch in which this controller leads; null: this controller does not lead. */
   leadingEpoch(): Epoch | null;
   /**
-   * Returns the leader record as this controller last read it; null: there is no leader, or the record was not read
-   * yet.
+   * Returns the leader record as this controller last read or wrote it; null: there is no leader record, the record was
+   * not read yet, or it cannot be decoded.
    */
   observedLeader(): LeaderRecord | null;
 }
@@ -36,7 +36,8 @@
   /** Is called when another controller's ping reports that the controller leads `epoch`. */
   onPeerLeading(epoch: Epoch): void;
   /**
-   * Is called when the versions of all other controllers support confirmed cancellations and split progress records.
+   * Is called, possibly more than once, when every other controller has shown a version that supports confirmed
+   * cancellations and split progress records.
    */
   onAllUpgraded(): void;
 }
@@ -96,8 +97,8 @@
   }
 
   /**
-   * Returns whether the last observed leader and every connected controller, any of which could lead next, support
-   * `version`.
+   * Returns whether the last observed leader, if there is one, and every connected controller, any of which could lead
+   * next, support `version`.
    */
   allCandidatesSupport(version: number): boolean {
     const leader = this.localState.observedLeader();
@@ -158,8 +159,8 @@
   }
 
   /**
-   * Requests the status of each other controller; null for a controller that doesn't respond or doesn't support the
-   * request.
+   * Requests the status of each other controller; null for a controller that is not connected, doesn't support the
+   * request, doesn't respond, or responds with an error or an undecodable status.
    */
   collectStatus(deadlineMs: number): Promise<(PeerStatus | null)[]> {
     const payload = encodePeerStatus(this.status());
--- a/src/controller/store-connectivity-monitor.ts
+++ b/src/controller/store-connectivity-monitor.ts
@@ -27,15 +27,19 @@
     } else this.failingSince ??= now;
   }
 
-  /** Whether the store has responded recently, or no call has failed since its last response. */
+  /**
+   * Whether the store has responded within the last `UNREACHABLE_AFTER_MS`, or no call has failed since its last
+   * response.
+   */
   get isStoreReachable(): boolean {
     return this.failingSince === null || since(this.clock.now(), this.lastAnswerAt) < UNREACHABLE_AFTER_MS;
   }
 
   /**
-   * Returns whether neither the store nor another controller can be reached, in which case any other controller serves
-   * users better. An outage of the store alone affects all controllers; none of them reports itself unavailable then,
-   * since the load balancer would have no controller left when the outage ends.
+   * Returns whether calls to the store fail, the store's last response is older than `PARTITIONED_AFTER_MS`, and no
+   * other controller is connected, in which case any other controller serves users better; false if `peers` is empty.
+   * An outage of the store alone affects all controllers; none of them reports itself unavailable then, since the load
+   * balancer would have no controller left when the outage ends.
    */
   isPartitioned(peers: readonly { readonly isConnected: boolean }[]): boolean {
     if (peers.length === 0 || this.failingSince === null || peers.some(({ isConnected }) => isConnected))
--- a/src/controller/user-router.ts
+++ b/src/controller/user-router.ts
@@ -11,15 +11,20 @@
 
 /** How long another controller may take to answer a forwarded request. */
 const FORWARD_TIMEOUT_MS = 1500;
-/** The number of other controllers tried when this controller has exhausted its share of the store's write rate. */
+/**
+ * The maximum number of other controllers tried when this controller has exhausted its share of the store's write rate.
+ */
 const MAX_BUSY_FORWARD_COUNT = 4;
 /** The `retryAfter` value of an answer that refuses a request because of load or rate limits. */
 const BUSY_RETRY_S = 2;
 const UNAVAILABLE_STATUS = 503;
 
-/** The number of users' requests that were refused, by reason. */
+/**
+ * The number of users' requests that this controller refused, by reason, including requests that another controller
+ * then answered. Requests that `Admission` refused are not counted.
+ */
 export interface Refusals {
-  /** Requests refused because this controller had exhausted its share of the store's write rate. */
+  /** Requests that were refused because this controller had exhausted its share of the store's write rate. */
   busy: number;
   /** Requests that failed because the key-value store refused a request or did not respond. */
   state: number;
@@ -35,7 +40,10 @@
   readonly random: () => number;
 }
 
-/** Answers every request promptly; a request that can't be served is refused with a time after which to retry. */
+/**
+ * Answers requests, and refuses a request above a limit or during a failure of the store with a time after which to
+ * retry.
+ */
 export class UserRouter {
   private refusals: Refusals = { busy: 0, state: 0 };
 
@@ -101,7 +109,8 @@
 
   /**
    * Forwards a request to up to `maxPeers` other controllers that reach the store, since the store may refuse only this
-   * controller. Null: none of these controllers has answered the request.
+   * controller. Null: no other controller reaches the store, a controller did not respond, or every controller tried
+   * answered `UNAVAILABLE_STATUS`.
    */
   private async forward(verb: UserVerb, body: Buffer, maxPeers: number): Promise<UserAnswer | null> {
     const { peers, random } = this.dependencies;
