--- a/src/leader/chunk-resizer.ts
+++ b/src/leader/chunk-resizer.ts
@@ -14,7 +14,10 @@
     private readonly committer: Committer,
   ) {}
 
-  /** Resizes the progress chunks of all jobs if the chunk size that the store limits allow has changed. */
+  /**
+   * Resizes the progress chunks of all jobs if the chunk size that the store limits allow has changed, and at the first
+   * call.
+   */
   tick(now: MonotonicTime): void {
     const { storeLimits, jobs } = this.ctx;
     const chunkTasks = storeLimits.chunkSize(Infinity);
--- a/src/leader/commit-batch.ts
+++ b/src/leader/commit-batch.ts
@@ -35,7 +35,10 @@
 const ESTIMATED_TASK_BYTES = 8;
 /** Estimated size of one job record in a transaction. */
 const ESTIMATED_JOB_RECORD_BYTES = 500;
-/** Number of writes that close a job, without its stale keys: the job record and the head record of its progress. */
+/**
+ * Maximum number of writes that close a job, without its stale keys: the job record, unless it already shows the
+ * cancellation, and the head record of its progress.
+ */
 const CLOSING_WRITE_COUNT = 2;
 
 /** The write of a progress chunk, with the chunk's version when the batch was built. */
@@ -70,7 +73,10 @@
 
 const IDLE: NextCommit = { kind: 'idle' };
 
-/** Chunks that may be written now, and the time until the next chunk is due (Infinity if there is none). */
+/**
+ * Chunks that may be written now, and the time until the other chunks must be checked again (Infinity if there are
+ * none).
+ */
 interface DirtyChunks {
   readonly starts: ProgressChunk[];
   readonly progress: ProgressChunk[];
@@ -95,7 +101,8 @@
 
   /**
    * Selects the changes for the next transaction within the write budget, in this order: final states of jobs, task
-   * starts by priority, progress, records of cancelled jobs. Changes that do not fit are left for later transactions.
+   * starts by priority, progress, records of cancelled jobs and, only if there is nothing else, stale keys. Changes
+   * that do not fit are left for later transactions.
    */
   next(): NextCommit {
     const budgetWaitMs = this.writeBudget.waitMs();
--- a/src/leader/committer.ts
+++ b/src/leader/committer.ts
@@ -58,7 +58,8 @@
   }
 
   /**
-   * Starts the write loop for pending changes unless the loop is running. Never throws; the loop handles its errors.
+   * Starts the write loop for pending changes unless the loop is running or the term has ended. Never throws; the loop
+   * handles its errors.
    */
   schedule(): void {
     if (this.isRunning || this.ctx.isEnded()) return;
--- a/src/leader/decision-loop.ts
+++ b/src/leader/decision-loop.ts
@@ -28,9 +28,11 @@
  * and the number of calls to workers that receive several tasks.
  */
 const DECISION_DELAY_MS = 40;
-/** Minimum pause after a decision, as a multiple of the decision's duration. */
+/** Minimum delay between a request and its decision, as a multiple of the previous decision's duration. */
 const DECISION_PAUSE_FACTOR = 3;
-/** Share of a class's jobs that may miss their objective if the class has no objective that sets the share. */
+/**
+ * Share of a class's jobs that may miss their objective if no completion target that sets the share can still be met.
+ */
 const DEFAULT_ALLOWED_MISS_RATIO = 0.1;
 
 /** The leader components that `DecisionLoop` uses to make and apply decisions. */
@@ -47,7 +49,9 @@
 /** Makes one placement decision at a time, each over a snapshot of the leader's state. */
 export class DecisionLoop {
   private readonly teams: ReadonlyMap<TeamId, Team>;
-  /** Cached jobs within their teams' guaranteed quotas, valid for the stored version of the job store. */
+  /**
+   * Cached jobs within their teams' guaranteed quotas, valid while the job store has `version`; null: not computed yet.
+   */
   private guaranteed: { readonly version: number; readonly jobs: Set<JobId> } | null = null;
   private isStarted = false;
   private isRequested = false;
@@ -70,7 +74,7 @@
   request(): void {
     if (this.isRequested || !this.isStarted || this.ctx.isEnded()) return;
     this.isRequested = true;
-    // A long decision is followed by a longer pause, so that heartbeats are handled first.
+    // After a long decision, the next decision is delayed for longer, so that heartbeats are handled first.
     const delayMs = Math.max(DECISION_DELAY_MS, this.lastDurationMs * DECISION_PAUSE_FACTOR);
     this.ctx.clock.after(delayMs, () => {
       this.isRequested = false;
@@ -79,7 +83,10 @@
     });
   }
 
-  /** Dispatches the start commands of tasks whose placement is durable; a start command must not be sent earlier. */
+  /**
+   * Dispatches the start commands of tasks whose placement is durable; a start command must not be sent earlier.
+   * Releases instead a task whose worker is unknown or being removed, or whose job is cancelled.
+   */
   onTasksPlaced(tasks: readonly Task[]): void {
     const now = this.ctx.clock.now();
     const startingWorkers = new Set<Worker>();
@@ -222,7 +229,10 @@
     return { spec: job.spec, tasks: taskCount, zones: job.zones, runMs, ...this.slackAfterBoot(job, runMs) };
   }
 
-  /** Returns the job's slack to its next objective that a machine rented now can still meet after booting. */
+  /**
+   * Returns the job's slack to its next target that a machine rented now can still meet after booting (null: there is
+   * none), and the slack factor of its class.
+   */
   private slackAfterBoot(job: JobView, runMs: number): { slackMs: number | null; slackFactor: number } {
     const { fleet, sloTargets, slackFactors } = this.parts;
     const ageAfterBootMs = this.msSinceReady(job) + fleet.slowestBootMs();
--- a/src/leader/dependency-tracker.ts
+++ b/src/leader/dependency-tracker.ts
@@ -140,7 +140,8 @@
     try {
       const row = this.ctx.jobs.has(id) ? null : await this.ctx.store.get(keys.job(id));
       this.unresolvedIds.delete(id);
-      // A dependency that is still `accepted` is already in the job store or will be added by the job watch.
+      // A dependency that is still `accepted` is already in the job store or will be added by the job watch. A
+      // dependency without a job record counts as `accepted`.
       const state = row ? decodeJob(id, row.value).state : 'accepted';
       await this.parts.lock.runExclusive(() => {
         if (state === 'done') this.markDone(id);
--- a/src/leader/fleet-record-writer.ts
+++ b/src/leader/fleet-record-writer.ts
@@ -29,7 +29,10 @@
 }
 
 const MAX_MACHINES_PER_RECORD = 120;
-/** Maximum size of the records in one transaction; a whole transaction may carry 64 KiB (PROTOCOL). */
+/**
+ * Maximum size of the records in one transaction, unless a single record is larger; a whole transaction may carry 64
+ * KiB (PROTOCOL).
+ */
 const MAX_TXN_BYTES = 48 * 1024;
 /**
  * Minimum time between saves, so that several changes share one save. Heartbeats and the cloud's machine list supply
@@ -42,9 +45,9 @@
 const START_RESERVE_RATIO = 0.4;
 
 /**
- * Saves the rented machines and the forecast weights in the store. A machine stays in its assigned record, and only
- * changed records are written. Otherwise each rental in a large fleet would rewrite all records and use the write
- * budget that task starts need.
+ * Saves the rented machines, the forecast weights and the slack factors in the store. A machine stays in its assigned
+ * record, and only changed records are written. Otherwise each rental in a large fleet would rewrite all records and
+ * use the write budget that task starts need.
  */
 export class FleetRecordWriter {
   private readonly recordIndexByMachine = new Map<MachineId, number>();
--- a/src/leader/heartbeat-handler.ts
+++ b/src/leader/heartbeat-handler.ts
@@ -33,7 +33,10 @@
 import { TaskFailurePolicy } from './task-failure-policy.js';
 import type { WorkerLeasePolicy } from './worker-lease-policy.js';
 
-/** Maximum number of commands in one heartbeat answer; the remaining commands are sent with the next answer. */
+/**
+ * Maximum number of commands in one heartbeat answer under a valid leader lease; the remaining commands are sent with
+ * the next answer.
+ */
 const MAX_COMMANDS_PER_ANSWER = 250;
 
 /** The leader's answer to a heartbeat. */
@@ -140,7 +143,8 @@
 
   private refusalReason(heartbeat: Heartbeat, now: MonotonicTime): HeartbeatRefusal | null {
     if (this.ctx.isEnded()) return 'leadership ended';
-    // After its own lease has expired, a leader only renews worker leases, while `WorkerLeasePolicy` allows it.
+    // After its own lease has expired, a leader only renews worker leases and stops cancelled tasks, while
+    // `WorkerLeasePolicy` allows it.
     if (!this.parts.workerLeasePolicy.mayRenew(now)) return 'worker leases may not be renewed';
     if (this.stepDownIfDeposed(heartbeat)) return 'worker has seen a newer epoch';
     if (this.ctx.workers.isGone(heartbeat.machine)) return 'machine is gone';
@@ -170,8 +174,8 @@
   }
 
   /**
-   * Records the heartbeat and returns whether it is newer than the last one. A heartbeat of an earlier epoch proves
-   * nothing, not even that the worker is alive.
+   * Records the heartbeat and returns whether the heartbeat is of the current epoch and newer than the last one. A
+   * heartbeat of an earlier epoch proves nothing, not even that the worker is alive.
    */
   private recordHeartbeat(
     worker: Worker,
--- a/src/leader/job-canceller.ts
+++ b/src/leader/job-canceller.ts
@@ -49,9 +49,9 @@
   }
 
   /**
-   * Fences workers that still have a cancelled task, well before the cancellation time limit. Otherwise a hanging
-   * machine would keep running the task. Fencing needs no valid leader lease, because no leader has a valid lease while
-   * the store is unavailable.
+   * Fences workers that still have a cancelled task after `FENCE_AFTER_RATIO` of the cancellation time limit. Otherwise
+   * a hanging machine would keep running the task. Fencing needs no valid leader lease, because no leader has a valid
+   * lease while the store is unavailable.
    */
   fenceWorkersWithOverdueStops(now: MonotonicTime): void {
     const maxAgeMs = this.ctx.settings.cancellationLimit * FENCE_AFTER_RATIO;
@@ -66,7 +66,8 @@
   private stopTasks(job: ActiveJob): void {
     const now = this.ctx.clock.now();
     this.parts.graph.remove(job);
-    // The time limit runs from when this process learned of the cancellation, not from the takeover.
+    // The time limit runs from the time that `ConfirmedCancellations` holds, which allows for the age that a peer
+    // reported, and not from the takeover.
     const cancelledAt = this.ctx.cancellations.learnedAt(job.spec.id) ?? now;
     job.isCancelled = true;
     const stoppingWorkers = new Set<Worker>();
--- a/src/leader/job-outcomes.ts
+++ b/src/leader/job-outcomes.ts
@@ -20,7 +20,7 @@
   return Math.round(durationMs / 100) / 10;
 }
 
-/** Compares each ended job with the service-level objectives of its class. */
+/** Logs each ended job and compares each one that was not cancelled with its completion targets. */
 export class JobOutcomes {
   constructor(
     private readonly ctx: LeaderContext,
@@ -51,7 +51,10 @@
     );
   }
 
-  /** Records whether the job missed the first objective that a machine rented for the job could have met. */
+  /**
+   * Records whether the job missed its first completion target (its deadline or an objective of its class) that a
+   * machine rented for the job could have met.
+   */
   private recordObjective(job: ActiveJob): void {
     const { fleet, lifetimes, sloTargets, slackFactors } = this.parts;
     const objective = sloTargets.nextCompletionTarget(
--- a/src/leader/job-watcher.ts
+++ b/src/leader/job-watcher.ts
@@ -1,4 +1,7 @@
-/** Watches the job records and applies every acceptance and cancellation of a job to the leader's state. */
+/**
+ * Watches the job records and applies every acceptance and cancellation of a job to the leader's state, except changes
+ * with an unreadable record, which are logged.
+ */
 import type { Mutex } from 'async-mutex';
 import type { LeaderContext } from '../core/context.js';
 import { errorMessage } from '../log/logger.js';
@@ -54,7 +57,10 @@
     }
   }
 
-  /** Waits for the next changes, applies them, and returns the revision up to which changes have been applied. */
+  /**
+   * Waits for the next changes, applies them (or reloads all unfinished jobs if changes were missed), and returns the
+   * revision up to which changes have been applied.
+   */
   private async watchOnce(after: Revision): Promise<Revision> {
     const { clock, store } = this.ctx;
     const { lock, workerLeasePolicy } = this.parts;
--- a/src/leader/leader-parts.ts
+++ b/src/leader/leader-parts.ts
@@ -54,7 +54,10 @@
   readonly sloTargets: SloTargets;
 }
 
-/** The components of one leader. `lock` serializes decisions, heartbeats, and job watch events. */
+/**
+ * The components of one leader. `lock` serializes decisions, heartbeats, watched job changes, confirmed cancellations,
+ * and read dependencies.
+ */
 export interface LeaderParts {
   readonly ctx: LeaderContext;
   readonly lock: Mutex;
@@ -208,7 +211,9 @@
   return { fleet, fleetRecordWriter, committer, writeCounts };
 }
 
-/** Creates this leader's store write budget, which follows the store's announced write rate until the term ends. */
+/**
+ * Creates this leader's store write budget, which follows the write rate limit of `StoreLimits` until the term ends.
+ */
 function createWriteBudget({ clock, storeLimits }: LeaderContext, lifetime: TermLifetime): TokenBucket {
   const budget = new TokenBucket(clock, 1, 1);
   const unsubscribe = storeLimits.onRateChange(() => {
--- a/src/leader/leader-summary.ts
+++ b/src/leader/leader-summary.ts
@@ -4,7 +4,9 @@
 import type { Worker } from '../workers/state/worker.js';
 import type { WorkerRegistry } from '../workers/state/worker-registry.js';
 
-/** Counts of the running machines of one type and purchase option (spot or on-demand). */
+/**
+ * Counts and free CPUs of the running machines with known facts of one type and purchase option (spot or on-demand).
+ */
 interface PoolSummary {
   up: number;
   empty: number;
--- a/src/leader/leader.ts
+++ b/src/leader/leader.ts
@@ -13,7 +13,7 @@
 import { TermLifetime } from './term-lifetime.js';
 
 const TICK_INTERVAL_MS = 500;
-/** Time after the start of a term within which the leader contacts all running workers. */
+/** Time after the restore of the stored state within which the leader is expected to contact all running workers. */
 const INITIAL_CONTACT_PERIOD_MS = 4000;
 
 /** The leader for one epoch. */
@@ -42,7 +42,10 @@
     this.lifetime.end(reason);
   }
 
-  /** Restores the stored state and starts decisions. Resolves after that, or earlier if the term ends. */
+  /**
+   * Restores the stored state and starts all components. Resolves after that, or earlier if the term ends; decisions
+   * may start later (`startDecisions`).
+   */
   async start(): Promise<void> {
     const { ctx, restorer, heartbeats, dependencies, dispatcher, watcher } = this.parts;
     const restoredUpTo = await restorer.run();
@@ -60,8 +63,8 @@
 
   /**
    * Enables decisions, after a delay if records could not be read. Tasks in unreadable records count toward no quota,
-   * so no task is started until the workers have reported those tasks and stopped them as unwanted, or until the leases
-   * of the workers have certainly expired.
+   * so no task is started until each worker either has reported those tasks and stopped them as unwanted, or has
+   * certainly lost its lease (`untrackedLeasesEndAt`).
    */
   private startDecisions(): void {
     const { ctx, restorer, failureDetector, decisions } = this.parts;
@@ -107,7 +110,10 @@
     void workerLeasePolicy.pollPeers();
   }
 
-  /** Applies cancellations that were confirmed to users, as reported by another controller or read from the records. */
+  /**
+   * Applies cancellations that were confirmed to users, whether by this controller, as reported by another controller,
+   * or as read from the records.
+   */
   onCancellationsConfirmed(ids: readonly JobId[]): void {
     const { lock, canceller } = this.parts;
     if (!this.lifetime.isEnded) void lock.runExclusive(() => ids.forEach((id) => canceller.cancel(id)));
@@ -125,7 +131,7 @@
       .map((job) => ({ id: job.spec.id, done: job.doneCount, running: job.runningCount }));
   }
 
-  /** Returns the counters and state totals of the term for the log. */
+  /** Returns the counters and state totals of the term for the log, and resets the counts of writes and decisions. */
   summary(): object {
     const { ctx, writeCounts, decisionLog, issuer, fleet } = this.parts;
     return {
--- a/src/leader/open-job-loader.ts
+++ b/src/leader/open-job-loader.ts
@@ -27,7 +27,10 @@
   readonly cancelled: readonly JobId[];
   /** Keys of progress records whose jobs have ended. */
   readonly staleKeys: readonly string[];
-  /** Whether some records cannot be read, so that unknown tasks may be running. */
+  /**
+   * Whether the record of an unfinished job or of a loaded job's progress cannot be read, so that unknown tasks may be
+   * running.
+   */
   readonly hasUnreadable: boolean;
   /** The revision up to which changes are included. */
   readonly revision: Revision;
@@ -94,7 +97,10 @@
     }
   }
 
-  /** Holds back the job of a key whose format no version writes, because the meaning of the record is unknown. */
+  /**
+   * Holds back the job of a key whose format no version known to this controller writes, because the meaning of the
+   * record is unknown.
+   */
   private addUnrecognizedKey(key: string): void {
     const id = jobIdOfInvalidOpenKey(key);
     this.holdBackJob(
--- a/src/leader/placement-views.ts
+++ b/src/leader/placement-views.ts
@@ -9,7 +9,7 @@
 /** The urgency of a waiting job. */
 interface JobUrgency {
   readonly waitedMs: number;
-  /** Time that the job may still wait, in milliseconds; null if no objective can be met any more. */
+  /** Time that the job may still wait, in milliseconds; null if the job has no target that can still be met. */
   readonly slackMs: number | null;
   readonly isStarving: boolean;
 }
@@ -21,7 +21,8 @@
   { waitedMs, slackMs, isStarving }: JobUrgency,
 ): JobView {
   const isZoneBound = hasZoneConstraint(job.spec);
-  // A task on a machine with a known ID but unknown facts may be in any zone, so the job is not placed.
+  // A task on a machine with a known ID but unknown facts may be in any zone, so a job with a zone constraint is
+  // deferred.
   const hasUnknownZone = isZoneBound && job.zoneTally.unknownZoneCount > 0;
   return {
     spec: job.effectiveSpec,
--- a/src/leader/record-loader.ts
+++ b/src/leader/record-loader.ts
@@ -1,4 +1,7 @@
-/** Loads job descriptions, machines and forecasts from the stored records; `open-job-loader` loads open jobs. */
+/**
+ * Loads job descriptions and dependencies, machines and forecasts from the stored records; `open-job-loader` loads open
+ * jobs.
+ */
 import type { LeaderContext } from '../core/context.js';
 import type { FleetManager } from '../fleet/fleet-manager.js';
 import { errorMessage } from '../log/logger.js';
@@ -18,7 +21,10 @@
 /** Maximum random addition to the retry delay of a rate-limited request. */
 const RATE_LIMIT_RETRY_JITTER_MS = 60;
 
-/** Retries a rate-limited request after a short delay, so that rate limiting does not restart the whole takeover. */
+/**
+ * Sends a request and, until the term ends, retries it after a delay while it is rate limited, so that rate limiting
+ * does not restart the whole takeover.
+ */
 export function withRateLimitRetry<T>(ctx: LeaderContext, request: () => Promise<T>): Promise<T> {
   const retryDelayMs = (): number => RATE_LIMIT_RETRY_DELAY_MS + ctx.random() * RATE_LIMIT_RETRY_JITTER_MS;
   return retryWhileRateLimited(
--- a/src/leader/state-restorer.ts
+++ b/src/leader/state-restorer.ts
@@ -30,7 +30,9 @@
 
 /** Loads the stored records, with retries until all are loaded or the term ends. */
 export class StateRestorer {
-  /** Whether some records cannot be read, so that unknown tasks may be running. */
+  /**
+   * Whether the record of an unfinished job or of its progress cannot be read, so that unknown tasks may be running.
+   */
   hasUnreadableRecords = false;
 
   constructor(
@@ -68,7 +70,10 @@
     log.info({ epoch, revision, durationMs, jobs: jobs.length, machines }, 'state restored');
   }
 
-  /** Returns the workers in contact order: workers with production tasks, workers with free capacity, other workers. */
+  /**
+   * Returns the workers that are up or have tasks, in contact order: workers with production tasks, workers with free
+   * capacity, other workers.
+   */
   workersInContactOrder(): Worker[] {
     return [...this.ctx.workers.values()]
       .filter((worker) => worker.isUp || !worker.isEmpty)
--- a/src/leader/task-failure-policy.ts
+++ b/src/leader/task-failure-policy.ts
@@ -19,8 +19,8 @@
   }
 
   /**
-   * Cordons a worker with too many failures. Its running replicas continue; the machine is returned after they have
-   * ended.
+   * Cordons a worker with at least `maxTaskFailures` counted failures, unless it is already cordoned. Its running tasks
+   * continue; the machine is returned after they have ended.
    */
   cordonIfFailing(worker: Worker): void {
     const { log, operators } = this.ctx;
--- a/src/leader/term-lifetime.ts
+++ b/src/leader/term-lifetime.ts
@@ -12,7 +12,7 @@
     return this.hasEnded;
   }
 
-  /** Registers a cleanup that runs when the term ends. */
+  /** Registers a cleanup that runs when the term ends; a cleanup that is registered after the end never runs. */
   addCleanup(cleanup: Cancel): void {
     this.cleanups.push(cleanup);
   }
--- a/src/leader/worker-drainer.ts
+++ b/src/leader/worker-drainer.ts
@@ -26,7 +26,10 @@
     }
   }
 
-  /** Cordons a worker and stops its tasks, which start again on other machines. */
+  /**
+   * Cordons a worker and stops its placed tasks, which start again on other machines; does nothing if the worker is
+   * unknown or already cordoned.
+   */
   drain(id: MachineId): void {
     const worker = this.ctx.workers.get(id);
     if (!worker || worker.cordon) return;
@@ -48,7 +51,7 @@
   }
 }
 
-/** Returns whether the worker is probably running and has not reported in this term. */
+/** Returns whether the worker has a known address, is probably running, and has not reported in this term. */
 function mustContact(worker: Worker): boolean {
   if (worker.hasReported || worker.address === '') return false;
   return worker.isListedRunning || worker.isUp || !worker.isEmpty;
--- a/src/leader/worker-lease-policy.ts
+++ b/src/leader/worker-lease-policy.ts
@@ -10,8 +10,8 @@
 /** Minimum time for which a leader with a valid lease renews worker leases without observing cancellations. */
 const MIN_RENEWAL_WITH_VALID_LEASE_MS = 12_000;
 /**
- * Maximum time for which a leader without a valid lease renews worker leases before it has loaded the stored records.
- * Such a leader knows only the cancellations that its peers reported.
+ * Maximum time after the end of the leader lease's validity for which a leader renews worker leases before it has
+ * loaded the stored records. Such a leader knows only the cancellations that its peers reported.
  */
 const MAX_RENEWAL_BEFORE_LOAD_MS = 3000;
 const PEER_POLL_INTERVAL_MS = 1000;
@@ -29,7 +29,10 @@
 type WorkerLeasePolicyContext = RenewalLimits &
   Pick<ControllerContext, 'clock' | 'log' | 'peers' | 'cancellations'>;
 
-/** Returns how long a leader may renew worker leases after its own lease has expired, according to the settings. */
+/**
+ * Returns how long, according to the settings, a leader may renew worker leases after its own lease has expired or, if
+ * later, after the last poll that every peer answered.
+ */
 export function maxRenewalWithoutQuorum({ settings, operators }: RenewalLimits): Millis {
   const configured = operators.leadership.maxRenewalWithoutQuorum;
   return Math.max(0, Math.min(configured, maxRenewalAfterCancellationMs(settings))) as Millis;
@@ -50,16 +53,16 @@
  * Decides whether the leader may answer heartbeats, which renews worker leases. Two time bounds apply, each measured
  * from the last time at which a condition was known to be true:
  *
- * - No other controller was leader: known at the expiry of this leader's lease, and at the last poll in which every
- *   peer reported that it is not leader. A successor expects its predecessor to answer heartbeats for up to
- *   `maxRenewalWithoutQuorum` after the takeover.
+ * - No other controller was leader of a newer epoch: known at the expiry of this leader's lease, and at the last poll
+ *   in which every peer reported that it leads no newer epoch. A successor expects its predecessor to answer heartbeats
+ *   for up to `maxRenewalWithoutQuorum` after the takeover.
  * - This leader knew every confirmed cancellation: known when the watch of the job records was last up to date, and at
  *   the last poll in which every peer reported its confirmed cancellations. A worker lease that is renewed within
  *   `maxRenewalAfterCancellationMs` of that time expires within the time limit of a cancellation.
  *
  * While the store is unavailable to all controllers, no cancellation can be confirmed. Peers can report this, so that
- * tasks keep running. A peer that does not answer, has no information, or has restarted since may have confirmed
- * cancellations; such a poll proves nothing about cancellations.
+ * tasks keep running. A peer that does not answer, does not support the request for its status, or has restarted since
+ * the last observation may have confirmed cancellations; such a poll proves nothing about cancellations.
  */
 export class WorkerLeasePolicy {
   private cancellationsObservedUpTo: MonotonicTime | null = null;
@@ -96,7 +99,10 @@
     );
   }
 
-  /** Requests the status of all peers at a limited rate; used while the leader's own lease is not valid. */
+  /**
+   * Requests the status of all peers, at most once per `PEER_POLL_INTERVAL_MS`; used while the leader's own lease is
+   * not valid.
+   */
   async pollPeers(): Promise<void> {
     const { clock, peers, cancellations, log } = this.ctx;
     const now = clock.now();
