--- a/src/store/client.ts
+++ b/src/store/client.ts
@@ -33,7 +33,7 @@
 export interface KeyValueStore {
   /** Reads one key. Returns null if the key does not exist. */
   get(key: string): Promise<KeyValue | null>;
-  /** Reads one page of the keys under a prefix, in key order, from the first key after `after`. */
+  /** Reads one page of the keys under a prefix, in key order, from the first key, or the first key after `after`. */
   range(prefix: string, after?: string): Promise<KeyValuePage>;
   /** Applies all writes atomically if every condition holds. A transaction without writes only compares. */
   txn(conditions: readonly Compare[], writes: readonly WriteOperation[]): Promise<TxnResult>;
@@ -118,7 +118,9 @@
         `key-value store refused the transaction with 400: ${JSON.stringify(reply.body)}`,
       );
     }
-    throw new StoreOutcomeUnknownError(`key-value store answered ${reply.status} to a transaction`);
+    throw new StoreOutcomeUnknownError(
+      `key-value store answered ${reply.status} to a transaction, not 200, 400 or 409`,
+    );
   }
 
   async grantLease(ttlMs: number): Promise<LeaseId> {
@@ -129,7 +131,9 @@
     const reply = await this.call('POST', `/grants/${lease}/touch`);
     if (reply.status === 404) return false;
     if (reply.status !== 200)
-      throw new StoreOutcomeUnknownError(`key-value store answered ${reply.status} to a lease renewal`);
+      throw new StoreOutcomeUnknownError(
+        `key-value store answered ${reply.status} to a lease renewal, not 200 or 404`,
+      );
     return true;
   }
 
@@ -149,7 +153,7 @@
     }
     if (reply.status === 410) return null;
     if (reply.status !== 200)
-      throw new StoreRefusedError(`key-value store answered ${reply.status} to a watch`);
+      throw new StoreRefusedError(`key-value store answered ${reply.status} to a watch, not 200 or 410`);
     return decodeReply(reply, readWatchEvents);
   }
 }
--- a/src/store/machine-record.ts
+++ b/src/store/machine-record.ts
@@ -76,7 +76,9 @@
     throw new InvalidRecordError('fleet record: field m is not a list of machines');
   return machines.map((machine: unknown) => {
     if (!isStoredMachine(machine))
-      throw new InvalidRecordError('fleet record: a machine entry has missing or invalid fields');
+      throw new InvalidRecordError(
+        'fleet record: a machine entry is not a list of id, type, zone, spot bit, address, rental time and up bit',
+      );
     return decodeMachine(machine);
   });
 }
--- a/src/store/progress-record.ts
+++ b/src/store/progress-record.ts
@@ -80,7 +80,7 @@
 function requireList(value: unknown): readonly unknown[] {
   if (value === undefined || value === null) return [];
   if (Array.isArray(value)) return value;
-  throw new InvalidRecordError('progress record: a field is not a list');
+  throw new InvalidRecordError('progress record: one of the fields d, p and u is not a list');
 }
 
 /** Returns a stored tuple of at least `minLength` fields. Fields that a later version appended are ignored. */
