--- a/src/core/confirmed-cancellations.ts
+++ b/src/core/confirmed-cancellations.ts
@@ -74,7 +74,7 @@
 
   private removeExpired(now: MonotonicTime): void {
     for (const [id, learnedAt] of this.learnedAtById) {
-      // Entries are in the order of arrival; entries from peers may be out of order by the time of their transfer.
+      // Entries are in the order of arrival. An entry from a peer may have an earlier time than the entries before it.
       if (since(now, learnedAt) <= this.retention && this.learnedAtById.size <= MAX_ENTRY_COUNT) return;
       this.learnedAtById.delete(id);
     }
--- a/src/core/context.ts
+++ b/src/core/context.ts
@@ -44,16 +44,19 @@
   readonly random: () => number;
   /** The machine types by id; empty until the catalog has been read. */
   readonly machineTypes: Map<MachineTypeId, MachineType>;
-  /** The maximum number of concurrent direct calls to workers. */
+  /** The maximum number of concurrent command calls to workers, and also of workers that are probed concurrently. */
   readonly maxConcurrentWorkerCalls: number;
   /** Returns the share of its processor time that this process uses, from 0 to 1. */
   readonly load: () => number;
   readonly storeLimits: StoreLimits;
   readonly cancellations: ConfirmedCancellations;
   readonly peers: PeerStatusSource;
-  /** Whether the leader and every controller that may take over are known to support the protocol version. */
+  /** Whether the last observed leader, if any, and every connected controller support the protocol version. */
   readonly allPeersSupport: (version: number) => boolean;
-  /** Returns the prefetched records under a prefix, brought up to date; null if the records must be read in full. */
+  /**
+   * Returns the prefetched records under a prefix, brought up to date; null if the records must be read in full, as
+   * after the first call for a prefix.
+   */
   readonly takePrefetchedRecords: (prefix: string) => Promise<RecordSet | null>;
 }
 
@@ -69,8 +72,9 @@
   /**
    * Whether the leader certainly holds its lease at this moment.
    *
-   * Without a valid lease, no machine is rented or deleted: during a partition, the network may delay such calls and
-   * deliver them long after another leader has placed tasks on the machine.
+   * Without a valid lease, no machine is rented, and none is deleted except one with an overdue cancelled task: during
+   * a partition, the network may delay such calls and deliver them long after another leader has placed tasks on the
+   * machine.
    */
   isLeaseValid(): boolean;
   /** Ends this term immediately because there is a newer one. */
@@ -80,7 +84,7 @@
   requestDecision(): void;
   /** Carries out a confirmed cancellation. */
   cancelJob(job: JobId): void;
-  /** Drains a worker: its tasks are stopped and restarted on other workers. */
+  /** Drains a worker, unless it is cordoned: its tasks are stopped and restarted on other workers. */
   drainWorker(worker: MachineId): void;
   /** Sends the worker its pending commands. */
   dispatchCommands(worker: MachineId): void;
--- a/src/model/heartbeat.ts
+++ b/src/model/heartbeat.ts
@@ -21,7 +21,7 @@
   readonly state: AttemptState;
   /**
    * Reason for the attempt's exit: `done`, `stopped`, `error`, `no_room`, `busy`, `no_such`, or a reason that this
-   * version does not know.
+   * version does not know; null if the worker reports none.
    */
   readonly cause: string | null;
 }
@@ -49,7 +49,7 @@
   readonly attemptNumber: AttemptNumber;
 }
 
-/** Command to start an attempt. A worker that has already had the attempt ignores the command. */
+/** Command to start an attempt. A worker that still lists the attempt in any state ignores the command. */
 interface StartCommand extends CommandTarget {
   readonly kind: 'start';
 }
--- a/src/model/job.ts
+++ b/src/model/job.ts
@@ -37,7 +37,7 @@
   readonly zone: ZoneId | null;
   /** Whether all tasks have to run in one zone. */
   readonly zoneAffinity: boolean;
-  /** Whether at most half of the tasks may run in one zone. */
+  /** Whether at most half of the tasks, rounded up, may run in one zone. */
   readonly zoneAntiAffinity: boolean;
   /** Whether the tasks may run on spot machines. */
   readonly allowsSpot: boolean;
--- a/src/model/time.ts
+++ b/src/model/time.ts
@@ -20,10 +20,10 @@
   (time + durationMs) as MonotonicTime;
 /** Returns the duration from `then` to `now`. */
 export const since = (now: MonotonicTime, then: MonotonicTime): Millis => (now - then) as Millis;
-/** Returns the maximum duration on this process's clock of a duration measured by another process's clock. */
+/** Returns the maximum duration on this clock of `remoteMs` on another process's clock, for twice the maximum drift. */
 export const maxLocalDuration = (remoteMs: number): Millis =>
   (remoteMs * (1 + 2 * MAX_CLOCK_DRIFT_RATIO)) as Millis;
-/** Returns the minimum duration on this process's clock of a duration measured by another process's clock. */
+/** Returns the minimum duration on this clock of `remoteMs` on another process's clock, for twice the maximum drift. */
 export const minLocalDuration = (remoteMs: number): Millis =>
   (remoteMs * (1 - 2 * MAX_CLOCK_DRIFT_RATIO)) as Millis;
 
--- a/src/store/errors.ts
+++ b/src/store/errors.ts
@@ -9,7 +9,10 @@
   abstract readonly code: KeyValueStoreErrorCode;
 }
 
-/** The store did not carry out the request: it is unavailable (503) or rate limits this client (429). */
+/**
+ * The store did not carry out the request: it is unavailable (503), rate limits this client (429), or answered a watch
+ * with a status other than 200 and 410.
+ */
 export class StoreRefusedError extends KeyValueStoreError {
   override readonly name: string = 'StoreRefusedError';
   /** Whether the request was rate limited and may succeed if the caller repeats it after a short delay. */
@@ -39,7 +42,10 @@
   }
 }
 
-/** The store sent no answer or an unreadable one: it may have carried out the request, or may still do so. */
+/**
+ * The store sent no answer, an unreadable one, or one with an unexpected status: it may have carried out the request,
+ * or may still do so.
+ */
 export class StoreOutcomeUnknownError extends KeyValueStoreError {
   override readonly name = 'StoreOutcomeUnknownError';
   override readonly code = 'STORE_OUTCOME_UNKNOWN';
--- a/src/store/job-record.ts
+++ b/src/store/job-record.ts
@@ -123,8 +123,9 @@
 }
 
 /**
- * Encodes the record of a done or cancelled job. The names are left out if the record would exceed `valueBytes`:
- * nothing reads the names of such a job, and the write of its final state must not fail for its size.
+ * Encodes the record of a done or cancelled job, without its dependencies. The names are also left out if overflow
+ * records hold them or the record would exceed `valueBytes`: nothing reads the names of such a job, and the write of
+ * its final state must not fail for its size.
  */
 export function encodeEndedJob(record: JobRecord, valueBytes: number): StoredJob {
   const spec: JobSpec = { ...record.spec, dependencies: [], dependencyRecordCount: 0 };
@@ -226,7 +227,8 @@
 
 /**
  * Splits an accepted job so that no stored value exceeds `valueBytes`. The content of the overflow records depends on
- * the submission alone, so that two controllers that accept the same submission concurrently write the same records.
+ * the submission and `valueBytes` alone, so that two controllers that accept the same submission concurrently write the
+ * same records.
  *
  * @param submittedDependencies All dependencies in the submission, including jobs that are already done.
  */
--- a/src/store/keys.ts
+++ b/src/store/keys.ts
@@ -51,7 +51,7 @@
 export interface OpenKey {
   readonly job: JobId;
   readonly chunk: number | null;
-  /** Number of tasks whose progress shares one record. */
+  /** Number of tasks whose progress shares one record; the default size for a head record. */
   readonly size: number;
 }
 
--- a/src/store/leader-record.ts
+++ b/src/store/leader-record.ts
@@ -24,7 +24,7 @@
  * Encodes the value under `leader`.
  *
  * @param refreshCount Number of times that the leader has refreshed its record as a heartbeat in the store. The count
- * makes the value of each refresh differ from the previous value.
+ * makes the value of each refresh differ from the previous value. A count of 0, or without `process`, is not stored.
  */
 export function encodeLeader(
   { member, epoch, version, process }: LeaderRecord,
@@ -50,7 +50,7 @@
   readonly epoch: Epoch;
   /**
    * Whether a leader may have been replaced before its lease expired. Such a leader may consider its lease valid for
-   * up to the full lease duration after its successor's failover.
+   * up to the full lease duration after its successor's takeover.
    */
   readonly early: boolean;
 }
--- a/src/store/store-limits.ts
+++ b/src/store/store-limits.ts
@@ -39,8 +39,9 @@
 /**
  * Tracks the key-value store's limits that this controller applies. The store may lower its limits without notice to
  * those that the settings announce. Size limits are the smaller of the current and the announced limits from the first
- * write on. Rate limits switch to the announced limits at the first rate-limited request. Since a burst of submissions
- * can be rate limited long before the store lowers its limits, a probe then checks which limits are in force.
+ * write on. Rate limits switch to the announced limits, if those are lower, at the first rate-limited request. Since a
+ * burst of submissions can be rate limited long before the store lowers its limits, a probe then checks which limits
+ * are in force; without a probe, the switch lasts for `INITIAL_ASSUMPTION_MS`, doubled each time.
  */
 export class StoreLimits {
   /** Maximum length of a value in bytes. */
@@ -51,7 +52,9 @@
   private assumptionMs = INITIAL_ASSUMPTION_MS;
   /** Whether chunks of a job's progress may be smaller than the default size. */
   private mayUseSmallChunks = false;
-  /** Ratio of the actual to the estimated size of a record's entries; doubles when a record is too large. */
+  /**
+   * Assumed ratio of actual to estimated entry size; doubles when a record within the announced limits is too large.
+   */
   private entrySizeFactor = 1;
   private readonly rateListeners = new Set<() => void>();
 
@@ -162,7 +165,10 @@
     this.mayUseSmallChunks = true;
   }
 
-  /** Returns the number of tasks whose progress shares one record, in a job of `taskCount` tasks. */
+  /**
+   * Returns the number of tasks whose progress shares one record, in a job of `taskCount` tasks. This is the default
+   * size if one record can hold all tasks.
+   */
   chunkSize(taskCount: number): number {
     const maxTasks = this.mayUseSmallChunks
       ? maxTasksPerChunk(this.valueBytes / this.entrySizeFactor)
--- a/src/wire/common.ts
+++ b/src/wire/common.ts
@@ -26,7 +26,9 @@
   }
 }
 
-/** Formats the first issue of a validation error as one line that names the field. */
+/**
+ * Formats the first issue of a validation error as one line that names the field, unless the whole value is at fault.
+ */
 export function formatFirstIssue(error: z.core.$ZodError): string {
   const issue = error.issues[0];
   if (!issue) return 'invalid value';
--- a/src/wire/key-value-store.ts
+++ b/src/wire/key-value-store.ts
@@ -39,7 +39,7 @@
   readonly key: string;
   readonly value: unknown;
   readonly revision: Revision;
-  /** Lease to which the key is bound. Present if a single key was read, absent in pages of a range. */
+  /** Lease to which the key is bound. Present if a single bound key was read, absent in pages of a range. */
   readonly lease?: LeaseId;
 }
 
--- a/src/wire/settings.ts
+++ b/src/wire/settings.ts
@@ -142,7 +142,7 @@
   readonly txn_ops?: number | null | undefined;
 }
 
-/** Reads store limits. A missing field takes its value from `defaults`. */
+/** Reads store limits. A missing field takes its value from `defaults`. Throws if a size limit is below its minimum. */
 function readStoreLimits(
   field: string,
   file: StoreLimitsInFile,
@@ -157,12 +157,12 @@
   return { rps: file.rps ?? defaults.rps, writeRps: file.write_rps ?? defaults.writeRps, valueBytes, txnOps };
 }
 
-/** Returns the share of a processor core to plan with. Without a valid share in the settings, this is a whole core. */
+/** Returns the share of a processor core to plan with: the settings' share if above 0 and at most 1, otherwise 1. */
 export function usableCpuShare({ cpuShare }: Pick<Settings, 'cpuShare'>): number {
   return cpuShare !== null && cpuShare > 0 && cpuShare <= 1 ? cpuShare : 1;
 }
 
-/** Converts a quota of 0 or a missing quota to null. 0 means none (DEPLOY): no guarantee, or no limit. */
+/** Converts a quota limit of 0 or a missing one to null: no limit. 0 means none (DEPLOY): no guarantee, or no limit. */
 const zeroToNull = (value: number | null | undefined): number | null => (value ? value : null);
 
 /** Reads the platform's settings. Throws an error with a one-line message that names the invalid field. */
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -157,7 +157,7 @@
 
 /** A worker's answer to a direct call with commands. */
 export interface CommandReply {
-  /** False if the worker refused the commands because of the fencing token or the incarnation. */
+  /** Whether the worker answered 200; it answers otherwise to a refused fencing token or incarnation. */
   readonly executed: boolean;
   readonly heartbeat: Heartbeat | null;
 }
--- a/src/workers/command-dispatcher.ts
+++ b/src/workers/command-dispatcher.ts
@@ -8,12 +8,13 @@
 import type { CommandIssuer } from './command-issuer.js';
 
 const COMMAND_TIMEOUT_MS = 1500;
-/** How long a worker gets no direct calls after an unanswered call; its commands wait for its heartbeats meanwhile. */
+/** The time after an unanswered call in which a worker gets no command calls; commands then wait for its heartbeats. */
 const UNANSWERED_CALL_BACKOFF_MS = 3000;
 const MAX_COMMANDS_PER_CALL = 200;
 /**
- * The maximum ratio of first contacts to all concurrent calls. A new leader has no heartbeat from any worker yet. First
- * contacts only speed up heartbeats that arrive anyway, so they must not delay commands to workers that have reported.
+ * The maximum ratio of concurrent first contacts to `maxConcurrentCalls`, at a load of 0. A first contact is a call
+ * without commands to a worker that has sent no heartbeat in this epoch. First contacts only speed up heartbeats that
+ * arrive anyway, so they must not delay commands to workers that have reported.
  */
 const FIRST_CONTACT_CALL_RATIO = 0.25;
 
@@ -42,7 +43,11 @@
     private readonly options: CommandDispatcherOptions,
   ) {}
 
-  /** Sends the worker its pending commands now, or as soon as the limit on concurrent calls allows. */
+  /**
+   * Sends the worker its pending commands now, or as soon as the limit on concurrent calls allows. A worker that has
+   * not reported gets a first contact instead. Nothing is sent without an address, after the term, or after an
+   * unanswered call (`UNANSWERED_CALL_BACKOFF_MS`).
+   */
   dispatch(worker: Worker): void {
     if (worker.commandCall.isInFlight) {
       worker.commandCall.requestFollowUp();
@@ -76,7 +81,9 @@
     if (commands.length > 0) void this.send(worker, commands);
   }
 
-  /** Sends calls without commands to workers that have not reported; a call carries the epoch and returns a heartbeat. */
+  /**
+   * Sends calls without commands to workers that have not reported; a call carries the epoch and returns a heartbeat.
+   */
   private sendFirstContacts(): void {
     for (const worker of this.workersAwaitingFirstContact) {
       if (this.firstContactsInFlight >= this.maxFirstContacts() || !this.hasCallCapacity) return;
@@ -91,7 +98,7 @@
     }
   }
 
-  /** Returns the maximum number of concurrent first contacts, which falls as the load of this process rises. */
+  /** Returns the maximum number of concurrent first contacts: it falls to 1 as the load of this process rises to 1. */
   private maxFirstContacts(): number {
     return Math.max(1, this.options.maxConcurrentCalls * FIRST_CONTACT_CALL_RATIO * (1 - this.ctx.load()));
   }
@@ -122,7 +129,7 @@
       if (answer.heartbeat) this.options.onHeartbeat(worker, answer.heartbeat);
     } catch (error) {
       if (error instanceof NoSocketError) {
-        // Nothing was sent. The answer to the next heartbeat carries the commands if no socket becomes free before.
+        // Nothing was sent. The next call or the answer to the next heartbeat carries the commands.
         worker.commandCall.cancelFollowUp();
         return;
       }
@@ -136,8 +143,8 @@
   }
 
   /**
-   * Records a call without an answer. The commands of the call may still arrive minutes later, and take effect until the
-   * worker's fencing token is raised.
+   * Records a call without an answer. The commands of the call may still arrive minutes later, and take effect unless
+   * the worker has received a higher fencing token or begun a new incarnation.
    */
   private recordUnanswered(worker: Worker, sentAt: MonotonicTime, error: unknown): void {
     const now = this.ctx.clock.now();
--- a/src/workers/command-issuer.ts
+++ b/src/workers/command-issuer.ts
@@ -1,8 +1,9 @@
 /**
- * Issues all commands to workers and checks each start command against the placement rule.
+ * Issues commands to workers and checks each start command against the placement rule, except in a tombstone. Only the
+ * stop commands of `stopCommandsForCancelled` are issued elsewhere.
  *
  * A start command that the rule forbids on the current machine facts is withheld, and no stop or forget command is sent
- * in its place. The task is proven gone like any task that never started, and its job continues.
+ * in its place. The task is released once a heartbeat proves it gone, and its job continues.
  */
 import type { LeaderContext } from '../core/context.js';
 import type { DecisionLog } from '../log/decision-log.js';
@@ -22,7 +23,8 @@
   if (!worker.confirmedFacts) return PlacementRefusal.MachineUnknown;
   const { machine } = worker.confirmedFacts;
   if (!hasZoneConstraint(spec)) return placementRefusal(spec, machine, zoneTally.counts);
-  // The tally counts this task in its own zone, which is known; any task of unknown zone must belong to another machine.
+  // The tally counts this task in its own zone, which is known; any task of unknown zone must belong to another
+  // machine.
   if (zoneTally.unknownZoneCount > 0) return PlacementRefusal.ZoneUnknown;
   return placementRefusal(spec, machine, zoneTally.countsWithout(task.zone));
 }
@@ -86,8 +88,8 @@
   private withholdStart(task: Task, worker: Worker, refusal: PlacementRefusal, now: MonotonicTime): void {
     this.withheld++;
     this.ctx.log.error({ refusal, ...this.decisionBasis(task, worker, now) }, START_WITHHELD_MESSAGE);
-    // A task whose start was never sent is gone once a heartbeat lacks it. A task whose start was sent is gone only
-    // once the worker refuses that start command under a higher token.
+    // A task whose start was never sent is gone once a heartbeat lacks it. A task whose start was sent is gone once a
+    // heartbeat under a higher token or of a later incarnation lacks it, since the worker then refuses that command.
     if (task.startSentIncarnation === null) task.pendingStop = { graceS: 0, reason: 'misplaced', since: now };
     else worker.fence.needsHigherToken = true;
   }
--- a/src/workers/failure-detector.ts
+++ b/src/workers/failure-detector.ts
@@ -19,7 +19,7 @@
 const MAX_TICK_DELAY_MS = 700;
 /** The silence after which a machine with replicas is probed, since replicas do not run on a machine that hangs. */
 const EARLY_PROBE_SILENCE_MS = 2000;
-/** Machines behind a likely partition are fenced this ratio of the worker lease duration after their last answer. */
+/** The ratio of the worker lease duration after which an unreachable machine behind a likely partition is fenced. */
 const PARTITION_FENCING_LEASE_RATIO = 0.7;
 
 /** Settings and callbacks of a `WorkerFailureDetector`. */
@@ -28,15 +28,15 @@
   readonly predecessorRenewalMs: number;
   /** Called with the heartbeat that answers a probe. */
   readonly onHeartbeat: (worker: Worker, heartbeat: Heartbeat) => void;
-  /** Fences the worker's machine; called on every tick until the machine is gone. */
+  /** Fences the worker's machine; called on every tick that finds the worker failed. */
   readonly fence: (worker: Worker, reason: string) => void;
   /** Called for a worker with tasks whose lease has certainly expired, so that the worker has killed them. */
   readonly onLeaseExpired: (worker: Worker) => void;
 }
 
 /**
- * Detects workers that send no heartbeats or receive no answers, and fences their machines. Also detects that the leader
- * itself receives no heartbeats.
+ * Detects workers that send no heartbeats or receive no answers, and fences their machines. Also detects that the
+ * leader itself receives no heartbeats.
  */
 export class WorkerFailureDetector {
   private readonly timeouts: HeartbeatTimeouts;
@@ -88,14 +88,17 @@
     for (const worker of this.ctx.workers.values()) this.checkLease(worker, now);
   }
 
-  /** Whether the leader receives heartbeats from none of the workers that are up. Must be called before each tick. */
+  /** Whether an inbound partition is assumed (`InboundPartitionDetector`). Must be called before each tick. */
   isInboundPartitioned(now: MonotonicTime): boolean {
     const delay = since(now, this.lastTickAt);
     if (delay > MAX_TICK_DELAY_MS) this.inboundPartition.recordDelay(delay);
     return this.inboundPartition.isPartitioned(now);
   }
 
-  /** Checks every worker, probes suspected workers, and fences failed ones. */
+  /**
+   * Checks every worker that is up or has tasks, probes suspected workers, and fences failed ones. A tick that is later
+   * than `MAX_TICK_DELAY_MS` only resets the probes.
+   */
   tick(now: MonotonicTime): void {
     const snapshot = this.takeSnapshot(now);
     this.prober.probeEarly(snapshot.probeCandidates, now);
@@ -147,7 +150,8 @@
 
   /**
    * Whether a machine behind a likely partition is due for fencing. Tasks behind a partition keep running, and their
-   * results are kept, so their machines are fenced only shortly before the worker leases expire.
+   * results are kept, so their machines are fenced only after `PARTITION_FENCING_LEASE_RATIO` of the lease duration,
+   * counted from this leader's last answer to the worker's heartbeat, or from the takeover without an answer.
    */
   private isPartitionFencingDue(worker: Worker, now: MonotonicTime): boolean {
     const fencingDelayMs = this.ctx.settings.workerLeaseDuration * PARTITION_FENCING_LEASE_RATIO;
@@ -164,7 +168,10 @@
   }
 }
 
-/** Whether the worker is probed between its heartbeats: it has replicas, and its last direct call did not fail. */
+/**
+ * Whether the worker may be probed before its heartbeat is overdue: it has reported, has an address and replicas, is
+ * not being removed, and its last direct call did not fail.
+ */
 function isEligibleForEarlyProbe(worker: Worker): boolean {
   if (!worker.hasReported || worker.address === '') return false;
   if (worker.contact.hasFailedCall || worker.isRemoving) return false;
--- a/src/workers/fleet-health.ts
+++ b/src/workers/fleet-health.ts
@@ -6,14 +6,14 @@
 const MAX_INDIVIDUAL_FAILURE_RATIO = 0.4;
 /** The same bound as `MAX_INDIVIDUAL_FAILURE_RATIO`, for the machines of one zone. */
 const ZONE_MAX_INDIVIDUAL_FAILURE_RATIO = 0.8;
-/** The number of suspected machines up to which there is no partition, whatever their ratio. */
+/** The number of suspected machines up to which no partition is assumed, unless all machines are suspected. */
 const MAX_INDIVIDUAL_FAILURE_COUNT = 3;
-/** The largest ratio of machines without an answer to early probes that counts as machine failures. */
+/** The largest ratio, in one zone, of unresponsive machines to those probed early that counts as machine failures. */
 const MAX_INDIVIDUAL_UNRESPONSIVE_RATIO = 0.3;
-/** The number of machines without an answer to early probes that counts as machine failures, whatever their ratio. */
+/** The largest number of unresponsive machines in one zone that counts as machine failures, whatever their ratio. */
 const MAX_INDIVIDUAL_UNRESPONSIVE_COUNT = 2;
 
-/** Worker counts of one zone. */
+/** Worker counts of one zone. `up` includes workers that are not up but have tasks. */
 export interface ZoneHealth {
   up: number;
   suspected: number;
@@ -23,7 +23,7 @@
   unresponsive: number;
 }
 
-/** The result of one pass over all workers. */
+/** The result of one pass over all workers that are up or have tasks; `up` counts both. */
 export interface FleetHealthSnapshot {
   up: number;
   /** Workers whose heartbeats are overdue, or whose heartbeats arrive while no answer reaches them. */
@@ -77,7 +77,11 @@
   );
 }
 
-/** Whether a worker that answers no early probes has failed alone, since several at once may be behind a partition. */
+/**
+ * Whether a worker that answers no early probes counts as a machine failure: no more workers in its zone are
+ * unresponsive than the larger of the two limits, since several at once may be behind a partition. False if the
+ * worker's zone is unknown.
+ */
 export function isIndividuallyUnresponsive(worker: Worker, snapshot: FleetHealthSnapshot): boolean {
   const zone = zoneHealthOf(worker, snapshot);
   if (!zone) return false;
--- a/src/workers/heartbeat-timeouts.ts
+++ b/src/workers/heartbeat-timeouts.ts
@@ -38,7 +38,7 @@
     return this.timeSinceHeartbeat(worker, now) > this.silenceTimeout;
   }
 
-  /** Whether the worker's heartbeat is overdue, or its heartbeats have not shown for too long that answers reach it. */
+  /** Whether the worker's heartbeat is overdue, or no delivery to it has been recorded for `deliveryTimeout`. */
   isSuspected(worker: Worker, now: MonotonicTime): boolean {
     if (this.isOverdue(worker, now)) return true;
     const { contact } = worker;
--- a/src/workers/inbound-partition.ts
+++ b/src/workers/inbound-partition.ts
@@ -8,7 +8,7 @@
 const MIN_SILENCE_MS = 2000;
 /** The upper bound on the time without heartbeats after which an inbound partition is assumed. */
 const MAX_SILENCE_MS = 7000;
-/** The minimum ratio of workers with overdue heartbeats for an inbound partition. */
+/** The minimum ratio of workers with overdue heartbeats for an inbound partition, from the first heartbeat on. */
 const MIN_OVERDUE_WORKER_RATIO = 0.03;
 
 /** Detects an inbound partition, in which the leader receives no heartbeats from any worker. */
@@ -34,7 +34,11 @@
     this.lastHeartbeatAt = plus(this.lastHeartbeatAt, delay);
   }
 
-  /** Whether the leader receives heartbeats from none of the workers that are up. */
+  /**
+   * Whether an inbound partition is assumed: no heartbeat has arrived for the time in which `MISSED_HEARTBEAT_COUNT`
+   * heartbeats were due, bounded by `MIN_SILENCE_MS` and `MAX_SILENCE_MS`, and `MIN_OVERDUE_WORKER_RATIO` is reached.
+   * False with fewer than two workers that are up or have tasks.
+   */
   isPartitioned(now: MonotonicTime): boolean {
     let up = 0;
     let overdue = 0;
--- a/src/workers/lease-expiry.ts
+++ b/src/workers/lease-expiry.ts
@@ -23,8 +23,8 @@
   }
 
   /**
-   * Whether the worker has tasks and its lease has certainly expired. An earlier leader may have answered heartbeats
-   * for `predecessorRenewalMs` after this leader's takeover, or after its own lease was last valid.
+   * Whether the worker has tasks and its lease has certainly expired. The lease may rest on an answer of this leader or
+   * on an untracked answer, such as an earlier leader's within `predecessorRenewalMs` after this leader's takeover.
    */
   hasExpired(worker: Worker, now: MonotonicTime): boolean {
     if (worker.isEmpty) return false;
--- a/src/workers/reconciliation.ts
+++ b/src/workers/reconciliation.ts
@@ -9,11 +9,14 @@
 /** A task that has ended successfully. */
 interface FinishedTask {
   readonly task: Task;
-  /** The time that the task ran, in ms, or null if no heartbeat has shown the task running. */
+  /**
+   * The time from the first heartbeat that showed the task running to the one that showed its end, in ms; null if no
+   * heartbeat has shown the task running.
+   */
   readonly ranMs: number | null;
 }
 
-/** A task that has ended without success. */
+/** A task whose attempt has ended without success; the task is released for another attempt. */
 interface FailedTask {
   readonly task: Task;
   readonly cause: string | null;
@@ -21,7 +24,9 @@
 
 /** The changes that a heartbeat has caused, for the caller to act on. */
 export interface ReconciliationResult {
-  /** Whether a new scheduling decision is needed, since tasks were released or capacity changed. */
+  /**
+   * Whether a new scheduling decision is needed: a task ended or was released, or the worker's availability changed.
+   */
   readonly changed: boolean;
   readonly finished: readonly FinishedTask[];
   readonly failed: readonly FailedTask[];
@@ -159,8 +164,8 @@
   }
 
   /**
-   * Describes an ended attempt that is not the current attempt of its task, so that its result is not needed. The tokens
-   * of its start commands are no longer known, so the current token, the highest one sent, is assumed.
+   * Describes an ended attempt that is not the current attempt of its task, so that its result is not needed. The
+   * tokens of its start commands are no longer known, so the current token, the highest one sent, is assumed.
    */
   private describeUnassignedEndedAttempt(attempt: Attempt): EndedAttempt {
     const id = parseTaskId(attempt.task);
@@ -175,7 +180,10 @@
     };
   }
 
-  /** Releases the assigned tasks that are missing from the heartbeat and that the heartbeat proves gone. */
+  /**
+   * Releases the assigned tasks that are missing from the heartbeat and that the heartbeat proves gone. For a missing
+   * task that is not proven gone but was reported earlier, a higher token is requested.
+   */
   private releaseMissingTasks(assigned: ReadonlyMap<string, Task>, reported: ReadonlySet<string>): void {
     const { worker, now } = this;
     for (const [key, task] of assigned) {
@@ -198,11 +206,12 @@
   if (task.startSentIncarnation === null) return task.pendingStop !== null;
   // The worker refuses commands addressed to an earlier incarnation, and has killed that incarnation's tasks.
   if (heartbeat.incarnation > task.startSentIncarnation) return true;
-  // Under a higher token, the worker refuses every start command sent so far, including duplicates.
+  // Under a higher token, the worker refuses every start command sent so far, including duplicates. A null token means
+  // that only earlier epochs sent start commands, which the worker refuses as well.
   return task.startSentToken === null || heartbeat.token > task.startSentToken;
 }
 
-/** Releases all placed tasks of a machine that is proven gone, and returns them. */
+/** Releases all placed tasks of a worker whose machine is proven gone or whose lease has expired, and returns them. */
 export function releaseAllTasks(worker: Worker, now: MonotonicTime): Task[] {
   const lost: Task[] = [];
   for (const task of [...worker.tasks]) {
--- a/src/workers/state/image-cache.ts
+++ b/src/workers/state/image-cache.ts
@@ -9,7 +9,9 @@
     return this.sizes.has(image);
   }
 
-  /** Records a use of the image, and evicts other images until the total size is at most `capacityGb`. */
+  /**
+   * Records a use of the image, and evicts other images until the total is at most `capacityGb` or no other is left.
+   */
   use(image: ImageId, sizeGb: number, capacityGb: number): void {
     this.sizes.delete(image);
     this.sizes.set(image, sizeGb);
--- a/src/workers/state/probe-state.ts
+++ b/src/workers/state/probe-state.ts
@@ -1,6 +1,6 @@
 /** The probe state of one worker, for which at most one series of probes runs at a time. */
 export class ProbeState {
-  /** The number of unanswered probes since the worker was last responsive. */
+  /** The number of failed probes since the last `reset`. */
   private consecutiveFailures = 0;
   isInProgress = false;
 
--- a/src/workers/state/worker-contact.ts
+++ b/src/workers/state/worker-contact.ts
@@ -16,26 +16,28 @@
   private latestHeartbeatAt: MonotonicTime | null = null;
   private earliestHeartbeatAt: MonotonicTime | null = null;
   private deliveredAt: MonotonicTime | null = null;
-  /** The time of the last unanswered direct call; null if the last call was answered or none was made. */
+  /**
+   * The time of the last direct call recorded as unanswered; null if a later call was answered or none was recorded.
+   */
   private callFailedAt: MonotonicTime | null = null;
   private lastAnswered: AnsweredHeartbeat | null = null;
 
-  /** The time of the worker's last heartbeat in this epoch. */
+  /** The time of the worker's last heartbeat in this epoch; null without one. */
   get lastHeartbeatAt(): MonotonicTime | null {
     return this.latestHeartbeatAt;
   }
 
-  /** The time of the worker's first heartbeat in this epoch. */
+  /** The time of the worker's first heartbeat in this epoch; null without one. */
   get firstHeartbeatAt(): MonotonicTime | null {
     return this.earliestHeartbeatAt;
   }
 
-  /** The last time at which the worker showed that it had received an answer or a direct call. */
+  /** The last time at which the worker showed that it had received an answer or a direct call; null: it has not yet. */
   get lastDeliveryAt(): MonotonicTime | null {
     return this.deliveredAt;
   }
 
-  /** Whether the last direct call was unanswered; commands then wait for the answers to heartbeats. */
+  /** Whether the last recorded direct call was unanswered; the worker is then not probed early. */
   get hasFailedCall(): boolean {
     return this.callFailedAt !== null;
   }
--- a/src/workers/state/worker-registry.ts
+++ b/src/workers/state/worker-registry.ts
@@ -26,12 +26,12 @@
     return this.workers.values();
   }
 
-  /** Whether the machine was proven gone. */
+  /** Whether the machine is one of the last `MAX_GONE_MACHINE_COUNT` that were proven gone. */
   isGone(id: MachineId): boolean {
     return this.goneMachines.has(id);
   }
 
-  /** Adds the worker, unless its machine was proven gone. */
+  /** Adds the worker, unless `isGone` is true for its machine. */
   add(worker: Worker): void {
     if (!this.goneMachines.has(worker.id)) this.workers.set(worker.id, worker);
   }
--- a/src/workers/state/worker.ts
+++ b/src/workers/state/worker.ts
@@ -53,15 +53,19 @@
   readonly images = new ImageCache();
   readonly commandCall = new CommandCallState();
   readonly probes = new ProbeState();
-  /** The time at which the cloud reclaims the machine, according to an interruption notice. */
+  /** The time at which the cloud reclaims the machine, according to an interruption notice; null without a notice. */
   interruptionAt: MonotonicTime | null = null;
-  /** The reason why no tasks are placed on the machine; null if placement is allowed. */
+  /**
+   * The reason why the machine is cordoned; null: not cordoned, though other conditions may still prevent placement.
+   */
   cordon: CordonReason | null = null;
   readonly endedAttempts = new Map<string, EndedAttempt>();
-  /** Attempts in the last heartbeat that belong to no assigned task; every batch of commands includes a stop for each. */
+  /** Unexited attempts in the last heartbeat without an assigned task; with a valid leader lease, each gets a stop. */
   unassignedAttempts: Attempt[] = [];
   idleSince: MonotonicTime | null = null;
-  /** The number of task failures on the machine since the last success. */
+  /**
+   * The number of task failures that count against the machine (`TaskFailurePolicy`) since a task last succeeded on it.
+   */
   taskFailureCount = 0;
   isRemoving = false;
   /** Whether the cloud's list shows the machine as running. */
@@ -119,7 +123,7 @@
     return this.capacity.free;
   }
 
-  /** Whether every task that was assigned to the machine is proven gone. */
+  /** Whether every task that was assigned to the machine has ended or is proven gone. */
   get isEmpty(): boolean {
     return this.tasks.size === 0;
   }
@@ -135,8 +139,8 @@
   }
 
   /**
-   * Raises the fencing token, so that the worker refuses all commands sent earlier. Returns false if the token is at its
-   * maximum.
+   * Raises the fencing token, so that the worker refuses all commands sent earlier once the next answer reaches it.
+   * Returns false if the token is at its maximum.
    */
   raiseFence(): boolean {
     return this.fence.raise();
@@ -154,8 +158,8 @@
   }
 
   /**
-   * Reads the incarnation to address from a heartbeat of an earlier epoch, which proves nothing else. Returns whether the
-   * incarnation differs from the assumed one.
+   * Reads the incarnation to address from a heartbeat of an earlier epoch, which proves nothing else, if the worker has
+   * not reported in this epoch. Returns whether the incarnation is higher than the assumed one and was adopted.
    */
   learnIncarnation(heartbeat: Heartbeat, now: MonotonicTime): boolean {
     if (this.hasReported || heartbeat.incarnation <= this.incarnation) return false;
@@ -168,12 +172,14 @@
     return this.heartbeats.isNewer(heartbeat);
   }
 
-  /** Records the controller that received a new heartbeat, which may show that the last answer was delivered. */
+  /** Detects from a new heartbeat, received by the controller `receivedBy`, whether the last answer was delivered. */
   recordHeartbeat(heartbeat: Heartbeat, receivedBy: MemberId, now: MonotonicTime): void {
     this.contact.detectAnswerDelivery(heartbeat, receivedBy, now);
   }
 
-  /** Records an answer to a heartbeat through the controller `receivedBy`; the worker's lease may start at this time. */
+  /**
+   * Records an answer to a heartbeat through the controller `receivedBy`; the worker's lease may start at this time.
+   */
   recordAnswer(heartbeat: Heartbeat, receivedBy: MemberId, now: MonotonicTime): void {
     this.lease.recordAnswer(now);
     this.contact.recordAnswer(heartbeat, receivedBy);
--- a/src/workers/worker-commands.ts
+++ b/src/workers/worker-commands.ts
@@ -5,15 +5,19 @@
 import type { Task } from '../scheduler/task.js';
 import type { EndedAttempt, Worker } from './state/worker.js';
 
-/** How long a cancelled task whose start command may still arrive is tombstoned; then its machine is fenced. */
+/**
+ * How long after the cancellation a task whose start command may still arrive is tombstoned. If the task is not proven
+ * gone, `JobCanceller` fences its machine.
+ */
 const TOMBSTONE_MAX_AGE_MS = 15_000;
 
 /**
- * Returns the commands that a worker needs now, with stop commands before start commands.
+ * Returns the commands that a worker needs now, with stop commands and tombstones before the start commands of other
+ * tasks. Without a valid leader lease, these are only stop commands for cancelled tasks.
  *
  * A task whose start command may have been sent is never just dropped, since a delayed start command would start the
- * abandoned task. To stop such a task, a start and a stop command are sent together as a tombstone: the worker then
- * lists the attempt as ended, and a delayed start command has no effect.
+ * abandoned task. To stop such a task before a heartbeat has shown it, a start and a stop command are sent together as
+ * a tombstone: the worker then lists the attempt as ended, and a delayed start command has no effect.
  */
 export function commandsFor(worker: Worker, now: MonotonicTime, isLeaseValid: boolean): WorkerCommand[] {
   if (!isLeaseValid) return stopCommandsWithoutLease(worker);
@@ -58,7 +62,9 @@
   return phase === 'placed' && pendingStop === null && observedState === null && !isInherited;
 }
 
-/** Returns stop commands for the attempts of cancelled jobs in a heartbeat, whichever leader started the attempts. */
+/**
+ * Returns stop commands for a heartbeat's unexited attempts of cancelled jobs, whichever leader started the attempts.
+ */
 export function stopCommandsForCancelled(
   heartbeat: Heartbeat,
   isCancelled: (id: JobId) => boolean,
@@ -86,7 +92,7 @@
   return false;
 }
 
-/** Returns the ended attempts whose outcome is durable, so that the worker may forget them. */
+/** Returns the ended attempts whose outcome is durable or needs no write, so that the worker may forget them. */
 function durableEndedAttempts(worker: Worker): EndedAttempt[] {
   return [...worker.endedAttempts.values()].filter(
     ({ chunk, version }) => !chunk || chunk.isDurable(version),
@@ -118,7 +124,7 @@
   );
 }
 
-/** Records the incarnation and the token with which start commands are sent. */
+/** Records, for each start command, the incarnation of the first and the token of the last sending. */
 export function markStartsSent(
   worker: Worker,
   commands: readonly WorkerCommand[],
--- a/src/workers/worker-connections.ts
+++ b/src/workers/worker-connections.ts
@@ -12,7 +12,7 @@
 
 /**
  * Calls workers over keep-alive connections. If a new connection would exceed the maximum, the connections of the least
- * recently used worker are closed.
+ * recently used worker without calls in flight are closed.
  *
  * Connections are not reserved per worker, since few workers need a second one: with two reserved for each worker, half
  * of the calls had to open a new connection.
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Closes the connections of the least recently used worker without calls in flight. A call in flight is never aborted,
-   * since it would be unknown whether its commands were sent.
+   * Closes the connections of the least recently used worker without calls in flight. A call in flight is never
+   * aborted, since it would be unknown whether its commands were sent.
    */
   private closeLeastRecentlyUsed(): void {
     for (const [address, { http, inFlight }] of this.targets) {
--- a/src/workers/worker-prober.ts
+++ b/src/workers/worker-prober.ts
@@ -8,9 +8,11 @@
 
 /** The number of consecutive unanswered probes after which a worker counts as failed. */
 const MAX_FAILED_PROBE_COUNT = 2;
-/** The multiple of the probe timeout beyond which a failed probe indicates a delay of this process, not of the worker. */
+/**
+ * The multiple of the probe timeout beyond which a failed probe indicates a delay of this process, not of the worker.
+ */
 const LATE_TIMEOUT_RATIO = 1.25;
-/** The maximum ratio of early probes to all concurrent direct calls. */
+/** The maximum ratio of workers probed early at the same time to `maxConcurrentWorkerCalls`. */
 const MAX_EARLY_PROBE_CALL_RATIO = 0.5;
 /** The maximum ratio of this process's processor time that early probes may use. */
 const MAX_EARLY_PROBE_CPU_RATIO = 0.1;
@@ -47,7 +49,12 @@
     this.maxEarlyPerTick = Math.max(1, Math.floor(processorMs / PROBE_CPU_MS));
   }
 
-  /** Probes a worker until it answers or counts as failed, unless a series of probes is already in progress. */
+  /**
+   * Probes a worker until it answers or counts as failed. The series ends earlier with the term, after a delay or lack
+   * of sockets in this process, or if heartbeats show that only direct calls fail. No series starts, and `onFinished`
+   * is not called, without an address (a failure is recorded), during another series, or at the limit on concurrent
+   * series.
+   */
   probe(worker: Worker, onFinished?: () => void): void {
     if (worker.probes.isInProgress) return;
     if (worker.address === '') {
