--- a/src/core/context.ts
+++ b/src/core/context.ts
@@ -16,13 +16,13 @@
 import type { WorkerRegistry } from '../workers/state/worker-registry.js';
 import type { ConfirmedCancellations } from './confirmed-cancellations.js';
 
-/** Requests from the other controllers their view of leadership and their confirmed cancellations. */
+/** Exchanges views of leadership and confirmed cancellations with the other controllers. */
 export interface PeerStatusSource {
   /**
-   * Requests the status of every peer, with a deadline of `deadlineMs` milliseconds.
+   * Sends this controller's status to every peer and requests the peer's, with a deadline of `deadlineMs` milliseconds.
    *
    * The result has one entry for each peer in the settings, reachable or not. The entry is null for a peer that doesn't
-   * answer or whose version does not support this request.
+   * answer, answers with an undecodable body, or has a version that does not support this request.
    */
   collectStatus(deadlineMs: number): Promise<(PeerStatus | null)[]>;
 }
--- a/src/model/ids.ts
+++ b/src/model/ids.ts
@@ -26,13 +26,16 @@
 export type LeaseId = Branded<number, 'LeaseId'>;
 /** Number of a leadership term. Each takeover increments the epoch; an epoch is never reused. */
 export type Epoch = Branded<number, 'Epoch'>;
-/** Fencing token that a worker compares: the epoch, combined with the machine's generation within the epoch. */
+/**
+ * Fencing token: the epoch and the machine's generation within it. A worker refuses commands whose token is below the
+ * highest that the worker has seen.
+ */
 export type FencingToken = Branded<number, 'FencingToken'>;
 /** Generation of one machine within one epoch: the low-order part of the machine's fencing token. */
 export type FenceGeneration = Branded<number, 'FenceGeneration'>;
-/** Incarnation of a worker. A worker begins a new incarnation whenever its lease expires. */
+/** Incarnation of a worker. A worker begins a new incarnation whenever its lease expires or its machine restarts. */
 export type AgentIncarnation = Branded<number, 'AgentIncarnation'>;
-/** Sequence number of a worker's message within its incarnation. */
+/** Sequence number of a worker's heartbeat within the worker's incarnation. */
 export type HeartbeatSequence = Branded<number, 'HeartbeatSequence'>;
 /** Number of an attempt at a task. A task never uses the same number twice. */
 export type AttemptNumber = Branded<number, 'AttemptNumber'>;
--- a/src/model/protocol.ts
+++ b/src/model/protocol.ts
@@ -1,7 +1,7 @@
 /**
  * Protocol versions between controllers. A controller announces its version in its pings and, as leader, in the leader
- * record. A capability is only used once every controller has at least the version that introduced the capability
- * (docs/upgrade.md).
+ * record. A capability is only used once the controllers concerned (every peer, every connected controller and the last
+ * observed leader, or the recipient of a message) have at least the version that introduced it (docs/upgrade.md).
  */
 
 /** Version of a controller that announces no version: its program predates the exchange of versions. */
--- a/src/store/store-limits.ts
+++ b/src/store/store-limits.ts
@@ -50,7 +50,7 @@
   readonly txnOps: number;
   private rateState: RateState = 'current';
   private assumptionMs = INITIAL_ASSUMPTION_MS;
-  /** Whether chunks of a job's progress may be smaller than the default size. */
+  /** Whether progress chunks may be below the default size: after `allowSmallChunks` or a too large request. */
   private mayUseSmallChunks = false;
   /**
    * Assumed ratio of actual to estimated entry size; doubles when a record within the announced limits is too large.
