--- a/src/api/admission.ts
+++ b/src/api/admission.ts
@@ -1,8 +1,8 @@
-/** Load shedding for user requests: limits how many are processed concurrently. */
+/** Load shedding for user requests: refuses requests above a concurrency limit, and submissions under overload. */
 import { type Clock, type MonotonicTime, since } from '../model/time.js';
 
 const SAMPLE_INTERVAL_MS = 100;
-/** The factor by which the recorded event-loop lateness decays at each sample. */
+/** The factor by which the recorded event-loop lateness is multiplied at each sample; a higher sample replaces it. */
 const LATENESS_DECAY_RATIO = 0.8;
 /**
  * Event-loop lateness above which submissions are refused: the process is overloaded, and heartbeats and scheduling
@@ -13,7 +13,10 @@
 /** The class of a user request. An overloaded controller refuses submissions while it still answers queries. */
 export type RequestClass = 'submission' | 'query';
 
-/** Limits the concurrent requests of each class. A request above the limit is refused immediately instead of queued. */
+/**
+ * Limits the concurrent requests of each class. A request above the limit is refused immediately instead of queued, as
+ * is every submission while the event loop is later than `MAX_EVENT_LOOP_LATENESS_MS` or memory is scarce.
+ */
 export class Admission {
   private readonly active: Record<RequestClass, number> = { submission: 0, query: 0 };
   private latenessMs = 0;
--- a/src/api/dependency-checker.ts
+++ b/src/api/dependency-checker.ts
@@ -7,7 +7,7 @@
 import type { JobReader } from './job-reader.js';
 import type { RevisionConfirmations } from './revision-confirmations.js';
 
-/** A job as it is stored on acceptance: its dependencies without those that are already done. */
+/** A job as it is stored on acceptance: without dependencies that are done; a cancelled job has no dependencies. */
 export interface AcceptableJob {
   readonly spec: JobSpec;
   readonly state: 'accepted' | 'cancelled';
@@ -17,8 +17,8 @@
 const MAX_CONCURRENT_READ_COUNT = 8;
 
 /**
- * Checks the states of the jobs that a job depends on. `done` and `cancelled` are final states: they are taken from the
- * cache and not read again.
+ * Checks the states of the jobs that a job depends on. `done` and `cancelled` are final states: they are not read again
+ * while the cache holds them.
  */
 export class DependencyChecker {
   constructor(
@@ -29,8 +29,8 @@
   ) {}
 
   /**
-   * Returns why the job's dependencies make the job impossible to run; null: every dependency is an accepted job that
-   * can reach `done`.
+   * Returns why the job's dependencies are invalid: one of them is the job itself, a service, or a job that was never
+   * accepted. Null: the dependencies are valid; a cancelled job is a valid dependency (`withoutDoneDependencies`).
    */
   async findInvalidDependency(spec: JobSpec): Promise<string | null> {
     if (spec.dependencies.includes(spec.id)) return 'awaits must not name the job itself';
@@ -54,7 +54,8 @@
   }
 
   /**
-   * Returns the job without its done dependencies; the job is cancelled if one of its dependencies is cancelled.
+   * Returns the job without its done dependencies; if one of its dependencies is cancelled, the job is cancelled and
+   * has no dependencies.
    * Call `findInvalidDependency` first, which loads the states of the dependencies into the cache.
    */
   withoutDoneDependencies(spec: JobSpec): AcceptableJob {
@@ -65,9 +66,10 @@
   }
 
   /**
-   * Reports whether any direct or transitive dependency of the job is cancelled. Every answer that reports a waiting
-   * job as pending needs this check: a job must not be reported as pending after one of its dependencies was cancelled,
-   * even if no leader has yet written the resulting cancellation to the job's own record.
+   * Reports whether any direct or transitive dependency of the job is cancelled; false if the job is not in the cache.
+   * Every answer that reports a waiting job as pending needs this check: a job must not be reported as pending after
+   * one of its dependencies was cancelled, even if no leader has yet written the resulting cancellation to the job's
+   * own record.
    */
   async hasCancelledDependency(id: JobId): Promise<boolean> {
     const visited = new Set<JobId>([id]);
@@ -94,7 +96,7 @@
     return (await this.reader.readAndCache(id))?.state ?? 'accepted';
   }
 
-  /** Returns the job's direct dependencies that are not known to be done. */
+  /** Returns the job's direct dependencies that are not known to be done; none if the job is not in the cache. */
   private async unfinishedDependencies(id: JobId): Promise<JobId[]> {
     const observed = this.cache.observed(id);
     if (!observed) return [];
--- a/src/api/job-cache.ts
+++ b/src/api/job-cache.ts
@@ -63,8 +63,8 @@
   }
 
   /**
-   * Caches a job record, unless a newer revision is cached; `body` is the response body that user requests get once the
-   * job has ended.
+   * Caches a job record. The record of an accepted job is ignored if the same or a newer revision, or a final state, is
+   * cached. `body` is the response body that user requests get once the job has ended.
    */
   update(id: JobId, record: JobRecord, revision: Revision, body: object): void {
     if (record.state === 'accepted') {
--- a/src/api/job-reader.ts
+++ b/src/api/job-reader.ts
@@ -20,13 +20,13 @@
 
 const NO_PROGRESS: TaskCounts = { done: 0, running: 0 };
 
-/** A job record and the revision at which the record was read. */
+/** A job record and the revision of its latest change. */
 export interface ReadJob {
   readonly record: JobRecord;
   readonly revision: Revision;
 }
 
-/** Reads job records directly from the store and adds them to the cache. */
+/** Reads and watches job records in the store; all methods but `read` and `progress` add the records to the cache. */
 export class JobReader {
   constructor(
     private readonly ctx: ControllerContext,
@@ -35,8 +35,9 @@
   ) {}
 
   /**
-   * Watches all job records and caches every change, so that most queries need only a confirmation of the cached
-   * revision. Runs until the process exits.
+   * Watches all job records and caches their changes, so that most queries need only a confirmation of the cached
+   * revision. Skips unreadable records. If the store has compacted the watched revision, the watch restarts at the
+   * current revision and misses the changes in between. Runs until the process exits.
    */
   async watch(): Promise<void> {
     let after: Revision | null = null;
--- a/src/api/revision-confirmations.ts
+++ b/src/api/revision-confirmations.ts
@@ -31,7 +31,10 @@
     private readonly batchWindowMs: number,
   ) {}
 
-  /** Reports whether the key's record still has this revision. */
+  /**
+   * Reports whether the key's record still has this revision; also false if an earlier check in the same batch asks
+   * about another revision of the key. Rejects with the errors of the store client.
+   */
   hasRevision(key: string, revision: Revision): Promise<boolean> {
     return new Promise((resolve, reject) => {
       this.pending.push({ key, revision, resolve, reject });
--- a/src/api/store-retry.ts
+++ b/src/api/store-retry.ts
@@ -7,8 +7,9 @@
 export const MAX_ATTEMPT_COUNT = 3;
 
 /**
- * Reports whether a failed store request should be retried. A 503 response means an outage of the store, or that the
- * store refuses this controller alone: an immediate retry does not help, so a 503 is not retryable.
+ * Reports whether a failed store request should be retried: its outcome is unknown, or it was rate limited. A 503
+ * response means an outage of the store, or that the store refuses this controller alone: an immediate retry does not
+ * help, so a 503 is not retryable.
  */
 export function isRetryable(error: unknown): boolean {
   return error instanceof StoreOutcomeUnknownError || isRateLimitedError(error);
--- a/src/api/submissions.ts
+++ b/src/api/submissions.ts
@@ -1,4 +1,7 @@
-/** Accepts jobs: validates a submission, and creates the job's records in one compare-and-swap transaction. */
+/**
+ * Accepts jobs: validates a submission, writes the job's overflow records, and then creates the job's own record and
+ * its open-job record in one compare-and-swap transaction.
+ */
 import type { ControllerContext } from '../core/context.js';
 import { isJobId, type JobId, NO_REVISION } from '../model/ids.js';
 import { fits, type JobSpec } from '../model/job.js';
@@ -18,7 +21,7 @@
 import type { UserBudgets } from './user-budgets.js';
 
 const WRITE_RETRY_DELAY_MS = 60;
-/** The `retry-after` of a request that waits until controllers of an earlier version have been upgraded. */
+/** The `retry-after` of a request that is refused until controllers of an earlier version have been upgraded. */
 const UPGRADE_RETRY_S = 5;
 
 /**
@@ -58,7 +61,8 @@
       ? (this.checkResources(parsed.value) ?? (await this.checkDependencies(parsed.value)))
       : { status: 400, body: { error: parsed.error } };
     if (refusal) {
-      // A job that was accepted before is answered from its record, even if the repeated submission is invalid.
+      // A job that was accepted before is answered from its record even if the repeated submission is invalid, but not
+      // if the refusal is temporary (503).
       if (refusal.status !== 503 && typeof ref === 'string' && isJobId(ref)) {
         const job = await this.services.reader.read(ref);
         if (job) return this.services.reader.cacheAndAnswer(ref, job);
@@ -72,7 +76,10 @@
     );
   }
 
-  /** Returns the refusal of a job that can never run with the team's quota and machine types; null: the job can run. */
+  /**
+   * Returns the refusal of a job whose team is not configured, or that can never run with the team's quota and the
+   * machine types, or of any job while the machine types are not loaded; null: the job can run.
+   */
   private checkResources(spec: JobSpec): UserAnswer | null {
     const team = this.ctx.settings.teams.find(({ id }) => id === spec.team);
     if (!team) return unprocessable("the submission's team is not configured");
@@ -158,7 +165,8 @@
     const acceptedAt = clock.wall();
     const key = keys.job(spec.id);
     if (state === 'cancelled') {
-      // A job that is cancelled together with a dependency gets no open-job record, since no leader has to run it.
+      // A job that depends on a cancelled job is stored as cancelled and without an open-job record, since no leader
+      // has to run it.
       const value = encodeEndedJob({ spec, state, acceptedAt }, storeLimits.valueBytes);
       return { records: [], writes: [{ set: key, value }] };
     }
--- a/src/api/user-answer.ts
+++ b/src/api/user-answer.ts
@@ -31,7 +31,10 @@
   body: { ref: id, status },
 });
 
-/** Thrown when this controller has used up its share of the store's limits; another controller may have some left. */
+/**
+ * Thrown when this controller has used up its share of the write budget for users; another controller may still accept
+ * the request.
+ */
 export class BusyError extends Error {
   override readonly name = 'BusyError';
   readonly code = 'BUSY';
--- a/src/api/user-service.ts
+++ b/src/api/user-service.ts
@@ -30,9 +30,9 @@
 const MAX_CANCEL_ATTEMPT_COUNT = MAX_ATTEMPT_COUNT + 2;
 const BUSY_RETRY_S = 2;
 /**
- * The maximum time from the arrival of a query to its answer. An older answer is replaced by a 503: the process may
- * have been paused meanwhile, and the user may have received a newer state from another controller. A user waits no
- * longer than 2 s for an answer (PROTOCOL).
+ * The maximum time from the arrival of a query to its answer. A later answer of status 200 is replaced by a 503: the
+ * process may have been paused meanwhile, and the user may have received a newer state from another controller. A user
+ * waits no longer than 2 s for an answer (PROTOCOL).
  */
 const MAX_ANSWER_AGE_MS = 1500;
 
@@ -80,7 +80,7 @@
     return this.submissions.submit(body);
   }
 
-  /** Answers a query for a job's state. Throws the same errors as `submit`. */
+  /** Answers a query for a job's state. Throws StoreRefusedError or StoreOutcomeUnknownError, as `submit` does. */
   async query(id: string): Promise<UserAnswer> {
     const requestedAt = this.ctx.clock.now();
     const answer = await this.lookUp(id);
@@ -128,7 +128,7 @@
 
   /**
    * Cancels a job. The cancellation is durable in the job's record before it is confirmed to the user; the comparison
-   * of the record's revision decides the race against a concurrent `done`. Throws the same errors as `submit`.
+   * of the record's revision decides the race against a concurrent `done`. Throws the same errors as `query`.
    */
   async cancel(id: string): Promise<UserAnswer> {
     if (!isJobId(id)) return NO_SUCH_JOB;
@@ -159,7 +159,10 @@
     return result.ok;
   }
 
-  /** Announces the cancellation to all other controllers, the leader included, before the user gets the answer. */
+  /**
+   * Announces a cancellation that is new to this controller to all connected controllers that support such messages,
+   * the leader included, before the user gets the answer.
+   */
   private confirmCancelled(id: JobId): UserAnswer {
     this.ctx.cancellations.learn([{ id, age: ms(0) }]);
     return stateAnswer(id, 'cancelled');
