--- a/src/cli/program.ts
+++ b/src/cli/program.ts
@@ -26,7 +26,7 @@
   readonly run: (options: Options) => void | Promise<void>;
 }
 
-/** Thrown for arguments that name no command or lack a required option; the message is one line. */
+/** Thrown for arguments that do not name exactly one command, contain an invalid option or lack a required one. */
 class UsageError extends Error {
   override readonly name = 'UsageError';
   readonly code = 'USAGE';
@@ -142,14 +142,19 @@
   const [name = '', ...extraArguments] = positionals;
   const command = COMMANDS[name];
   if (!command || extraArguments.length > 0) {
-    throw new UsageError(`expected one of the commands ${Object.keys(COMMANDS).join(', ')}`);
+    throw new UsageError(
+      `the arguments must name exactly one of the commands ${Object.keys(COMMANDS).join(', ')}`,
+    );
   }
   const { config, features, address } = values;
   const operators = values.operators ?? process.env['PLUMYOKE_OPERATORS'];
   await command.run({ config, operators, features, address });
 }
 
-/** Runs the command that the arguments name. Sets the exit code: 2 for arguments or settings that cannot be used. */
+/**
+ * Runs the command that the arguments name. Sets exit code 2 for invalid arguments or settings; any other error ends
+ * the process with exit code 1.
+ */
 export async function main(args: readonly string[]): Promise<void> {
   try {
     await runCommand(args);
--- a/src/config/features.ts
+++ b/src/config/features.ts
@@ -1,5 +1,6 @@
 /**
- * Optional features, each of which its own settings file under `deploy/` turns on; a missing file turns a feature off.
+ * Optional features, each of which has its own settings file in the feature folder (`--features`). A feature is off if
+ * its file is missing or contains `enabled = false`.
  */
 import { existsSync } from 'node:fs';
 import { join } from 'node:path';
@@ -79,7 +80,7 @@
 
 /**
  * Reads the feature files of a folder; without a folder, all features are off. Throws `InvalidSettingsError`, which
- * names the file and the field.
+ * names the file and, if a field is invalid, the field.
  */
 export function loadFeatures(folder: string | undefined): Features {
   if (folder === undefined) return NO_FEATURES;
--- a/src/config/operators.ts
+++ b/src/config/operators.ts
@@ -48,7 +48,8 @@
     /** The time to live of the leader's lease (`cluster.grant_s`). */
     readonly leaseTtl: Millis;
     /**
-     * The time for which a leader whose lease may have expired keeps renewing worker leases (`cluster.answer_alone_s`).
+     * The maximum time for which a leader whose lease may have expired keeps renewing worker leases
+     * (`cluster.answer_alone_s`); the platform's cancellation limit may shorten this time.
      */
     readonly maxRenewalWithoutQuorum: Millis;
   };
@@ -93,7 +94,8 @@
 }
 
 /**
- * Thrown for settings or feature files that are unreadable or invalid; the message is one line that names the field.
+ * Thrown for settings or feature files that are unreadable or invalid; the message is one line that names the file and,
+ * if a field is invalid, the field.
  */
 export class InvalidSettingsError extends Error {
   override readonly name = 'InvalidSettingsError';
--- a/src/config/settings-minimums.ts
+++ b/src/config/settings-minimums.ts
@@ -17,8 +17,9 @@
 const WORKER_RETRY_DELAY_S = 5;
 
 /**
- * Returns a one-line warning, which names the field, for each setting that is too small for reliable operation. The
- * findings are not errors, since a controller that refuses to start would be of no use.
+ * Returns a one-line warning, which names the field, for each setting that is too small for reliable operation, and for
+ * a processor share outside the range above 0 up to 1. The warnings are not errors, since a controller that
+ * refuses to start would be of no use.
  */
 export function findSettingsBelowMinimum(settings: Settings): string[] {
   const warnings: string[] = [];
--- a/src/log/decision-log.ts
+++ b/src/log/decision-log.ts
@@ -6,7 +6,10 @@
 const MAX_LINES_PER_S = 5;
 const MAX_LINE_BURST = 40;
 
-/** Counts decisions by kind, and logs the first decisions of every burst with all their fields. */
+/**
+ * Counts decisions by kind, and logs decisions with all their fields up to a rate limit: the first `MAX_LINE_BURST` of
+ * a burst, then `MAX_LINES_PER_S` per second.
+ */
 export class DecisionLog {
   private readonly lineRateLimiter: TokenBucket;
   private counts = new Map<string, number>();
@@ -19,7 +22,10 @@
     this.lineRateLimiter = new TokenBucket(clock, MAX_LINES_PER_S, MAX_LINE_BURST);
   }
 
-  /** Counts a decision and logs the decision if the rate limit allows; `fields` is only called if a line is written. */
+  /**
+   * Counts a decision, and logs the decision if lines of level `info` are written and the rate limit allows; `fields`
+   * is only called if a line is written.
+   */
   logDecision(kind: string, fields: () => object): void {
     this.count(kind);
     if (!this.logger.isInfoEnabled) return;
@@ -32,7 +38,10 @@
     this.counts.set(kind, (this.counts.get(kind) ?? 0) + 1);
   }
 
-  /** Returns the counts since the previous call, for the `summary` log line, and resets them to 0. */
+  /**
+   * Returns the counts since the previous call, for the `summary` log line, and resets them to 0. `suppressed` is the
+   * number of lines that the rate limit suppressed.
+   */
   takeCounts(): Record<string, number> {
     const counts = { ...Object.fromEntries(this.counts), suppressed: this.suppressed };
     this.counts = new Map();
--- a/src/log/logger.ts
+++ b/src/log/logger.ts
@@ -15,7 +15,7 @@
 
 type Level = keyof typeof LEVELS;
 
-/** The levels that the environment variable `LOG_LEVEL` may name. */
+/** The levels that the environment variable `LOG_LEVEL` may name; any other value means `error`. */
 const CONFIGURABLE_LEVELS = new Set<string>(['error', 'info', 'debug']);
 
 function isConfigurable(level: string): level is Level {
--- a/src/net/http-client.ts
+++ b/src/net/http-client.ts
@@ -27,7 +27,10 @@
 
 /** Makes HTTP calls with a deadline to one address. */
 export interface HttpCaller {
-  /** Sends a request and resolves with its response. Rejects with `NoAnswerError` if no response arrives in time. */
+  /**
+   * Sends a request and resolves with its response. Rejects with `NoAnswerError` if no complete, valid response arrives
+   * before the deadline or the end of the connection.
+   */
   call(method: string, path: string, body: unknown, deadlineMs: number): Promise<HttpReply>;
 }
 
@@ -169,8 +172,8 @@
 
 /**
  * A pool of connections to one address. A call is queued while no connection is idle and the maximum number is open; its
- * deadline includes the time in the queue. The pool replaces the runtime's own HTTP client, with which the calls of a leader, most of them to workers, took
- * twice the time.
+ * deadline includes the time in the queue. The pool replaces the runtime's own HTTP client, with which the calls of a
+ * leader, most of them to workers, took twice the time.
  */
 export class HttpConnectionPool implements HttpCaller {
   private readonly host: string;
@@ -251,7 +254,7 @@
     return next;
   }
 
-  /** Closes all connections; calls in progress fail with `NoAnswerError`. */
+  /** Closes all open connections; their calls fail with `NoAnswerError`. Queued calls are sent on new connections. */
   close(): void {
     for (const connection of this.connections) {
       this.release(connection);
--- a/src/net/socket-allocation.ts
+++ b/src/net/socket-allocation.ts
@@ -1,8 +1,8 @@
 /** Divides a controller's socket limit among the uses of sockets. */
 
 /**
- * The maximum number of sockets for each use. The sum stays within the platform's limit, unless the limit is below the
- * sum of the minimums.
+ * The maximum number of sockets for each use. The sum stays within the platform's limit, unless the limit leaves fewer
+ * than `MIN_FRONT_SOCKET_COUNT` sockets for `front`.
  */
 export interface SocketAllocation {
   /** Connections of users, worker heartbeats and health checks. */
--- a/src/net/token-bucket.ts
+++ b/src/net/token-bucket.ts
@@ -2,8 +2,8 @@
 import { type Clock, type MonotonicTime, since } from '../model/time.js';
 
 /**
- * A token bucket that refills at a constant rate up to its capacity. The caller chooses the rate as a share of a
- * published limit, since other controllers use the same limit.
+ * A token bucket that refills at a constant rate up to its capacity. For a limit that other controllers use too, the
+ * caller sets a share of the limit as the rate.
  */
 export class TokenBucket {
   private tokens: number;
--- a/src/net/yielding-work-queue.ts
+++ b/src/net/yielding-work-queue.ts
@@ -1,12 +1,12 @@
 /** Spreads bursts of work over several iterations of the event loop. */
 
-/** The maximum number of callers that are admitted in one iteration of the event loop. */
+/** The default maximum number of callers that are admitted in one iteration of the event loop. */
 const MAX_ADMITTED_PER_TURN = 8;
 
 /**
- * A FIFO queue that admits a few callers in each iteration of the event loop, so that timers and responses are handled
- * between them. Without the queue, a leader on a tenth of a core that read hundreds of heartbeats at once from one
- * socket processed the response to its lease renewal a second late, and lost the lease.
+ * A FIFO queue that admits at most `maxAdmittedPerTurn` callers in each iteration of the event loop, so that timers and
+ * responses are handled between them. Without the queue, a leader on a tenth of a core that read hundreds of heartbeats
+ * at once from one socket processed the response to its lease renewal a second late, and lost the lease.
  */
 export class YieldingWorkQueue {
   private readonly waiters: (() => void)[] = [];
