--- a/src/peer/job-progress.ts
+++ b/src/peer/job-progress.ts
@@ -8,7 +8,7 @@
 
 /**
  * Encodes task counts; per job: u8 name length, name, u32 done, u32 running. A list that exceeds `maxBytes` is split
- * into several payloads.
+ * into several payloads; an empty list gives one empty payload.
  */
 export function encodeProgress(jobs: readonly JobTaskCounts[], maxBytes = MAX_PAYLOAD_BYTES): Buffer[] {
   const payloads: Buffer[] = [];
--- a/src/peer/peer.ts
+++ b/src/peer/peer.ts
@@ -10,7 +10,7 @@
   readonly lastPing: Ping | null;
   /** Whether the connection is open and a ping was received on it. */
   readonly isConnected: boolean;
-  /** Whether the peer is connected and its load is low enough for delegated work. */
+  /** Whether the peer is connected and its load is below `MAX_LOAD_RATIO_FOR_DELEGATED_WORK`. */
   readonly hasSpareCapacity: boolean;
   /** Whether the peer is connected and has at least this protocol version. */
   supports(version: number): boolean;
--- a/src/peer/ping.ts
+++ b/src/peer/ping.ts
@@ -10,8 +10,9 @@
   /** The epoch that the sender leads; null: the sender is not the leader. */
   readonly leadingEpoch: Epoch | null;
   /**
-   * The sender's protocol version. A receiver closes the connection on an unknown frame kind, so kinds above 8 are sent
-   * only to a peer whose pings announce a version that supports them. Older receivers ignore the bytes after the name.
+   * The sender's protocol version. A receiver closes the connection on an unknown frame kind, so a controller sends
+   * kinds above 8 only to a peer whose pings announce a version that supports them. Receivers of an earlier version
+   * ignore the bytes after the name.
    */
   readonly version: number;
   /** The sender's processor utilization, between 0 and 1; 0 if the sender does not report its load. */
--- a/src/peer/routed-caller.ts
+++ b/src/peer/routed-caller.ts
@@ -63,8 +63,8 @@
 
 /**
  * Calls workers directly or, across a network partition, through another controller: a third zone can usually reach
- * both of two zones that cannot reach each other. While this process is busy, calls are delegated to controllers with
- * less load.
+ * both of two zones that cannot reach each other. While the load of this process is at least
+ * `MIN_DELEGATION_LOAD_RATIO`, calls are delegated to controllers with spare capacity.
  */
 export class RoutedCaller implements WorkerClient {
   private readonly avoidedDirectly: AvoidedAddresses;
@@ -160,7 +160,10 @@
     }
   }
 
-  /** Makes a call through a peer. Throws `NoSocketError` if the call was not sent, otherwise `NoAnswerError`. */
+  /**
+   * Makes a call through a peer. Throws `NoSocketError` if the peer had no free socket for the call, and
+   * `NoAnswerError` if the peer did not respond or did not reach the worker.
+   */
   private async callThrough(peer: Peer, payload: Buffer, deadlineMs: number): Promise<CommandReply> {
     const response = await peer.request(FrameKind.WorkerCall, payload, deadlineMs + RELAY_DEADLINE_MARGIN_MS);
     if (response?.status === NO_SOCKET_STATUS) {
