--- a/packages/membership/src/codec.ts
+++ b/packages/membership/src/codec.ts
@@ -5,7 +5,7 @@
 import * as z from 'zod/mini';
 import { type Message, MessageKind } from './messages.js';
 
-/** The maximum size of an encoded message; larger messages are neither sent nor decoded. */
+/** The maximum size of a message that is decoded; an answer above this size is reduced to the sender's own row. */
 export const MAX_MESSAGE_BYTES = 64 * 1024;
 const MAX_NAME_LENGTH = 200;
 /** The maximum number of rows and of missing members in a message, and of peers in a row. */
--- a/packages/membership/src/events.ts
+++ b/packages/membership/src/events.ts
@@ -13,7 +13,7 @@
   readonly evidence: readonly Evidence[];
 }
 
-/** A suspected or failed member has refuted the suspicion or verdict, and is alive. */
+/** A suspected or failed member has refuted the suspicion or verdict without a restart of its process, and is alive. */
 interface Refuted {
   readonly kind: 'refuted';
   readonly member: MemberId;
@@ -28,7 +28,7 @@
   readonly identity: Identity;
 }
 
-/** This process was paused: it did not run for `pausedMs`. */
+/** This process was paused: a clock check was late by `pausedMs`, which is above the pause threshold. */
 interface SelfPaused {
   readonly kind: 'self-paused';
   readonly pausedMs: number;
--- a/packages/membership/src/evidence.ts
+++ b/packages/membership/src/evidence.ts
@@ -8,7 +8,7 @@
   Reached = 'reached',
   /** Only indirect probes through another member are answered: the link between observer and member is cut. */
   ReachedIndirectly = 'reached-through-others',
-  /** The member's messages arrive, but the member answers no probe: the path to the member is cut. */
+  /** The member's messages arrive, but the member answers no direct probe: the path to the member is cut. */
   HeardOnly = 'heard-only',
   /** No message of the member arrives, and no probe is answered. */
   Silent = 'silent',
@@ -19,7 +19,10 @@
   readonly observer: MemberId;
   readonly subject: MemberId;
   readonly condition: LinkCondition;
-  /** How long the link has been in this condition. */
+  /**
+   * How long the link has been in this condition: 0 if the member is reached, the time since the latest contact of any
+   * kind if it is silent, otherwise the time since the last direct answer. Infinity: there was no such contact.
+   */
   readonly durationMs: number;
   /** How long the observer has suspected the member; null: the observer does not suspect the member. */
   readonly suspectedForMs: number | null;
--- a/packages/membership/src/member-context.ts
+++ b/packages/membership/src/member-context.ts
@@ -75,7 +75,10 @@
     });
   }
 
-  /** Returns what this process knows of the receiver of a message, so that the receiver can refute a suspicion. */
+  /**
+   * Returns what this process knows of the receiver of a message, so that the receiver can refute a suspicion; null:
+   * nothing is known of the receiver.
+   */
   receiverStatusFor(peer: MemberId): ReceiverStatus | null {
     const tracker = this.trackers.get(peer);
     if (!tracker?.identity) return null;
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -19,7 +19,7 @@
 export interface MemberView {
   readonly member: MemberId;
   readonly state: MemberState;
-  /** How long the member has been in this state. */
+  /** How long the member has been in this state; 0 for this process itself. */
   readonly forMs: number;
   readonly identity: Identity | null;
   readonly evidence: readonly Evidence[];
@@ -41,7 +41,7 @@
 /** The maximum number of probe intervals for which a leaving member waits until all live peers have been notified. */
 const LEAVE_TIMEOUT_INTERVALS = 3;
 
-/** A member that probes its peers, answers their probes, and emits an event for every change. */
+/** A member that probes its peers, answers their probes, and emits the events of `MembershipEvent`. */
 export class Membership {
   private readonly context: MemberContext;
   private readonly roster: Roster;
@@ -86,7 +86,7 @@
     this.prober.start();
   }
 
-  /** Stops probing. */
+  /** Stops probing and the periodic pause check. Requests of peers are still answered. */
   stop(): void {
     this.pauseDetector.stop();
     this.prober.stop();
@@ -104,8 +104,8 @@
   }
 
   /**
-   * Announces that this member leaves. Resolves once all live peers have been notified, or after
-   * `LEAVE_TIMEOUT_INTERVALS` probe intervals.
+   * Announces that this member leaves. Resolves one probe timeout after all live peers have been notified, or after
+   * `LEAVE_TIMEOUT_INTERVALS` probe intervals if they have not been notified by then.
    */
   leave(): Promise<void> {
     const { local, environment, settings } = this.context;
--- a/packages/membership/src/messages.ts
+++ b/packages/membership/src/messages.ts
@@ -61,11 +61,14 @@
 /** A request that a live member answers with an `Answer`. */
 export interface Probe extends Envelope {
   readonly kind: MessageKind.Probe;
-  /** Members whose rows the sender lacks; the answer includes the rows. */
+  /** Members whose rows the sender lacks or has to refresh; the answer includes the rows that the receiver has. */
   readonly missing: readonly MemberId[];
 }
 
-/** The answer to a probe: the answering member's own row, and rows that the prober lacks. */
+/**
+ * The answer to a probe: the answering member's own row, and the requested rows of other members unless they would make
+ * the message larger than `MAX_MESSAGE_BYTES`.
+ */
 export interface Answer extends Envelope {
   readonly kind: MessageKind.Answer;
   readonly rows: readonly ObservationRow[];
--- a/packages/membership/src/pause-detector.ts
+++ b/packages/membership/src/pause-detector.ts
@@ -4,11 +4,12 @@
 import type { Cancel, Clock } from './environment.js';
 
 /**
- * The number of clock checks per threshold period; more than 1, so that a pause just over the threshold is not missed.
+ * The number of clock checks per threshold period; more than 1, since a pause that is longer than the threshold by less
+ * than the time between two checks may be missed.
  */
 const CHECKS_PER_THRESHOLD = 2;
 
-/** Reports each pause of this process after its end, before this package evaluates any peer. */
+/** Reports pauses of this process that exceed a threshold, after their end and before this package evaluates a peer. */
 export class PauseDetector {
   private lastCheckedAt: number;
   private cancelTimer: Cancel | null = null;
--- a/packages/membership/src/reachability.ts
+++ b/packages/membership/src/reachability.ts
@@ -15,11 +15,11 @@
 
 /** How a member is connected to the other members. The values are part of the API for operators. */
 export enum Connection {
-  /** No link is known to be down in either direction. */
+  /** No link with a present member is known to be down in either direction. */
   Connected = 'connected',
-  /** Some links are down, but the member is reachable through other members, so its state does not change. */
+  /** At least one link is down, but the member is reachable through other members, so its state does not change. */
   PartialPartition = 'partly-cut',
-  /** The member receives messages, but its own do not arrive: the other members find it silent and will replace it. */
+  /** The member receives messages, but its own do not arrive: the others find it silent and may declare it failed. */
   OutboundPartition = 'mute',
   /**
    * The member's messages arrive, but it receives none: it stays suspected and is not declared failed, as it is alive.
--- a/packages/membership/src/rejected-messages.ts
+++ b/packages/membership/src/rejected-messages.ts
@@ -1,7 +1,10 @@
 /** Counts rejected messages by reason, and logs them at a limited rate. */
 import type { Clock, Logger } from './environment.js';
 
-/** Why a message was rejected. The values are part of the log format and of the API for operators. */
+/**
+ * Why a message was counted as rejected. A `Stale` request is answered nevertheless, and `RateLimited` includes this
+ * process's own requests that were not sent. The values are part of the log format and of the API for operators.
+ */
 export enum RejectReason {
   Malformed = 'malformed',
   Oversized = 'oversized',
--- a/packages/membership/src/roster.ts
+++ b/packages/membership/src/roster.ts
@@ -94,8 +94,9 @@
   }
 
   /**
-   * Returns a member's new state. A failed member remains failed until it shows another identity; a member that has
-   * left remains so until it shows another process.
+   * Returns a member's new state: `Unknown` if the member's version does not support membership messages. Otherwise a
+   * failed member remains failed until it shows another identity, and a member that has left remains so until it shows
+   * another process.
    */
   private nextState(member: MemberId, previous: RosterEntry, verdict: Verdict): MemberState {
     const support = this.context.environment.transport.support(member);
--- a/packages/membership/src/settings.ts
+++ b/packages/membership/src/settings.ts
@@ -10,7 +10,7 @@
    * The number of observers, out of all configured controllers, that must find a member silent to declare it failed.
    */
   readonly majority: number;
-  /** The time between the starts of two probe rounds. */
+  /** The mean time between the starts of two probe rounds, each of which starts up to 10 % early or late. */
   readonly probeIntervalMs: number;
   /** The time within which a probe must be answered. */
   readonly probeTimeoutMs: number;
--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -24,7 +24,7 @@
 export interface VerdictRules {
   readonly majority: number;
   readonly suspicionMs: number;
-  /** The age up to which a contact counts as current. */
+  /** The age up to which a contact counts as current; multiplied by the observer's local health score plus 1. */
   readonly contactWindowMs: number;
 }
 
