--- a/packages/membership/src/responder.ts
+++ b/packages/membership/src/responder.ts
@@ -27,7 +27,7 @@
   onAnswerSent(identity: Identity): void;
 }
 
-/** Handles requests from any sender, but answers only valid requests of configured members. */
+/** Handles requests from any sender, but answers only valid requests of configured members, up to a rate limit. */
 export class Responder {
   private readonly rateLimiter: TokenBucket;
 
--- a/packages/membership/src/settings.ts
+++ b/packages/membership/src/settings.ts
@@ -22,7 +22,10 @@
   readonly maxLocalHealth: number;
   /** A timer that fires late by more than this time indicates a pause of this process. */
   readonly pauseThresholdMs: number;
-  /** The maximum number of probes sent per second. The same limit applies separately to answers. */
+  /**
+   * The maximum number of direct and indirect probes sent per second on average, and in one burst. The same limit
+   * applies separately to answers.
+   */
   readonly maxMessagesPerSecond: number;
 }
 
--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -14,7 +14,7 @@
   Alive = 'alive',
   /** The member did not answer probes, and may still refute the suspicion. */
   Suspect = 'suspect',
-  /** A majority of the configured controllers has found the member silent. */
+  /** A majority of the configured controllers has found the member silent for at least the suspicion time. */
   Failed = 'failed',
   /** The member announced that it leaves. */
   Left = 'left',
--- a/src/api/job-cache.ts
+++ b/src/api/job-cache.ts
@@ -34,9 +34,9 @@
 }
 
 /**
- * Caches what user requests need of job records. Final states never change, so requests for them are answered from the
- * cache alone. For an accepted job the cache holds the record's last known revision: before every answer the store must
- * confirm that the record still has this revision (`RevisionConfirmations`).
+ * Caches what user requests need of job records. Final states never change, so a cached final state is returned without
+ * a request to the store. For an accepted job the cache holds the record's last known revision: before every answer the
+ * store must confirm that the record still has this revision (`RevisionConfirmations`).
  */
 export class JobCache {
   private readonly openJobs = new BoundedMap<JobId, ObservedJob>(MAX_OPEN_JOB_COUNT);
--- a/src/net/http-client.ts
+++ b/src/net/http-client.ts
@@ -122,7 +122,7 @@
     private readonly onClosed: (connection: Connection) => void,
   ) {
     this.socket = connect({ host, port, noDelay: true });
-    let closeReason = 'connection closed before a complete response';
+    let closeReason = 'the connection was closed before the response was complete';
     this.socket.on('data', (bytes: Buffer) => this.receive(bytes));
     this.socket.on('error', (error) => (closeReason = error.message));
     this.socket.on('close', () => this.handleClose(closeReason));
--- a/src/peer/routed-caller.ts
+++ b/src/peer/routed-caller.ts
@@ -68,7 +68,7 @@
  */
 export class RoutedCaller implements WorkerClient {
   private readonly avoidedDirectly: AvoidedAddresses;
-  /** Addresses for which a delegated call, made through another controller while this process is busy, has failed. */
+  /** Addresses for which a call that was delegated to another controller (`delegateFor`) has failed. */
   private readonly avoidedByDelegation: AvoidedAddresses;
   /** Round-robin counter that selects the peer for commands across a network partition. */
   private nextPeer = 0;
@@ -177,7 +177,7 @@
 
   /**
    * Sends commands through one peer. Commands use one route at a time: commands without an answer may still be
-   * executed, and the caller must know about them. Without an answer, the direct route is tried again on the next call.
+   * executed, and the caller must know about them. Without an answer, the direct route is no longer avoided.
    */
   private async sendThroughPeer(address: string, body: unknown, deadlineMs: number): Promise<CommandReply> {
     const payload = encodeWorkerCall('commands', address, deadlineMs, body);
@@ -186,7 +186,7 @@
     const reply = peer ? await this.callThrough(peer, payload, deadlineMs).catch(() => null) : null;
     if (reply) return reply;
     this.avoidedDirectly.delete(address);
-    throw new NoAnswerError('no answer from the worker through another controller');
+    throw new NoAnswerError('the worker did not answer through another controller');
   }
 
   /**
--- a/src/peer/worker-call.ts
+++ b/src/peer/worker-call.ts
@@ -15,7 +15,10 @@
 const HEADER_BYTES = 4;
 const MAX_U16 = 65_535;
 
-/** Encodes a worker call: u8 verb, u16 deadline in ms, u8 address length, address, JSON body. */
+/**
+ * Encodes a worker call: u8 verb, u16 deadline in ms (at most 65 535), u8 address length, address, JSON body (empty if
+ * undefined).
+ */
 export function encodeWorkerCall(
   verb: WorkerCallVerb,
   address: string,
--- a/src/peer/worker-client.ts
+++ b/src/peer/worker-client.ts
@@ -15,7 +15,8 @@
     deadlineMs: number,
   ): Promise<CommandReply>;
   /**
-   * Fetches a worker's heartbeat. `useEveryRoute`: calls directly and through all connected controllers in parallel.
+   * Fetches a worker's heartbeat; null: the worker's answer is not a valid heartbeat. `useEveryRoute`: calls directly
+   * and through all connected controllers in parallel.
    */
   fetchHeartbeat(address: string, deadlineMs: number, useEveryRoute: boolean): Promise<Heartbeat | null>;
 }
