--- a/packages/membership/src/settings.ts
+++ b/packages/membership/src/settings.ts
@@ -10,7 +10,7 @@
    * The number of observers, out of all configured controllers, that must find a member silent to declare it failed.
    */
   readonly majority: number;
-  /** The time between the starts of two probe rounds. */
+  /** The mean time between the starts of two probe rounds, each of which starts up to 10 % early or late. */
   readonly probeIntervalMs: number;
   /** The time within which a probe must be answered. */
   readonly probeTimeoutMs: number;
@@ -22,7 +22,10 @@
   readonly maxLocalHealth: number;
   /** A timer that fires late by more than this time indicates a pause of this process. */
   readonly pauseThresholdMs: number;
-  /** The maximum number of probes sent per second. The same limit applies separately to answers. */
+  /**
+   * The maximum number of direct and indirect probes sent per second on average, and in one burst. The same limit
+   * applies separately to answers.
+   */
   readonly maxMessagesPerSecond: number;
 }
 
