--- a/src/scheduler/active-job.ts
+++ b/src/scheduler/active-job.ts
@@ -73,7 +73,10 @@
 
   // Readiness and priority
 
-  /** Whether none of the job's tasks may start yet: dependencies are unmet, or a progress record is unreadable. */
+  /**
+   * Whether none of the job's tasks may start yet: dependencies are unmet or not read yet, or a progress record is
+   * unreadable.
+   */
   get isBlocked(): boolean {
     return this.dependencies.isBlocked || this.isProgressUnreadable;
   }
@@ -84,8 +87,8 @@
   }
 
   /**
-   * The time from which the waiting time and the class targets of the job count: its acceptance, or the end of its last
-   * dependency. The job's own deadline counts from its acceptance instead.
+   * The time from which the waiting time and the class targets of the job count: its acceptance, or the time at which
+   * this leader found its last dependency done. The job's own deadline counts from its acceptance instead.
    */
   get readyAt(): WallTime {
     return this.priority.readyAt;
@@ -236,7 +239,7 @@
     if (this.isCancelled) task.pendingStop = pendingStop;
   }
 
-  /** Restores a placement made by an earlier leader. The attempt counts as running until it is proven gone. */
+  /** Restores a placement made by an earlier leader. The task counts as placed until the attempt is proven gone. */
   private restorePlacement(task: Task, { attemptNumber, machine }: TaskPlacement): void {
     task.phase = 'placed';
     task.attemptNumber = attemptNumber;
@@ -284,8 +287,8 @@
   }
 
   /**
-   * Continues in chunks of the given number of tasks if that is smaller than the current size
-   * (`JobProgress.shrinkChunks`).
+   * Continues in chunks of the given number of tasks if that is smaller than the current size and than the job's number
+   * of tasks (`JobProgress.shrinkChunks`).
    */
   resizeChunks(size: number, now: MonotonicTime): void {
     for (const chunk of this.progress.shrinkChunks(size, now)) this.listener?.onChunkSuperseded(chunk);
@@ -330,7 +333,10 @@
     return stored;
   }
 
-  /** Schedules the rewrite of records that contradict the merged progress (`JobProgress.rewriteOutdated`). */
+  /**
+   * Schedules the rewrite of the records of the current chunk size that contradict the merged progress
+   * (`JobProgress.rewriteOutdated`).
+   */
   rewriteOutdatedProgress(now: MonotonicTime): void {
     this.progress.rewriteOutdated(now);
   }
--- a/src/scheduler/attempt-history.ts
+++ b/src/scheduler/attempt-history.ts
@@ -1,13 +1,16 @@
 /** Statistics of a job's attempts for the log line that is written when the job is closed. */
 import type { MonotonicTime } from '../model/time.js';
 
-/** Records when a job's tasks started to run, and how many of the job's attempts ended without success. */
+/**
+ * Records, for this leadership term, when a job's tasks were reported as running, and how many of the job's attempts
+ * ended without success.
+ */
 export class AttemptHistory {
   private firstRunTime: MonotonicTime | null = null;
   private lastRunTime: MonotonicTime | null = null;
   private lostAttemptCount = 0;
 
-  /** The time of the first heartbeat that reported an attempt as running; null: none did. */
+  /** The time of the first heartbeat in this term that reported an attempt as running; null: none did. */
   get firstRunAt(): MonotonicTime | null {
     return this.firstRunTime;
   }
@@ -17,7 +20,7 @@
     return this.lastRunTime;
   }
 
-  /** The number of attempts that ended without success. */
+  /** The number of attempts that ended without success in this term, including attempts that never started to run. */
   get lostCount(): number {
     return this.lostAttemptCount;
   }
--- a/src/scheduler/candidate-index.ts
+++ b/src/scheduler/candidate-index.ts
@@ -28,21 +28,23 @@
   compareIds(left.machine, right.machine);
 
 /**
- * Bounds the number of changed machines that are reinserted one by one before the next job is placed. If more machines
+ * Bounds the number of changed machines that are reinserted one by one when the index is next read. If more machines
  * have changed, the whole index is sorted again.
  */
 const MAX_INCREMENTAL_CHANGE_COUNT = 16;
 
 /**
- * Orders the machines for first-fit placement (ours). Reachable machines come first.
+ * Orders the machines for first-fit placement; the order is this project's own choice. Reachable machines come first.
  *
- * For jobs that allow spot machines, spot machines come next, then fuller ones, so that whole machines become idle and
- * can be scaled in; of equally full machines, those that have the image come first. Other jobs prefer machines that
- * have their image, then small ones: service replicas run for a long time and must not keep a large machine in use.
+ * For jobs that allow spot machines, spot machines come next, then those with the fewest free CPUs, so that whole
+ * machines become idle and can be scaled in; of machines with equal free CPUs, those that have the image come first.
+ * Other jobs use on-demand machines only. They prefer machines that have their image, then those with the fewest CPUs,
+ * then those with the fewest free CPUs: service replicas run until they are cancelled and must not keep a large machine
+ * in use.
  *
  * One index serves all jobs of a placement round. The index holds only machines with enough free capacity for the
- * smallest request of these jobs. Between two jobs only the machines that have changed are reinserted, since most jobs
- * change one or two.
+ * smallest request of these jobs. Before each read, up to `MAX_INCREMENTAL_CHANGE_COUNT` changed machines are
+ * reinserted without sorting the whole index, since most jobs change one or two.
  */
 export class CandidateIndex {
   private candidates: Candidate[];
@@ -65,7 +67,7 @@
       .map((machine) => ({ machine, freeCpus: machine.free.cpus }));
   }
 
-  /** Marks a machine whose free capacity has changed; the machine is reordered before the next job is placed. */
+  /** Marks a machine whose free capacity has changed; the machine is reordered by the next `inOrder`. */
   markChanged(machine: MachineView): void {
     if (this.allowsSpot || !machine.spot) this.changedMachines.add(machine);
   }
--- a/src/scheduler/job-failures.ts
+++ b/src/scheduler/job-failures.ts
@@ -4,7 +4,10 @@
 
 /** The number of machines on which tasks of a job have to fail before the job itself counts as faulty. */
 const FAULTY_JOB_MACHINE_COUNT = 3;
-/** A faulty job backs off for `BASE_BACKOFF_MS` doubled once per failure after the second, within both limits. */
+/**
+ * A faulty job backs off for `BASE_BACKOFF_MS`, doubled once per failure after the second, but at most
+ * `MAX_BACKOFF_DOUBLING_COUNT` times and to at most `MAX_BACKOFF_MS`.
+ */
 const BASE_BACKOFF_MS = 1000;
 const MAX_BACKOFF_MS = 60_000;
 const MAX_BACKOFF_DOUBLING_COUNT = 6;
@@ -14,7 +17,7 @@
 /**
  * Records the machines on which a job's tasks failed. Usually the machine is at fault, and the job avoids it. A job
  * that has failed on `FAULTY_JOB_MACHINE_COUNT` machines is more likely at fault itself: it no longer avoids any
- * machine, and backs off for longer after each further failure.
+ * machine, and backs off after each further failure, for longer each time up to `MAX_BACKOFF_MS`.
  */
 export class JobFailures {
   private failureCount = 0;
--- a/src/scheduler/job-priority.ts
+++ b/src/scheduler/job-priority.ts
@@ -29,7 +29,7 @@
 
   /**
    * The time by which the job should be complete by its own deadline, which counts from the job's acceptance; null:
-   * none.
+   * the job has no deadline.
    */
   get ownDeadline(): WallTime | null {
     const { deadlineS } = this.spec;
@@ -37,8 +37,8 @@
   }
 
   /**
-   * The time from which the waiting time and the class targets of the job count: its acceptance, or the end of its last
-   * dependency. The job's own deadline counts from its acceptance instead.
+   * The time from which the waiting time and the class targets of the job count: its acceptance, or the time at which
+   * this leader found its last dependency done. The job's own deadline counts from its acceptance instead.
    */
   get readyAt(): WallTime {
     return this.readyTime;
--- a/src/scheduler/job-progress.ts
+++ b/src/scheduler/job-progress.ts
@@ -89,8 +89,9 @@
   }
 
   /**
-   * Merges all added records. The job continues in the smallest chunk size among them: a larger record written beside
-   * smaller ones would be newer, but a leader of an earlier version lets the smaller records win regardless of age.
+   * Merges all added records. The job continues in the smallest of their chunk sizes and its own: a larger record
+   * written beside smaller ones would be newer, but a leader of an earlier version lets the smaller records win
+   * regardless of age.
    */
   mergeStored(): StoredProgress {
     const stored = this.storedChunks;
@@ -134,8 +135,8 @@
   }
 
   /**
-   * Schedules the rewrite of records that differ from the merged progress: a leader of an earlier version would believe
-   * such a record.
+   * Schedules the rewrite of the records of the current chunk size that differ from the merged progress: a leader of an
+   * earlier version would believe such a record.
    */
   rewriteOutdated(now: MonotonicTime): void {
     for (const chunk of this.outdatedChunks) chunk.markDirty(now);
@@ -143,7 +144,8 @@
   }
 
   /**
-   * Splits all chunks into smaller ones, and returns the chunks that these replace. Durable progress stays in the old
+   * Splits all chunks into smaller ones, and returns the chunks that these replace; none if `size` is not below the
+   * current chunk size and the job's number of tasks. Durable progress stays in the old
    * record until a task of the smaller chunk changes; progress that is not durable yet is written in the smaller
    * chunks.
    */
--- a/src/scheduler/job-store.ts
+++ b/src/scheduler/job-store.ts
@@ -20,12 +20,15 @@
   readonly dirtyChunks = new Set<ProgressChunk>();
   /** Jobs that are complete, or cancelled without a task on a machine, and whose records have not been closed yet. */
   readonly jobsToClose = new Set<ActiveJob>();
-  /** Incremented whenever the set of jobs that are neither cancelled nor complete changes. */
+  /**
+   * The version of the set of jobs that are neither blocked, cancelled nor complete, incremented at least whenever this
+   * set changes. `DependencyTracker` increments the version when jobs are no longer blocked.
+   */
   version = 0;
 
   /**
-   * @param restoreAssignment Called when a released task counts as placed again, on the next machine on which an earlier
-   * leader may have started the task.
+   * @param restoreAssignment Called when a released task counts as placed again, on the next machine on which an
+   * earlier leader may have started the task.
    */
   constructor(private readonly restoreAssignment: (task: Task) => void = () => {}) {}
 
--- a/src/scheduler/placement-rule.ts
+++ b/src/scheduler/placement-rule.ts
@@ -57,7 +57,7 @@
   return false;
 }
 
-/** Returns how many more tasks of the job may be in the zone, given the job's other tasks. */
+/** Returns how many more tasks of the job may be in the zone, given the job's other tasks; `Infinity`: no limit. */
 export function remainingInZone(spec: PlacementSpec, others: ZoneCounts, zone: ZoneId): number {
   if (spec.zoneAffinity && hasTaskInOtherZone(others, zone)) return 0;
   return spec.zoneAntiAffinity ? Math.max(0, maxTasksInZone(spec) - (others.get(zone) ?? 0)) : Infinity;
--- a/src/scheduler/placement.ts
+++ b/src/scheduler/placement.ts
@@ -46,8 +46,8 @@
     // A starving job gets only part of its tasks placed ahead of its rank: the job makes progress, and other jobs are
     // not blocked.
     if (job.isStarving) remaining = Math.min(remaining, Math.ceil(spec.taskCount * STARVING_JOB_TASK_RATIO));
-    // A service replica starts without delay only on a machine that has its image, so preempting there takes precedence
-    // over an image fetch on a free machine.
+    // A production task, such as a service replica, starts without delay only on a machine that has its image, so
+    // preempting there takes precedence over an image fetch on a free machine.
     if (spec.priority === Priority.Production) {
       const hasImage: MachineFilter = (machine) => machine.images.has(spec.image);
       remaining = this.firstFit(job, teamUsage, remaining, hasImage);
@@ -103,7 +103,10 @@
     return this.preemptibleMachines;
   }
 
-  /** Starts one task after the other where preemption costs least. Returns how many tasks are still to be placed. */
+  /**
+   * Starts one task after the other where preemption costs least, if tasks may be preempted for the job. Returns how
+   * many tasks are still to be placed.
+   */
   private preempt(job: JobView, teamUsage: TeamUsage, remaining: number, isEligible: MachineFilter): number {
     const canPreempt = remaining > 0 ? preemptionFilter(job, this.snapshot.guaranteed) : null;
     if (!canPreempt) return remaining;
--- a/src/scheduler/preemption.ts
+++ b/src/scheduler/preemption.ts
@@ -1,4 +1,4 @@
-/** Selects the running tasks that may be preempted for a job, and computes the cost of preempting them. */
+/** Selects the placed tasks that may be preempted for a job, and computes the cost of preempting them. */
 import type { JobId } from '../model/ids.js';
 import { fits, release, type JobSpec, Priority } from '../model/job.js';
 import type { JobView, MachineView, Victim } from './snapshot.js';
@@ -14,7 +14,7 @@
  */
 const URGENT_COST_FACTOR = 8;
 
-/** Returns the cost of preempting a task, in lost CPU milliseconds. */
+/** Returns the cost of preempting a task, in lost CPU milliseconds times `URGENT_COST_FACTOR` for high priority. */
 function preemptionCost(victim: Victim): number {
   const factor = victim.priority >= Priority.High ? URGENT_COST_FACTOR : 1;
   return (victim.lostMs + RESTART_COST_MS) * victim.cpus * factor;
@@ -31,8 +31,8 @@
 
 /**
  * Returns a filter for the tasks that may be preempted for a job (PROTOCOL, "Preemption"): for production work, tasks
- * of lower priorities; for a job within its team's guaranteed quota, tasks below production priority that other teams
- * run beyond their quota. Null: no task may be preempted.
+ * of lower priorities; for a job within its team's guaranteed quota that has waited `GUARANTEE_PREEMPTION_DELAY_MS`,
+ * tasks below production priority that other teams run beyond their quota. Null: no task may be preempted.
  */
 export function preemptionFilter(job: JobView, guaranteed: ReadonlySet<JobId>): PreemptionFilter | null {
   const { spec } = job;
--- a/src/scheduler/progress-chunk.ts
+++ b/src/scheduler/progress-chunk.ts
@@ -19,7 +19,7 @@
   revision: Revision = NO_REVISION;
   /** Whether a write of the chunk's record was ever sent, whatever its outcome. */
   wasWriteSent = false;
-  /** Incremented by each change. The change is durable once `durableVersion` has reached this version. */
+  /** The number of changes to the chunk. A change is durable once `durableVersion` has reached its version. */
   version = 0;
   durableVersion = 0;
   dirtySince: MonotonicTime | null = null;
@@ -28,8 +28,8 @@
   /** The chunk's tasks with at least one attempt. */
   readonly tasks = new Map<TaskIndex, Task>();
   /**
-   * The smaller chunks that replaced this chunk, each with the version that contains this chunk's progress at that
-   * time; null: the chunk was not replaced.
+   * The smaller chunks that replaced this chunk, each with the version that contains this chunk's progress at the
+   * time of the replacement; null: the chunk was not replaced.
    */
   private successors: { readonly chunk: ProgressChunk; readonly version: number }[] | null = null;
 
--- a/src/scheduler/progress-merge.ts
+++ b/src/scheduler/progress-merge.ts
@@ -24,9 +24,9 @@
 /** The progress of a task according to one record. */
 export interface ProgressClaim {
   readonly progress: TaskProgress;
-  /** Of the record. */
+  /** The chunk size of the record. */
   readonly chunkSize: number;
-  /** Of the record. */
+  /** The revision of the record. */
   readonly revision: Revision;
 }
 
--- a/src/scheduler/queue.ts
+++ b/src/scheduler/queue.ts
@@ -41,7 +41,8 @@
 
 /**
  * Sorts jobs in the order in which they are served: by rank (production work, starving jobs, then priority and
- * guaranteed quota), then slack, then the time at which they became ready.
+ * guaranteed quota), then least slack (jobs without slack, `slackMs` null, last), then the earliest time at which they
+ * became ready.
  */
 export function queueOrder(jobs: readonly JobView[], guaranteed: ReadonlySet<JobId>): JobView[] {
   const rankOf = ({ spec, isStarving }: JobView): number => {
@@ -59,7 +60,10 @@
     .map(({ job }) => job);
 }
 
-/** Returns how many more tasks of the job the quota limit of its team allows. */
+/**
+ * Returns how many more tasks of the job the quota limit of its team allows; `Infinity`: the team has no limit for the
+ * resources that the job requests.
+ */
 export function remainingQuota(team: Team, usage: TeamUsage, spec: JobSpec): number {
   let remaining = Infinity;
   if (team.cpusMax !== null && spec.cpus > 0) {
--- a/src/scheduler/slack-factors.ts
+++ b/src/scheduler/slack-factors.ts
@@ -13,9 +13,9 @@
 const roundToThousandths = (share: number): number => Math.round(share * 1000) / 1000;
 
 /**
- * Computes, for each job class, the multiple of the estimated slack for which work may wait before on-demand machines
- * are rented. The factor depends on how often the class's jobs miss their service-level objectives: a site whose spot
- * machines catch up pays for few on-demand machines, and a site that falls behind rents them early.
+ * Computes, for each job class, the multiple of its time limit (slack plus run time) that work may take before
+ * on-demand machines are rented. The factor depends on how often the class's jobs miss their service-level objectives:
+ * a site whose spot machines catch up pays for few on-demand machines, and a site that falls behind rents them early.
  */
 export class SlackFactors {
   /** The exponential moving average of the share of jobs that missed their target, by job class. */
--- a/src/scheduler/slo-targets.ts
+++ b/src/scheduler/slo-targets.ts
@@ -5,7 +5,10 @@
 /** Allowances for a task that runs longer than expected (a factor), and for the fetch of its image (milliseconds). */
 const RUN_TIME_MARGIN_FACTOR = 1.25;
 const IMAGE_FETCH_ALLOWANCE_MS = 4000;
-/** The share of a class's jobs that should meet a target if the objective does not specify a share. */
+/**
+ * The share of a class's jobs that should meet a target if the objective does not specify a share, or meet their own
+ * deadline if the class has no deadline objective.
+ */
 const DEFAULT_TARGET_SHARE = 0.9;
 
 /** A time limit for the completion of a job, or for the start of its tasks. */
--- a/src/scheduler/snapshot.ts
+++ b/src/scheduler/snapshot.ts
@@ -16,17 +16,20 @@
   readonly free: FreeCapacity;
   /** The images in the machine's cache. */
   readonly images: { has(image: ImageId): boolean };
-  /** Whether the leader can send commands to the machine directly. */
+  /** Whether the leader's last direct call to the machine's agent did not fail, or none was made. */
   readonly isReachable: boolean;
 }
 
-/** A running task that is a candidate for preemption. */
+/** A placed task that is a candidate for preemption. */
 export interface Victim extends Resources {
   readonly task: TaskId;
   readonly job: JobId;
   readonly team: TeamId;
   readonly priority: Priority;
-  /** The run time since the task's last checkpoint, which preemption would lose, in milliseconds. */
+  /**
+   * The run time that preemption would lose, in milliseconds: at most one checkpoint interval, or the whole run time if
+   * the task writes no checkpoints.
+   */
   readonly lostMs: number;
 }
 
@@ -72,7 +75,7 @@
   readonly preemptor: JobId;
 }
 
-/** The number of a job's waiting tasks that could not be placed. */
+/** The number of a job's waiting tasks that could not be placed, without those beyond its team's quota limit. */
 interface UnmetDemand {
   readonly job: JobView;
   readonly tasks: number;
@@ -92,10 +95,13 @@
   readonly jobs: readonly JobView[];
   /** The machines that accept tasks. A machine without free capacity is considered for preemption only. */
   readonly machines: readonly MachineView[];
-  /** All unfinished jobs that fit into their team's guaranteed quota (`guaranteedJobs`). */
+  /** The jobs that fit into their team's guaranteed quota (`guaranteedJobs`), among all unfinished, unblocked jobs. */
   readonly guaranteed: ReadonlySet<JobId>;
   readonly teams: ReadonlyMap<TeamId, Team>;
   readonly teamUsage: ReadonlyMap<TeamId, TeamUsage>;
-  /** Returns the tasks of a machine that could be preempted, least loss first. Called only if preemption is allowed. */
+  /**
+   * Returns the tasks of a machine that could be preempted, lowest priority first, then least loss. Called only if
+   * preemption is allowed.
+   */
   victimsOf(id: MachineId): Victim[];
 }
--- a/src/scheduler/starvation.ts
+++ b/src/scheduler/starvation.ts
@@ -6,8 +6,9 @@
 const STARVATION_THRESHOLD_MS = 120_000;
 
 /**
- * Whether a job has waited for longer than the starvation threshold without a placement. Work whose targets are lost is
- * served last, and low priorities are served after high ones; on a full cluster both could otherwise wait forever.
+ * Whether a job has waited for longer than the starvation threshold without a placement. Production jobs and jobs with
+ * a task that may be on a machine are never starving. Work whose targets are lost is served last within its rank, and
+ * low priorities are served after high ones; on a full cluster both could otherwise wait forever.
  */
 export function isStarving(
   job: {
--- a/src/scheduler/task-queue.ts
+++ b/src/scheduler/task-queue.ts
@@ -21,7 +21,10 @@
     return this.retries.shift() ?? (this.firstNeverStarted++ as TaskIndex);
   }
 
-  /** Adds a task whose attempt ended without success. */
+  /**
+   * Adds a task whose attempt ended without success, or, when the queue is restored, a task below the index of
+   * `restoreNeverStarted` that is neither done nor placed.
+   */
   enqueueRetry(index: TaskIndex): void {
     this.retries.push(index);
   }
--- a/src/scheduler/task.ts
+++ b/src/scheduler/task.ts
@@ -72,8 +72,8 @@
   runningAt: MonotonicTime | null = null;
   placedAt: MonotonicTime | null = null;
   /**
-   * The agent's incarnation when the first start command of the attempt was sent; null: no start command was sent in
-   * this leader's epoch.
+   * The agent's incarnation when the first start command of the attempt was sent or, if none was sent in this leader's
+   * epoch, when a heartbeat first listed the attempt; null: neither has happened in this epoch.
    */
   startSentIncarnation: AgentIncarnation | null = null;
   /**
@@ -81,8 +81,8 @@
    */
   startSentToken: FencingToken | null = null;
   /**
-   * Whether the attempt was placed in an earlier epoch. Such an attempt is gone once a heartbeat in this leader's epoch
-   * does not list the attempt.
+   * Whether the attempt was placed in an earlier epoch and has not been listed by a heartbeat in this leader's epoch.
+   * Such an attempt is gone once a heartbeat in this epoch does not list the attempt.
    */
   isInherited = false;
   pendingStop: PendingStop | null = null;
--- a/src/scheduler/zone-tally.ts
+++ b/src/scheduler/zone-tally.ts
@@ -3,8 +3,8 @@
 import type { ZoneCounts } from './placement-rule.js';
 
 /**
- * The number of a job's tasks that may be on machines, by zone. A zone of null: the task's machine, and so the zone, is
- * unknown.
+ * The number of a job's tasks that may be on machines, by zone. A zone of null: the zone of the task's machine is not
+ * confirmed.
  */
 export class ZoneTally {
   private readonly countByZone = new Map<ZoneId, number>();
@@ -27,7 +27,7 @@
     this.adjust(zone, -1);
   }
 
-  /** Returns a copy of the counts minus one task in the given zone. */
+  /** Returns a copy of the counts minus one task in the given zone; a zone of null subtracts nothing. */
   countsWithout(zone: ZoneId | null): ZoneCounts {
     const others = new Map(this.countByZone);
     if (zone === null) return others;
