--- a/src/fleet/backlog-scaler.ts
+++ b/src/fleet/backlog-scaler.ts
@@ -52,7 +52,7 @@
 
   /**
    * Requests machines for the queue, now or as soon as the cloud's rate limit and the planning pause allow. Does
-   * nothing while `MAX_PENDING_REQUEST_COUNT` requests are pending.
+   * nothing if the queue is empty or while `MAX_PENDING_REQUEST_COUNT` requests are pending.
    */
   requestUnmet(): void {
     const { scaleOut, cloudCalls } = this.options;
@@ -86,7 +86,8 @@
 
   /**
    * Plans spot machines for all work that may run on them, and on-demand machines, which cost several times as much,
-   * only for work that must run on them and for spot work that the current fleet would start too late.
+   * only for work that must run on them and, if no spot machine can be requested, for spot work that the current fleet
+   * would start too late.
    */
   private planRequests(maxMachines: number): CapacityRequest[] {
     const pendingMachines = this.options.scaleOut.pendingMachines();
@@ -110,7 +111,7 @@
     return overdueDemand(spotWork, cpus, remainingCpuMs, slackFactorScale);
   }
 
-  /** Returns the CPUs of running and pending machines that are available to spot work: those not used by other work. */
+  /** Returns the CPUs of uncordoned running and pending machines that are not used by work other than spot work. */
   private cpusForSpotWork(pendingMachines: readonly PendingMachine[]): number {
     let cpus = pendingMachines.reduce((sum, machine) => sum + machine.free.cpus, 0);
     for (const worker of this.ctx.workers.values()) {
--- a/src/fleet/backlog.ts
+++ b/src/fleet/backlog.ts
@@ -7,7 +7,8 @@
   /** The expected run time of a task, in milliseconds. */
   readonly runMs: number;
   /**
-   * How long the job's last task may still wait after the boot of a new machine; null: no target can be met by then.
+   * How long the job's last task may still wait after the boot of a new machine, in milliseconds; null: no target can
+   * be met by then.
    */
   readonly slackMs: number | null;
   /** The multiple of its time limit that the job may take before on-demand machines are requested (`SlackFactors`). */
@@ -48,7 +49,7 @@
 /**
  * Returns the part of the queue that the current fleet would not start in time. The estimate assumes that `cpus` CPUs
  * process the queue job by job, after `runningCpuMs` of work that is already running. This corresponds to the expected
- * releases of the design, but counted until each job's own time limit instead of over one slot.
+ * releases of `CapacityProjection`, but counted until each job's own time limit instead of over one slot.
  *
  * `slackFactorScale` is the scale of the jobs' slack factors, from 1 (fully applied) to 0 (not applied).
  */
--- a/src/fleet/capacity-plan.ts
+++ b/src/fleet/capacity-plan.ts
@@ -53,8 +53,8 @@
   readonly spec: JobSpec;
   readonly tasks: number;
   /**
-   * The job's other tasks by zone. The job's zone constraints may rule out machines in a zone that has enough of its
-   * tasks.
+   * The job's other tasks that may be on machines, by zone. The job's zone constraints may exclude zones because of
+   * these tasks.
    */
   readonly zones: ZoneCounts;
 }
--- a/src/fleet/capacity-projection.ts
+++ b/src/fleet/capacity-projection.ts
@@ -10,17 +10,21 @@
 export interface CapacityProjection {
   /** The expected releases by tasks that must run on on-demand machines, in machines, by series. */
   readonly releases: ReadonlyMap<string, number>;
-  /** The idle capacity of running and pending machines, in machines, by series. */
+  /**
+   * The idle capacity of uncordoned and pending machines, less the queued tasks that must run on on-demand machines, in
+   * machines, by series. Spot work on an on-demand machine counts as idle capacity.
+   */
   readonly reserves: ReadonlyMap<string, number>;
   /** The types of machines that run replicas of services. */
   readonly typesWithReplicas: ReadonlySet<MachineTypeId>;
   /** The CPUs that spot work is expected to release, on spot and on-demand machines. */
   readonly spotReleasedCpus: number;
   /**
-   * The fraction of a slot's new spot work that ends within the same slot, if the work arrives evenly over the slot.
+   * The fraction of a slot's new spot work that ends within the same slot, if the work arrives evenly over the slot and
+   * is like the spot work on machines now; 0 if there is none.
    */
   readonly spotSameSlotReleaseRatio: number;
-  /** The idle CPUs of all machines, less the CPUs of the queued tasks. */
+  /** The idle CPUs of uncordoned and pending machines, less the CPUs of the queued tasks; at least 0. */
   readonly spotIdleCpus: number;
 }
 
--- a/src/fleet/consolidator.ts
+++ b/src/fleet/consolidator.ts
@@ -15,12 +15,15 @@
   type MovableTaskConstraint,
 } from './drain-selection.js';
 
-/** The interval between two consolidations; by then the tasks of the machines drained last have been placed again. */
+/** The minimum interval between two consolidations; by then the tasks of drained machines are usually placed again. */
 const CONSOLIDATION_INTERVAL_MS = 2000;
 /** The minimum time that is billed for a machine, however early the machine is deleted (PROTOCOL). */
 export const MIN_BILLED_MS = 60_000;
 
-/** Selects underused machines and drains them. The caller runs the consolidation only while no task waits. */
+/**
+ * Selects underused machines and drains them. The caller runs the consolidation only while no task waits and no
+ * scale-out request is pending.
+ */
 export class Consolidator {
   private lastRunAt: MonotonicTime | null = null;
 
--- a/src/fleet/demand-forecast.ts
+++ b/src/fleet/demand-forecast.ts
@@ -54,7 +54,7 @@
     spot: new ArrivalDropDetector(),
     onDemand: new ArrivalDropDetector(),
   };
-  /** The series whose pools were sold out in the current slot; the slot does not score their predictors. */
+  /** The series of which a pool was sold out in the current slot; the slot does not score their predictors. */
   private readonly soldOutInSlot = new Set<string>();
   private isFirstSlot = true;
 
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Records the demand of a new job, once, for the cheapest suitable machine type, whether or not that type is sold
-   * out.
+   * Records the demand of a job that became ready, limited by its team's CPU quota, for the cheapest suitable machine
+   * type, whether or not that type is sold out. Called once per job in a leadership term.
    */
   recordDemand({ spec }: ActiveJob): void {
     const pool = cheapestPool(
@@ -140,9 +140,10 @@
   }
 
   /**
-   * Returns the target reserve of a series, in machines: the forecast demand less the expected releases. The reserve of
-   * on-demand machines covers a slot and a boot, since a requested machine is usable only after its boot and work on
-   * on-demand machines must wait neither for the slot's end nor for the boot.
+   * Returns the target reserve of a series, in machines: the forecast demand less the expected releases, and at least 1
+   * for an on-demand type with service replicas. The reserve of on-demand machines covers a slot and a boot, since a
+   * requested machine is usable only after its boot and work on on-demand machines must wait neither for the slot's end
+   * nor for the boot.
    */
   targetReserve(series: string, projection: CapacityProjection): number {
     const { type: id, spot } = parseSeriesKey(series);
@@ -159,7 +160,10 @@
     return Math.max(minReserve, netSlotNeed * (1 + type.bootTime / this.slotMs));
   }
 
-  /** Returns the number of machines to request ahead of demand: the target reserve less the current reserve. */
+  /**
+   * Returns the number of machines to request ahead of demand: the target reserve less the current reserve and the
+   * tolerated shortfall, rounded up; 0 or less: no machine is missing.
+   */
   missingMachines(series: string, projection: CapacityProjection): number {
     const { type: id, spot } = parseSeriesKey(series);
     const reserve = projection.reserves.get(series) ?? 0;
--- a/src/fleet/drain-selection.ts
+++ b/src/fleet/drain-selection.ts
@@ -24,7 +24,7 @@
   readonly lostMs: number;
   /** The expected remaining run time, in milliseconds. */
   readonly remainingMs: number;
-  /** Whether the task may be stopped and its job still meets its target if the task restarts now. */
+  /** Whether the task may be stopped, and its restart now would not make its job miss a target (`SloTargets`). */
   readonly mayMove: boolean;
   /** Absent if the task may start on any machine. */
   readonly constraint?: MovableTaskConstraint;
--- a/src/fleet/fleet-manager.ts
+++ b/src/fleet/fleet-manager.ts
@@ -129,7 +129,10 @@
     return this.inventory.registerUnknown(id, rentedAt);
   }
 
-  /** The number of machines whose confirmed type, zone or kind contradicted the stored record, in this term. */
+  /**
+   * The number of times in this term that a machine's confirmed type, zone or kind (spot or on-demand) contradicted the
+   * recorded one.
+   */
   get contradictions(): number {
     return this.inventory.contradictions;
   }
@@ -188,8 +191,8 @@
   }
 
   /**
-   * Requests missing on-demand machines during the slot as well: after a replica has used up the reserve, the next
-   * replica must not wait for the end of the slot and then for a boot.
+   * Requests missing on-demand machines during the slot as well, unless a scale-out request is pending: after a replica
+   * has used up the reserve, the next replica must not wait for the end of the slot and then for a boot.
    */
   private topUpOnDemand(now: MonotonicTime): void {
     if (this.scaleOut.pending.size > 0) return;
--- a/src/fleet/idle-machines.ts
+++ b/src/fleet/idle-machines.ts
@@ -16,7 +16,10 @@
     private readonly scaleIn: ScaleIn,
   ) {}
 
-  /** Deletes surplus machines. `projectionAt` is only called if a machine has been idle for its idle timeout. */
+  /**
+   * Deletes surplus machines. `projectionAt` is only called if a machine has been idle for its idle timeout and rented
+   * for `MIN_BILLED_MS`.
+   */
   removeSurplus(now: MonotonicTime, projectionAt: (now: MonotonicTime) => CapacityProjection): void {
     const idle = this.removableMachinesBySeries(now);
     if (idle.size === 0) return;
@@ -31,8 +34,8 @@
   }
 
   /**
-   * Returns the machines whose idle timeout has passed, by series. Empty machines that are cordoned as failing or
-   * draining are deleted immediately instead.
+   * Returns the machines whose idle timeout and minimum billed time have passed, by series. Empty machines that are
+   * cordoned as failing or draining are deleted immediately instead.
    */
   private removableMachinesBySeries(now: MonotonicTime): Map<string, Worker[]> {
     const idle = new Map<string, Worker[]>();
--- a/src/fleet/inventory.ts
+++ b/src/fleet/inventory.ts
@@ -34,7 +34,7 @@
   return slowest;
 }
 
-/** Synchronizes the worker registry with the cloud. */
+/** Registers machines, confirms their facts, and deletes machines that failed or whose boot timed out. */
 export class MachineInventory {
   private isListing = false;
   private lastListAt: MonotonicTime | null = null;
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Registers a machine whose type, zone and kind are confirmed, or confirms these facts for a registered machine.
-   * Returns null if the machine was deleted or its type is not offered by the cloud.
+   * Registers a machine whose type, zone and kind (spot or on-demand) are confirmed, or confirms these facts for a
+   * registered machine. Returns null if the machine was deleted or its type is not offered by the cloud.
    */
   registerMachine(
     machine: Machine,
@@ -93,6 +93,7 @@
 
   /**
    * Registers a machine known only by its id, from the record of a task that an earlier leader placed on the machine.
+   * Returns null if the machine was deleted.
    */
   registerUnknown(id: MachineId, rentedAt: MonotonicTime): Worker | null {
     this.ctx.log.info({ machine: id }, MACHINE_KNOWN_BY_TASK_ONLY_MESSAGE);
@@ -123,7 +124,10 @@
     } else if (facts.state === 'unknown') this.ctx.log.info(fields, 'machine facts confirmed');
   }
 
-  /** The number of machines whose confirmed type, zone or kind contradicted the stored record, in this term. */
+  /**
+   * The number of times in this term that a machine's confirmed type, zone or kind (spot or on-demand) contradicted the
+   * recorded one.
+   */
   get contradictions(): number {
     return this.contradictionCount;
   }
--- a/src/fleet/scale-in.ts
+++ b/src/fleet/scale-in.ts
@@ -1,4 +1,4 @@
-/** Deletion of machines in the cloud: surplus machines, and machines that are fenced. */
+/** Deletion of machines in the cloud: surplus, drained or fenced machines, and those that failed or did not boot. */
 import type { LeaderContext } from '../core/context.js';
 import { errorMessage } from '../log/logger.js';
 import type { MachineId } from '../model/ids.js';
@@ -40,7 +40,7 @@
 
   /**
    * Cordons a machine and deletes it with the next batch. `isLeaseOptional` allows the deletion while the leader's
-   * lease is not valid; it is set for a machine that still runs a cancelled task.
+   * lease is not valid; it is set for a machine that may still run a cancelled task after the time limit.
    */
   deleteMachine(worker: Worker, reason: string, isLeaseOptional = false): void {
     if (isLeaseOptional) this.leaseOptionalDeletions.add(worker.id);
--- a/src/fleet/scale-out.ts
+++ b/src/fleet/scale-out.ts
@@ -1,6 +1,6 @@
 /**
  * Machine requests to the cloud. Each request has a unique name, is sent only while the leader's lease is valid, and
- * is not sent to a pool that was recently sold out.
+ * is not sent for the first time to a pool that was sold out within the last `SOLD_OUT_BACKOFF_MS`.
  */
 import { CloudRequestRefusedError, type ScaleOutResult } from '../cloud/client.js';
 import type { LeaderContext } from '../core/context.js';
@@ -124,8 +124,8 @@
   }
 
   /**
-   * Requests machines of a series ahead of demand. If an on-demand type is sold out in all zones, the cheapest other
-   * type is requested instead.
+   * Requests machines of a series ahead of demand. If an on-demand type is sold out in all zones, the cheapest
+   * available type is requested instead, with about the same number of CPUs. Spot machines have no replacement.
    */
   requestAhead(series: string, count: number): void {
     const { type: id, spot } = parseSeriesKey(series);
--- a/src/forecast/arrival-drop-detector.ts
+++ b/src/forecast/arrival-drop-detector.ts
@@ -1,4 +1,4 @@
-/** Detection of a falling arrival rate, earlier than the predictors detect one. */
+/** Detection of a falling arrival rate of jobs, earlier than the predictors detect one. */
 import { type Millis, type MonotonicTime, since } from '../model/time.js';
 
 /** The number of past slots over which the mean arrival count is computed. */
@@ -31,7 +31,7 @@
 
   /**
    * Returns the fraction of a forecast, at most 1, that is supported by the arrivals within the last `slotMs`
-   * milliseconds.
+   * milliseconds; 1 if no slot has ended or the mean is below `MIN_MEAN_ARRIVAL_COUNT`.
    */
   supportedForecastRatio(now: MonotonicTime, slotMs: Millis): number {
     this.recentTimes = this.recentTimes.filter((time) => since(now, time) < slotMs);
--- a/src/forecast/ensemble.ts
+++ b/src/forecast/ensemble.ts
@@ -43,11 +43,11 @@
 
 const roundToThousandths = (value: number): number => Math.round(value * 1000) / 1000;
 
-/** A cost-weighted linear combination of predictors for one machine type (the paper's equation 6). */
+/** A cost-weighted linear combination of predictors for one series (the paper's equation 6). */
 export class Ensemble {
   readonly series: number[] = [];
   private readonly weights = new Map<string, number>();
-  /** The forecast for the current slot; null until the forecast is computed. */
+  /** The result of `forecast()`; null: not computed since the series last changed. */
   private cachedForecast: number | null = null;
 
   constructor(
@@ -74,10 +74,10 @@
   }
 
   /**
-   * Adds the demand of the slot that ended, scores the predictors by this demand and weights the predictors by
-   * inverse cost; the update as printed in the paper (equations 7 and 8) would favour the costliest predictor. A slot
-   * affected by a stockout is added without scoring (`isScored` is false), since refused machine requests are not
-   * prediction errors.
+   * Adds the demand of the slot that ended, clipped to `burstLimit()`. Unless the slot is the first of the series, the
+   * predictors are scored by the unclipped demand and weighted by inverse cost; the update as printed in the paper
+   * (equations 7 and 8) would favour the costliest predictor. A slot affected by a stockout is added without scoring
+   * (`isScored` is false), since refused machine requests are not prediction errors.
    */
   observe(actual: number, isScored = true): void {
     this.cachedForecast = null;
@@ -117,7 +117,8 @@
   }
 
   /**
-   * Restores the state from a stored record. Weights are restored only if the record has a weight for each predictor.
+   * Restores the state from a stored record; a value without a series is ignored. Weights are restored only if the
+   * record has a weight for each predictor.
    */
   restore(stored: unknown): void {
     this.cachedForecast = null;
--- a/src/forecast/lifetimes.ts
+++ b/src/forecast/lifetimes.ts
@@ -72,7 +72,7 @@
 
   /**
    * Returns the expected run time of a task in milliseconds: the owner's estimate, corrected by the class's
-   * estimation error.
+   * estimation error within `MIN_CORRECTION_RATIO` and `MAX_CORRECTION_RATIO`, once `MIN_RUN_COUNT` runs are recorded.
    */
   expectedRunMs({ jobClass, estimatedRunS }: EstimatedJob): number {
     const estimatedMs = estimatedRunS * 1000;
@@ -114,8 +114,8 @@
 
   /**
    * Returns the probability that a task that has run for `ageMs` ends within the next `durationMs`: (F(a+s) − F(a)) /
-   * (1 − F(a)). While fewer than `MIN_RUN_COUNT` runs are recorded, run times are assumed to be exponentially
-   * distributed with the owner's estimate as the median.
+   * (1 − F(a)), and 1 if F(a) is 1. While fewer than `MIN_RUN_COUNT` runs are recorded, run times are assumed to be
+   * exponentially distributed with the owner's estimate as the median; without an estimate, the result is then 0.
    */
   endProbability(jobClass: string, ageMs: number, durationMs: number, estimatedMs: number): number {
     if (this.runCountOf(jobClass) < MIN_RUN_COUNT) {
--- a/src/forecast/predictors.ts
+++ b/src/forecast/predictors.ts
@@ -114,7 +114,7 @@
 }
 
 /**
- * Returns a predictor of the value that only the fraction `exceedanceRatio` of the last `window` slots exceeded. A
+ * Returns a predictor of the value that at most the fraction `exceedanceRatio` of the last `window` slots exceeded. A
  * mean does not predict demand with few arrivals per slot. The influence of this predictor depends on the cost of
  * delayed work, through the weights of the ensemble.
  */
