--- a/src/fleet/backlog-scaler.ts
+++ b/src/fleet/backlog-scaler.ts
@@ -8,8 +8,8 @@
 import type { ScaleOut } from './scale-out.js';
 
 /**
- * The maximum number of pending scale-out requests; later requests then take sold-out pools of earlier ones into
- * account.
+ * The number of pending scale-out requests from which on no machines are requested for the queue; later requests then
+ * take sold-out pools of earlier ones into account.
  */
 const MAX_PENDING_REQUEST_COUNT = 2;
 /** The minimum pause between two rounds of planning. */
--- a/src/fleet/scale-out.ts
+++ b/src/fleet/scale-out.ts
@@ -71,7 +71,8 @@
   private readonly inProgress = new Map<string, CapacityRequest>();
   private requestCount = 0;
   /**
-   * Requests acquire cloud calls one at a time, so that a deletion waits behind at most one request, not behind all.
+   * Settles once the last request in line has acquired its cloud call. Requests acquire cloud calls one at a time, so
+   * that a deletion waits behind at most one request, not behind all.
    */
   private lastQueuedCall: Promise<void> = Promise.resolve();
 
--- a/src/forecast/ensemble.ts
+++ b/src/forecast/ensemble.ts
@@ -27,8 +27,8 @@
 }
 
 /**
- * The number of slots that a series retains: enough for the predictor with the longest window, few enough to drop old
- * bursts.
+ * The number of slots that a series retains: enough for the predictor with the longest window, unless `average_slots`
+ * is set to more, and few enough to drop old bursts.
  */
 const RETAINED_SLOT_COUNT = 40;
 /**
--- a/src/scheduler/candidate-index.ts
+++ b/src/scheduler/candidate-index.ts
@@ -113,8 +113,8 @@
   }
 
   /**
-   * Yields the machines for a job in first-fit order; of machines of equal rank, those that have the job's image come
-   * first.
+   * Yields the machines for a job in first-fit order. Of machines that are equally reachable, and for jobs that allow
+   * spot machines also equal in kind (spot or on-demand) and free CPUs, those that have the job's image come first.
    */
   *inOrder(image: ImageId): Generator<MachineView> {
     this.applyChanges();
--- a/src/scheduler/placement.ts
+++ b/src/scheduler/placement.ts
@@ -19,8 +19,8 @@
 }
 
 /**
- * Runs one round of placement over one snapshot, and deducts the placed tasks from the free capacity of the snapshot's
- * machines.
+ * Runs one round of placement over one snapshot. The round updates the free capacity of the snapshot's machines, and
+ * the waiting count and zones of the snapshot's jobs, by the started and preempted tasks.
  */
 class PlacementRound {
   readonly plan: PlacementPlan = { starts: [], preemptions: [], unmet: [] };
--- a/src/scheduler/slo-targets.ts
+++ b/src/scheduler/slo-targets.ts
@@ -67,8 +67,8 @@
   }
 
   /**
-   * Whether the job still meets the completion target that it would meet otherwise if one of its tasks is stopped now
-   * and restarted. True if the job would meet no target anyway.
+   * Whether a job with a task that is stopped now and restarted still meets the completion target that it would meet
+   * without the stop. True if the job would meet no target anyway.
    */
   canRestartInTime(spec: JobSpec, ageMs: number, remainingMs: number, expectedRunMs: number): boolean {
     const target = this.completionTargetsOf(spec).find(({ withinMs }) => ageMs + remainingMs <= withinMs);
--- a/src/scheduler/snapshot.ts
+++ b/src/scheduler/snapshot.ts
@@ -12,7 +12,7 @@
   readonly zone: ZoneId;
   readonly spot: boolean;
   readonly cpus: number;
-  /** A copy of the machine's free capacity, from which placement deducts the tasks that it starts. */
+  /** A copy of the machine's free capacity, which placement updates by the tasks that it starts and preempts. */
   readonly free: FreeCapacity;
   /** The images in the machine's cache. */
   readonly images: { has(image: ImageId): boolean };
