--- a/src/scheduler/job-progress.ts
+++ b/src/scheduler/job-progress.ts
@@ -144,10 +144,9 @@
   }
 
   /**
-   * Splits all chunks into smaller ones, and returns the chunks that these replace; none if `size` is not below the
-   * current chunk size and the job's number of tasks. Durable progress stays in the old
-   * record until a task of the smaller chunk changes; progress that is not durable yet is written in the smaller
-   * chunks.
+   * Splits all chunks into smaller ones, and returns the chunks that these replace; does nothing unless `size` is below
+   * both the current chunk size and the job's number of tasks. Durable progress stays in the old record until a task of
+   * the smaller chunk changes; progress that is not durable yet is written in the smaller chunks.
    */
   shrinkChunks(size: number, now: MonotonicTime): ProgressChunk[] {
     if (size >= this.chunkSize || this.job.spec.taskCount <= size) return [];
