--- a/src/scheduler/snapshot.ts
+++ b/src/scheduler/snapshot.ts
@@ -95,7 +95,10 @@
   readonly jobs: readonly JobView[];
   /** The machines that accept tasks. A machine without free capacity is considered for preemption only. */
   readonly machines: readonly MachineView[];
-  /** The jobs in their team's guaranteed quota (`guaranteedJobs`), of all that are not blocked, cancelled or complete. */
+  /**
+   * The jobs that fit into their team's guaranteed quota (`guaranteedJobs`), of those that are neither blocked,
+   * cancelled nor complete.
+   */
   readonly guaranteed: ReadonlySet<JobId>;
   readonly teams: ReadonlyMap<TeamId, Team>;
   readonly teamUsage: ReadonlyMap<TeamId, TeamUsage>;
