--- a/src/scheduler/job-store.ts
+++ b/src/scheduler/job-store.ts
@@ -20,7 +20,10 @@
   readonly dirtyChunks = new Set<ProgressChunk>();
   /** Jobs that are complete, or cancelled without a task on a machine, and whose records have not been closed yet. */
   readonly jobsToClose = new Set<ActiveJob>();
-  /** Incremented whenever the set of jobs that are neither cancelled nor complete changes. */
+  /**
+   * The version of the set of jobs that are neither blocked, cancelled nor complete, incremented at least whenever this
+   * set changes. `DependencyTracker` increments the version when jobs are no longer blocked.
+   */
   version = 0;
 
   /**
