--- a/packages/simulation/src/loopback/protocol.ts
+++ b/packages/simulation/src/loopback/protocol.ts
@@ -22,7 +22,7 @@
   readonly harnessPort: number;
 }
 
-/** The names of the requests that a controller sends to the harness. */
+/** The names of the requests and notifications that a controller sends to the harness. */
 export enum HarnessRequest {
   Hello = 'hello',
   Get = 'get',
@@ -38,7 +38,7 @@
  */
 export const LEASE_EXPIRED = 'lease-expired';
 
-/** A controller's first message. `port` is the port on which the controller accepts connections of its peers. */
+/** A controller's first message. `port` is the port for connections of its peers; 0 in lease-only mode. */
 export interface HelloRequest {
   readonly member: string;
   readonly port: number;
@@ -59,7 +59,10 @@
   readonly job: string;
 }
 
-/** An event that a controller reports to the harness: a member's change of state, or a logged warning. */
+/**
+ * An event that a controller reports to the harness: the change of member `subject` to state `to`, or a logged warning
+ * with the text `to` and an empty `subject`.
+ */
 export interface EventReport {
   readonly kind: string;
   readonly subject: string;
--- a/packages/simulation/src/shared-store.ts
+++ b/packages/simulation/src/shared-store.ts
@@ -24,7 +24,7 @@
   isUnavailable = false;
   /** The clients whose requests the store refuses while serving all other clients. */
   readonly refusedClients = new Set<string>();
-  /** The fraction of transactions that receive no response and are executed late. */
+  /** The fraction of transactions that receive no response and are executed late, unless `isUnavailable` is then set. */
   lateCommitRate = 0;
   requestCount = 0;
 
--- a/packages/takeover/src/effect-gate.ts
+++ b/packages/takeover/src/effect-gate.ts
@@ -1,7 +1,7 @@
 /**
- * The gate that an owner checks before every effect. The gate is open while the process has run without a pause since
- * its ownership was last confirmed: another process may take over during a pause, and a paused owner must not act
- * before the next confirmation.
+ * The gate that an owner checks before every effect. The gate is open from the start, and a detected pause of the
+ * process closes the gate until the ownership of a unit is confirmed or claimed again: another process may take over
+ * during a pause, and a paused owner must not act before the next confirmation.
  */
 
 /** Detects pauses of this process, such as SIGSTOP or a suspended virtual machine. */
--- a/packages/takeover/src/follower-role.ts
+++ b/packages/takeover/src/follower-role.ts
@@ -23,7 +23,10 @@
 export class FollowerRole<Prepared> {
   constructor(private readonly context: TakeoverContext<Prepared>) {}
 
-  /** Reads the unit's records if the last reading is too old, and acts on the status of the unit's owner. */
+  /**
+   * Acts on the status of the unit's owner, and adopts the unit if its record names this process. Reads the unit's
+   * records first if there is no reading or the last reading is at least `maxReadingAgeMs` old.
+   */
   async poll(state: UnitState<Prepared>): Promise<void> {
     const { settings } = this.context.environment;
     const isReadDue = state.reading === null || this.context.now - state.readAtMs >= settings.maxReadingAgeMs;
@@ -90,8 +93,8 @@
   }
 
   /**
-   * Claims the unit if a fresh reading of its records still allows a claim. The records are read again because an owner
-   * that reaches the store has had time to write a heartbeat.
+   * Reads the unit's records again and claims the unit if the reading still allows a claim, because an owner that
+   * reaches the store has had time to write a heartbeat. If this read fails, the claim is based on the last reading.
    */
   private async claim(state: UnitState<Prepared>): Promise<void> {
     await this.read(state);
@@ -122,7 +125,10 @@
     );
   }
 
-  /** Adopts a unit whose record already names this process: an earlier claim succeeded, but its response was lost. */
+  /**
+   * Adopts a unit whose record already names this process, if the store confirms the ownership. This happens when an
+   * earlier claim succeeded but its response was lost.
+   */
   private async adoptEarlierClaim(state: UnitState<Prepared>, reading: OwnedReading): Promise<void> {
     const { generation } = this.context.gate;
     const { owner, epoch, revisions } = reading;
--- a/packages/takeover/src/operator-messages.ts
+++ b/packages/takeover/src/operator-messages.ts
@@ -12,7 +12,7 @@
 
 /**
  * Returns the message for an owner that another controller has replaced. `pausedMs` is null if the owner was not
- * paused.
+ * paused since its last confirmation.
  */
 export function describeReplacement(unit: UnitId, pausedMs: number | null): string {
   const cause =
--- a/packages/takeover/src/owner-role.ts
+++ b/packages/takeover/src/owner-role.ts
@@ -10,8 +10,9 @@
   constructor(private readonly context: TakeoverContext<Prepared>) {}
 
   /**
-   * Confirms the ownership if the last confirmation is too old or the gate is closed. Without contact to a majority,
-   * also writes heartbeats to the store, because the peers cannot observe this process over the network.
+   * Confirms the ownership if the gate is closed or the last attempt to confirm is at least `maxReadingAgeMs` old.
+   * Without contact to a majority, also writes a heartbeat to the store every `heartbeatIntervalMs`, because the peers
+   * cannot observe this process over the network.
    */
   async poll(state: UnitState<Prepared>, ownership: Ownership): Promise<void> {
     const { claims, settings, membership } = this.context.environment;
--- a/packages/takeover/src/owner-status.ts
+++ b/packages/takeover/src/owner-status.ts
@@ -5,12 +5,15 @@
 
 /** The status of a unit's owner, derived from the unit's records and this member's view of the membership. */
 export enum OwnerStatus {
-  /** The owner is alive as far as this member knows. */
+  /** The owner is alive in this member's view, or its state is unknown for less than `unknownOwnerTimeoutMs`. */
   Present = 'present',
   Suspected = 'suspected',
   /** A majority of the members has lost contact with the owner, which may still be running. */
   Failed = 'failed',
-  /** The owner has left, has restarted as another process or was never observed, or the unit has no owner. */
+  /**
+   * The owner has left, has restarted as another process, is not a configured member, or its state is unknown for
+   * `unknownOwnerTimeoutMs` or longer; or the unit has no owner.
+   */
   Gone = 'gone',
 }
 
@@ -40,7 +43,7 @@
   }
 }
 
-/** Returns the status of a unit's owner. An owner that was not observed for `unknownOwnerTimeoutMs` counts as gone. */
+/** Returns the status of a unit's owner. An owner in state unknown for `unknownOwnerTimeoutMs` counts as gone. */
 export function ownerStatus(
   reading: ClaimableReading,
   members: readonly MemberView[],
@@ -67,8 +70,8 @@
 }
 
 /**
- * Returns whether the suspected owner was observed for at least `minObservedMs` and wrote no heartbeat to the store
- * within the last `heartbeatTimeoutMs`.
+ * Returns whether the suspected owner was observed for at least `minObservedMs` and none of its heartbeats in the store
+ * was observed within the last `heartbeatTimeoutMs`.
  */
 export function hasMissedHeartbeats(
   stage: Suspecting,
--- a/packages/takeover/src/ownership.ts
+++ b/packages/takeover/src/ownership.ts
@@ -7,8 +7,8 @@
 /** The name of a unit of work. A unit has at most one owner at a time. */
 export type UnitId = Branded<string, 'UnitId'>;
 /**
- * A fencing token that increases with every change of owner. Resources refuse effects with a lower epoch than the
- * latest.
+ * A fencing token that increases with every successful claim. Resources refuse effects with a lower epoch than the
+ * highest that they have accepted.
  */
 export type FencingEpoch = Branded<number, 'FencingEpoch'>;
 /** The revision of a key in the store; 0: the key does not exist. */
@@ -40,7 +40,10 @@
   readonly epoch: StoreRevision;
 }
 
-/** The unit never had an owner, or its last owner's record was deleted. */
+/**
+ * The unit never had an owner, or its last owner's record was deleted. The reference registry also returns this reading
+ * when a claim was committed between its reads of the two keys; a claim based on that reading fails.
+ */
 export interface UnownedReading {
   readonly kind: 'unowned';
   readonly epoch: FencingEpoch;
@@ -55,7 +58,7 @@
   readonly revisions: UnitRevisions;
 }
 
-/** The last owner released the unit; `successor` may claim it without delay. */
+/** The last owner released the unit; `successor` may claim it without delay. Null: no member is preferred. */
 export interface ReleasedReading {
   readonly kind: 'released';
   readonly successor: MemberId | null;
@@ -63,7 +66,7 @@
   readonly revisions: UnitRevisions;
 }
 
-/** A record of the unit cannot be decoded. No member acts on the unit until an operator has repaired the record. */
+/** A record of the unit cannot be decoded. No member claims the unit until an operator has repaired the record. */
 export interface DamagedReading {
   readonly kind: 'damaged';
   readonly key: string;
@@ -80,7 +83,7 @@
 /** The result of a claim. */
 export type ClaimResult =
   | { readonly kind: 'won'; readonly ownership: Ownership }
-  /** The records have changed, by a claim of another member or a heartbeat of the owner, and must be read again. */
+  /** The records have changed, for example by another claim, a heartbeat or a release, and must be read again. */
   | { readonly kind: 'superseded' }
   /** The store rejected the claim and will not execute it later. */
   | { readonly kind: 'unavailable' }
@@ -91,13 +94,13 @@
 export enum OwnershipConfirmation {
   Held = 'held',
   Superseded = 'superseded',
-  /** The store did not respond. */
+  /** The store did not respond or refused the request. */
   Unknown = 'unknown',
 }
 
 /** Reads and writes ownership records. A claim is decided by a conditional write to the store alone. */
 export interface OwnershipClaims {
-  /** Reads the unit's records. Resolves to null if the store did not respond. */
+  /** Reads the unit's records. Resolves to null if the store did not respond or refused the request. */
   read(unit: UnitId): Promise<OwnershipReading | null>;
   /** Claims a unit. Succeeds only if the unit's records have not changed since `reading`. */
   claim(unit: UnitId, claimant: Owner, reading: ClaimableReading): Promise<ClaimResult>;
--- a/packages/takeover/src/stage.ts
+++ b/packages/takeover/src/stage.ts
@@ -1,13 +1,13 @@
 /** The stages of a unit's takeover from the view of one member: a state machine without side effects. */
 import type { DamagedReading, OwnedReading, Owner, Ownership, StoreRevision } from './ownership.js';
 
-/** Another process owns the unit, or the unit has no owner, and this member has nothing to do. */
+/** Another process owns the unit and is not suspected, or the unit has no owner and this member has sent no claim. */
 export interface Watching {
   readonly kind: 'watching';
 }
 
 /**
- * The owner is suspected or failed. This member watches the owner's record for heartbeats; the first successor
+ * The owner is suspected, failed or gone. This member watches the owner's record for heartbeats; the first successor
  * prefetches.
  */
 export interface Suspecting {
@@ -37,7 +37,7 @@
   readonly ownership: Ownership;
 }
 
-/** A record of the unit cannot be decoded, so no member acts on the unit. */
+/** A record of the unit cannot be decoded, so this member does not claim the unit. */
 interface Blocked {
   readonly kind: 'blocked';
   readonly damage: DamagedReading;
--- a/packages/takeover/src/takeover-context.ts
+++ b/packages/takeover/src/takeover-context.ts
@@ -14,9 +14,12 @@
 export interface UnitHandler<Prepared> {
   /** Prefetches the data that a new owner needs. Must have no effect that other processes can observe. */
   prepare(unit: UnitId): Promise<Prepared>;
-  /** Discards the prefetched data, because the suspicion was refuted. */
+  /** Discards the prefetched data, because the suspicion was refuted or another process owns the unit. */
   discard(unit: UnitId): void;
-  /** Takes over the unit's machines and jobs. If the promise is rejected, the coordinator releases the unit. */
+  /**
+   * Takes over the unit's machines and jobs. If the promise is rejected, the coordinator releases the unit. `prepared`
+   * is null if this member prefetched nothing or the prefetch failed.
+   */
   adopt(ownership: Ownership, prepared: Prepared | null): Promise<void>;
   /** Stops all work under the ownership's epoch, because the ownership has ended. */
   stop(ownership: Ownership, reason: string): void;
@@ -70,8 +73,8 @@
   }
 
   /**
-   * Moves a unit to the stage that follows an event. Discards prefetched data when a suspicion ends, and logs a warning
-   * when a damaged record blocks the unit.
+   * Moves a unit to the stage that follows an event. Discards prefetched data when a suspicion ends without a
+   * claim, and logs a warning when a damaged record blocks the unit.
    */
   advance(state: UnitState<Prepared>, event: StageEvent): void {
     const previousStage = state.stage;
--- a/packages/takeover/src/takeover-coordinator.ts
+++ b/packages/takeover/src/takeover-coordinator.ts
@@ -36,7 +36,10 @@
     this.followerRole = new FollowerRole(this.context);
   }
 
-  /** Starts polling the units, periodically and whenever a member changes its state or restarts. */
+  /**
+   * Starts polling the units, periodically, whenever a member changes its state or restarts, and after a pause of this
+   * process.
+   */
   start(): void {
     this.stopListening = this.environment.membership.listen((event) => {
       if (event.kind === 'state-changed' || event.kind === 'restarted') this.pollAll();
@@ -62,7 +65,10 @@
     return this.units.get(unit)?.stage ?? WATCHING;
   }
 
-  /** Forces a new reading of the unit's records and polls all units now, because the unit's owner may have changed. */
+  /**
+   * Polls all units now, because the unit's owner may have changed. The next poll of the unit reads its records again,
+   * or confirms the ownership if this process owns the unit.
+   */
   refresh(unit: UnitId): void {
     const state = this.units.get(unit);
     if (!state) return;
@@ -95,7 +101,10 @@
     this.cancelPollTimer = clock.after(delayMs, () => this.pollAll());
   }
 
-  /** Whether every unit is served, by this or another process, and no owner is suspected. */
+  /**
+   * Whether this member has contact to a majority, every unit is owned by another process or served by this one, and no
+   * owner is suspected.
+   */
   private get isIdle(): boolean {
     if (!this.environment.membership.hasMajority) return false;
     return [...this.units.values()].every(({ stage, reading }) => {
--- a/packages/takeover/src/takeover-settings.ts
+++ b/packages/takeover/src/takeover-settings.ts
@@ -3,20 +3,21 @@
 /** The settings of a takeover coordinator. Durations are in milliseconds. */
 export interface TakeoverSettings {
   /**
-   * The poll interval while any unit is unserved or its owner suspected. Membership events trigger additional polls.
+   * The poll interval while any unit is unserved or its owner suspected, or this member has no contact to a majority.
+   * Membership events trigger additional polls.
    */
   readonly pollIntervalMs: number;
-  /** The poll interval while every unit is served and no owner is suspected. */
+  /** The poll interval while this member has contact to a majority, every unit is served and no owner is suspected. */
   readonly idlePollIntervalMs: number;
   /**
-   * The maximum age of a reading of a unit's records, or of a confirmation of an ownership, before the next request.
+   * The maximum age of a reading of a unit's records, or of an attempt to confirm an ownership, before the next request.
    */
   readonly maxReadingAgeMs: number;
   /** The additional delay of a claim for each better-ranked successor: 0 for the first, one stagger for the second. */
   readonly claimStaggerMs: number;
   /** The interval at which an owner without contact to a majority writes heartbeats to the store. */
   readonly heartbeatIntervalMs: number;
-  /** The age of an owner's last heartbeat in the store up to which the owner is not replaced, even if found failed. */
+  /** The age of an owner's last heartbeat in the store below which the owner is not replaced, even if found failed. */
   readonly heartbeatTimeoutMs: number;
   /** The time after which an owner that this member has never observed is considered gone. */
   readonly unknownOwnerTimeoutMs: number;
@@ -69,7 +70,10 @@
   }
 }
 
-/** Returns the minimum time in milliseconds for which a suspected owner is observed before it is replaced. */
+/**
+ * Returns the minimum time in milliseconds for which a failed owner is observed before it is replaced. An owner that is
+ * gone is replaced without this wait.
+ */
 export function minObservationMs({ heartbeatIntervalMs }: TakeoverSettings): number {
   return MIN_OBSERVATION_INTERVAL_COUNT * heartbeatIntervalMs;
 }
--- a/packages/takeover/src/unit-state.ts
+++ b/packages/takeover/src/unit-state.ts
@@ -9,11 +9,17 @@
   readonly unit: UnitId;
   stage: Stage;
   reading: OwnershipReading | null;
-  /** When the unit's records were last read or the ownership confirmed; -Infinity: the next poll must do so again. */
+  /**
+   * When the unit's records were last read, the unit was claimed, or an attempt to confirm its ownership ended;
+   * -Infinity: the next poll must read or confirm again.
+   */
   readAtMs: number;
   /** Whether a poll of the unit is in progress. */
   isPolling: boolean;
-  /** When this member first saw the unit's owner as failed or gone; null: the owner is present or only suspected. */
+  /**
+   * When this member first saw the unit's owner as failed or gone; null: the owner is present, only suspected or this
+   * process, or the unit was not read yet.
+   */
   vacantSinceMs: number | null;
   preparation: Promise<Prepared | null> | null;
   /** When this process, as the owner, last wrote a heartbeat to the store. */
