--- a/packages/membership/test/failure-detection.test.ts
+++ b/packages/membership/test/failure-detection.test.ts
@@ -90,7 +90,7 @@
   // The platform restarts a process within a fraction of a second, and the wall clock of the new process may be behind
   // that of the previous one.
   it.each([1, 2, 3, 4, 5, 6])(
-    'is a new process, alive everywhere, when it restarts within 200 ms (seed %i)',
+    'is a new process, alive everywhere, when it restarts after 200 ms (seed %i)',
     async (seed) => {
       const cluster = await startCluster(3, seed);
       const previousIdentity = cluster.membership(C).identity;
--- a/packages/simulation/src/measure/trial.ts
+++ b/packages/simulation/src/measure/trial.ts
@@ -10,7 +10,10 @@
 /** The time without events after which a cluster counts as settled. */
 const SETTLED_AFTER_MS = 1200;
 
-/** The times from a failure to each stage of the takeover, in milliseconds; null: the stage was not reached. */
+/**
+ * The times from a failure to each stage of the takeover, in milliseconds; null: the stage was not reached before the
+ * wait ended. `claimedMs` is also null if the unit was claimed but not served.
+ */
 export interface TakeoverTimes {
   readonly suspectMs: number | null;
   readonly failedMs: number | null;
--- a/packages/simulation/src/network.ts
+++ b/packages/simulation/src/network.ts
@@ -14,7 +14,7 @@
 export interface NetworkFaults {
   minDelayMs: number;
   maxDelayMs: number;
-  /** The fraction of requests that are delivered a second time later. */
+  /** The fraction of requests, of those not lost, that are delivered a second time later. */
   duplicateRate: number;
   /** The maximum additional delay of a duplicate. */
   maxDuplicateDelayMs: number;
@@ -61,7 +61,7 @@
     this.cutLinks.delete(`${from} ${to}`);
   }
 
-  /** Restores all links and ends all faults. */
+  /** Restores all links and resets the faults to their defaults: delays of 1 to 4 ms, no loss and no duplicates. */
   healAll(): void {
     this.cutLinks.clear();
     Object.assign(this.faults, DEFAULT_FAULTS);
--- a/packages/simulation/src/simulated-cluster.ts
+++ b/packages/simulation/src/simulated-cluster.ts
@@ -93,7 +93,7 @@
   private readonly running = new Map<MemberId, RunningController>();
   private readonly connectedSince = new Map<string, number>();
   private jobCount = 0;
-  /** Failure verdicts that contradict the actual links: too many members were connected to the member without interruption. */
+  /** Failure verdicts that contradict the actual links, as `checkVerdict` determines. Each entry is a description. */
   readonly unfoundedVerdicts: string[] = [];
 
   constructor(private readonly options: ClusterOptions) {
--- a/packages/takeover/src/follower-role.ts
+++ b/packages/takeover/src/follower-role.ts
@@ -76,7 +76,8 @@
   }
 
   /**
-   * Prefetches the unit's data if this member ranks first. Lower-ranked members would only repeat the same store reads.
+   * Prefetches the unit's data if this member ranks first and has not prefetched the data yet. Lower-ranked
+   * members would only repeat the same store reads.
    */
   private prepareIfFirstSuccessor(state: UnitState<Prepared>): void {
     if (state.preparation !== null) return;
--- a/packages/takeover/test/loopback.test.ts
+++ b/packages/takeover/test/loopback.test.ts
@@ -29,7 +29,7 @@
   }
 }
 
-/** Starts a cluster and waits until every unit is served and every controller sees all others alive. */
+/** Starts a cluster and waits until every unit is served and every controller has reported all others as alive. */
 async function startCluster(controllers = 3): Promise<LoopbackCluster> {
   const started = new LoopbackCluster({ controllers, units: 2, mode: FailoverMode.Membership, program });
   clusters.push(started);
@@ -80,7 +80,7 @@
 
 describe('controllers as processes on loopback', () => {
   it(
-    'replace a killed owner, which is a follower when it restarts within 200 ms',
+    'replace a killed owner process under a higher epoch when its controller restarts after 200 ms',
     async () => {
       const cluster = await startCluster();
       const initialOwner = owner(cluster);
@@ -98,7 +98,7 @@
   );
 
   it(
-    'replace an owner that is paused for longer than the suspicion period, and refuse its late effects',
+    'replace an owner that is paused for longer than the suspicion period, and let the owner report its replacement',
     async () => {
       const cluster = await startCluster();
       const initialOwner = owner(cluster);
@@ -173,7 +173,7 @@
   );
 
   it(
-    'do not let a single running controller take over a unit, and have one owner for each unit afterwards',
+    'do not let a single running controller take over a unit, and agree again once the others resume',
     async () => {
       const cluster = await startCluster();
       const initialOwner = owner(cluster);
--- a/packages/takeover/test/random-schedules.test.ts
+++ b/packages/takeover/test/random-schedules.test.ts
@@ -6,6 +6,7 @@
 /**
  * Random schedules of faults against whole clusters on a virtual clock. The seed is fixed, so that CI runs the same
  * schedules every time; the environment variables `SCHEDULE_RUNS` and `SCHEDULE_SEED` select more or other schedules.
+ * Each cluster size runs `SCHEDULE_RUNS` divided by the number of controllers, but at least 3 schedules.
  */
 const RUNS = Number(process.env['SCHEDULE_RUNS'] ?? 60);
 const SEED = Number(process.env['SCHEDULE_SEED'] ?? 20261202);
@@ -20,7 +21,7 @@
 
 type ClusterCommand = fc.AsyncCommand<Model, SimulatedCluster>;
 
-/** A fault, followed by a time in which the fault takes effect. */
+/** The start or the end of a fault, followed by a wait of `waitMs` on the virtual clock. */
 class FaultCommand implements ClusterCommand {
   constructor(
     private readonly name: string,
--- a/packages/takeover/test/takeover.test.ts
+++ b/packages/takeover/test/takeover.test.ts
@@ -52,7 +52,7 @@
 
 function claimable(reading: OwnershipReading | null): Exclude<OwnershipReading, { kind: 'damaged' }> {
   if (reading === null || reading.kind === 'damaged')
-    throw new Error('the unit has no reading that can be claimed');
+    throw new Error('the reading must allow a claim, but is null or damaged');
   return reading;
 }
 
@@ -71,7 +71,7 @@
     expect(reading.epoch).toBe(1);
   });
 
-  it('refuses every write of an owner whose successor has claimed, and reports it to the owner', async () => {
+  it('refuses every write of an owner whose successor has claimed, and reports the claim to the owner', async () => {
     const { registry, runUntilSettled } = createFixture();
     const registryA = registry('a');
     const firstClaim = await runUntilSettled(
@@ -302,7 +302,7 @@
     }
   });
 
-  it('waits for the store, and passes to the next survivor when the store refuses the first', async () => {
+  it('waits for the store, and is executed by another survivor when the store refuses one survivor', async () => {
     const simulated = await startCluster();
     const previousOwner = soleOwner(simulated);
     simulated.store.isUnavailable = true;
@@ -334,7 +334,7 @@
     expect(states).not.toContain(MemberState.Suspect);
   });
 
-  it('claims units whose owner was not observed since all members restarted', async () => {
+  it('claims units whose owner stays down after all members were killed and the others restarted', async () => {
     const simulated = await startCluster();
     const previousOwner = soleOwner(simulated);
     for (const member of simulated.members) simulated.kill(member);
--- a/test/soak/controller-process.ts
+++ b/test/soak/controller-process.ts
@@ -3,7 +3,7 @@
 import { appendFileSync, readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 
-/** Returns the Node.js flags of the production command line in `deploy/service.toml`. */
+/** Returns the flags `--max…` and `--single-threaded` of the production command line in `deploy/service.toml`. */
 function productionFlags(): string[] {
   const { run } = parse(readFileSync('deploy/service.toml', 'utf8')) as { run: string };
   return run
--- a/test/soak/loopback-controllers.ts
+++ b/test/soak/loopback-controllers.ts
@@ -43,9 +43,9 @@
 export class LoopbackControllers {
   /** Members whose links to and from all other controllers are cut. */
   readonly isolatedMembers = new ObservedSet<string>();
-  /** The number of machines that newly elected leaders knew only from a task record. */
+  /** The number of times that a newly elected leader knew a machine only from a task record. */
   machinesKnownByTask = 0;
-  /** The number of jobs whose progress newly elected leaders read from records of several chunk sizes. */
+  /** The number of times that a newly elected leader read a job's progress from records of several chunk sizes. */
   mixedChunkJobs = 0;
   private readonly relay = new Relay();
   private readonly running = new Map<string, ControllerProcess>();
@@ -113,7 +113,7 @@
     }
   }
 
-  /** Starts a controller once its previous child process has exited. */
+  /** Starts a controller once its previous child process has exited. Has no effect on a running controller. */
   start(member: string): void {
     void (this.exitByMember.get(member) ?? Promise.resolve()).then(() => this.spawn(member));
   }
@@ -174,12 +174,12 @@
     return this.running.has(member);
   }
 
-  /** The elected leader; if several controllers lead, the controller with the highest epoch. */
+  /** The elected leader; if several controllers lead, the one with the highest epoch; undefined if none leads. */
   get leader(): string | undefined {
     return [...this.epochByLeader].sort(([, first], [, second]) => second - first)[0]?.[0];
   }
 
-  /** Returns the member that was elected for an epoch. */
+  /** Returns the member that was elected for an epoch; undefined if no election for the epoch was logged. */
   leaderOf(epoch: number): string | undefined {
     return this.leaderByEpoch.get(epoch);
   }
--- a/test/soak/loopback-site.ts
+++ b/test/soak/loopback-site.ts
@@ -46,7 +46,7 @@
 const SUBMIT_TIMEOUT_MS = 5000;
 const QUERY_TIMEOUT_MS = 2000;
 /**
- * The time from the final check, which follows the last fault, within which each node must answer a query for each
+ * The real time from the final check, which follows the last fault, within which each node must answer a query for each
  * accepted job. A job without an answer counts as forgotten (PROTOCOL).
  */
 const MAX_UNANSWERED_MS = 75_000;
@@ -173,7 +173,10 @@
     return cloud;
   }
 
-  /** Opens a site on the first loopback network whose addresses are free on this machine. */
+  /**
+   * Opens a site on a loopback network on which the ports of the store and the cloud are free. The search starts at an
+   * octet that depends on the process ID. Throws if no network is free.
+   */
   static async open(options: LoopbackOptions): Promise<LoopbackSite> {
     for (let attempt = 0; attempt < NETWORK_OCTETS.count; attempt++) {
       const networkOctet = NETWORK_OCTETS.first + ((process.pid + attempt) % NETWORK_OCTETS.count);
@@ -218,8 +221,8 @@
   }
 
   /**
-   * Sets the size limits of the key-value store, and writes them to the settings files for controllers that start
-   * later.
+   * Sets the size limits of the key-value store to the low limits, or to the defaults if `areLow` is false, and writes
+   * the limits to the settings files for controllers that start later.
    */
   setLowLimits(areLow: boolean): void {
     this.trace(`store      takes ${areLow ? 'less' : 'more'}`);
@@ -403,7 +406,10 @@
     return this.rules.countRunning((task) => task.startsWith(`${ref}/`));
   }
 
-  /** Checks that cancelled jobs have no running task, and that every node answers queries for every accepted job. */
+  /**
+   * Checks that jobs whose cancellation deadline has passed have no running task, and that every node answers a query
+   * for every accepted job within `MAX_UNANSWERED_MS`.
+   */
   async finish(): Promise<void> {
     this.rules.checkCancelled(this.clock.now());
     const deadline = systemClock.now() + MAX_UNANSWERED_MS;
--- a/test/soak/loopback-workers.ts
+++ b/test/soak/loopback-workers.ts
@@ -65,7 +65,8 @@
    */
   lossRate = 0;
   /**
-   * The delay in milliseconds after which each command is delivered a second time; null disables the second delivery.
+   * The delay in milliseconds after which each request of a controller to a worker, a command or a query, is handled a
+   * second time; null disables the second handling.
    */
   commandRepeatDelayMs: number | null = null;
   /** Called when a machine receives its first command to start a task. */
@@ -151,12 +152,12 @@
     return caller !== undefined && this.cutLinks.has(`${caller} ${id}`);
   }
 
-  /** Delays the commands to a machine until `releaseCommands` is called. */
+  /** Delays the requests of controllers to a machine, but no heartbeat answers, until `releaseCommands` is called. */
   holdCommands(machine: MachineId): void {
     this.heldMachines.add(machine);
   }
 
-  /** Delivers all commands that `holdCommands` has delayed. */
+  /** Delivers all requests that `holdCommands` has delayed, and stops the delays of all machines. */
   releaseCommands(): void {
     this.heldMachines.clear();
     const held = this.heldRequests;
@@ -202,7 +203,7 @@
     }
   }
 
-  /** Sends a heartbeat again after a random delay, to the controller that is the leader at that time. */
+  /** Sends a heartbeat again after a random delay, to the leader at that time, or to the first node if none leads. */
   private scheduleDuplicate(body: object): void {
     const { frontAddresses, random, leader } = this.options;
     systemClock.after(MIN_DUPLICATE_DELAY_MS + DUPLICATE_DELAY_SPREAD_MS * random(), () => {
--- a/test/soak/main.ts
+++ b/test/soak/main.ts
@@ -1,8 +1,8 @@
 /**
  * Runs the soak test, which injects random faults into controller processes on loopback:
  * `npm run soak -- --seeds 1-50`. Each seed runs in a child process of its own; `--parallel` sets how many seeds run
- * concurrently. `--broken type|zone|spot|zoneAffinity|zoneAntiAffinity` runs controllers that lack the named part of the
- * placement rule, and passes if the rule checker detects a wrong placement for every seed. Exit codes: 0 passed,
+ * concurrently. `--broken type|zone|spot|zoneAffinity|zoneAntiAffinity` runs controllers that lack the named part of
+ * the placement rule, and passes if the rule checker detects a wrong placement for every seed. Exit codes: 0 passed,
  * 1 failed, 2 invalid arguments.
  */
 import { spawn } from 'node:child_process';
@@ -72,7 +72,10 @@
   };
 }
 
-/** Runs a seed in a child process. Resolves to null if the child process exits without printing a valid result. */
+/**
+ * Runs a seed in a child process. Resolves to null if the child process exits without printing a valid result, for
+ * example because it was terminated after `SEED_TIMEOUT_MS`.
+ */
 function runInChildProcess(
   seed: number,
   program: string,
--- a/test/soak/seed.ts
+++ b/test/soak/seed.ts
@@ -27,9 +27,9 @@
   readonly acceptedCount: number;
   readonly startCount: number;
   readonly leadershipCount: number;
-  /** The number of machines that newly elected leaders knew only from a task record (issue 30). */
+  /** The number of times that a newly elected leader knew a machine only from a task record (issue 30). */
   readonly machinesKnownByTask: number;
-  /** The number of jobs whose progress newly elected leaders read from records of several chunk sizes. */
+  /** The number of times that a newly elected leader read a job's progress from records of several chunk sizes. */
   readonly mixedChunkJobs: number;
   readonly violations: readonly string[];
 }
@@ -39,8 +39,8 @@
 const LARGE_SITE = { machines: 300, teamCpuLimit: 1200, maxTasks: 40 };
 const SMALL_SITE = { machines: 3, teamCpuLimit: 96, maxTasks: 6 };
 /**
- * Every fifth seed, from seed 3 on, runs with low size limits of the key-value store and machine IDs of 120 digits. Such
- * IDs make the entries of a record larger than the controllers estimate, so that records exceed the limits.
+ * Every fifth seed, from seed 3 on, runs with low size limits of the key-value store and machine IDs of 120 digits.
+ * Such IDs make the entries of a record larger than the controllers estimate, so that records exceed the limits.
  */
 const LOW_LIMITS_INTERVAL = 5;
 const FIRST_LOW_LIMITS_SEED = 3;
@@ -53,7 +53,10 @@
 const CONCURRENT_FAULT_COUNT = 3;
 const LEADER_CHANGE_PROBABILITY = 0.7;
 const QUIET_BEFORE_FAULTS_S = 14;
-/** Longer than the cancellation deadline, and longer than a lease, in seconds of the scenario clock. */
+/**
+ * The minimum time after the faults, in seconds of the scenario clock. Longer than the cancellation deadline, and
+ * longer than a lease.
+ */
 const MIN_AFTER_FAULTS_S = 46;
 const MAX_VIOLATION_DETECTION_S = 240;
 
@@ -79,7 +82,10 @@
   return drawnFaults;
 }
 
-/** Runs the scenario of a seed. A seed repeats the same random choices, but the timing of the processes varies. */
+/**
+ * Runs the scenario of a seed. A seed repeats the site's size, the faults and the sequences of random numbers; the
+ * timing of the processes varies, and with it the choices for which the numbers are used.
+ */
 export async function runSeed({ seed, program, folder, missingPart }: SeedOptions): Promise<SeedResult> {
   const usesLowLimits = missingPart === null && hasLowLimits(seed);
   const size = sizeOf(seed, usesLowLimits);
