--- a/test/soak/soak.test.ts
+++ b/test/soak/soak.test.ts
@@ -67,7 +67,7 @@
     ['an unknown rule part', ['--broken', 'colour']],
     ['an unknown option', ['--speed', '3']],
     ['too many parallel seeds', ['--parallel', '99']],
-  ])('report invalid arguments in one line: %s', async (_name, args) => {
+  ])('the soak command reports invalid arguments in one line: %s', async (_name, args) => {
     const { status, output } = await runSoak(...args);
     expect(status).toBe(2);
     expect(output.trim().split('\n')).toHaveLength(1);
