--- a/test/simulation/clock.ts
+++ b/test/simulation/clock.ts
@@ -16,7 +16,7 @@
   }
 }
 
-/** The clock of one simulated process. After the process is killed, none of its timers runs. */
+/** The clock of one simulated process. No timer runs while the process is paused or after the process was killed. */
 export class ProcessClock extends SimulatedProcessClock implements Clock {
   override now(): MonotonicTime {
     return super.now() as MonotonicTime;
--- a/test/simulation/fake-key-value-store.ts
+++ b/test/simulation/fake-key-value-store.ts
@@ -55,8 +55,8 @@
 }
 
 /**
- * Returns whether a transaction is a limit probe, with which a controller learns the size limits: the transaction writes
- * nothing and compares only `unused/` keys, which no controller writes.
+ * Returns whether a transaction is a limit probe, with which a controller learns the size limits: the transaction
+ * writes nothing and compares only `unused/` keys, which no controller writes.
  */
 function isLimitProbe(conditions: readonly Compare[], writes: readonly WriteOperation[]): boolean {
   return writes.length === 0 && conditions.every(({ key }) => key.startsWith('unused/'));
@@ -70,7 +70,7 @@
   private readonly watchers = new Set<() => void>();
   private revision = 0;
   private nextLeaseId = 1;
-  /** The number of puts and deletes in all transactions that reached the store, committed or not. */
+  /** The number of puts and deletes in all executed transactions, committed or not; a second execution counts again. */
   writeCount = 0;
   /**
    * The number of requests of all clients except watches, and except transactions that are rejected for their size or
@@ -83,16 +83,29 @@
   readonly rejectedTransactions: string[] = [];
   /** The number of limit probes that were rejected: a controller sends limit probes to detect lowered limits. */
   limitProbeCount = 0;
-  /** Whether the store refuses every request with status 503. */
+  /**
+   * Whether the store refuses requests with status 503. Open watches get no answer instead, transactions over a size
+   * limit are rejected with their reason, and delayed transactions are executed all the same.
+   */
   isUnavailable = false;
-  /** Token buckets for requests and writes; a request over either rate is answered 429. Null: no rate limit. */
+  /**
+   * Token buckets for requests and writes; a request over either rate is answered 429. Watches and delayed
+   * transactions take no tokens. Null: no rate limit.
+   */
   rateLimits: { readonly requests: TokenBucket; readonly writes: TokenBucket } | null = null;
-  /** The delay after which every transaction is executed a second time; null: transactions run once. */
+  /**
+   * The delay after which every transaction that was executed without a delay is executed a second time; null:
+   * transactions run once.
+   */
   duplicateDelayMs: number | null = null;
-  /** Controllers whose requests are refused with status 503 while the requests of all others are served. */
+  /**
+   * Controllers whose requests are refused with status 503 as if `isUnavailable` were true, while the requests of all
+   * others are served.
+   */
   readonly refusedClients = new Set<string>();
   /**
-   * The fraction of writing transactions that get no answer and are executed 2 to 12 s later, after newer transactions.
+   * The fraction of writing transactions that get no answer and are executed 2 to 12 s later, possibly after newer
+   * transactions.
    */
   lateCommitRate = 0;
   /** Returns a random number from 0 (inclusive) to 1 (exclusive). */
--- a/test/simulation/fake-servers.ts
+++ b/test/simulation/fake-servers.ts
@@ -33,7 +33,7 @@
   readonly url: URL;
   /** The IP address that the client connected to. */
   readonly localAddress: string;
-  /** The parsed body, typed `never` so that a handler can pass it on as the type that it expects. */
+  /** The parsed body, undefined if empty; typed `never` so that a handler can pass the body on as any type. */
   readonly body: never;
 }
 
@@ -42,7 +42,7 @@
   readonly body: unknown;
 }
 
-/** Handles one HTTP request; rejects with an error that `serve` maps to a status or to no answer. */
+/** Handles one HTTP request; rejects with an error that `startHttpServer` maps to a status or to no answer. */
 export type RequestHandler = (request: HttpRequest) => Promise<HttpResponse>;
 
 async function readJson(request: IncomingMessage): Promise<never> {
--- a/test/simulation/fake-worker.ts
+++ b/test/simulation/fake-worker.ts
@@ -21,7 +21,7 @@
   readonly fetchMs: number;
   /** The run time of a task; null: a task runs until it is stopped. */
   readonly runMs: number | null;
-  /** Whether every attempt of every task fails. */
+  /** Whether every attempt of every task fails, 800 ms after it starts to run. */
   readonly alwaysFails: boolean;
 }
 
@@ -69,7 +69,7 @@
   private lastHeartbeatAt = -Infinity;
   /** Whether the machine hangs: the worker sends no heartbeats, and callbacks for the machine are deferred. */
   isHung = false;
-  /** Whether every task that runs on this machine fails. */
+  /** Whether every task that starts to run on this machine from now on fails, 800 ms after it starts. */
   failsTasks = false;
   /** Whether the machine was removed. */
   isTerminated = false;
--- a/test/simulation/faults.ts
+++ b/test/simulation/faults.ts
@@ -9,7 +9,8 @@
   /** Whether users cancel arrays at about the time at which the tasks end. */
   cancelsJobsNearEnd: boolean;
   /**
-   * Whether users repeat submissions, cancel jobs that are done, and submit jobs that fit no machine or lack a field.
+   * Whether users repeat submissions, cancel jobs that are done, submit jobs that fit no machine or lack a field, and
+   * query jobs that were never submitted.
    */
   sendsRepeatedAndInvalidRequests: boolean;
 }
@@ -46,8 +47,9 @@
 const noop = (): void => {};
 
 /**
- * Partitions one controller and the machines for which `isInside` is true from the key-value store and from all other
- * controllers and machines. The returned function ends the partition.
+ * Partitions one controller and the booted machines for which `isInside` is true from the key-value store and from all
+ * other controllers and booted machines. The returned function ends the partition and clears all of `site.cutLinks`,
+ * including links that were cut for another reason.
  */
 export function isolateNode(
   site: ScenarioSite,
--- a/test/simulation/placement-request.ts
+++ b/test/simulation/placement-request.ts
@@ -10,15 +10,15 @@
 
 /**
  * Returns a random job of 1 to `maxTasks` tasks. Placement constraints are drawn independently of each other, so that
- * many jobs combine several, except that zone affinity and zone anti-affinity exclude each other. A task uses at most
- * 2 CPUs, so that several tasks fit on one machine.
+ * many jobs combine several, except that zone anti-affinity excludes zone affinity and the restriction to one zone. A
+ * task uses at most 2 CPUs, so that several tasks fit on one machine.
  */
 export function randomPlacementRequest(random: () => number, maxTasks: number): Omit<JobRequest, 'ref'> {
   const isService = random() < SERVICE_JOB_RATIO;
   const spreadDraw = random();
   const samePlace = spreadDraw < 0.4;
-  // A job with anti-affinity runs at most half of its tasks, rounded up, in one zone: restricted to a single zone, a job
-  // of two or more tasks could never run all of them.
+  // A job with anti-affinity runs at most half of its tasks, rounded up, in one zone: restricted to a single zone, a
+  // job of two or more tasks could never run all of them.
   const apart = !samePlace && spreadDraw < 0.7;
   const isRestrictedToZone = !apart && random() < 0.35;
   const isRestrictedToTypes = random() < 0.4;
--- a/test/simulation/rule-checker.ts
+++ b/test/simulation/rule-checker.ts
@@ -20,13 +20,13 @@
 /** Checks the rules of PROTOCOL only against what fakes and users observe, without access to the controllers' state. */
 export class RuleChecker {
   private readonly jobs = new Map<JobId, SubmittedJob>();
-  /** The time at which a user received the acceptance of a job, by job. */
+  /** The time at which a user received the acceptance of a job, by job; -Infinity if the time was not recorded. */
   private readonly acceptedAt = new Map<JobId, number>();
   private readonly runningOn = new Map<TaskId, Machine>();
   private readonly usedCpus = new Map<string, number>();
   private readonly doneTasks = new Set<TaskId>();
   private readonly doneTaskCounts = new Map<string, number>();
-  /** Jobs whose cancellation a user has requested, with or without an answer. */
+  /** Jobs whose cancellation a user has requested, with or without an answer, and restored jobs that were cancelled. */
   private readonly cancelRequested = new Set<string>();
   /** The time after which no task of a cancelled job may run, by job. */
   private readonly cancelDeadlines = new Map<JobId, number>();
@@ -56,7 +56,10 @@
     if (!this.jobs.has(id)) this.jobs.set(id, { ...body, teamCpuLimit });
   }
 
-  /** Records that a user received the acceptance of a job at the time `now`. */
+  /**
+   * Records that a user received the acceptance of a job at the time `now`. Without `now` the acceptance counts as
+   * older than every request, so that every later 404 answer is a violation.
+   */
   recordAcceptance(id: JobId, now = -Infinity): void {
     if (!this.acceptedAt.has(id)) this.acceptedAt.set(id, now);
   }
@@ -182,8 +185,8 @@
 
   /**
    * Records the state of a job that a user received, and checks all rules that apply to answers. `requestedAt` is the
-   * time at which the user sent the request. The answer may be older than anything that users received after that time,
-   * so that a contradiction with such a later answer is no violation.
+   * time at which the user sent the request, `now` by default. The answer may be older than anything that users
+   * received after that time, so that a contradiction with such a later answer is no violation.
    */
   recordReportedState(id: JobId, state: string, now: number, requestedAt = now): void {
     const previous = this.reportedStates.get(id);
--- a/test/simulation/scenario.ts
+++ b/test/simulation/scenario.ts
@@ -19,9 +19,9 @@
 }
 
 /**
- * The time within which every array must be done and every service must run, counted from the last submission after
- * the faults or from the time at which all dependencies of the job are done. A job may wait 90 s before the tasks start;
- * the rest is for the tasks to run.
+ * The time within which every array must be done and every service must run, counted from the time at which
+ * submissions stop after the faults or, for arrays, from the later time at which all dependencies of the job are done.
+ * A job may wait 90 s before the tasks start; the rest is for the tasks to run.
  */
 const MAX_COMPLETION_S = 170;
 /** The shortest interval between two random submissions, without placement jobs. */
@@ -255,9 +255,9 @@
   }
 
   /**
-   * Returns whether all incomplete arrays are within `MAX_COMPLETION_S` of the time at which they became ready, and at
-   * least one array is ready. The last jobs of a chain of dependencies may become ready long after the faults, and each
-   * array has the same time to complete from then on.
+   * Returns whether no accepted, unfinished array became ready `MAX_COMPLETION_S` ago or earlier, and at least one of
+   * these arrays is ready (submitted, with all dependencies done). The last jobs of a chain of dependencies may become
+   * ready long after the faults, and each array has the same time to complete from then on.
    */
   private mayStillComplete(): boolean {
     const now = this.site.clock.now();
--- a/test/simulation/simulated-controllers.ts
+++ b/test/simulation/simulated-controllers.ts
@@ -61,8 +61,8 @@
   onLogLine: (level: 'error' | 'info', text: string, fields: object) => void = () => {};
 
   /**
-   * The controllers' log. A withheld start is recorded as a violation: only the last check before the start was sent
-   * prevented a violation of a placement rule.
+   * The controllers' log. A withheld start is recorded as a violation: only the last check before a start command is
+   * sent prevented a start that violates a placement rule.
    */
   private readonly log: Logger = {
     ...silentLogger,
@@ -177,7 +177,10 @@
     return failover;
   }
 
-  /** Shuts a node down gracefully: the controller hands over and announces its departure, then its process ends. */
+  /**
+   * Shuts a node down gracefully: the controller hands over and announces its departure, then its process ends. A node
+   * that was started without failure detection keeps running.
+   */
   leave(name: string): void {
     this.trace(`${name}     leaves`);
     void this.running
@@ -186,7 +189,10 @@
       .then(() => this.crash(name));
   }
 
-  /** Returns the list of members as a node shows the list to operators; empty without failure detection. */
+  /**
+   * Returns the list of members as a node shows the list to operators; empty without failure detection or if the node
+   * is not running.
+   */
   members(name: string): MemberEntry[] {
     return this.running.get(name)?.failover?.memberEntries() ?? [];
   }
@@ -260,7 +266,7 @@
 
   /**
    * Returns the leader with the highest epoch among `node` and the nodes that `node` can exchange messages with; with
-   * `node` null, among all nodes that are not isolated.
+   * `node` null, among all nodes that are not isolated. Returns undefined if none of these nodes leads.
    */
   protected leaderSeenFrom(node: string | null): string | undefined {
     const epoch = (name: string): number => this.running.get(name)?.leadership.leader?.epoch ?? 0;
--- a/test/simulation/simulated-site.ts
+++ b/test/simulation/simulated-site.ts
@@ -209,8 +209,8 @@
 
   /**
    * Checks the final state: records a violation for every cancelled job with tasks that run after the deadline, for
-   * every accepted job that no node answers for or that a node answers 404 for, and for every state that contradicts
-   * an earlier answer.
+   * every accepted job that no node answers for (503 counts as no answer) or that a node answers 404 for, and for every
+   * state that contradicts an earlier answer.
    */
   async finish(): Promise<void> {
     this.rules.checkCancelled(this.clock.now());
--- a/test/simulation/site-setup.ts
+++ b/test/simulation/site-setup.ts
@@ -80,7 +80,7 @@
 
 /** The size of a site, and the announced limits of its key-value store. */
 export interface SiteSize {
-  /** The maximum number of CPUs that the running tasks of each team may use. */
+  /** The maximum number of CPUs that the running tasks of each team may use; 0: no limit. */
   readonly teamCpuLimits: { red: number; blue: number };
   /** The interval between heartbeats of a worker, in seconds. */
   readonly heartbeatIntervalS: number;
