--- a/test/unit/drain-selection.test.ts
+++ b/test/unit/drain-selection.test.ts
@@ -47,7 +47,7 @@
         0.02,
       ),
     ).toEqual([]);
-    // No other machine has free capacity.
+    // There is no other machine that could run the task.
     expect(machinesToDrain([machine('a', 60, [task()])], 200, 0.02)).toEqual([]);
   });
 
--- a/test/unit/failure-detector.test.ts
+++ b/test/unit/failure-detector.test.ts
@@ -53,7 +53,10 @@
   ...overrides,
 });
 
-/** Returns whether the machine of one silent worker out of three is fenced if probes fail after `probeFailureDelayMs`. */
+/**
+ * Returns whether the machine of one silent worker out of three is fenced within 12 s if probes fail after
+ * `probeFailureDelayMs`.
+ */
 async function isSilentWorkerFenced(probeFailureDelayMs: number): Promise<boolean> {
   const clock = new VirtualClock();
   const ctx = createContext(clock, {
@@ -61,7 +64,9 @@
     workerClient: {
       fetchHeartbeat: () =>
         new Promise((_, reject) =>
-          clock.after(probeFailureDelayMs, () => reject(new NoAnswerError('deadline passed'))),
+          clock.after(probeFailureDelayMs, () =>
+            reject(new NoAnswerError('worker did not answer before the deadline')),
+          ),
         ),
     },
   });
@@ -130,7 +135,8 @@
 }
 
 describe('early probes of workers with replicas', () => {
-  // Guards against probing all silent workers early, which takes a third of a leader's processor time on a tenth of a core.
+  // Guards against probing all silent workers early, which takes a third of a leader's processor time on a tenth of a
+  // core.
   it('use a bounded ratio of the processor time and start with the longest silent worker', async () => {
     const small = await workersProbedEarly(0.1, 0);
     expect(small.length).toBeGreaterThan(0);
--- a/test/unit/front-server.test.ts
+++ b/test/unit/front-server.test.ts
@@ -48,7 +48,7 @@
       user: (verb) =>
         verb === 'query'
           ? Promise.resolve({ status: 503, body: { error: 'busy' }, retryAfter: 2 })
-          : Promise.reject(new Error('cannot')),
+          : Promise.reject(new Error('handler failed to process a user request')),
     });
     const response = await fetch(`http://${address}/v2/runs/j-000001?as=is`);
     expect([response.status, response.headers.get('retry-after')]).toEqual([503, '2']);
--- a/test/unit/http-client.test.ts
+++ b/test/unit/http-client.test.ts
@@ -100,7 +100,7 @@
     const workers = new WorkerConnections(2);
     for (const address of [a, b, a, c, a, b, c]) {
       expect((await workers.call('show', address, undefined, 5000)).status).toBe(200);
-      // The server sees the close of a connection some time after the client has closed the connection.
+      // The server sees the close of a connection only after the client has closed it, so the test polls the count.
       await vi.waitFor(() => expect(connected).toBeLessThanOrEqual(2), { timeout: 10_000 });
     }
     expect(connected).toBe(2);
--- a/test/unit/members.test.ts
+++ b/test/unit/members.test.ts
@@ -53,14 +53,14 @@
     );
   });
 
-  it('states that failure detection is off where it is', () => {
+  it('states that failure detection is off on a controller without failure detection', () => {
     const off = { ...report, failureDetection: false };
     expect(renderMembers(off)).toContain(
       'Failure detection is off on this controller (deploy/membership.toml)',
     );
   });
 
-  it('advises on a partly cut member and on a deaf member', () => {
+  it('gives advice for members whose connection is `partly-cut` or `deaf`', () => {
     const [line] = report.members as [MembersReport['members'][number]];
     expect(adviceFor({ ...line, connection: 'partly-cut' })).toContain(
       'check the network between the controllers',
--- a/test/unit/peer-link.test.ts
+++ b/test/unit/peer-link.test.ts
@@ -13,7 +13,10 @@
 import { PeerServer } from '../../src/peer/server.js';
 import { freeAddress } from './free-address.js';
 
-/** Closes the servers of a test. The tests use real sockets on loopback, and wait for events instead of fixed times. */
+/**
+ * The functions that close the servers of a test. The tests use real sockets on loopback, and wait for events instead
+ * of fixed times.
+ */
 const cleanups: (() => void)[] = [];
 afterEach(() => cleanups.splice(0).forEach((close) => close()));
 
--- a/test/unit/placement.test.ts
+++ b/test/unit/placement.test.ts
@@ -163,7 +163,7 @@
     );
   });
 
-  it('preempts urgent work last, since its dependents wait as well', () => {
+  it('weighs the cost of preempting urgent work eightfold, since its dependents wait as well', () => {
     const machineWith = (id: string, lostMs: number, priority: Priority): MachineWithVictims =>
       machine(id, { free: { ...FULL }, victims: [victim(`j-00000${id}/0`, { lostMs, priority })] });
     const machines = [machineWith('7', 2000, Priority.High), machineWith('8', 20_000, Priority.Normal)];
@@ -183,7 +183,10 @@
   /** Returns a random integer from 0 up to but not including the bound. */
   const randomBelow = (bound: number): number => uniformInt(generator, 0, bound - 1);
 
-  /** Returns a random cluster: partly full machines, jobs of all kinds, teams near their quota limits. */
+  /**
+   * Returns the snapshot of a random cluster: machines with 0 to 8 free CPUs, arrays and services, and two teams with
+   * quota limits, of which `red` already uses up to 19 CPUs.
+   */
   function randomSnapshot(): PlacementSnapshot {
     const machines = Array.from({ length: 30 }, (_machine, index) => {
       const cpus = randomBelow(3) === 0 ? 64 : 8;
--- a/test/unit/progress-merge.test.ts
+++ b/test/unit/progress-merge.test.ts
@@ -167,7 +167,7 @@
   });
 });
 
-// Simulates a series of leaders, each with its own chunk size, beside a model of the durable progress.
+// The code below simulates a series of leaders, each with its own chunk size, beside a model of the durable progress.
 
 const TASK_COUNT = 8;
 const CHUNK_SIZES = [2, 5, DEFAULT_CHUNK_SIZE];
@@ -180,7 +180,7 @@
   readonly size: number;
   /** The seed of the order in which the leader reads the records. */
   readonly order: number;
-  /** Whether the leader's term lasts until all of its progress is written. */
+  /** Whether the leader's term lasts until all of its progress is written; ignored if `isEarlierVersion`. */
   readonly writesAll: boolean;
   readonly operations: readonly { readonly operation: Operation; readonly pick: number }[];
 }
@@ -332,7 +332,7 @@
     for (const task of chunk.committing) this.job?.confirmPlacement(task);
   }
 
-  /** Applies a write if the revision that it compares with is that of the stored record. */
+  /** Applies a write if the revision that the write compares with is that of the stored record, 0 without a record. */
   private apply(write: PendingWrite | undefined): void {
     if (!write || (this.records.get(write.key)?.revision ?? 0) !== write.revision) return;
     const { key, value, states } = write;
@@ -398,8 +398,8 @@
 }
 
 /**
- * Runs all leaders in order. Every new leader has to read the durable progress, and a leader that writes all of its
- * progress has to leave records that earlier versions read correctly.
+ * Runs all leaders in order. Every new leader of the current version has to read the durable progress, and if such a
+ * leader writes all of its progress, it has to leave records that earlier versions read correctly.
  */
 function runSeries(plans: readonly LeaderPlan[], read: ProgressReader): void {
   const series = new LeaderSeries();
--- a/test/unit/worker-lease-policy.test.ts
+++ b/test/unit/worker-lease-policy.test.ts
@@ -10,7 +10,10 @@
 
 type PeerAnswer = PeerStatus | null;
 
-/** Creates a leader with a valid lease, a cancellation limit in seconds, and peers that return the given answers. */
+/**
+ * Creates the worker lease policy of a leader with a valid lease, a cancellation limit in seconds, and peers that
+ * return the given answers (null: the peer does not answer).
+ */
 function createLeader(cancellationLimitS: number, peerAnswers: () => PeerAnswer[]) {
   const clock = new VirtualClock();
   const cancellations = new ConfirmedCancellations(clock, seconds(cancellationLimitS));
@@ -28,8 +31,8 @@
   const policy = new WorkerLeasePolicy(ctx, lease, (epoch) => observedEpochs.push(epoch));
   policy.recordCancellationsObservedUpTo(clock.now());
   /**
-   * Lets the leader lease expire and polls the peers every 500 ms for `durationS`; returns the last time at which
-   * worker leases were renewed, in seconds after the expiry.
+   * Lets the leader lease expire and calls `pollPeers` every 500 ms for `durationS`; returns the last time at which
+   * worker leases could be renewed, in seconds after the expiry.
    */
   const renewedForS = async (durationS: number): Promise<number> => {
     let renewedUpToS = 0;
@@ -69,7 +72,7 @@
   });
 
   it('until a lease could outlast the limit of an unknown cancellation, after a peer has restarted', async () => {
-    // 40 s, less a lease of 20 s and 5 s.
+    // Renewal ends 15 s after the expiry: 40 s, less a worker lease of 20 s and a margin of 5 s.
     expect(
       await createLeader(40, () => [createPeerStatus(LONG_UPTIME_MS), createPeerStatus(100)]).renewedForS(
         120,
--- a/test/unit/worker-lease.test.ts
+++ b/test/unit/worker-lease.test.ts
@@ -21,7 +21,7 @@
 const at = (seconds: number): MonotonicTime => (seconds * 1000) as MonotonicTime;
 
 function newWorker(): Worker {
-  if (!type) throw new Error('no type');
+  if (!type) throw new Error('MACHINE_TYPES is empty; at least one machine type is expected');
   const machine = { id: 'host-000001' as MachineId, type: type.id, zone: 'north' as never, spot: false };
   return confirmedWorker(machine, at(0), type);
 }
@@ -47,8 +47,8 @@
     expect(worker.lease.latestExpiry(at(15), LEASE_MS)).toBe(at(88));
   });
 
-  // Guards against tasks that run twice (ran_twice): a worker that gets no answers runs tasks from direct commands in its
-  // second incarnation, and these tasks were taken for gone while they still ran.
+  // Guards against tasks that run twice (ran_twice): a worker that gets no answers runs tasks from direct commands in
+  // its second incarnation, and these tasks were taken for gone while they still ran.
   it('counts from the first report of an incarnation, which may run tasks without any answer', () => {
     const worker = newWorker();
     reconcile(worker, heartbeat(1, 1), EPOCH, new JobStore(), at(5));
--- a/test/unit/worker-state.test.ts
+++ b/test/unit/worker-state.test.ts
@@ -117,7 +117,7 @@
 });
 
 describe('isLikelyPartitioned', () => {
-  /** Returns whether the first of `up` workers is likely partitioned if the first `suspected` of these are suspected. */
+  /** Returns whether the first of `up` workers is likely partitioned if the first `suspected` of them are suspected. */
   function isPartitioned(up: number, suspected: number): boolean {
     const snapshot = createFleetSnapshot();
     const workers = Array.from({ length: up }, (_, index) =>
