--- a/test/traces/failover.test.ts
+++ b/test/traces/failover.test.ts
@@ -38,8 +38,8 @@
 }
 
 /**
- * Returns the number of seconds until a node other than `formerLeader` leads, or `Infinity` if none does within
- * `withinS`.
+ * Returns the number of seconds, rounded down to a multiple of `CHECK_INTERVAL_S`, until a node other than
+ * `formerLeader` leads, or `Infinity` if none does within `withinS`.
  */
 async function secondsUntilReplaced(
   site: SimulatedSite,
@@ -149,9 +149,9 @@
 });
 
 describe('a leader that was replaced while it is alive and still answers workers', () => {
-  // A replaced leader may consider its lease valid for 2.5 s after the takeover, and answers heartbeats for some
-  // time after that. The successor must assume that worker leases were renewed until then, and a cancellation that
-  // the successor confirms must still take effect within its limit.
+  // A replaced leader may consider its lease valid for up to 2.5 s after the takeover, and answers heartbeats for up to
+  // 15 s (`maxRenewalWithoutQuorum`) after the lease has expired. The successor must assume that worker leases were
+  // renewed until then, and a cancellation that the successor confirms must still take effect within its limit.
   it('renews no worker lease beyond the time that its successor assumes', async () => {
     const site = await siteWithJobs();
     await site.submit({ ref: 'j-000009', kind: 'service', tasks: 2 });
--- a/test/traces/fault-combinations.test.ts
+++ b/test/traces/fault-combinations.test.ts
@@ -5,8 +5,8 @@
 
 /**
  * Runs a scenario with the given faults (docs/safety.md has the table of all combinations of two). The rule checker
- * verifies the protocol's rules from what the fakes observe, and that at the end every accepted job is done, is
- * running, or is cancelled without running tasks.
+ * verifies the protocol's rules from what the fakes and users observe. The scenario verifies that at the end every
+ * accepted array is done, every accepted service runs all of its replicas, and no cancelled job has running tasks.
  */
 async function runScenario(faults: readonly Fault[], seed: number): Promise<void> {
   const scenario = new Scenario(seed, new SimulatedSite());
@@ -33,7 +33,8 @@
 
 describe('two faults at once', () => {
   for (const [firstIndex, first] of FAULTS.entries()) {
-    it(`${first.name}, with every other fault`, async () => {
+    // Each pair runs once, in the test of the fault with the higher index; extra scenarios run in the tests of both.
+    it(`${first.name}, with every preceding fault, or with every other fault in extra scenarios`, async () => {
       for (const [secondIndex, second] of FAULTS.entries()) {
         // The parity of the sum of both indexes selects the fault that comes first, so that both orders occur.
         if (secondIndex < firstIndex)
--- a/test/traces/faults.test.ts
+++ b/test/traces/faults.test.ts
@@ -4,7 +4,7 @@
 import { expectTrace } from './trace.js';
 
 describe('a machine with an inbound partition', () => {
-  it('receives no new tasks, and its replicas move to another machine before its lease expires', async () => {
+  it('receives no new tasks, and its replicas start on another machine within 60 s', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service', tasks: 2 });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 2);
@@ -17,8 +17,8 @@
       site,
       () => site.runningTaskCount('j-000001') === 2 && site.machineOf('j-000001/0') !== host,
     );
-    // The machine's lease lasts 20 s. The machine still sends heartbeats, but they acknowledge no answer from a
-    // controller.
+    // The limit of 60 s includes the machine's lease of 20 s. The machine still sends heartbeats, but they acknowledge
+    // no answer from a controller.
     expect(site.clock.now() - startedAt).toBeLessThan(60_000);
     await runUntil(site, () => site.store.value('open/j-000002') === undefined);
     await expectTrace('one-way-replicas', site);
@@ -104,8 +104,8 @@
       site,
       () => site.runningTaskCount('j-000001') === 2 && site.runningTaskCount('j-000002') === 4,
     );
-    // These tasks are preempted by production tasks and start again on other machines, after forget commands have
-    // cleared their first attempts.
+    // The tasks of j-000002 that the following jobs preempt, or that fail on the failing machine, start again, after
+    // forget commands have cleared their first attempts.
     const failingWorker = site.worker(site.machineOf('j-000001/0'));
     failingWorker.failsTasks = true;
     await site.submit({ ref: 'j-000003', tasks: 3, runS: 12, team: 'blue' });
--- a/test/traces/gap.test.ts
+++ b/test/traces/gap.test.ts
@@ -6,14 +6,14 @@
 /** An outage longer than the time limit of a cancellation (40 s on simulated sites) and than a lease (20 s). */
 const OUTAGE_S = 60;
 
-/** A site whose leader the key-value store refuses, and a controller that confirms a cancellation. */
+/** A site, its leader, which the key-value store refuses later, and a controller that confirms a cancellation. */
 interface RefusedLeaderScenario {
   readonly site: SimulatedSite;
   readonly oldLeader: string;
   readonly otherNode: string;
 }
 
-/** Returns a site that runs a service on a machine of its own, and an array of three tasks of 200 s. */
+/** Returns a site that runs a service and an array of three tasks of 200 s, before the store refuses the leader. */
 async function siteWithRefusableLeader(): Promise<RefusedLeaderScenario> {
   const site = await startedSite();
   await site.submit({ ref: 'j-000001', kind: 'service', team: 'blue' });
@@ -135,8 +135,8 @@
     }
     await site.submit({ ref: 'j-000003', kind: 'service', team: 'blue' }, otherNode);
     await site.run(0.2);
-    // No controller has a valid leader lease any more; then the store serves the other controllers for a moment,
-    // but not the leader.
+    // No controller has a valid leader lease any more; then the store serves the other controllers, but not the leader,
+    // until a cancellation is confirmed.
     site.store.isUnavailable = true;
     await site.run(4);
     site.outboundPartitioned.clear();
--- a/test/traces/pipeline-faults.test.ts
+++ b/test/traces/pipeline-faults.test.ts
@@ -4,7 +4,7 @@
 import { expectTrace } from './trace.js';
 
 const ref = (n: number): string => `j-${String(n).padStart(6, '0')}`;
-/** Returns whether a job is done or cancelled and its progress record is deleted. */
+/** Returns whether an accepted job is done or cancelled: its head record under `open/` is deleted when it ends. */
 const hasEnded = (site: SimulatedSite, n: number): boolean =>
   site.store.value(`open/${ref(n)}`) === undefined;
 
@@ -51,7 +51,7 @@
   });
 
   it.each([-0.6, -0.3, -0.1, 0, 0.1, 0.3])(
-    'has the same final state at every node if it is cancelled %s s from its end',
+    'gives its own final state to its dependent, at every node, if it is cancelled %s s from its end',
     async (offset) => {
       const { site } = await siteWithEndingDependency();
       const cancelAfterS = 2 + offset;
--- a/test/traces/pipelines.test.ts
+++ b/test/traces/pipelines.test.ts
@@ -5,7 +5,7 @@
 
 const ref = (n: number): string => `j-${String(n).padStart(6, '0')}`;
 
-/** Submits four jobs, each of which depends on the previous one; the last job is urgent and has a deadline. */
+/** Submits four jobs, of which all but the first depend on the previous one; the last is urgent and has a deadline. */
 async function submitChain(site: SimulatedSite, runS: number): Promise<void> {
   expect(await site.submit({ ref: ref(1), tasks: 2, runS, rank: 'idle' })).toBe(201);
   expect(await site.submit({ ref: ref(2), tasks: 3, runS, rank: 'idle', awaits: [ref(1)] }, 'node-1')).toBe(
@@ -190,7 +190,7 @@
     await site.run(2);
     const before = { requests: site.store.requestCount, writes: site.store.writeCount };
     await site.run(10);
-    // Waiting jobs cause no requests: only the leader's lease renewals and the watches do.
+    // Waiting jobs cause no requests. The limit leaves room for the leader's lease renewals; watches are not counted.
     expect(site.store.requestCount - before.requests).toBeLessThan(150);
     expect(await site.cancel(ref(1))).toBe('cancelled');
     await site.run(38);
--- a/test/traces/placement-guard.test.ts
+++ b/test/traces/placement-guard.test.ts
@@ -42,7 +42,10 @@
   return { ...original, placementRefusal };
 });
 
-/** Runs a scenario with a scheduler that ignores one constraint, and returns the violations of the rules. */
+/**
+ * Runs a scenario with a scheduler that ignores one constraint, and returns the violations of the rules. If `guarded`
+ * is false, start commands are sent without the last check of the constraints.
+ */
 async function violationsWithout(constraint: Constraint, guarded: boolean): Promise<readonly string[]> {
   Object.assign(fault, { constraint, guarded });
   const scenario = new Scenario(5, new SimulatedSite(MIXED_SITE), PLACEMENT_PLAN);
--- a/test/traces/placement-scenarios.test.ts
+++ b/test/traces/placement-scenarios.test.ts
@@ -14,7 +14,7 @@
 const BOOT_MS = 1200;
 /**
  * The age from which a new machine appears in the cloud’s list. The lag exceeds the duration of three takeovers, so
- * that a leader learns of a new machine only from heartbeats and records.
+ * that a successor learns of a machine below this age only from heartbeats and records.
  */
 const LIST_LAG_MS = 16_000;
 
--- a/test/traces/placement.test.ts
+++ b/test/traces/placement.test.ts
@@ -5,8 +5,8 @@
 import { runUntil } from './steps.js';
 
 /**
- * Returns a site whose machines boot in 1 s but appear in the cloud’s list only after 60 s, so that controllers
- * learn of new machines only from heartbeats and records.
+ * Returns a site whose machines boot in 1 s but appear in the cloud’s list only after 60 s. Until then, a controller
+ * that did not rent a machine itself learns of the machine only from heartbeats and records.
  */
 async function siteWithLateList(): Promise<SimulatedSite> {
   const site = new SimulatedSite(MIXED_SITE);
--- a/test/traces/progress-chunks.test.ts
+++ b/test/traces/progress-chunks.test.ts
@@ -174,7 +174,7 @@
 
   it('are deleted completely, including a large record that was written late, after smaller records', async () => {
     const site = new SimulatedSite(siteSizeFor(TASK_COUNT, LOW_LIMITS));
-    // While some controllers cannot read small records, small records are written only after a large record was
+    // While at least one controller cannot read small records, small records are written only after a large record was
     // refused.
     for (const name of site.nodes) site.earlierVersionNodes.add(name);
     site.startAll();
--- a/test/traces/scenarios.test.ts
+++ b/test/traces/scenarios.test.ts
@@ -106,7 +106,7 @@
     expect(await site.query('j-000001', 'node-2')).toBe('done');
   });
 
-  it('prevents a delayed start command from starting the task', async () => {
+  it('prevents a delayed start command from starting the task again', async () => {
     const site = await startedSite();
     await site.submit({ ref: 'j-000001', kind: 'service' });
     await runUntil(site, () => site.runningTaskCount('j-000001') === 1);
@@ -116,8 +116,8 @@
     await site.run(0.3);
     expect(await site.cancel('j-000002')).toBe('cancelled');
     await site.run(45);
-    // The start command was sent but not answered. When the command arrives late, the worker must recognize the
-    // attempt as ended.
+    // The direct start command was sent but not answered; the answer to a heartbeat started the task instead. When the
+    // command arrives late, the worker must recognize the attempt as ended.
     site.releaseCommands();
     await site.run(10);
     expect(site.runningTaskCount('j-000002')).toBe(0);
--- a/test/traces/size-4500.test.ts
+++ b/test/traces/size-4500.test.ts
@@ -58,7 +58,7 @@
 
     const newLeader = site.leader as string;
     for (const ref of refs) while ((await site.cancel(ref, newLeader)) !== 'cancelled') await site.run(1);
-    // The forecast expects the demand of the ended jobs for some more time slots.
+    // After jobs have ended, the forecast still expects their demand for several slots of 30 s; 150 s are five slots.
     await site.run(150);
     expect(runningCount()).toBe(0);
     expect(site.cloud.machines.size).toBeLessThan(MACHINE_COUNT / 10);
--- a/test/traces/size.test.ts
+++ b/test/traces/size.test.ts
@@ -2,8 +2,8 @@
 import { SimulatedSite } from '../simulation/simulated-site.js';
 
 /**
- * Checks that the load on the key-value store, the cloud and the workers depends on the number of events, not on
- * the size of the site.
+ * Checks that the load on the key-value store depends on the number of events, not on the size of the site, and that
+ * the number of concurrent direct calls to workers is limited.
  */
 describe('a site of 2,000 machines and five controllers', () => {
   it('scales out, runs 335 jobs, and is taken over by a successor', async () => {
@@ -16,7 +16,7 @@
     await site.run(1);
     let jobCount = 0;
     const serviceRefs: string[] = [];
-    /** Submits a job as a user does: a submission that is rate-limited (status 503) is retried every second. */
+    /** Submits a job as a user does: a submission that is refused with status 503 is retried every second. */
     const submit = async (tasks: number, more: object): Promise<string> => {
       const ref = `j-${String(jobCount++).padStart(6, '0')}`;
       while ((await site.submit({ ref, tasks, ...more }, `node-${jobCount % 5}`)) === 503) await site.run(1);
@@ -43,13 +43,13 @@
     // The successor reads records in pages and compares many records per request, instead of one request per record.
     expect(site.store.requestCount - before.requests).toBeLessThan(150);
     expect(site.maxConcurrentCalls).toBeLessThanOrEqual(64);
-    // The new leader starts tasks within seconds, on machines whose heartbeats it has received by then.
+    // The new leader starts tasks within 6 s, on machines whose heartbeats it has received by then.
     const newLeader = site.nodes.find((node) => node === site.leader) as string;
     await site.submit({ ref: 'j-900000', tasks: 8, team: 'blue', spot: true, runS: 1 }, newLeader);
     await site.run(6);
     expect(await site.query('j-900000', newLeader)).toBe('done');
 
-    // 15% of the machines (300) die at the same time; the lost replicas start again.
+    // 15% of the machines (about 300) die at the same time; the lost replicas start again within 12 s.
     const runningReplicaCount = (): number =>
       serviceRefs.reduce((sum, ref) => sum + site.runningTaskCount(ref), 0);
     const initialReplicaCount = runningReplicaCount();
--- a/test/traces/state-limits.test.ts
+++ b/test/traces/state-limits.test.ts
@@ -14,7 +14,7 @@
 const REF = 'j-000001';
 const TASK_COUNT = 250;
 
-/** Returns a site with two teams that may each use 600 CPUs, and with the given announced limits. */
+/** Returns a site with two teams that may each use 600 CPUs, and with the given announced limits; undefined: none. */
 function largeSite(next?: object): SimulatedSite {
   return new SimulatedSite({
     teamCpuLimits: { red: 600, blue: 600 },
@@ -46,7 +46,7 @@
   expect(site.rules.violations).toEqual([]);
 }
 
-/** Returns the length of the longest stored value. */
+/** Returns the length of the longest stored value's JSON, in characters. */
 const longestValueLength = (site: SimulatedSite): number =>
   Math.max(...[...site.store.keys.values()].map((entry) => JSON.stringify(entry.value).length));
 
@@ -67,7 +67,7 @@
 
   it('come into force during a takeover from a leader that wrote large records', async () => {
     const site = largeSite(ANNOUNCED_LIMITS);
-    // No record is split while some controllers cannot read split records.
+    // Unless the store refuses a record, none is split while at least one controller cannot read split records.
     for (const name of site.nodes) site.earlierVersionNodes.add(name);
     site.startAll();
     await site.run(1);
@@ -142,7 +142,7 @@
     expect(site.rules.violations).toEqual([]);
   });
 
-  it('are probed after a rate-limited request: high load lowers no rate, and a confirmed limit remains applied', async () => {
+  it('are probed after a rate-limited request: high load lowers the rate only until the probe is answered, and a confirmed limit remains applied', async () => {
     const clock = new VirtualClock();
     const settings = { storeLimits: limitsOf(60, 16), announcedStoreLimits: limitsOf(30, 5) };
     const store = new FakeKeyValueStore(clock);
@@ -151,7 +151,9 @@
       clock,
       createLimitProbe(store.clientFor('node-0', clock), settings),
     );
-    const rateLimitedError = new StoreRefusedError('state answered 429', { isRateLimited: true });
+    const rateLimitedError = new StoreRefusedError('key-value store answered a request with status 429', {
+      isRateLimited: true,
+    });
     limits.recordFailure(rateLimitedError);
     // The announced rate applies immediately, until the key-value store has answered the probe.
     expect(limits.writeRps).toBe(30);
--- a/test/traces/upgrade.test.ts
+++ b/test/traces/upgrade.test.ts
@@ -126,8 +126,8 @@
     await site.run(1);
     expect(await lateTransaction).toEqual({ ok: false, failed: ['epoch'] });
     expect(site.runningTaskCount('j-000001')).toBe(310);
-    // The production version cancels a job by writing only its state, on condition that the record still has the
-    // revision that was read.
+    // The production version cancels a job by writing its record with only the state changed, on condition that the
+    // record still has the revision that was read.
     const record = await readRecord(site, 'job/j-000001');
     const pendingCancellation = oldClient.txn(
       [{ key: record.key, revision: record.revision }],
@@ -288,7 +288,7 @@
     expect(site.runningTaskCount(MIXED_CHUNK_REF)).toBe(MIXED_CHUNK_TASK_COUNT);
     expect(site.rules.startCount).toBe(MIXED_CHUNK_TASK_COUNT);
     expect(machinesAsReadByMixedChunkVersion(site)).toEqual(actualMachines());
-    // The records are also readable for that version after some tasks were placed again.
+    // The records are also readable for that version after the tasks of two machines were placed again.
     site.killMachine(site.machineOf(`${MIXED_CHUNK_REF}/0`));
     site.killMachine(site.machineOf(`${MIXED_CHUNK_REF}/60`));
     await runUntil(site, () => site.runningTaskCount(MIXED_CHUNK_REF) === MIXED_CHUNK_TASK_COUNT, 60);
