--- a/test/unit/wire.test.ts
+++ b/test/unit/wire.test.ts
@@ -188,7 +188,7 @@
     expect(() => readOperators({ fleet: { give_back: 1 } })).toThrow(/give_back/);
   });
 
-  it('that are too small to run the service are listed by field', () => {
+  it('that are too small to run the service, or a CPU share above 1, are listed by field', () => {
     const findTooSmall = (resources: object, workers: object): string[] =>
       findSettingsBelowMinimum(
         readSettings({
