--- a/packages/membership/src/verdict.ts
+++ b/packages/membership/src/verdict.ts
@@ -14,7 +14,7 @@
   Alive = 'alive',
   /** The member did not answer probes, and may still refute the suspicion. */
   Suspect = 'suspect',
-  /** A majority of the configured controllers has found the member silent. */
+  /** A majority of the configured controllers has found the member silent for at least the suspicion time. */
   Failed = 'failed',
   /** The member announced that it leaves. */
   Left = 'left',
@@ -24,7 +24,7 @@
 export interface VerdictRules {
   readonly majority: number;
   readonly suspicionMs: number;
-  /** The age up to which a contact counts as current. */
+  /** The age up to which a contact counts as current; multiplied by the observer's local health score plus 1. */
   readonly contactWindowMs: number;
 }
 
--- a/src/peer/routed-caller.ts
+++ b/src/peer/routed-caller.ts
@@ -63,12 +63,12 @@
 
 /**
  * Calls workers directly or, across a network partition, through another controller: a third zone can usually reach
- * both of two zones that cannot reach each other. While this process is busy, calls are delegated to controllers with
- * less load.
+ * both of two zones that cannot reach each other. While the load of this process is at least
+ * `MIN_DELEGATION_LOAD_RATIO`, calls are delegated to controllers with spare capacity.
  */
 export class RoutedCaller implements WorkerClient {
   private readonly avoidedDirectly: AvoidedAddresses;
-  /** Addresses for which a delegated call, made through another controller while this process is busy, has failed. */
+  /** Addresses for which a call that was delegated to another controller (`delegateFor`) has failed. */
   private readonly avoidedByDelegation: AvoidedAddresses;
   /** Round-robin counter that selects the peer for commands across a network partition. */
   private nextPeer = 0;
@@ -160,7 +160,10 @@
     }
   }
 
-  /** Makes a call through a peer. Throws `NoSocketError` if the call was not sent, otherwise `NoAnswerError`. */
+  /**
+   * Makes a call through a peer. Throws `NoSocketError` if the peer had no free socket for the call, and
+   * `NoAnswerError` if the peer did not respond or did not reach the worker.
+   */
   private async callThrough(peer: Peer, payload: Buffer, deadlineMs: number): Promise<CommandReply> {
     const response = await peer.request(FrameKind.WorkerCall, payload, deadlineMs + RELAY_DEADLINE_MARGIN_MS);
     if (response?.status === NO_SOCKET_STATUS) {
@@ -174,7 +177,7 @@
 
   /**
    * Sends commands through one peer. Commands use one route at a time: commands without an answer may still be
-   * executed, and the caller must know about them. Without an answer, the direct route is tried again on the next call.
+   * executed, and the caller must know about them. Without an answer, the direct route is no longer avoided.
    */
   private async sendThroughPeer(address: string, body: unknown, deadlineMs: number): Promise<CommandReply> {
     const payload = encodeWorkerCall('commands', address, deadlineMs, body);
@@ -183,7 +186,7 @@
     const reply = peer ? await this.callThrough(peer, payload, deadlineMs).catch(() => null) : null;
     if (reply) return reply;
     this.avoidedDirectly.delete(address);
-    throw new NoAnswerError('no answer from the worker through another controller');
+    throw new NoAnswerError('the worker did not answer through another controller');
   }
 
   /**
