--- a/packages/membership/src/identity.ts
+++ b/packages/membership/src/identity.ts
@@ -22,7 +22,10 @@
 
 /** How a received identity relates to the known identity of the same member. */
 export enum IdentityOrder {
-  /** The identity belongs to the known process, or no process of the member was known. */
+  /**
+   * The identity belongs to the known process in the known or a later incarnation, or no process of the member was
+   * known.
+   */
   Current = 'current',
   /** The identity belongs to a later start of the member's process. */
   Restarted = 'restarted',
--- a/packages/membership/src/roster.ts
+++ b/packages/membership/src/roster.ts
@@ -21,7 +21,8 @@
 }
 
 /**
- * Evaluates all peers from the current observation rows. A failed member remains failed until it refutes the verdict.
+ * Evaluates all peers from the current observation rows. A failed member remains failed until it refutes the verdict,
+ * restarts, or runs a version that does not support membership messages.
  */
 export class Roster {
   private readonly entries = new Map<MemberId, RosterEntry>();
--- a/packages/simulation/src/measure/failure-kinds.ts
+++ b/packages/simulation/src/measure/failure-kinds.ts
@@ -7,7 +7,10 @@
   readonly inject: (cluster: LoopbackCluster, owner: string) => void;
 }
 
-/** All measured kinds of failure. Each leads to a takeover, by a failure verdict or by the expiry of the lease. */
+/**
+ * All measured kinds of failure. Each leads to a takeover: after a failure verdict or, if the cluster runs in
+ * lease-only mode, after the owner's lease has expired.
+ */
 export const FAILURE_KINDS: readonly FailureKind[] = [
   { name: 'killed', inject: (cluster, owner) => cluster.kill(owner) },
   { name: 'stopped', inject: (cluster, owner) => cluster.pause(owner) },
--- a/packages/simulation/src/simulated-cluster.ts
+++ b/packages/simulation/src/simulated-cluster.ts
@@ -60,7 +60,7 @@
   readonly event: MembershipEvent;
 }
 
-/** The parts of a membership message that the defective variant without refutation changes. */
+/** The parts of a membership message that the defect `noRefutation` changes. */
 interface SuspicionsInMessage {
   aboutReceiver: { suspected: boolean } | null;
   rows?: { peers: { identity: { member: string }; suspectedForMs: number | null }[] }[];
@@ -122,7 +122,8 @@
     const clock = new ProcessClock(this.clock, (this.random() - 0.5) * 2000);
     const settings = { ...this.settings, self: member };
     const membership = this.createMembership(member, settings, clock);
-    // The defective variant lowers the majority only after the membership has validated the settings.
+    // The defect `noMajority` lowers the majority only after the membership has validated the settings, since the
+    // validation rejects a number that is less than a majority.
     if (this.options.defects?.noMajority) settings.majority = 1;
     const log = {
       info: () => {},
@@ -193,8 +194,8 @@
 
   private async startJob(ownership: Ownership, claims: OwnershipRegistry): Promise<void> {
     const { unit, owner, epoch } = ownership;
-    // Jobs come from a pool of 500 names, so that two processes that both believe they own a unit try to start the same
-    // job.
+    // All processes and units share `jobCount`, so a number recurs only after 500 attempts in the whole cluster. A job
+    // that the store already holds is not started again.
     const job = `${unit}/job-${this.jobCount % 500}`;
     this.jobCount++;
     const key = `job/${job}`;
--- a/packages/takeover/src/owner-status.ts
+++ b/packages/takeover/src/owner-status.ts
@@ -5,14 +5,18 @@
 
 /** The status of a unit's owner, derived from the unit's records and this member's view of the membership. */
 export enum OwnerStatus {
-  /** The owner is alive in this member's view, or its state is unknown for less than `unknownOwnerTimeoutMs`. */
+  /**
+   * The owner is alive as the same process in this member's view, or its member has been in state unknown for less than
+   * `unknownOwnerTimeoutMs`.
+   */
   Present = 'present',
+  /** The owner's member is suspect in this member's view, as the same or another process. */
   Suspected = 'suspected',
   /** A majority of the members has lost contact with the owner, which may still be running. */
   Failed = 'failed',
   /**
-   * The owner has left, has restarted as another process, is not a configured member, or its state is unknown for
-   * `unknownOwnerTimeoutMs` or longer; or the unit has no owner.
+   * The owner's member has left, is alive or failed as another process, is not configured, or has been in state unknown
+   * for `unknownOwnerTimeoutMs` or longer; or the unit has no owner.
    */
   Gone = 'gone',
 }
--- a/packages/takeover/src/ownership.ts
+++ b/packages/takeover/src/ownership.ts
@@ -98,7 +98,10 @@
   Unknown = 'unknown',
 }
 
-/** Reads and writes ownership records. A claim is decided by a conditional write to the store alone. */
+/**
+ * The interface that reads, claims, confirms, renews (by heartbeats) and releases the ownership of units. A claim is
+ * decided by a conditional write to the store alone.
+ */
 export interface OwnershipClaims {
   /** Reads the unit's records. Resolves to null if the store did not respond or refused the request. */
   read(unit: UnitId): Promise<OwnershipReading | null>;
--- a/packages/takeover/src/reference/ownership-record.ts
+++ b/packages/takeover/src/reference/ownership-record.ts
@@ -1,6 +1,6 @@
 /**
- * The stored records of a unit: its holder, and the epoch that fences earlier holders. The names in the schemas are the
- * stored form (`heir`: the successor; `signs`: the heartbeat count) and must not change.
+ * The stored records of a unit: its holder, and the epoch that fences earlier holders. The names of the stored fields
+ * must not change: `heir` is the successor; `signs`, which is written but never decoded, is the heartbeat count.
  */
 import type { MemberId, ProcessId } from '@plumyoke/membership';
 import * as z from 'zod/mini';
--- a/packages/takeover/src/takeover-settings.ts
+++ b/packages/takeover/src/takeover-settings.ts
@@ -17,11 +17,17 @@
   readonly claimStaggerMs: number;
   /** The interval at which an owner without contact to a majority writes heartbeats to the store. */
   readonly heartbeatIntervalMs: number;
-  /** The age of an owner's last heartbeat in the store below which the owner is not replaced, even if found failed. */
+  /**
+   * The age of an owner's last heartbeat in the store below which the owner is not replaced even if found failed. An
+   * owner that is gone is replaced regardless of its heartbeats.
+   */
   readonly heartbeatTimeoutMs: number;
-  /** The time after which an owner that this member has never observed is considered gone. */
+  /** The time for which an owner's state must be unknown before the owner is considered gone. */
   readonly unknownOwnerTimeoutMs: number;
-  /** Whether a member claims a vacant unit. If false, the first successor only prefetches. */
+  /**
+   * Whether a member claims a unit whose owner has failed or is gone, or that has no owner. If false, the first
+   * successor only prefetches.
+   */
   readonly claimOnFailure: boolean;
 }
 
--- a/src/api/overflow-records.ts
+++ b/src/api/overflow-records.ts
@@ -13,8 +13,9 @@
  * The overflow records of one job acceptance. Another controller may process the same submission concurrently; with
  * other store limits it splits the same text at other places. The first record under each key prefix therefore serves
  * as a fence: every write of a further record, and the acceptance itself, compares the revision at which this
- * controller wrote the first record. A second controller that finds a different first record rewrites it, so that all
- * later writes of the first controller fail their comparison, however late they reach the store.
+ * controller wrote the first record or found it with equal content. A second controller that finds a different first
+ * record rewrites it, so that all later writes of the first controller fail their comparison, however late they reach
+ * the store.
  */
 export class OverflowRecords {
   private readonly fences = new Map<string, Compare>();
--- a/src/api/store-retry.ts
+++ b/src/api/store-retry.ts
@@ -3,7 +3,10 @@
 import { sleep } from '../model/time.js';
 import { isRateLimitedError, StoreOutcomeUnknownError } from '../store/errors.js';
 
-/** The maximum number of attempts of a store request, the first one included. */
+/**
+ * The maximum number of attempts of a store request, the first one included. The write of a cancellation is attempted
+ * once more after retryable errors.
+ */
 export const MAX_ATTEMPT_COUNT = 3;
 
 /**
--- a/src/leader/record-loader.ts
+++ b/src/leader/record-loader.ts
@@ -39,7 +39,7 @@
   return prefetched ?? readRecords(ctx.store, prefix, (request) => withRateLimitRetry(ctx, request));
 }
 
-/** Creates an unfinished job whose progress chunks have the size that the store's limits allow. */
+/** Creates an unfinished job. The store's limits determine how many of its tasks share one progress record. */
 export function createActiveJob(ctx: LeaderContext, record: JobRecord, revision: Revision): ActiveJob {
   const { spec, acceptedAt } = record;
   return new ActiveJob(spec, revision, acceptedAt, ctx.storeLimits.chunkSize(spec.taskCount));
@@ -62,13 +62,17 @@
   return values;
 }
 
-/** Reads dependencies that do not fit into the job record. Throws `InvalidRecordError` if a record is missing. */
+/**
+ * Reads all submitted dependencies of a job from its overflow records, which hold them if they do not fit into the job
+ * record. Throws `InvalidRecordError` if a record is missing.
+ */
 export async function readDependencies(ctx: LeaderContext, id: JobId, recordCount: number): Promise<JobId[]> {
   return (await readRecordValues<JobId[]>(ctx, id, recordCount, keys.dependencies)).flat();
 }
 
 /**
- * Completes a job record with the names from its overflow records. Throws `InvalidRecordError` if a record is missing.
+ * Completes a job record with its class, team, image, allowed machine types and zone, if overflow records hold them.
+ * Throws `InvalidRecordError` if a record is missing.
  */
 export async function readDescription(ctx: LeaderContext, record: JobRecord): Promise<JobRecord> {
   const { id, descriptionRecordCount } = record.spec;
@@ -77,20 +81,20 @@
   return withDescription(record, parts);
 }
 
-/** A machine loaded from the record of an earlier leader. */
+/** A machine loaded from a fleet record of an earlier leader. */
 interface LoadedMachine {
   readonly record: MachineRecord;
   /** Rental time of the machine on this process's clock. */
   readonly rentedAt: MonotonicTime;
 }
 
-/** The recorded machines, and the machine and forecast records that a new leader adopts. */
+/** The loaded machines, and the stored fleet and forecast records, which a new leader overwrites with its own. */
 export interface LoadedFleet {
   readonly machines: readonly LoadedMachine[];
   readonly records: readonly KeyValue[];
 }
 
-/** Loads the recorded machines and restores the stored forecasts in the fleet manager. */
+/** Loads the machines from the fleet records and restores the stored forecasts in the fleet manager. */
 export async function loadFleet(ctx: LeaderContext, fleet: FleetManager): Promise<LoadedFleet> {
   const { rows } = await loadRecords(ctx, keys.fleet);
   const machines = rows
--- a/src/leadership/failover/failover.ts
+++ b/src/leadership/failover/failover.ts
@@ -137,8 +137,9 @@
   }
 
   /**
-   * Resolves with the prefetched records under a prefix, updated to the present; null: none were prefetched, or they
-   * could not be updated. Each prefix is returned once.
+   * Resolves with the prefetched records under a prefix, with all later changes applied; null: none were prefetched,
+   * the prefetch failed, the records were taken by an earlier call, or the later changes are no longer available.
+   * Rejects with the errors of the store client; the prefetched records are then discarded.
    */
   takePrefetchedRecords(prefix: string): Promise<RecordSet | null> {
     return this.prefetcher.take(prefix);
@@ -182,7 +183,7 @@
 
   /**
    * Ends this controller's term of `epoch`, unless that term has already ended, after another controller has taken
-   * over; the coordinator has logged the evidence.
+   * over; the coordinator has logged a warning about the replacement.
    */
   private onReplaced(epoch: number): void {
     const { leadership } = this.dependencies;
@@ -217,7 +218,10 @@
     return this.membership.members().map((view) => memberEntry(view, leader));
   }
 
-  /** Returns the number of messages from other controllers that were dropped since the process started, by reason. */
+  /**
+   * Returns the number of rejected membership messages since the process started, by `RejectReason`. The numbers
+   * include stale requests, which are answered, and this process's own requests that exceeded the rate limit.
+   */
   droppedMessages(): Record<string, number> {
     return Object.fromEntries(this.membership.rejected);
   }
--- a/test/unit/failure-detector.test.ts
+++ b/test/unit/failure-detector.test.ts
@@ -135,8 +135,8 @@
 }
 
 describe('early probes of workers with replicas', () => {
-  // Guards against probing all silent workers early, which takes a third of a leader's processor time on a tenth of a
-  // core.
+  // Guards against probing all silent workers before their heartbeats are overdue: if a leader may use a tenth of a
+  // core, these probes take an estimated third of the processor time that it may use.
   it('use a bounded ratio of the processor time and start with the longest silent worker', async () => {
     const small = await workersProbedEarly(0.1, 0);
     expect(small.length).toBeGreaterThan(0);
--- a/test/unit/worker-lease.test.ts
+++ b/test/unit/worker-lease.test.ts
@@ -47,8 +47,9 @@
     expect(worker.lease.latestExpiry(at(15), LEASE_MS)).toBe(at(88));
   });
 
-  // Guards against tasks that run twice (ran_twice): a worker that gets no answers runs tasks from direct commands in
-  // its second incarnation, and these tasks were taken for gone while they still ran.
+  // Guards against tasks that run twice (the violation `ran_twice` of the simulation's rule checker): a worker that
+  // gets no answers runs tasks from direct commands in its second incarnation. The leader must not consider these tasks
+  // ended while they still run.
   it('counts from the first report of an incarnation, which may run tasks without any answer', () => {
     const worker = newWorker();
     reconcile(worker, heartbeat(1, 1), EPOCH, new JobStore(), at(5));
